--- a/crates/decisions/src/policy/members.rs
+++ b/crates/decisions/src/policy/members.rs
@@ -9,13 +9,13 @@
             ListUpdate::Changes(e) => (e, false),
             ListUpdate::Full(e) => (e, true),
             ListUpdate::Cached(e) => {
-                self.asking.known(self.now, chance, e.len());
+                self.polls.known(self.now, chance, e.len());
                 (e, true)
             }
             ListUpdate::Failed { .. } if self.set.discovery == Discovery::Pushed => return,
-            ListUpdate::Failed { quiet } => return self.asking.failed(self.now, chance, quiet.map(|q| q.0)),
+            ListUpdate::Failed { quiet } => return self.polls.failed(self.now, chance, quiet.map(|q| q.0)),
         };
-        self.asking.told();
+        self.polls.told();
         entries.iter().for_each(|e| self.on_entry(e));
         if whole {
             let named: BTreeSet<MemberId> = entries.iter().map(|e| e.member).collect();
@@ -216,7 +216,7 @@
 
     pub(super) fn on_tick(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
-        if self.asking.due(now) {
+        if self.polls.due(now) {
             out.push(Action::Subscribe);
         }
         self.pace = if self.members.values().any(|m| self.warmth(m) < 1.0) { self.pace } else { 1.0 };
--- a/crates/decisions/src/asking.rs
+++ b/crates/decisions/src/poll_schedule.rs
@@ -25,8 +25,8 @@
 /// The least gap, in microseconds: a service that fails calls at once is not asked in a loop.
 const GAP_LEAST: u64 = 50_000;
 
-/// The state of asking, all times in microseconds on the caller's clock.
-pub struct Asking {
+/// The state of the calls, all times in microseconds on the caller's clock.
+pub struct PollSchedule {
     /// When the next call is due; none while one is out, or where lists come unasked.
     at: Option<u64>,
     /// When after a start the first call may go out, and the length from which chance draws its part.
@@ -40,10 +40,10 @@
     by: BTreeSet<u64>,
 }
 
-impl Asking {
+impl PollSchedule {
     /// For proxy `me` of `fleet`, whose slot is a matter of chance if its place isn't told. Without a list a call is due at once (`now`); `None` where lists come unasked.
     /// Whoever asks for nothing for `within` counts as told, so no gap comes near it.
-    pub fn new(me: Option<u32>, fleet: u32, within: u64, now: Option<u64>) -> Asking {
+    pub fn new(me: Option<u32>, fleet: u32, within: u64, now: Option<u64>) -> PollSchedule {
         let turns = u64::from(fleet.max(1)) * TURN;
         let longest = WINDOW.1.max(2 * turns).min(within / 5 * 4).max(1);
         let first = WINDOW.0.max(turns).min(longest);
@@ -51,12 +51,12 @@
             Some(me) => ((u64::from(me % fleet.max(1)) * TURN).min(longest), TURN),
             None => (0, turns.min(longest)),
         };
-        Asking { at: now, slot, first, longest, window: first, grace: 0, by: BTreeSet::new() }
+        PollSchedule { at: now, slot, first, longest, window: first, grace: 0, by: BTreeSet::new() }
     }
 
     /// The same, where a member that drains may be sent to for so long after it was told.
-    pub fn within_grace(self, grace: u64) -> Asking {
-        Asking { grace, ..self }
+    pub fn within_grace(self, grace: u64) -> PollSchedule {
+        PollSchedule { grace, ..self }
     }
 
     /// A saved list of so many members is at hand: unless it is empty the first call can wait for its slot, and in it
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -2,11 +2,11 @@
 
 use crate::allowance::Allowance;
 use crate::api::*;
-use crate::asking::Asking;
 use crate::goals::Goals;
 use crate::outage::{Out, Outages};
 use crate::outages::Cause;
 use crate::patience::Waits;
+use crate::poll_schedule::PollSchedule;
 pub(crate) use crate::recovery::Ill;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -144,7 +144,7 @@
     pub(crate) timer: u64,
     pub(crate) timer_at: Us,
     pub(crate) walk_at: Us,
-    pub(crate) asking: Asking,
+    pub(crate) polls: PollSchedule,
     /// As how many routers like this one all that share nothing count: for limits, and for what cold members bear.
     pub(crate) sharers: (f64, f64),
 }
@@ -210,7 +210,7 @@
         let sharers = f64::from(set.fleet_size.max(1));
         Router {
             sharers: (sharers, sharers),
-            asking: Asking::new(set.me, set.fleet_size, set.rules.ask_within.0, first)
+            polls: PollSchedule::new(set.me, set.fleet_size, set.rules.ask_within.0, first)
                 .within_grace(set.rules.drain_grace.0),
             buckets: vec![Allowance::new(now); set.tenants.len()],
             set,
--- a/crates/decisions/src/watching.rs
+++ b/crates/decisions/src/watching.rs
@@ -2,7 +2,7 @@
 //!
 //! Where lists are pushed, an agent on this machine holds what discovery has sent it, answers at once and at no cost to
 //! anybody else, and what it holds counts as told. So there is no wave to avoid, as there is where one service answers
-//! a whole fleet ([`crate::asking`]): the first watch is opened at the start, the next one at once when it ends. Only an
+//! a whole fleet ([`crate::poll_schedule`]): the first watch is opened at the start, the next one at once when it ends. Only an
 //! agent that is away, or that ends each watch as soon as it opens, is left in peace for a moment; and that moment is
 //! a part of the grace of a drain, since the list that waits behind it may tell of one.
 
--- a/crates/decisions/tests/asking.rs
+++ b/crates/decisions/tests/poll_schedule.rs
@@ -1,6 +1,6 @@
 //! A hundred proxies and one discovery service that takes calls in turn: when they ask, and how soon all know.
 
-use linenhill_decisions::asking::Asking;
+use linenhill_decisions::poll_schedule::PollSchedule;
 
 const MS: u64 = 1_000;
 const FLEET: u32 = 100;
@@ -11,19 +11,20 @@
 /// was told, and how many calls there were in all and in the busiest second.
 fn play(starters: &[Option<u32>]) -> (u64, usize, usize) {
     let mut rng = fastrand::Rng::with_seed(7);
-    let mut fleet: Vec<Asking> = starters.iter().map(|me| Asking::new(*me, FLEET, WITHIN, Some(0))).collect();
-    fleet.iter_mut().for_each(|asking| asking.known(0, rng.f64(), 60));
+    let mut fleet: Vec<PollSchedule> =
+        starters.iter().map(|me| PollSchedule::new(*me, FLEET, WITHIN, Some(0))).collect();
+    fleet.iter_mut().for_each(|poll_schedule| poll_schedule.known(0, rng.f64(), 60));
     let (mut told, mut by_second, mut free_at) = (vec![u64::MAX; fleet.len()], vec![0; 20], 0);
     for now in (0..20_000).map(|ms| ms * MS) {
-        for (asking, told) in fleet.iter_mut().zip(&mut told) {
-            if asking.due(now) {
+        for (poll_schedule, told) in fleet.iter_mut().zip(&mut told) {
+            if poll_schedule.due(now) {
                 by_second[(now / 1_000 / MS) as usize] += 1;
                 free_at = now.max(free_at) + 50 * MS;
                 if free_at <= now + 1_050 * MS {
                     *told = (*told).min(free_at);
-                    asking.told();
+                    poll_schedule.told();
                 } else {
-                    asking.failed(now, rng.f64(), None);
+                    poll_schedule.failed(now, rng.f64(), None);
                 }
             }
         }
@@ -53,14 +54,14 @@
     for fleet in [1, 3, FLEET, u32::MAX] {
         let (mut gaps, mut rng) = (Vec::new(), fastrand::Rng::with_seed(3));
         for me in (0..fleet.min(FLEET)).chain([u32::MAX]) {
-            let mut asking = Asking::new(Some(me), fleet, WITHIN, Some(0));
-            asking.known(0, 1.0, 0);
-            assert!(asking.due(0), "without a list the first call is due at once");
+            let mut poll_schedule = PollSchedule::new(Some(me), fleet, WITHIN, Some(0));
+            poll_schedule.known(0, 1.0, 0);
+            assert!(poll_schedule.due(0), "without a list the first call is due at once");
             let mut now = 0;
             for _ in 0..6 {
-                asking.failed(now, rng.f64(), None);
+                poll_schedule.failed(now, rng.f64(), None);
                 let from = now;
-                now = (from..).step_by(MS as usize).find(|at| asking.due(*at)).expect("due");
+                now = (from..).step_by(MS as usize).find(|at| poll_schedule.due(*at)).expect("due");
                 gaps.push(now - from);
             }
         }
@@ -68,7 +69,7 @@
         let rate = 1e6 * f64::from(fleet.min(FLEET)) / (gaps.iter().sum::<u64>() as f64 / gaps.len() as f64);
         assert!(rate <= 20.0, "{fleet} proxies call {rate} times a second");
     }
-    let mut pushed = Asking::new(None, 0, 0, None);
+    let mut pushed = PollSchedule::new(None, 0, 0, None);
     pushed.known(0, 0.5, 60);
     assert!(!pushed.due(u64::MAX), "lists that come unasked are never asked for");
 }
@@ -82,28 +83,29 @@
     for (fleet, grace) in [(2, 250), (2, 2_000), (12, 250), (12, 2_000), (300, 250), (300, 2_000)] {
         let (binds, mut calls, mut rng) = (6_000 * MS + grace * MS, Vec::new(), fastrand::Rng::with_seed(11));
         for me in 0..fleet {
-            let mut asking = Asking::new(Some(me), fleet, WITHIN, Some(0)).within_grace(grace * MS);
-            assert!(asking.due(0));
-            asking.told();
-            let due = |asking: &mut Asking, from: u64| {
-                (from..).step_by(MS as usize).find(|at| asking.due(*at)).expect("due")
+            let mut poll_schedule =
+                PollSchedule::new(Some(me), fleet, WITHIN, Some(0)).within_grace(grace * MS);
+            assert!(poll_schedule.due(0));
+            poll_schedule.told();
+            let due = |poll_schedule: &mut PollSchedule, from: u64| {
+                (from..).step_by(MS as usize).find(|at| poll_schedule.due(*at)).expect("due")
             };
-            asking.failed(NOTICED, rng.f64(), Some(NOTICED));
-            let first = due(&mut asking, NOTICED);
+            poll_schedule.failed(NOTICED, rng.f64(), Some(NOTICED));
+            let first = due(&mut poll_schedule, NOTICED);
             assert!(first + 1_000 * MS <= binds + MS, "{fleet}, {grace}: called after {first} us");
             calls.push(first);
             // A call that fails at once is followed by others, the sooner the less time is left.
             let (mut now, mut after) = (first, 0);
             while now + 1_050 * MS < binds {
-                asking.failed(now, rng.f64(), None);
-                now = due(&mut asking, now);
+                poll_schedule.failed(now, rng.f64(), None);
+                now = due(&mut poll_schedule, now);
                 after += u32::from(now + 1_000 * MS <= binds + MS);
             }
             assert!(first + 1_200 * MS >= binds || after > 0, "{fleet}, {grace}: nothing after {first} us");
             // Heard again, it has the gaps of before; what was missed before the next silence counts from there.
-            asking.told();
-            asking.failed(60_000 * MS, 0.0, None);
-            assert!(due(&mut asking, 60_000 * MS) >= 60_000 * MS + 125 * MS);
+            poll_schedule.told();
+            poll_schedule.failed(60_000 * MS, 0.0, None);
+            assert!(due(&mut poll_schedule, 60_000 * MS) >= 60_000 * MS + 125 * MS);
         }
         let wave = |from: u64| calls.iter().filter(|at| (from..from + 100 * MS).contains(at)).count();
         let most = (NOTICED..binds).step_by(50 * MS as usize).map(wave).max().expect("a wave");
@@ -115,18 +117,24 @@
 // order: a silence as long as the clock, one that is long over.
 #[test]
 fn a_second_silent_watch_leaves_no_more_time_and_odd_figures_end_in_no_panic() {
-    let mut asking = Asking::new(None, 300, WITHIN, Some(0)).within_grace(250 * MS);
-    asking.failed(3_000 * MS, 1.0, Some(3_000 * MS));
-    assert!(!asking.due(5_249 * MS) && asking.due(5_251 * MS), "6.25 s and less the call's second");
-    asking.failed(5_000 * MS, 1.0, Some(1_000 * MS));
-    assert!(!asking.due(5_249 * MS) && asking.due(5_251 * MS), "the first silence counts");
-    asking.failed(20_000 * MS, 1.0, None);
-    assert!(!asking.due(27_999 * MS) && asking.due(28_000 * MS), "what is over is over: gaps as ever");
+    let mut poll_schedule = PollSchedule::new(None, 300, WITHIN, Some(0)).within_grace(250 * MS);
+    poll_schedule.failed(3_000 * MS, 1.0, Some(3_000 * MS));
+    assert!(
+        !poll_schedule.due(5_249 * MS) && poll_schedule.due(5_251 * MS),
+        "6.25 s and less the call's second"
+    );
+    poll_schedule.failed(5_000 * MS, 1.0, Some(1_000 * MS));
+    assert!(!poll_schedule.due(5_249 * MS) && poll_schedule.due(5_251 * MS), "the first silence counts");
+    poll_schedule.failed(20_000 * MS, 1.0, None);
+    assert!(
+        !poll_schedule.due(27_999 * MS) && poll_schedule.due(28_000 * MS),
+        "what is over is over: gaps as ever"
+    );
     for (now, quiet, grace) in [(0, u64::MAX, 0), (u64::MAX / 2, u64::MAX, u64::MAX), (5, 0, u64::MAX)] {
-        let mut asking = Asking::new(None, u32::MAX, WITHIN, Some(0)).within_grace(grace);
-        asking.failed(now, 1.0, Some(quiet));
-        asking.failed(now, 0.0, None);
-        assert!(asking.due(now + WITHIN));
+        let mut poll_schedule = PollSchedule::new(None, u32::MAX, WITHIN, Some(0)).within_grace(grace);
+        poll_schedule.failed(now, 1.0, Some(quiet));
+        poll_schedule.failed(now, 0.0, None);
+        assert!(poll_schedule.due(now + WITHIN));
     }
 }
 
@@ -137,31 +145,31 @@
     for seed in 0..500 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (fleet, grace) = (*rng.choice(&[1, 12, 300]).expect("one"), rng.u64(..2_000) * MS);
-        let mut asking = Asking::new(None, fleet, WITHIN, Some(0)).within_grace(grace);
+        let mut poll_schedule = PollSchedule::new(None, fleet, WITHIN, Some(0)).within_grace(grace);
         let (mut now, mut out, mut opened, mut by, mut missed) = (0, false, 0, 0, Vec::new());
         for _ in 0..80 {
             if rng.bool() {
                 now += rng.u64(..1_500) * MS;
             }
-            let due = asking.due(now);
+            let due = poll_schedule.due(now);
             assert!(!due || !out, "{seed}: a call beside one that is out");
             assert!(due || out || now <= by, "{seed}: none by {by}, it is {now}");
             opened = if due { now } else { opened };
             out |= due;
-            assert!(!asking.due(now), "{seed}: said twice");
+            assert!(!poll_schedule.due(now), "{seed}: said twice");
             if !out {
                 continue;
             }
             match rng.u32(..4) {
                 0 => {
-                    asking.told();
+                    poll_schedule.told();
                     missed.clear();
                 }
                 1 => {}
                 failed => {
                     // No watch is silent for longer than it is open, and silence is noticed after 3 s.
                     let quiet = (failed == 3).then(|| rng.u64(..=(now - opened).min(3_000 * MS)));
-                    asking.failed(now, rng.f64(), quiet);
+                    poll_schedule.failed(now, rng.f64(), quiet);
                     let binds = quiet.map(|q| now.saturating_sub(q) + 6_000 * MS + grace);
                     // Every silence since anything was heard counts, until it is over.
                     missed.extend(binds);
