--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,6 +1,6 @@
 //! Everything that decides: which member gets a request, when, what happens after failures ([`policy`]), which zones
 //! have gone silent ([`outage`]), how the ill are tried ([`recovery`]), who of the clients' connections is let in
-//! ([`door`]), when discovery is asked ([`poll_schedule`]) or watched ([`watching`]), and how old its news is ([`freshness`]),
+//! ([`door`]), when discovery is asked ([`poll_schedule`]) or watched ([`watch_schedule`]), and how old its news is ([`freshness`]),
 //! how long clients have waited already ([`patience`]), what the site's goal makes of a request ([`goals`]), and what tenants may ask for ([`allowance`]);
 //! and what instances agree on: who they are ([`roster`]), what each may use ([`shares`]), who is out ([`outages`]).
 //! State machines that are told what happened and when, and push what is to be done; no I/O, no clock, no async,
@@ -25,4 +25,4 @@
 pub mod roster;
 pub mod shares;
 mod state;
-pub mod watching;
+pub mod watch_schedule;
--- a/crates/decisions/src/watching.rs
+++ b/crates/decisions/src/watch_schedule.rs
@@ -17,7 +17,7 @@
 
 /// The state of the watch, all times in microseconds on the caller's clock.
 #[derive(Debug)]
-pub struct Watching {
+pub struct WatchSchedule {
     /// When the next watch is to be opened; none while one is open.
     at: Option<u64>,
     opened: u64,
@@ -25,11 +25,11 @@
     most: u64,
 }
 
-impl Watching {
+impl WatchSchedule {
     /// To be opened at once, where drains bind after `grace`.
-    pub fn new(now: u64, grace: u64) -> Watching {
+    pub fn new(now: u64, grace: u64) -> WatchSchedule {
         let most = (grace / GRACE_PART).clamp(FIRST_GAP, GAP_MOST);
-        Watching { at: Some(now), opened: now, gap: 0, most }
+        WatchSchedule { at: Some(now), opened: now, gap: 0, most }
     }
 
     /// When the next watch is to be opened; none while one is open.
--- a/crates/decisions/tests/watching.rs
+++ b/crates/decisions/tests/watch_schedule.rs
@@ -1,7 +1,7 @@
 //! The watch at an agent on the proxy's own machine: always open again, soon enough for a drain, never in a loop.
 
 use linenhill_decisions::freshness::{Freshness, Notice};
-use linenhill_decisions::watching::Watching;
+use linenhill_decisions::watch_schedule::WatchSchedule;
 
 const MS: u64 = 1_000;
 const GRACE: u64 = 250 * MS;
@@ -12,36 +12,36 @@
 fn an_agent_that_is_away_is_tried_often_enough_for_a_drain_and_never_in_a_loop() {
     let mut rng = fastrand::Rng::with_seed(5);
     for grace in [0, 20 * MS, GRACE, 2_000 * MS, u64::MAX] {
-        let (mut watching, mut now, mut gaps) = (Watching::new(7, grace), 7, Vec::new());
-        assert_eq!(watching.due(), Some(7), "the first watch is opened at the start");
+        let (mut watch_schedule, mut now, mut gaps) = (WatchSchedule::new(7, grace), 7, Vec::new());
+        assert_eq!(watch_schedule.due(), Some(7), "the first watch is opened at the start");
         for _ in 0..200 {
-            watching.opening(now);
-            assert_eq!(watching.due(), None, "one watch at a time");
-            watching.ended(now, rng.f64());
-            let next = watching.due().expect("another");
+            watch_schedule.opening(now);
+            assert_eq!(watch_schedule.due(), None, "one watch at a time");
+            watch_schedule.ended(now, rng.f64());
+            let next = watch_schedule.due().expect("another");
             gaps.push(next - now);
             now = next;
         }
         let (least, most) = (gaps.iter().min().expect("a gap"), gaps.iter().max().expect("a gap"));
         assert!(*least >= 5 * MS && *most <= (grace / 4).clamp(10 * MS, 250 * MS), "{grace}: {gaps:?}");
-        watching.opening(now);
-        watching.moved(now);
-        assert_eq!(watching.due(), Some(now));
-        watching.opening(now);
-        watching.ended(now, 1.0);
-        assert_eq!(watching.due(), Some(now + 10 * MS));
+        watch_schedule.opening(now);
+        watch_schedule.moved(now);
+        assert_eq!(watch_schedule.due(), Some(now));
+        watch_schedule.opening(now);
+        watch_schedule.ended(now, 1.0);
+        assert_eq!(watch_schedule.due(), Some(now + 10 * MS));
     }
 }
 
 // Guards against a pause after a watch that simply ended, during which a drain would go unheard.
 #[test]
 fn a_watch_that_held_is_opened_again_at_once() {
-    let mut watching = Watching::new(0, GRACE);
+    let mut watch_schedule = WatchSchedule::new(0, GRACE);
     for round in 1..5 {
         let now = round * 10_000 * MS;
-        watching.opening(now);
-        watching.ended(now + 1_000 * MS, 1.0);
-        assert_eq!(watching.due(), Some(now + 1_000 * MS));
+        watch_schedule.opening(now);
+        watch_schedule.ended(now + 1_000 * MS, 1.0);
+        assert_eq!(watch_schedule.due(), Some(now + 1_000 * MS));
     }
 }
 
@@ -69,19 +69,19 @@
     for seed in 0..500 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let grace = rng.u64(..3_000) * MS;
-        let (mut watching, mut now) = (Watching::new(0, grace), 0);
+        let (mut watch_schedule, mut now) = (WatchSchedule::new(0, grace), 0);
         for _ in 0..80 {
-            let due = watching.due().expect("a watch is due where none is open");
+            let due = watch_schedule.due().expect("a watch is due where none is open");
             assert!(due <= now + (grace / 4).clamp(10 * MS, 250 * MS), "{seed}: {due} at {now}");
             now = now.max(due);
-            watching.opening(now);
-            assert_eq!(watching.due(), None, "{seed}: one at a time");
+            watch_schedule.opening(now);
+            assert_eq!(watch_schedule.due(), None, "{seed}: one at a time");
             now += *rng.choice(&[0, 1, 900, 1_000, 5_000]).expect("one") * MS;
             if rng.u32(..4) == 0 {
-                watching.moved(now);
-                assert_eq!(watching.due(), Some(now), "{seed}: at once where it moved to");
+                watch_schedule.moved(now);
+                assert_eq!(watch_schedule.due(), Some(now), "{seed}: at once where it moved to");
             } else {
-                watching.ended(now, rng.f64());
+                watch_schedule.ended(now, rng.f64());
             }
         }
     }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -9,7 +9,7 @@
 use crate::close_reason::{CloseReason, Side, log_close};
 use crate::counters::Counters;
 use crate::stages::Input;
-use crate::watching::Watching;
+use crate::watch_schedule::WatchSchedule;
 use futures_util::StreamExt;
 use heard::Heard;
 use http::{Piece, WatchCodec};
@@ -40,14 +40,14 @@
     /// Whenever the decisions ask for one: a service answers the calls of all proxies in turn.
     Asked(Rc<Notify>),
     /// Always, at an agent on this machine to which lists are pushed.
-    Kept(Watching),
+    Kept(WatchSchedule),
 }
 
 impl Keeping {
     async fn due(&self, clock: Clock) {
         match self {
             Keeping::Asked(asked) => asked.notified().await,
-            Keeping::Kept(watching) => match watching.due() {
+            Keeping::Kept(schedule) => match schedule.due() {
                 Some(at) => sleep_until(clock.instant(Time(at))).await,
                 None => std::future::pending().await,
             },
@@ -55,20 +55,20 @@
     }
 
     fn opening(&mut self, now: Time) {
-        if let Keeping::Kept(watching) = self {
-            watching.opening(now.0);
+        if let Keeping::Kept(schedule) = self {
+            schedule.opening(now.0);
         }
     }
 
     fn ended(&mut self, now: Time, chance: f64) {
-        if let Keeping::Kept(watching) = self {
-            watching.ended(now.0, chance);
+        if let Keeping::Kept(schedule) = self {
+            schedule.ended(now.0, chance);
         }
     }
 
     fn moved(&mut self, now: Time) {
-        if let Keeping::Kept(watching) = self {
-            watching.moved(now.0);
+        if let Keeping::Kept(schedule) = self {
+            schedule.moved(now.0);
         }
     }
 }
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -27,7 +27,7 @@
 use crate::stages::route::Route;
 use crate::stages::send::Sender;
 use crate::takeover::words::Words;
-use crate::watching::Watching;
+use crate::watch_schedule::WatchSchedule;
 use linenhill_cluster::member::Fleet;
 use log::info;
 use std::fmt;
@@ -129,7 +129,7 @@
     let keeping = match site.settings.discovery {
         api::Discovery::OnRequest => Keeping::Asked(subscribe.clone()),
         api::Discovery::Pushed => {
-            Keeping::Kept(Watching::new(clock.now().0, site.settings.rules.drain_grace.0))
+            Keeping::Kept(WatchSchedule::new(clock.now().0, site.settings.rules.drain_grace.0))
         }
     };
     let router = Router::new(site.settings, config.seed, clock.now());
