--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,6 +1,6 @@
 //! Everything that decides: which member gets a request, when, what happens after failures ([`policy`]), which zones
 //! have gone silent ([`outage`]), how the ill are tried ([`recovery`]), who of the clients' connections is let in
-//! ([`door`]), when discovery is asked ([`poll_schedule`]) or watched ([`watch_schedule`]), and how old its news is ([`freshness`]),
+//! ([`door`]), when discovery is asked ([`poll_schedule`]) or watched ([`watch_schedule`]), and how old its news is ([`staleness`]),
 //! how long clients have waited already ([`patience`]), what the site's goal makes of a request ([`goals`]), and what tenants may ask for ([`allowance`]);
 //! and what instances agree on: who they are ([`roster`]), what each may use ([`shares`]), who is out ([`outages`]).
 //! State machines that are told what happened and when, and push what is to be done; no I/O, no clock, no async,
@@ -11,7 +11,6 @@
 pub mod allowance;
 pub mod api;
 pub mod door;
-pub mod freshness;
 pub mod goals;
 pub mod lifecycle;
 pub mod maintenance;
@@ -24,5 +23,6 @@
 pub mod recovery;
 pub mod roster;
 pub mod shares;
+pub mod staleness;
 mod state;
 pub mod watch_schedule;
--- a/crates/decisions/src/freshness.rs
+++ b/crates/decisions/src/staleness.rs
@@ -18,17 +18,17 @@
 
 /// When discovery was last heard, in microseconds on the caller's clock.
 #[derive(Debug)]
-pub struct Freshness {
+pub struct StalenessMonitor {
     word: u64,
     list: Option<u64>,
     /// The silence that is worth the next line.
     worth: u64,
 }
 
-impl Freshness {
+impl StalenessMonitor {
     /// Nothing was heard yet.
-    pub fn new(now: u64) -> Freshness {
-        Freshness { word: now, list: None, worth: QUIET }
+    pub fn new(now: u64) -> StalenessMonitor {
+        StalenessMonitor { word: now, list: None, worth: QUIET }
     }
 
     /// It said something, be it that there is nothing new.
--- a/crates/decisions/tests/watch_schedule.rs
+++ b/crates/decisions/tests/watch_schedule.rs
@@ -1,6 +1,6 @@
 //! The watch at an agent on the proxy's own machine: always open again, soon enough for a drain, never in a loop.
 
-use linenhill_decisions::freshness::{Freshness, Notice};
+use linenhill_decisions::staleness::{Notice, StalenessMonitor};
 use linenhill_decisions::watch_schedule::WatchSchedule;
 
 const MS: u64 = 1_000;
@@ -48,8 +48,8 @@
 // Guards against an age that a heartbeat hides or a list resets wrongly, and against a log flooded by one silence.
 #[test]
 fn silence_is_told_once_in_each_doubling_and_so_is_its_end() {
-    let mut news = Freshness::new(0);
-    let seconds = |news: &mut Freshness, span: std::ops::Range<u64>| -> Vec<(u64, Notice)> {
+    let mut news = StalenessMonitor::new(0);
+    let seconds = |news: &mut StalenessMonitor, span: std::ops::Range<u64>| -> Vec<(u64, Notice)> {
         span.filter_map(|s| news.quiet(s * 1_000 * MS).map(|n| (s, n))).collect()
     };
     let told: Vec<u64> = seconds(&mut news, 0..60).into_iter().map(|(s, _)| s).collect();
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::clients::phase::Course;
 use crate::close_reason::{CloseReason, Side, log_close};
-use crate::discovery::heard::Heard;
+use crate::discovery::status::DiscoveryStatus;
 use crate::figures::Figures;
 use crate::fleet::outages::{self, No};
 use crate::lifecycle::Event;
@@ -57,7 +57,7 @@
     /// What they may read.
     pub figures: Rc<Figures>,
     /// What discovery was last heard to say.
-    pub heard: Rc<Heard>,
+    pub status: Rc<DiscoveryStatus>,
     /// Where the driver of the decisions is asked of members.
     pub inbox: mpsc::UnboundedSender<Input>,
     /// The fleet, if this process is part of one.
@@ -176,8 +176,8 @@
         if let Ok(Ok((listed, avoided))) = timeout(ASK_WITHIN, asked).await {
             self.figures.members(listed, avoided);
         }
-        let (word, list) = self.heard.age();
-        self.figures.news(word, list, self.heard.version());
+        let (word, list) = self.status.age();
+        self.figures.news(word, list, self.status.version());
         match self.figures.text() {
             Ok(text) => Answer { status: 200, kind: OPEN_METRICS, text },
             Err(_) => said(500, "the figures can't be written"),
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! Discovery: one watch at a time over HTTP/1.1, and the lists it brings.
 
-pub mod heard;
 pub mod http;
 pub mod list;
+pub mod status;
 
 use crate::api::{Discovery, Span, Time};
 use crate::clock::Clock;
@@ -11,10 +11,10 @@
 use crate::stages::Input;
 use crate::watch_schedule::WatchSchedule;
 use futures_util::StreamExt;
-use heard::Heard;
 use http::{Piece, WatchCodec};
 use list::News;
 use log::warn;
+use status::DiscoveryStatus;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -76,10 +76,10 @@
 /// Keeps one watch at a time, and says when one has failed. When discovery moves, a new watch begins there at once,
 /// from the version known.
 pub async fn run(
-    mut at: watch::Receiver<SocketAddr>, mut keeping: Keeping, heard: Rc<Heard>,
+    mut at: watch::Receiver<SocketAddr>, mut keeping: Keeping, status: Rc<DiscoveryStatus>,
     inbox: mpsc::UnboundedSender<Input>, counters: Rc<Counters>, within: Duration, mut rng: fastrand::Rng,
 ) {
-    let (clock, mut last) = (heard.clock(), None);
+    let (clock, mut last) = (status.clock(), None);
     let mut opened;
     loop {
         tokio::select! {
@@ -92,7 +92,7 @@
             opened = clock.now();
             keeping.opening(opened);
             let ended = tokio::select! {
-                reason = watch(addr, &heard, &inbox, within) => Some(reason),
+                reason = watch(addr, &status, &inbox, within) => Some(reason),
                 () = moved(&mut at) => None,
             };
             // An agent that is away is tried many times a second: its first refusal tells as much as all of them.
@@ -110,7 +110,7 @@
         let now = clock.now();
         keeping.ended(now, rng.f64());
         // It may have fallen silent right after its last word, or after the call if it never said any.
-        let quiet = Span(heard.quiet().0.min(now.0.saturating_sub(opened.0)));
+        let quiet = Span(status.quiet().0.min(now.0.saturating_sub(opened.0)));
         let quiet = (last == Some(CloseReason::Silent)).then_some(quiet);
         if inbox.send(Input::List(News::Failed { quiet })).is_err() {
             return;
@@ -135,9 +135,9 @@
 }
 
 async fn watch(
-    addr: SocketAddr, heard: &Heard, inbox: &mpsc::UnboundedSender<Input>, within: Duration,
+    addr: SocketAddr, status: &DiscoveryStatus, inbox: &mpsc::UnboundedSender<Input>, within: Duration,
 ) -> CloseReason {
-    let (version, by) = (heard.version(), Instant::now() + within);
+    let (version, by) = (status.version(), Instant::now() + within);
     let call = format!("GET /v1/endpoints?watch=1&from={version} HTTP/1.1\r\nHost: {addr}\r\n\r\n");
     let connect = async {
         let mut stream = TcpStream::connect(addr).await?;
@@ -150,12 +150,13 @@
         Ok(Err(_)) => return CloseReason::Refused,
         Err(_) => return CloseReason::ConnectTimeout,
     };
-    follow(stream, heard, inbox, by.saturating_duration_since(Instant::now())).await
+    follow(stream, status, inbox, by.saturating_duration_since(Instant::now())).await
 }
 
 /// Passes on what a watch brings until it ends, and notes what was heard. Its first word may take `within`.
 pub async fn follow(
-    stream: impl AsyncRead + Unpin, heard: &Heard, inbox: &mpsc::UnboundedSender<Input>, within: Duration,
+    stream: impl AsyncRead + Unpin, status: &DiscoveryStatus, inbox: &mpsc::UnboundedSender<Input>,
+    within: Duration,
 ) -> CloseReason {
     let mut pieces = FramedRead::new(stream, WatchCodec::default());
     let (mut patience, mut first, mut up) = (within, true, true);
@@ -179,7 +180,7 @@
             Ok(Some(Ok(Piece::Line(line)))) => line,
         };
         patience = SILENT_AFTER;
-        heard.word();
+        status.word();
         let blank = line.iter().all(u8::is_ascii_whitespace);
         // Also without a list the call has succeeded.
         if std::mem::take(&mut up) && blank && inbox.send(Input::List(News::Unchanged)).is_err() {
@@ -198,16 +199,16 @@
         match decoded {
             // An old change would undo newer ones, a drain among them. A whole list that a new watch begins with counts
             // whatever its number: the service may have begun anew.
-            Ok(listing) if listing.version < heard.version() && !(listing.full && first) => {
+            Ok(listing) if listing.version < status.version() && !(listing.full && first) => {
                 warn!(
                     "discovery: version {} was not taken after version {}",
                     listing.version,
-                    heard.version()
+                    status.version()
                 );
             }
             Ok(listing) => {
                 first = false;
-                heard.list(listing.version);
+                status.list(listing.version);
                 if inbox.send(Input::List(News::Told(listing))).is_err() {
                     return CloseReason::Stopping;
                 }
--- a/src/discovery/heard.rs
+++ b/src/discovery/status.rs
@@ -1,8 +1,8 @@
-//! What discovery was last heard to say, and when: carries out [`Freshness`] with a clock and the log.
+//! What discovery was last heard to say, and when: carries out [`StalenessMonitor`] with a clock and the log.
 
 use crate::api::Span;
 use crate::clock::Clock;
-use crate::freshness::{Freshness, Notice};
+use crate::staleness::{Notice, StalenessMonitor};
 use log::{info, warn};
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -12,17 +12,17 @@
 const LOOK_EVERY: Duration = Duration::from_secs(1);
 
 /// The version of the last list taken, and the age of the news.
-pub struct Heard {
+pub struct DiscoveryStatus {
     version: Cell<u64>,
-    freshness: RefCell<Freshness>,
+    staleness: RefCell<StalenessMonitor>,
     clock: Clock,
 }
 
-impl Heard {
+impl DiscoveryStatus {
     /// Nothing was heard yet; a saved list has this version, or 0.
-    pub fn new(version: u64, clock: Clock) -> Heard {
-        let freshness = RefCell::new(Freshness::new(clock.now().0));
-        Heard { version: Cell::new(version), freshness, clock }
+    pub fn new(version: u64, clock: Clock) -> DiscoveryStatus {
+        let staleness = RefCell::new(StalenessMonitor::new(clock.now().0));
+        DiscoveryStatus { version: Cell::new(version), staleness, clock }
     }
 
     /// The clock that it goes by.
@@ -37,24 +37,24 @@
 
     /// Something was said, be it that there is nothing new.
     pub fn word(&self) {
-        let notice = self.freshness.borrow_mut().word(self.clock.now().0);
+        let notice = self.staleness.borrow_mut().word(self.clock.now().0);
         self.tell(notice);
     }
 
     /// A list of this version was taken.
     pub fn list(&self, version: u64) {
         self.version.set(version);
-        self.freshness.borrow_mut().list(self.clock.now().0);
+        self.staleness.borrow_mut().list(self.clock.now().0);
     }
 
     /// How long nothing was said.
     pub fn quiet(&self) -> Span {
-        Span(self.freshness.borrow().age(self.clock.now().0).0)
+        Span(self.staleness.borrow().age(self.clock.now().0).0)
     }
 
     /// Seconds since anything was said (or since the start), and since a list was taken, if one was.
     pub fn age(&self) -> (f64, Option<f64>) {
-        let (word, list) = self.freshness.borrow().age(self.clock.now().0);
+        let (word, list) = self.staleness.borrow().age(self.clock.now().0);
         (seconds(word), list.map(seconds))
     }
 
@@ -76,7 +76,7 @@
     pub async fn look_after(&self) {
         loop {
             sleep(LOOK_EVERY).await;
-            let notice = self.freshness.borrow_mut().quiet(self.clock.now().0);
+            let notice = self.staleness.borrow_mut().quiet(self.clock.now().0);
             self.tell(notice);
         }
     }
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -9,8 +9,8 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::counters::Counters;
-use crate::discovery::heard::Heard;
 use crate::discovery::list::News;
+use crate::discovery::status::DiscoveryStatus;
 use crate::discovery::{self, Keeping};
 use crate::door::Bounds;
 use crate::figures::Figures;
@@ -125,7 +125,7 @@
     let subscribe = Rc::new(Notify::new());
     let version = known.as_ref().map_or(0, |k| k.version);
     let within = discovery::answer_within(site.settings.discovery);
-    let heard = Rc::new(Heard::new(version, clock));
+    let status = Rc::new(DiscoveryStatus::new(version, clock));
     let keeping = match site.settings.discovery {
         api::Discovery::OnRequest => Keeping::Asked(subscribe.clone()),
         api::Discovery::Pushed => {
@@ -144,9 +144,9 @@
         .bound(shares);
     let driver = spawn_local(route.run());
     let chance = fastrand::Rng::with_seed(config.seed);
-    let (kept, calls) = (heard.clone(), counters.clone());
+    let (kept, calls) = (status.clone(), counters.clone());
     spawn_local(discovery::run(discovery, keeping, kept, inbox, calls, within, chance));
-    let kept = heard.clone();
+    let kept = status.clone();
     spawn_local(async move { kept.look_after().await });
     spawn_local(pool.clone().follow_shares());
     spawn_local(pool.look_after());
@@ -173,7 +173,7 @@
                 course: course.clone(),
                 words: words.clone(),
                 figures,
-                heard,
+                status,
                 inbox: asked,
                 fleet: together,
             }),
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -16,7 +16,7 @@
 use linenhill::close_reason::CloseReason;
 use linenhill::config::{Config, Reading, Variables};
 use linenhill::counters::Counters;
-use linenhill::discovery::{self, heard::Heard, list, list::News};
+use linenhill::discovery::{self, list, list::News, status::DiscoveryStatus};
 use linenhill::door::Bounds;
 use linenhill::figures::Figures;
 use linenhill::lifecycle::View;
@@ -66,16 +66,16 @@
         }
         std::future::pending::<()>().await;
     };
-    let heard = Heard::new(41, Clock::start());
+    let status = DiscoveryStatus::new(41, Clock::start());
     let reason = tokio::select! {
-        reason = discovery::follow(stream, &heard, &inbox, WITHIN) => reason,
+        reason = discovery::follow(stream, &status, &inbox, WITHIN) => reason,
         () = told => unreachable!(),
     };
     let mut lists = 0;
     while let Ok(input) = events.try_recv() {
         lists += usize::from(matches!(input, Input::List(News::Told(_))));
     }
-    (heard.version(), lists, reason)
+    (status.version(), lists, reason)
 }
 
 // Guards against trusting a watch whose service is gone without a word: only its blank lines show it alive, and a word
@@ -107,9 +107,9 @@
         let (inbox, mut events) = mpsc::unbounded_channel();
         let text = HEAD.to_string() + &lines.iter().map(|l| chunk(l)).collect::<String>() + "0\r\n\r\n";
         async move {
-            let heard = Heard::new(41, Clock::start());
+            let status = DiscoveryStatus::new(41, Clock::start());
             assert_eq!(
-                discovery::follow(text.as_bytes(), &heard, &inbox, WITHIN).await,
+                discovery::follow(text.as_bytes(), &status, &inbox, WITHIN).await,
                 CloseReason::WatchEnded
             );
             let told = std::iter::from_fn(|| events.try_recv().ok());
