--- a/crates/decisions/src/door.rs
+++ b/crates/decisions/src/connection_admission.rs
@@ -1,5 +1,5 @@
 //! The door: who of the clients' connections is let in, who makes room, and who is refused with which time to
-//! come back. A state machine without sockets and without a clock: [`Door::handle`] is told what happened and
+//! come back. A state machine without sockets and without a clock: [`ConnectionAdmission::handle`] is told what happened and
 //! when, and pushes what is to be done. It must never ask a connection to leave whose request is open.
 //!
 //! Two things run short here. Places: descriptors that this process has for clients. And connections for
@@ -12,7 +12,7 @@
 
 /// One connection, numbered by the driver and never used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SeatId(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// How much there is of everything.
 #[derive(Clone, Copy, Debug)]
@@ -33,15 +33,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A connection was accepted.
-    Arrived(SeatId),
+    Arrived(ConnectionId),
     /// It has sent its startup message, and no request of it is open.
-    Started(SeatId),
+    Started(ConnectionId),
     /// A request of it is open.
-    Asked(SeatId),
+    Asked(ConnectionId),
     /// No request of it is open any more.
-    Answered(SeatId),
+    Answered(ConnectionId),
     /// It has ended.
-    Left(SeatId),
+    Left(ConnectionId),
     /// The moment of [`Action::Wake`] has come.
     Woke,
 }
@@ -50,13 +50,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Serve the newcomer.
-    Serve(SeatId),
+    Serve(ConnectionId),
     /// Refuse the newcomer's first request; it may come back after so long.
-    Refuse(SeatId, Span),
+    Refuse(ConnectionId, Span),
     /// End the newcomer's connection at once; it is not known here.
-    TurnAway(SeatId),
+    TurnAway(ConnectionId),
     /// Ask a connection to leave as soon as no request of it is open.
-    Leave(SeatId),
+    Leave(ConnectionId),
     /// Send [`Event::Woke`] then; stands in place of an earlier one.
     Wake(Time),
 }
@@ -85,7 +85,7 @@
 
 /// What a connection is doing; it is idle from the answer to its first request on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum ConnectionState {
     Silent,
     Started,
     Idle,
@@ -93,10 +93,10 @@
     Leaving,
 }
 
-const STANDINGS: usize = 5;
+const CONNECTION_STATES: usize = 5;
 
-struct Seat {
-    standing: Standing,
+struct ConnectionSlot {
+    state: ConnectionState,
     since: Time,
     /// It has been asked to leave, which holds when a request came in the same moment.
     told: bool,
@@ -104,67 +104,68 @@
 
 /// Connections of one manner, ordered by how long each has stood as it does.
 #[derive(Default)]
-struct Hall {
-    seats: BTreeMap<SeatId, Seat>,
-    order: [BTreeSet<(Time, SeatId)>; STANDINGS],
+struct ConnectionTable {
+    seats: BTreeMap<ConnectionId, ConnectionSlot>,
+    order: [BTreeSet<(Time, ConnectionId)>; CONNECTION_STATES],
 }
 
-impl Hall {
-    fn count(&self, standing: Standing) -> usize {
-        self.order[standing as usize].len()
+impl ConnectionTable {
+    fn count(&self, state: ConnectionState) -> usize {
+        self.order[state as usize].len()
     }
 
     /// Those that hold a place and were not asked to give it back.
     fn staying(&self) -> usize {
-        self.seats.len() - self.count(Standing::Leaving)
+        self.seats.len() - self.count(ConnectionState::Leaving)
     }
 
-    fn sit(&mut self, id: SeatId, now: Time) {
-        self.order[Standing::Silent as usize].insert((now, id));
-        self.seats.insert(id, Seat { standing: Standing::Silent, since: now, told: false });
+    fn sit(&mut self, id: ConnectionId, now: Time) {
+        self.order[ConnectionState::Silent as usize].insert((now, id));
+        self.seats.insert(id, ConnectionSlot { state: ConnectionState::Silent, since: now, told: false });
     }
 
-    fn stand(&mut self, id: SeatId, standing: Standing, now: Time) {
+    fn stand(&mut self, id: ConnectionId, state: ConnectionState, now: Time) {
         let Some(seat) = self.seats.get_mut(&id) else { return };
-        let standing = if seat.told && standing != Standing::Busy { Standing::Leaving } else { standing };
-        self.order[seat.standing as usize].remove(&(seat.since, id));
-        self.order[standing as usize].insert((now, id));
-        (seat.standing, seat.since) = (standing, now);
+        let state =
+            if seat.told && state != ConnectionState::Busy { ConnectionState::Leaving } else { state };
+        self.order[seat.state as usize].remove(&(seat.since, id));
+        self.order[state as usize].insert((now, id));
+        (seat.state, seat.since) = (state, now);
     }
 
-    fn rise(&mut self, id: SeatId) -> bool {
+    fn rise(&mut self, id: ConnectionId) -> bool {
         let Some(seat) = self.seats.remove(&id) else { return false };
-        self.order[seat.standing as usize].remove(&(seat.since, id))
+        self.order[seat.state as usize].remove(&(seat.since, id))
     }
 
-    fn oldest(&self, standing: Standing) -> Option<(Time, SeatId)> {
-        self.order[standing as usize].first().copied()
+    fn oldest(&self, state: ConnectionState) -> Option<(Time, ConnectionId)> {
+        self.order[state as usize].first().copied()
     }
 
     /// Asks the one that has stood like this longest to leave, if for so long.
-    fn dismiss(&mut self, standing: Standing, least: Span, now: Time, out: &mut Vec<Action>) -> bool {
-        let Some((since, id)) = self.oldest(standing) else { return false };
+    fn dismiss(&mut self, state: ConnectionState, least: Span, now: Time, out: &mut Vec<Action>) -> bool {
+        let Some((since, id)) = self.oldest(state) else { return false };
         if now.0.saturating_sub(since.0) < least.0 {
             return false;
         }
         if let Some(seat) = self.seats.get_mut(&id) {
             seat.told = true;
         }
-        self.stand(id, Standing::Leaving, now);
+        self.stand(id, ConnectionState::Leaving, now);
         out.push(Action::Leave(id));
         true
     }
 }
 
 /// The door of one proxy.
-pub struct Door {
+pub struct ConnectionAdmission {
     bounds: Bounds,
     /// Of the connections that clients may hold for requests, those that may be open at a time before the idle
     /// ones among them leave.
     wanted: usize,
     silent_most: usize,
-    served: Hall,
-    refused: Hall,
+    served: ConnectionTable,
+    refused: ConnectionTable,
     wake: Option<Time>,
     /// The smoothed gap between places that come free, the moment of the last, and refusals since then.
     gap: Option<f64>,
@@ -172,16 +173,16 @@
     turned: u64,
 }
 
-impl Door {
+impl ConnectionAdmission {
     /// Nobody is in.
-    pub fn new(bounds: Bounds) -> Door {
+    pub fn new(bounds: Bounds) -> ConnectionAdmission {
         let part = |of: usize, part: f64| (of as f64 * part) as usize;
-        Door {
+        ConnectionAdmission {
             wanted: bounds.requests - part(bounds.requests, FREE_PART),
             silent_most: part(bounds.places, SILENT_PART).max(1),
             bounds,
-            served: Hall::default(),
-            refused: Hall::default(),
+            served: ConnectionTable::default(),
+            refused: ConnectionTable::default(),
             wake: None,
             gap: None,
             freed: None,
@@ -193,9 +194,9 @@
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Arrived(id) => self.arrived(now, id, out),
-            Event::Started(id) => self.stand(id, Standing::Started, now),
-            Event::Asked(id) => self.stand(id, Standing::Busy, now),
-            Event::Answered(id) => self.stand(id, Standing::Idle, now),
+            Event::Started(id) => self.stand(id, ConnectionState::Started, now),
+            Event::Asked(id) => self.stand(id, ConnectionState::Busy, now),
+            Event::Answered(id) => self.stand(id, ConnectionState::Idle, now),
             Event::Left(id) => self.left(now, id),
             Event::Woke => self.wake = None,
         }
@@ -209,17 +210,17 @@
 
     /// Whether somebody was asked to leave and has not left.
     pub fn awaits(&self) -> bool {
-        self.served.count(Standing::Leaving) + self.refused.count(Standing::Leaving) > 0
+        self.served.count(ConnectionState::Leaving) + self.refused.count(ConnectionState::Leaving) > 0
     }
 
-    fn stand(&mut self, id: SeatId, standing: Standing, now: Time) {
-        self.served.stand(id, standing, now);
-        self.refused.stand(id, standing, now);
+    fn stand(&mut self, id: ConnectionId, state: ConnectionState, now: Time) {
+        self.served.stand(id, state, now);
+        self.refused.stand(id, state, now);
     }
 
-    fn arrived(&mut self, now: Time, id: SeatId, out: &mut Vec<Action>) {
-        if self.served.count(Standing::Silent) >= self.silent_most {
-            self.served.dismiss(Standing::Silent, Span(0), now, out);
+    fn arrived(&mut self, now: Time, id: ConnectionId, out: &mut Vec<Action>) {
+        if self.served.count(ConnectionState::Silent) >= self.silent_most {
+            self.served.dismiss(ConnectionState::Silent, Span(0), now, out);
         }
         if self.seat(now, out) {
             self.served.sit(id, now);
@@ -243,14 +244,17 @@
             return true;
         }
         let longest_first =
-            match (self.served.oldest(Standing::Silent), self.served.oldest(Standing::Started)) {
-                (Some(silent), Some(started)) if started < silent => [Standing::Started, Standing::Silent],
-                _ => [Standing::Silent, Standing::Started],
+            match (self.served.oldest(ConnectionState::Silent), self.served.oldest(ConnectionState::Started))
+            {
+                (Some(silent), Some(started)) if started < silent => {
+                    [ConnectionState::Started, ConnectionState::Silent]
+                }
+                _ => [ConnectionState::Silent, ConnectionState::Started],
             };
-        let [first, second] = longest_first.map(|standing| (standing, SUSPECT_AFTER));
-        [first, second, (Standing::Idle, IDLE_LONG), (Standing::Idle, IDLE_SOME)]
+        let [first, second] = longest_first.map(|state| (state, SUSPECT_AFTER));
+        [first, second, (ConnectionState::Idle, IDLE_LONG), (ConnectionState::Idle, IDLE_SOME)]
             .into_iter()
-            .any(|(standing, least)| self.served.dismiss(standing, least, now, out))
+            .any(|(state, least)| self.served.dismiss(state, least, now, out))
     }
 
     /// Whether there is a stand for somebody who is refused, made if need be.
@@ -258,19 +262,19 @@
         if self.refused.seats.len() < self.bounds.stands {
             return true;
         }
-        if !self.refused.order[Standing::Leaving as usize].is_empty() {
+        if !self.refused.order[ConnectionState::Leaving as usize].is_empty() {
             return false;
         }
         // Who comes now is turned away; whoever comes next finds the stand free.
-        for standing in [Standing::Silent, Standing::Started, Standing::Idle] {
-            if self.refused.dismiss(standing, SUSPECT_AFTER, now, out) {
+        for state in [ConnectionState::Silent, ConnectionState::Started, ConnectionState::Idle] {
+            if self.refused.dismiss(state, SUSPECT_AFTER, now, out) {
                 break;
             }
         }
         false
     }
 
-    fn left(&mut self, now: Time, id: SeatId) {
+    fn left(&mut self, now: Time, id: ConnectionId) {
         if !self.served.rise(id) {
             self.refused.rise(id);
             return;
@@ -293,14 +297,15 @@
 
     /// Keeps some of the clients' connections for requests free.
     fn keep_free(&mut self, now: Time, out: &mut Vec<Action>) {
-        let asking = self.served.count(Standing::Idle) + self.served.count(Standing::Busy);
+        let asking = self.served.count(ConnectionState::Idle) + self.served.count(ConnectionState::Busy);
         for _ in self.wanted..asking {
-            if !self.served.dismiss(Standing::Idle, IDLE_LEAST, now, out) {
+            if !self.served.dismiss(ConnectionState::Idle, IDLE_LEAST, now, out) {
                 break;
             }
         }
-        let asking = self.served.count(Standing::Idle) + self.served.count(Standing::Busy);
-        let Some((since, _)) = self.served.oldest(Standing::Idle).filter(|_| asking > self.wanted) else {
+        let asking = self.served.count(ConnectionState::Idle) + self.served.count(ConnectionState::Busy);
+        let Some((since, _)) = self.served.oldest(ConnectionState::Idle).filter(|_| asking > self.wanted)
+        else {
             return;
         };
         let at = Time(since.0 + IDLE_LEAST.0);
--- a/crates/decisions/tests/door.rs
+++ b/crates/decisions/tests/connection_admission.rs
@@ -1,7 +1,7 @@
 //! The door alone: the crowd of a recorded incident in virtual time, and whatever may happen in any order.
 
 use linenhill_decisions::api::{Span, Time};
-use linenhill_decisions::door::{Action, Bounds, Door, Event, SeatId};
+use linenhill_decisions::connection_admission::{Action, Bounds, ConnectionAdmission, ConnectionId, Event};
 use quickcheck::{Gen, QuickCheck, TestResult};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,14 +13,14 @@
 /// a second over at most 128 connections, of 30 to 100 ms each. Beside them 46 connections a second that say
 /// nothing, and once 300 at once that only start.
 struct Crowd {
-    door: Door,
+    admission: ConnectionAdmission,
     now: u64,
     next: u64,
     /// What happens when: to the same door, in order.
     due: BTreeSet<(u64, u64, Kind)>,
-    holding: BTreeSet<SeatId>,
+    holding: BTreeSet<ConnectionId>,
     left_busy: usize,
-    busy: BTreeSet<SeatId>,
+    busy: BTreeSet<ConnectionId>,
     asked: usize,
     without: usize,
     refused: usize,
@@ -31,15 +31,15 @@
     Request,
     Silent,
     Starter,
-    Answer(SeatId),
-    Gone(SeatId),
+    Answer(ConnectionId),
+    Gone(ConnectionId),
     Wake,
 }
 
 impl Crowd {
     fn tell(&mut self, event: Event) -> Option<bool> {
         let (mut out, mut served) = (Vec::new(), None);
-        self.door.handle(Time(self.now), event, &mut out);
+        self.admission.handle(Time(self.now), event, &mut out);
         for action in out {
             match action {
                 Action::Serve(_) => served = Some(true),
@@ -56,20 +56,20 @@
         served
     }
 
-    fn come(&mut self) -> (SeatId, Option<bool>) {
+    fn come(&mut self) -> (ConnectionId, Option<bool>) {
         self.next += 1;
-        let id = SeatId(self.next);
+        let id = ConnectionId(self.next);
         (id, self.tell(Event::Arrived(id)))
     }
 
     fn play(seconds: u64) -> Crowd {
         let mut rng = fastrand::Rng::with_seed(7);
-        let door = Door::new(BOUNDS);
+        let admission = ConnectionAdmission::new(BOUNDS);
         let sets = BTreeSet::new;
         let (holding, busy) = (sets(), sets());
         let due = BTreeSet::new();
         let mut c = Crowd {
-            door,
+            admission,
             now: 0,
             next: 0,
             due,
@@ -123,7 +123,7 @@
                 }
                 Kind::Wake => drop(c.tell(Event::Woke)),
             }
-            assert!(c.door.held() <= BOUNDS.places + BOUNDS.stands + BOUNDS.leaving);
+            assert!(c.admission.held() <= BOUNDS.places + BOUNDS.stands + BOUNDS.leaving);
         }
         c
     }
@@ -143,14 +143,14 @@
 // Guards against thinning out clients that use few connections and use them again.
 #[test]
 fn a_pool_that_fits_is_left_alone() {
-    let mut door = Door::new(BOUNDS);
+    let mut admission = ConnectionAdmission::new(BOUNDS);
     let mut out = Vec::new();
     for n in 0..96 {
         for event in [Event::Arrived, Event::Started, Event::Asked, Event::Answered] {
-            door.handle(Time(n), event(SeatId(n)), &mut out);
+            admission.handle(Time(n), event(ConnectionId(n)), &mut out);
         }
     }
-    door.handle(Time(60_000 * MS), Event::Woke, &mut out);
+    admission.handle(Time(60_000 * MS), Event::Woke, &mut out);
     assert!(out.iter().all(|a| matches!(a, Action::Serve(_))), "{out:?}");
 }
 
@@ -159,25 +159,25 @@
 #[test]
 fn the_time_to_come_back_follows_the_rate_at_which_places_come_free() {
     let bounds = Bounds { places: 2, stands: 9, leaving: 0, requests: 9, longest: Span(2_000 * MS) };
-    let mut door = Door::new(bounds);
+    let mut admission = ConnectionAdmission::new(bounds);
     let mut play = |at: u64, event| {
         let mut out = Vec::new();
-        door.handle(Time(at * MS), event, &mut out);
+        admission.handle(Time(at * MS), event, &mut out);
         out
     };
     for n in 0..2 {
-        play(0, Event::Arrived(SeatId(n)));
-        play(0, Event::Asked(SeatId(n)));
+        play(0, Event::Arrived(ConnectionId(n)));
+        play(0, Event::Asked(ConnectionId(n)));
     }
-    assert_eq!(play(0, Event::Arrived(SeatId(8))), [Action::Refuse(SeatId(8), Span(250 * MS))]);
+    assert_eq!(play(0, Event::Arrived(ConnectionId(8))), [Action::Refuse(ConnectionId(8), Span(250 * MS))]);
     for n in 0..3 {
-        play(100 * n, Event::Left(SeatId(n)));
-        play(100 * n, Event::Arrived(SeatId(n + 2)));
-        play(100 * n, Event::Asked(SeatId(n + 2)));
+        play(100 * n, Event::Left(ConnectionId(n)));
+        play(100 * n, Event::Arrived(ConnectionId(n + 2)));
+        play(100 * n, Event::Asked(ConnectionId(n + 2)));
     }
-    let refused = |id, ms| [Action::Refuse(SeatId(id), Span(ms * MS))];
-    assert_eq!(play(210, Event::Arrived(SeatId(20))), refused(20, 100));
-    assert_eq!(play(210, Event::Arrived(SeatId(21))), refused(21, 200));
+    let refused = |id, ms| [Action::Refuse(ConnectionId(id), Span(ms * MS))];
+    assert_eq!(play(210, Event::Arrived(ConnectionId(20))), refused(20, 100));
+    assert_eq!(play(210, Event::Arrived(ConnectionId(21))), refused(21, 200));
 }
 
 // Guards against any order of events that asks a busy connection to leave, answers an arrival not once, or
@@ -186,16 +186,16 @@
 fn in_any_order_nobody_busy_leaves_and_the_bounds_hold() {
     fn holds(steps: Vec<(u8, u8, u16)>) -> TestResult {
         let bounds = Bounds { places: 5, stands: 2, leaving: 2, requests: 4, longest: Span(900 * MS) };
-        let (mut door, mut now, mut next) = (Door::new(bounds), 0, 0);
+        let (mut admission, mut now, mut next) = (ConnectionAdmission::new(bounds), 0, 0);
         // Whether a request of it is open, and whether it was told to leave.
-        let mut seats: BTreeMap<SeatId, (bool, bool)> = BTreeMap::new();
+        let mut seats: BTreeMap<ConnectionId, (bool, bool)> = BTreeMap::new();
         for (what, which, later) in steps {
             now += u64::from(later) * 50;
             let some = seats.keys().nth(usize::from(which) % seats.len().max(1)).copied();
             let event = match (what % 6, some) {
                 (0 | 1, _) | (_, None) => {
                     next += 1;
-                    Event::Arrived(SeatId(next))
+                    Event::Arrived(ConnectionId(next))
                 }
                 (2, Some(id)) => Event::Started(id),
                 (3, Some(id)) => Event::Asked(id),
@@ -211,7 +211,7 @@
                 _ => {}
             }
             let mut out = Vec::new();
-            door.handle(Time(now), event, &mut out);
+            admission.handle(Time(now), event, &mut out);
             let mut verdicts = 0;
             for action in out {
                 match action {
@@ -230,8 +230,8 @@
             if verdicts != usize::from(matches!(event, Event::Arrived(_))) {
                 return TestResult::error(format!("{verdicts} verdicts on {event:?}"));
             }
-            if door.held() != seats.len() || seats.len() > 9 {
-                return TestResult::error(format!("{} held, {} there", door.held(), seats.len()));
+            if admission.held() != seats.len() || seats.len() > 9 {
+                return TestResult::error(format!("{} held, {} there", admission.held(), seats.len()));
             }
         }
         TestResult::passed()
--- a/src/clients/listener.rs
+++ b/src/clients/listener.rs
@@ -1,7 +1,7 @@
 //! Accepts clients, within the budget of descriptors.
 
+use super::connection_gate::ConnectionGate;
 use super::desk::Desk;
-use super::doorway::Doorway;
 use super::session;
 use crate::close_reason::{CloseReason, Side, log_close};
 use crate::counters::Counters;
@@ -19,8 +19,8 @@
 
 /// Accepts and serves until newcomers are accepted no more, then waits for the sessions to end.
 pub async fn run(
-    listener: TcpListener, desk: Rc<Desk>, doorway: Rc<Doorway>, mut view: watch::Receiver<View>,
-    counters: Rc<Counters>,
+    listener: TcpListener, desk: Rc<Desk>, connection_gate: Rc<ConnectionGate>,
+    mut view: watch::Receiver<View>, counters: Rc<Counters>,
 ) {
     let (mut sessions, mut looked) = (JoinSet::new(), false);
     loop {
@@ -47,8 +47,8 @@
             }
         };
         counters.clients.add();
-        let entered = doorway.enter();
-        if doorway.awaits() {
+        let entered = connection_gate.enter();
+        if connection_gate.awaits() {
             // Whoever was told to leave gives its descriptor back when its task runs.
             tokio::task::yield_now().await;
         }
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -1,7 +1,7 @@
 //! The clients' side: the listener, and a session for each connection.
 
+pub mod connection_gate;
 pub mod desk;
-pub mod doorway;
 pub mod listener;
 pub mod phase;
 pub mod session;
--- a/src/clients/session.rs
+++ b/src/clients/session.rs
@@ -1,7 +1,7 @@
 //! One client connection: queries in, answers out in their order.
 
+use super::connection_gate::{AdmissionMode, AdmittedConnection};
 use super::desk::{COME_BACK, Claim, Desk, Pending};
-use super::doorway::{Manner, Seated};
 use crate::api::Span;
 use crate::budget::Place;
 use crate::close_reason::CloseReason;
@@ -142,7 +142,7 @@
 struct Session<S> {
     framed: Framed<S, FrontendCodec>,
     desk: Rc<Desk>,
-    seated: Seated,
+    seated: AdmittedConnection,
     /// What came while an earlier query was being answered; requests run meanwhile, answers keep the order.
     waiting: VecDeque<Came>,
     /// The order of the request that is answered next.
@@ -167,7 +167,7 @@
 
 /// Serves a connection to its end, and says why it ended.
 pub async fn run<S: Client>(
-    stream: S, desk: Rc<Desk>, seated: Seated, mut view: watch::Receiver<View>,
+    stream: S, desk: Rc<Desk>, seated: AdmittedConnection, mut view: watch::Receiver<View>,
 ) -> CloseReason {
     let framed = Framed::new(stream, FrontendCodec::new(desk.memory()));
     let (waiting, next, broken) = (VecDeque::new(), Order::default(), None);
@@ -308,9 +308,9 @@
                 return Came::Passed;
             }
             Frontend::Query(statement) if statement::is_empty(&statement) => return Came::Empty,
-            Frontend::Query(statement) => match self.seated.manner() {
-                Manner::Serve => statement,
-                Manner::Refuse(after) => {
+            Frontend::Query(statement) => match self.seated.mode() {
+                AdmissionMode::Serve => statement,
+                AdmissionMode::Refuse(after) => {
                     let class = statement::parse(&statement).ok().map(|s| s.class);
                     return Came::Refused(after, class);
                 }
@@ -389,7 +389,7 @@
                 match rest_by.filter(|_| comes) {
                     Some(by) => sleep_until(by).await,
                     None if told => {}
-                    None => self.seated.told_to_leave().await,
+                    None => self.seated.close_requested().await,
                 }
             };
             tokio::select! {
@@ -612,7 +612,7 @@
         let drain = async { while timeout(silent, away(stream)).await.is_ok_and(|more| more) {} };
         tokio::select! {
             _ = timeout(most, drain) => {}
-            () = seated.told_to_leave() => {}
+            () = seated.close_requested() => {}
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,7 +7,9 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub use linenhill_decisions::{api, door, lifecycle, maintenance, policy, staleness, watch_schedule};
+pub use linenhill_decisions::{
+    api, connection_admission, lifecycle, maintenance, policy, staleness, watch_schedule,
+};
 pub use linenhill_settings as settings;
 
 pub mod admin;
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -2,17 +2,17 @@
 
 use crate::admin::{self, Controls, OPERATORS};
 use crate::api;
+use crate::clients::connection_gate::ConnectionGate;
 use crate::clients::desk::Desk;
-use crate::clients::doorway::Doorway;
 use crate::clients::listener;
 use crate::clients::phase::Course;
 use crate::clock::Clock;
 use crate::config::Config;
+use crate::connection_admission::Bounds;
 use crate::counters::Counters;
 use crate::discovery::list::News;
 use crate::discovery::status::DiscoveryStatus;
 use crate::discovery::{self, Keeping};
-use crate::door::Bounds;
 use crate::figures::Figures;
 use crate::fleet::Shares;
 use crate::fleet::outages;
@@ -117,7 +117,7 @@
         requests: config.sockets / REQUESTS_PART,
         longest: limits.max_retry_after,
     };
-    let doorway = Doorway::new(bounds, clock);
+    let connection_gate = ConnectionGate::new(bounds, clock);
     let intake = Intake::new(&site, clock);
     let admit =
         Admit::new(site.max_open, config.memory / MESSAGES_PART, (config.memory as f64 * LONG_PART) as usize);
@@ -161,10 +161,11 @@
             spawn_local(fleet.serve(reached));
         }
     }
-    spawn_local(doorway.clone().look_after());
+    spawn_local(connection_gate.clone().look_after());
     spawn_local(course.clone().look_after());
     let view = course.watch();
-    let mut serving = spawn_local(listener::run(listeners.clients, desk.clone(), doorway, view, counters));
+    let mut serving =
+        spawn_local(listener::run(listeners.clients, desk.clone(), connection_gate, view, counters));
     spawn_local(words.clone().look_after());
     if let Some(operators) = listeners.operators {
         spawn_local(admin::run(
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -8,16 +8,16 @@
 use futures_util::FutureExt;
 use linenhill::api::{Discovery, GroupId, MemberId, MemberState, Outcome, RequestId, Span, Time};
 use linenhill::budget::Budget;
+use linenhill::clients::connection_gate::{AdmittedConnection, ConnectionGate};
 use linenhill::clients::desk::Desk;
-use linenhill::clients::doorway::{Doorway, Seated};
 use linenhill::clients::listener;
 use linenhill::clients::session;
 use linenhill::clock::Clock;
 use linenhill::close_reason::CloseReason;
 use linenhill::config::{Config, Reading, Variables};
+use linenhill::connection_admission::Bounds;
 use linenhill::counters::Counters;
 use linenhill::discovery::{self, list, list::News, status::DiscoveryStatus};
-use linenhill::door::Bounds;
 use linenhill::figures::Figures;
 use linenhill::lifecycle::View;
 use linenhill::maintenance::Maintenance;
@@ -144,13 +144,13 @@
     Bounds { places, stands: 0, leaving: 2, requests: 99, longest: Span(2_000_000) }
 }
 
-fn doorway(places: usize) -> Rc<Doorway> {
-    Doorway::new(bounds(places), Clock::start())
+fn connection_gate(places: usize) -> Rc<ConnectionGate> {
+    ConnectionGate::new(bounds(places), Clock::start())
 }
 
 /// A session on one end of a stream, before this desk.
 fn before(
-    desk: &Rc<Desk>, seated: Seated,
+    desk: &Rc<Desk>, seated: AdmittedConnection,
 ) -> (DuplexStream, impl Future<Output = CloseReason> + use<>, watch::Sender<View>) {
     let (near, far) = duplex(4096);
     let (tell, view) = watch::channel(SERVING);
@@ -159,7 +159,7 @@
 
 fn session() -> (DuplexStream, Events, impl Future<Output = CloseReason>, watch::Sender<View>) {
     let (desk, events) = desk();
-    let (near, session, tell) = before(&desk, doorway(9).enter().expect("a place"));
+    let (near, session, tell) = before(&desk, connection_gate(9).enter().expect("a place"));
     (near, events, session, tell)
 }
 
@@ -210,9 +210,9 @@
 #[tokio::test(start_paused = true)]
 async fn the_id_of_an_open_request_is_taken() {
     let (desk, mut events) = desk();
-    let (doorway, ask) = (doorway(9), [STARTUP, &query("7", "list")].concat());
-    let (mut first, serve_first, _tell) = before(&desk, doorway.enter().expect("a place"));
-    let (mut second, serve_second, _tell2) = before(&desk, doorway.enter().expect("a place"));
+    let (connection_gate, ask) = (connection_gate(9), [STARTUP, &query("7", "list")].concat());
+    let (mut first, serve_first, _tell) = before(&desk, connection_gate.enter().expect("a place"));
+    let (mut second, serve_second, _tell2) = before(&desk, connection_gate.enter().expect("a place"));
     let play = async {
         first.write_all(&ask).await.expect("written");
         let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
@@ -277,10 +277,10 @@
 #[tokio::test(start_paused = true)]
 async fn without_memory_for_its_message_a_client_is_refused() {
     let (desk, _events) = desk();
-    let doorway = doorway(9);
+    let connection_gate = connection_gate(9);
     let large = [STARTUP, b"Q", &(150u32 << 10).to_be_bytes(), b"/* "].concat();
-    let (mut first, serve_first, _tell) = before(&desk, doorway.enter().expect("a place"));
-    let (mut second, serve_second, _tell2) = before(&desk, doorway.enter().expect("a place"));
+    let (mut first, serve_first, _tell) = before(&desk, connection_gate.enter().expect("a place"));
+    let (mut second, serve_second, _tell2) = before(&desk, connection_gate.enter().expect("a place"));
     let play = async {
         first.write_all(&large).await.expect("written");
         sleep(Duration::from_millis(10)).await;
@@ -307,24 +307,27 @@
 // whose request is open.
 #[tokio::test(start_paused = true)]
 async fn a_newcomer_gets_the_place_of_the_one_idle_longest() {
-    let doorway = doorway(4);
-    let seat = |_| doorway.enter().inspect(Seated::busy);
-    let seats: Vec<Seated> = (0..4).filter_map(seat).collect();
-    let left = |i: usize| seats[i].told_to_leave().now_or_never().is_some();
+    let connection_gate = connection_gate(4);
+    let seat = |_| connection_gate.enter().inspect(AdmittedConnection::busy);
+    let seats: Vec<AdmittedConnection> = (0..4).filter_map(seat).collect();
+    let left = |i: usize| seats[i].close_requested().now_or_never().is_some();
     seats[3].started();
     sleep(Duration::from_millis(100)).await;
     seats[2].idle();
-    assert!(doorway.enter().is_none(), "nobody has been idle or silent for long enough");
+    assert!(connection_gate.enter().is_none(), "nobody has been idle or silent for long enough");
     sleep(Duration::from_millis(100)).await;
-    let fourth = doorway.enter().inspect(Seated::busy);
+    let fourth = connection_gate.enter().inspect(AdmittedConnection::busy);
     assert!(fourth.is_some() && left(3) && !left(2), "it has asked nothing for 0.2 s");
     sleep(Duration::from_millis(150)).await;
-    let fifth = doorway.enter().inspect(Seated::busy);
+    let fifth = connection_gate.enter().inspect(AdmittedConnection::busy);
     assert!(fifth.is_some() && left(2), "idle for 0.2 s");
-    assert!(doorway.enter().is_none() && !left(0) && !left(1), "requests are open, or it came just now");
+    assert!(
+        connection_gate.enter().is_none() && !left(0) && !left(1),
+        "requests are open, or it came just now"
+    );
     drop(seats);
-    let crowd: Vec<Seated> = (0..2).filter_map(|_| doorway.enter()).collect();
-    let told = |seat: &Seated| seat.told_to_leave().now_or_never().is_some();
+    let crowd: Vec<AdmittedConnection> = (0..2).filter_map(|_| connection_gate.enter()).collect();
+    let told = |seat: &AdmittedConnection| seat.close_requested().now_or_never().is_some();
     assert!(told(&crowd[0]) && !told(&crowd[1]), "only the oldest of a silent crowd, with places left");
 }
 
@@ -336,7 +339,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
     let bounds = Bounds { requests: 8, ..bounds(40) };
-    let doorway = Doorway::new(bounds, Clock::start());
+    let connection_gate = ConnectionGate::new(bounds, Clock::start());
     let (_tell, view) = watch::channel(SERVING);
     let counters = Rc::new(Counters::default());
     let answering = async move {
@@ -362,8 +365,8 @@
         }
     };
     let local = LocalSet::new();
-    local.spawn_local(listener::run(listener, desk, doorway.clone(), view, counters.clone()));
-    local.spawn_local(doorway.look_after());
+    local.spawn_local(listener::run(listener, desk, connection_gate.clone(), view, counters.clone()));
+    local.spawn_local(connection_gate.look_after());
     local.spawn_local(answering);
     let done = local.run_until(timeout(Duration::from_secs(20), asking)).await;
     assert!(done.is_ok(), "after {} connections no more could be opened", counters.clients.get());
@@ -374,19 +377,19 @@
 // Guards against a place that is not given back, and against a request lost to a newcomer.
 #[tokio::test(start_paused = true)]
 async fn who_is_told_to_leave_leaves_between_requests() {
-    let doorway = doorway(1);
+    let connection_gate = connection_gate(1);
     let (desk, mut events) = desk();
-    let (mut near, session, _tell) = before(&desk, doorway.enter().expect("a place"));
+    let (mut near, session, _tell) = before(&desk, connection_gate.enter().expect("a place"));
     let client = async {
         near.write_all(b"\0\0\0\x08\0\x03\0\0").await.expect("written");
         let query = b"Q\0\0\0\x2f/* id=1,c=list,d=900,cluster=1 */ SELECT 1\0";
         near.write_all(query).await.expect("written");
         let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
         sleep(Duration::from_secs(3)).await;
-        assert!(doorway.enter().is_none(), "its request is open");
+        assert!(connection_gate.enter().is_none(), "its request is open");
         taken.reply.send(Answer::Served(b"the row".as_slice().into())).expect("still owed");
         sleep(Duration::from_secs(3)).await;
-        assert!(doorway.enter().is_some());
+        assert!(connection_gate.enter().is_some());
     };
     let (reason, ()) = tokio::join!(session, client);
     assert_eq!(reason, CloseReason::MadeRoom);
@@ -397,15 +400,15 @@
 #[tokio::test(start_paused = true)]
 async fn who_is_told_to_leave_amid_a_message_is_waited_for_a_moment() {
     for (ends, spoken) in [(true, true), (false, true), (false, false)] {
-        let doorway = doorway(1);
+        let connection_gate = connection_gate(1);
         let (desk, mut events) = desk();
-        let (mut near, session, _tell) = before(&desk, doorway.enter().expect("a place"));
+        let (mut near, session, _tell) = before(&desk, connection_gate.enter().expect("a place"));
         let client = async {
             let whole = if spoken { [STARTUP, &query("1", "list")].concat() } else { STARTUP.to_vec() };
             let cut = if spoken { STARTUP.len() + 9 } else { 3 };
             near.write_all(&whole[..cut]).await.expect("written");
             sleep(Duration::from_secs(1)).await;
-            let _next = doorway.enter().expect("the place of the one that asks nothing");
+            let _next = connection_gate.enter().expect("the place of the one that asks nothing");
             if ends {
                 sleep(Duration::from_millis(100)).await;
                 near.write_all(&whole[cut..]).await.expect("written");
