--- a/crates/decisions/src/patience.rs
+++ b/crates/decisions/src/client_retry.rs
@@ -27,16 +27,16 @@
 
 /// What is known of the waits in all classes.
 #[derive(Clone, Debug)]
-pub struct Waits {
-    classes: Vec<Patience>,
+pub struct ClientRetryEstimator {
+    classes: Vec<ClassWaits>,
     longer: u32,
     shorter: u32,
 }
 
-impl Waits {
+impl ClientRetryEstimator {
     /// Where clients give up after so long altogether, by class, in microseconds; 0 where that isn't told.
-    pub fn new(give_up: impl Iterator<Item = u64>) -> Waits {
-        Waits { classes: give_up.map(Patience::new).collect(), longer: 0, shorter: 0 }
+    pub fn new(give_up: impl Iterator<Item = u64>) -> ClientRetryEstimator {
+        ClientRetryEstimator { classes: give_up.map(ClassWaits::new).collect(), longer: 0, shorter: 0 }
     }
 
     /// Takes in that a request's sender will wait for `left` microseconds; what is left of the aim, which counts from
@@ -48,8 +48,8 @@
     }
 
     fn spent(&mut self, class: usize, left: u64) -> u64 {
-        let Some(patience) = self.classes.get_mut(class) else { return 0 };
-        let Some(usual) = patience.unusual(left) else { return 0 };
+        let Some(estimator) = self.classes.get_mut(class) else { return 0 };
+        let Some(usual) = estimator.unusual(left) else { return 0 };
         let longer = left > usual;
         let count = if longer { &mut self.longer } else { &mut self.shorter };
         *count += 1;
@@ -66,16 +66,16 @@
 
 /// What is known of the waits in one class.
 #[derive(Clone, Debug)]
-struct Patience {
+struct ClassWaits {
     give_up: u64,
     /// Lengths seen, each with its count.
     lengths: Vec<(u64, u32)>,
     all: u32,
 }
 
-impl Patience {
-    fn new(give_up: u64) -> Patience {
-        Patience { give_up, lengths: Vec::new(), all: 0 }
+impl ClassWaits {
+    fn new(give_up: u64) -> ClassWaits {
+        ClassWaits { give_up, lengths: Vec::new(), all: 0 }
     }
 
     /// Takes in a wait; if it is none of the usual ones, the longest of those.
--- a/crates/decisions/src/policy/holds.rs
+++ b/crates/decisions/src/policy/holds.rs
@@ -24,7 +24,7 @@
         let part = WAIT_PART.0 + (WAIT_PART.1 - WAIT_PART.0) * self.rng.get_mut().f64();
         // Whoever began long ago waits for the rest of its patience: little or no worth is left either.
         let (full, work) = (self.aim(class) as Us, self.means[class]);
-        let rest = self.waits.rest(class, left, full, work);
+        let rest = self.client_retries.rest(class, left, full, work);
         let aim = left.min(rest.unwrap_or(full));
         worth *= if rest.is_none() { self.set.classes[class].late_worth } else { 1.0 };
         let r = Held {
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -2,10 +2,10 @@
 
 use crate::allowance::Allowance;
 use crate::api::*;
+use crate::client_retry::ClientRetryEstimator;
 use crate::goals::Goals;
 use crate::outage::{Out, Outages};
 use crate::outages::Cause;
-use crate::patience::Waits;
 use crate::poll_schedule::PollSchedule;
 pub(crate) use crate::recovery::Ill;
 use std::cell::RefCell;
@@ -130,7 +130,7 @@
     pub(crate) requests: BTreeMap<RequestId, Held>,
     pub(crate) means: Vec<f64>,
     pub(crate) patience: Vec<f64>,
-    pub(crate) waits: Waits,
+    pub(crate) client_retries: ClientRetryEstimator,
     pub(crate) goals: Goals,
     pub(crate) buckets: Vec<Allowance>,
     pub(crate) copies: f64,
@@ -205,7 +205,7 @@
     /// An empty record.
     pub(crate) fn blank(set: Settings, rng: fastrand::Rng, now: Us) -> Router {
         let goals = Goals::new(set.goal, set.classes.iter().map(|c| c.worth));
-        let waits = Waits::new(set.classes.iter().map(|c| c.give_up.0));
+        let client_retries = ClientRetryEstimator::new(set.classes.iter().map(|c| c.give_up.0));
         let first = (set.discovery == Discovery::OnRequest).then_some(now);
         let sharers = f64::from(set.fleet_size.max(1));
         Router {
@@ -221,7 +221,7 @@
             requests: BTreeMap::new(),
             means: Vec::new(),
             patience: Vec::new(),
-            waits,
+            client_retries,
             goals,
             copies: 0.0,
             lost: 0.0,
--- a/crates/decisions/tests/patience.rs
+++ b/crates/decisions/tests/client_retry.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use linenhill_decisions::api::*;
-use linenhill_decisions::patience::Waits;
+use linenhill_decisions::client_retry::ClientRetryEstimator;
 
 const GIVE_UP: u64 = 1_500 * MS;
 const AIM: u64 = 500 * MS;
@@ -13,20 +13,21 @@
 // Guards against last tries that are served for nothing under overload, in the place of requests that can be in time.
 #[test]
 fn a_wait_that_is_not_the_usual_one_is_the_rest_of_a_clients_time() {
-    let (mut patience, mut rng) = (Waits::new([GIVE_UP].into_iter()), fastrand::Rng::with_seed(11));
+    let (mut estimator, mut rng) =
+        (ClientRetryEstimator::new([GIVE_UP].into_iter()), fastrand::Rng::with_seed(11));
     let (mut firsts, mut late, mut early) = (0, 0, 0);
     for n in 0..4_000usize {
         let way = rng.u64(0..6) * MS;
         if n % 4 < 3 {
-            firsts += u32::from(patience.rest(0, 800 * MS - way, AIM, WORK) == Some(AIM));
+            firsts += u32::from(estimator.rest(0, 800 * MS - way, AIM, WORK) == Some(AIM));
         } else if n % 8 == 3 {
             // Begun 460 to 1,200 ms ago: nothing can be in time.
             let left = [rng.u64(300..780), rng.u64(820..1_040)][n / 8 % 2] * MS;
-            late += u32::from(patience.rest(0, left, AIM, WORK).is_none());
+            late += u32::from(estimator.rest(0, left, AIM, WORK).is_none());
         } else {
             // Begun 100 to 300 ms ago: the rest of the aim is there.
             let left = rng.u64(1_200..1_400) * MS;
-            early += u32::from(patience.rest(0, left, AIM, WORK) == Some(AIM + left - GIVE_UP));
+            early += u32::from(estimator.rest(0, left, AIM, WORK) == Some(AIM + left - GIVE_UP));
         }
     }
     assert!(firsts >= 2_990, "{firsts} of 3000 first tries keep their time");
@@ -38,10 +39,10 @@
 #[test]
 fn nothing_is_concluded_of_kinds_of_clients_nor_where_no_wait_is_usual() {
     let mut rng = fastrand::Rng::with_seed(12);
-    let mut kinds = Waits::new([GIVE_UP].into_iter());
-    let mut each = Waits::new([GIVE_UP].into_iter());
-    let mut untold = Waits::new([0].into_iter());
-    let mut hasty = Waits::new([GIVE_UP].into_iter());
+    let mut kinds = ClientRetryEstimator::new([GIVE_UP].into_iter());
+    let mut each = ClientRetryEstimator::new([GIVE_UP].into_iter());
+    let mut untold = ClientRetryEstimator::new([0].into_iter());
+    let mut hasty = ClientRetryEstimator::new([GIVE_UP].into_iter());
     let (mut hurt, mut untold_hurt, mut each_hurt, mut hasty_hurt) = (0, 0, 0, 0);
     for n in 0..5_000u64 {
         // One in ten is of a kind that waits for 300 ms only.
