--- a/crates/decisions/src/policy/holds.rs
+++ b/crates/decisions/src/policy/holds.rs
@@ -17,9 +17,9 @@
         let mut worth = self.goals.asked(now, class);
         if let Some(t) = q.tenant
             && let rate = self.shared(self.set.tenants[t.0].allowance_per_s)
-            && let Some(bucket) = self.buckets.get_mut(t.0)
+            && let Some(limiter) = self.rate_limits.get_mut(t.0)
         {
-            worth *= if bucket.over(now, rate) { self.set.over_share_worth } else { 1.0 };
+            worth *= if limiter.over(now, rate) { self.set.over_share_worth } else { 1.0 };
         }
         let part = WAIT_PART.0 + (WAIT_PART.1 - WAIT_PART.0) * self.rng.get_mut().f64();
         // Whoever began long ago waits for the rest of its patience: little or no worth is left either.
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -1,6 +1,5 @@
 //! What a router keeps in mind: plain records, no decisions. The decisions on them are in `policy/`.
 
-use crate::allowance::Allowance;
 use crate::api::*;
 use crate::client_retry::ClientRetryEstimator;
 use crate::goals::Goals;
@@ -8,6 +7,7 @@
 use crate::outages::Cause;
 use crate::poll_schedule::PollSchedule;
 pub(crate) use crate::recovery::Ill;
+use crate::tenant_rate_limit::TenantRateLimiter;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -132,7 +132,7 @@
     pub(crate) patience: Vec<f64>,
     pub(crate) client_retries: ClientRetryEstimator,
     pub(crate) goals: Goals,
-    pub(crate) buckets: Vec<Allowance>,
+    pub(crate) rate_limits: Vec<TenantRateLimiter>,
     pub(crate) copies: f64,
     pub(crate) lost: f64,
     pub(crate) link_cost: f64,
@@ -212,7 +212,7 @@
             sharers: (sharers, sharers),
             polls: PollSchedule::new(set.me, set.fleet_size, set.rules.ask_within.0, first)
                 .within_grace(set.rules.drain_grace.0),
-            buckets: vec![Allowance::new(now); set.tenants.len()],
+            rate_limits: vec![TenantRateLimiter::new(now); set.tenants.len()],
             set,
             rng: RefCell::new(rng),
             now,
