--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,7 +1,7 @@
 //! Everything that decides: which member gets a request, when, what happens after failures ([`policy`]), which zones
 //! have gone silent ([`outage`]), how the ill are tried ([`recovery`]), who of the clients' connections is let in
 //! ([`connection_admission`]), when discovery is asked ([`poll_schedule`]) or watched ([`watch_schedule`]), and how old its news is ([`staleness`]),
-//! how long clients have waited already ([`client_retry`]), what the site's goal makes of a request ([`goals`]), and what tenants may ask for ([`tenant_rate_limit`]);
+//! how long clients have waited already ([`client_retry`]), what the site's goal makes of a request ([`service_objective`]), and what tenants may ask for ([`tenant_rate_limit`]);
 //! and what instances agree on: who they are ([`roster`]), what each may use ([`shares`]), who is out ([`outages`]).
 //! State machines that are told what happened and when, and push what is to be done; no I/O, no clock, no async,
 //! nothing of linenhill's other packages.
@@ -11,7 +11,6 @@
 pub mod api;
 pub mod client_retry;
 pub mod connection_admission;
-pub mod goals;
 pub mod lifecycle;
 pub mod maintenance;
 pub mod outage;
@@ -21,6 +20,7 @@
 pub mod poll_schedule;
 pub mod recovery;
 pub mod roster;
+pub mod service_objective;
 pub mod shares;
 pub mod staleness;
 mod state;
--- a/crates/decisions/src/policy/holds.rs
+++ b/crates/decisions/src/policy/holds.rs
@@ -14,7 +14,7 @@
         self.probe_credit = save(self.probe_credit, spend, self.set.prices.probe);
         self.tell_credit = save(self.tell_credit, TELL_SPEND, self.set.prices.peer);
         self.copies = (self.copies + COPIES.0).min(COPIES.1);
-        let mut worth = self.goals.asked(now, class);
+        let mut worth = self.objective.asked(now, class);
         if let Some(t) = q.tenant
             && let rate = self.shared(self.set.tenants[t.0].allowance_per_s)
             && let Some(limiter) = self.rate_limits.get_mut(t.0)
--- a/crates/decisions/src/goals.rs
+++ b/crates/decisions/src/service_objective.rs
@@ -22,17 +22,17 @@
 
 /// The classes of one router's requests.
 #[derive(Clone, Debug)]
-pub struct Goals {
+pub struct ServiceObjective {
     goal: Goal,
     classes: Vec<Class>,
     faded: u64,
 }
 
-impl Goals {
+impl ServiceObjective {
     /// One router's classes, by the worth of a request of each.
-    pub fn new(goal: Goal, worths: impl Iterator<Item = f64>) -> Goals {
+    pub fn new(goal: Goal, worths: impl Iterator<Item = f64>) -> ServiceObjective {
         let classes = worths.map(|worth| Class { worth, ..Class::default() }).collect();
-        Goals { goal, classes, faded: 0 }
+        ServiceObjective { goal, classes, faded: 0 }
     }
 
     /// A request of a class came: its worth in rank.
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -2,11 +2,11 @@
 
 use crate::api::*;
 use crate::client_retry::ClientRetryEstimator;
-use crate::goals::Goals;
 use crate::outage::{Out, Outages};
 use crate::outages::Cause;
 use crate::poll_schedule::PollSchedule;
 pub(crate) use crate::recovery::Ill;
+use crate::service_objective::ServiceObjective;
 use crate::tenant_rate_limit::TenantRateLimiter;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -131,7 +131,7 @@
     pub(crate) means: Vec<f64>,
     pub(crate) patience: Vec<f64>,
     pub(crate) client_retries: ClientRetryEstimator,
-    pub(crate) goals: Goals,
+    pub(crate) objective: ServiceObjective,
     pub(crate) rate_limits: Vec<TenantRateLimiter>,
     pub(crate) copies: f64,
     pub(crate) lost: f64,
@@ -173,7 +173,7 @@
     pub(crate) fn credit(&mut self, id: &RequestId) -> Us {
         if let Some(r) = self.requests.get(id) {
             let late = self.now > r.aim_at;
-            self.goals.served(r.class, if late { self.set.classes[r.class].late_worth } else { 1.0 });
+            self.objective.served(r.class, if late { self.set.classes[r.class].late_worth } else { 1.0 });
         }
         self.now
     }
@@ -204,7 +204,7 @@
 
     /// An empty record.
     pub(crate) fn blank(set: Settings, rng: fastrand::Rng, now: Us) -> Router {
-        let goals = Goals::new(set.goal, set.classes.iter().map(|c| c.worth));
+        let objective = ServiceObjective::new(set.goal, set.classes.iter().map(|c| c.worth));
         let client_retries = ClientRetryEstimator::new(set.classes.iter().map(|c| c.give_up.0));
         let first = (set.discovery == Discovery::OnRequest).then_some(now);
         let sharers = f64::from(set.fleet_size.max(1));
@@ -222,7 +222,7 @@
             means: Vec::new(),
             patience: Vec::new(),
             client_retries,
-            goals,
+            objective,
             copies: 0.0,
             lost: 0.0,
             link_cost: 0.0,
--- a/crates/decisions/tests/goals.rs
+++ b/crates/decisions/tests/service_objective.rs
@@ -1,23 +1,23 @@
 //! The class that is served worst gains in rank as far as the site's goal weighs it, and no further.
 
 use linenhill_decisions::api::Goal;
-use linenhill_decisions::goals::Goals;
+use linenhill_decisions::service_objective::ServiceObjective;
 
 const SECOND: u64 = 1_000_000;
 
 /// A minute of requests of three classes, worth 1, 2 and 3, of which every `served[class]`-th hundredth is served; the ranks
 /// of the next request of each.
 fn ranks(goal: Goal, served: [u64; 3]) -> [f64; 3] {
-    let mut goals = Goals::new(goal, [1.0, 2.0, 3.0].into_iter());
+    let mut objective = ServiceObjective::new(goal, [1.0, 2.0, 3.0].into_iter());
     for n in 0..6_000u64 {
         for (class, part) in served.iter().enumerate() {
-            goals.asked(n * SECOND / 100, class);
+            objective.asked(n * SECOND / 100, class);
             if n * 37 % 100 < *part {
-                goals.served(class, 1.0);
+                objective.served(class, 1.0);
             }
         }
     }
-    [0, 1, 2].map(|class| goals.asked(60 * SECOND, class))
+    [0, 1, 2].map(|class| objective.asked(60 * SECOND, class))
 }
 
 // Guards against a goal without the worst class that changes any rank, and against settings that lack it.
@@ -46,21 +46,21 @@
 #[test]
 fn few_requests_judge_nothing_and_old_ones_are_forgotten() {
     let goal = Goal { whole: 0.5, worst_class: 0.5 };
-    let mut goals = Goals::new(goal, [1.0, 1.0].into_iter());
+    let mut objective = ServiceObjective::new(goal, [1.0, 1.0].into_iter());
     for n in 0..15 {
-        assert_eq!(goals.asked(n, 0), 1.0);
+        assert_eq!(objective.asked(n, 0), 1.0);
     }
     for n in 0..2_000 {
-        goals.asked(n * SECOND / 100, 0);
-        goals.asked(n * SECOND / 100, 1);
-        goals.served(1, 1.0);
+        objective.asked(n * SECOND / 100, 0);
+        objective.asked(n * SECOND / 100, 1);
+        objective.served(1, 1.0);
     }
-    assert!(goals.asked(20 * SECOND, 0) > 1.5);
+    assert!(objective.asked(20 * SECOND, 0) > 1.5);
     // Minutes later both are served.
     for n in 0..12_000 {
-        (0..2).for_each(|class| _ = goals.asked((20 + n / 100) * SECOND, class));
-        (0..2).for_each(|class| goals.served(class, 1.0));
+        (0..2).for_each(|class| _ = objective.asked((20 + n / 100) * SECOND, class));
+        (0..2).for_each(|class| objective.served(class, 1.0));
     }
-    let (first, second) = (goals.asked(140 * SECOND, 0), goals.asked(140 * SECOND, 1));
+    let (first, second) = (objective.asked(140 * SECOND, 0), objective.asked(140 * SECOND, 1));
     assert!((first - second).abs() < 0.5, "{first} {second}");
 }
