--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,5 +1,5 @@
 //! Everything that decides: which member gets a request, when, what happens after failures ([`policy`]), which zones
-//! have gone silent ([`outage`]), how the ill are tried ([`recovery`]), who of the clients' connections is let in
+//! have gone silent ([`zone_health`]), how the ill are tried ([`recovery`]), who of the clients' connections is let in
 //! ([`connection_admission`]), when discovery is asked ([`poll_schedule`]) or watched ([`watch_schedule`]), and how old its news is ([`staleness`]),
 //! how long clients have waited already ([`client_retry`]), what the site's goal makes of a request ([`service_objective`]), and what tenants may ask for ([`tenant_rate_limit`]);
 //! and what instances agree on: who they are ([`roster`]), what each may use ([`shares`]), who is out ([`outages`]).
@@ -13,7 +13,6 @@
 pub mod connection_admission;
 pub mod lifecycle;
 pub mod maintenance;
-pub mod outage;
 pub mod outages;
 pub mod planted;
 pub mod policy;
@@ -26,3 +25,4 @@
 mod state;
 pub mod tenant_rate_limit;
 pub mod watch_schedule;
+pub mod zone_health;
--- a/crates/decisions/src/policy/members.rs
+++ b/crates/decisions/src/policy/members.rs
@@ -92,7 +92,7 @@
         let (now, started_cold) = (self.now, self.set.rules.cold.0);
         let Some(m) = self.members.get_mut(&id) else { return };
         m.heard = if answered { now } else { m.heard };
-        m.zone.into_iter().for_each(|z| self.outages.heard(z, now));
+        m.zone.into_iter().for_each(|z| self.zone_health.heard(z, now));
         if let Some(ill) = &mut m.ill {
             if !answered && !ill.dead {
                 return ill.ready = true; // Probes say only that the process runs: one request may try.
@@ -228,7 +228,7 @@
         }
         // A lost zone isn't learned at a request a member: a probe each tells. Kept connections would break.
         let waits = self.members.iter().flat_map(|(id, m)| m.waits(*id, &self.means));
-        for zone in self.outages.silent(now, waits) {
+        for zone in self.zone_health.silent(now, waits) {
             let lost = |m: &&Member| m.zone == Some(zone) && m.ill.as_ref().is_none_or(|i| !i.down);
             let lost = self.members.iter().filter(|(_, m)| lost(m)).map(|(id, _)| *id);
             for member in lost.collect::<Vec<_>>() {
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -2,12 +2,12 @@
 
 use crate::api::*;
 use crate::client_retry::ClientRetryEstimator;
-use crate::outage::{Out, Outages};
 use crate::outages::Cause;
 use crate::poll_schedule::PollSchedule;
 pub(crate) use crate::recovery::Ill;
 use crate::service_objective::ServiceObjective;
 use crate::tenant_rate_limit::TenantRateLimiter;
+use crate::zone_health::{InFlightAttempt, ZoneHealth};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -96,9 +96,11 @@
     }
 
     /// What is out here, each with its usual time by its class's mean.
-    pub(crate) fn waits(&self, id: MemberId, means: &[f64]) -> impl Iterator<Item = Out> {
+    pub(crate) fn waits(&self, id: MemberId, means: &[f64]) -> impl Iterator<Item = InFlightAttempt> {
         let usual = |class: usize| means[class] * self.ratio.clamp(1.0, 4.0);
-        let out = move |o: &Sent| Some(Out { zone: self.zone?, member: id, sent: o.0, usual: usual(o.1) });
+        let out = move |o: &Sent| {
+            Some(InFlightAttempt { zone: self.zone?, member: id, sent: o.0, usual: usual(o.1) })
+        };
         self.open.values().filter_map(out)
     }
 }
@@ -137,7 +139,7 @@
     pub(crate) lost: f64,
     pub(crate) link_cost: f64,
     pub(crate) pace: f64,
-    pub(crate) outages: Outages,
+    pub(crate) zone_health: ZoneHealth,
     pub(crate) squeezed_until: Us,
     pub(crate) probe_credit: f64,
     pub(crate) tell_credit: f64,
@@ -227,7 +229,7 @@
             lost: 0.0,
             link_cost: 0.0,
             pace: 1.0,
-            outages: Outages::default(),
+            zone_health: ZoneHealth::default(),
             squeezed_until: 0,
             probe_credit: 0.0,
             tell_credit: 0.0,
--- a/crates/decisions/src/outage.rs
+++ b/crates/decisions/src/zone_health.rs
@@ -18,7 +18,7 @@
 const DOUBT_EACH: f64 = 4.0;
 
 /// An attempt that is out.
-pub struct Out {
+pub struct InFlightAttempt {
     /// Where.
     pub zone: ZoneId,
     /// At which member.
@@ -31,11 +31,11 @@
 
 /// What is known of the zones.
 #[derive(Default)]
-pub struct Outages {
+pub struct ZoneHealth {
     heard: BTreeMap<ZoneId, u64>,
 }
 
-impl Outages {
+impl ZoneHealth {
     /// A member there has answered.
     pub fn heard(&mut self, zone: ZoneId, now: u64) {
         let at = self.heard.entry(zone).or_default();
@@ -48,7 +48,7 @@
 
     /// The zones that are silent, going by what is out there, while another zone was heard of: where nobody answers
     /// at all, the fault lies nearer by. A zone never heard of is not judged.
-    pub fn silent(&self, now: u64, out: impl Iterator<Item = Out>) -> Vec<ZoneId> {
+    pub fn silent(&self, now: u64, out: impl Iterator<Item = InFlightAttempt>) -> Vec<ZoneId> {
         let mut doubts: BTreeMap<ZoneId, (f64, BTreeSet<MemberId>)> = BTreeMap::new();
         for o in out {
             let Some(heard) = self.heard.get(&o.zone) else { continue };
--- a/crates/decisions/tests/outage.rs
+++ b/crates/decisions/tests/zone_health.rs
@@ -3,16 +3,19 @@
 mod common;
 use common::*;
 use linenhill_decisions::api::*;
-use linenhill_decisions::outage::{Out, Outages};
 use linenhill_decisions::recovery::Ill;
+use linenhill_decisions::zone_health::{InFlightAttempt, ZoneHealth};
 
 // Guards against a false alarm at one slow member, one long request, a fault nearer by; and against missing a loss.
 #[test]
 fn a_zone_is_silent_by_the_sum_of_what_waits_there_and_only_while_another_answers() {
-    let mut zones = Outages::default();
-    let wait = |m, sent: u64| Out { zone: ZoneId(1), member: MemberId(m), sent: sent * MS, usual: 1e5 };
+    let mut zones = ZoneHealth::default();
+    let wait =
+        |m, sent: u64| InFlightAttempt { zone: ZoneId(1), member: MemberId(m), sent: sent * MS, usual: 1e5 };
     let many = |members: u32, sent| (0..4).map(move |n| wait(n % members, sent));
-    let silent = |zones: &Outages, waits: Vec<Out>| !zones.silent(1_300 * MS, waits.into_iter()).is_empty();
+    let silent = |zones: &ZoneHealth, waits: Vec<InFlightAttempt>| {
+        !zones.silent(1_300 * MS, waits.into_iter()).is_empty()
+    };
     (0..2).for_each(|z| zones.heard(ZoneId(z), 1_000 * MS));
     assert!(!silent(&zones, many(4, 1_000).collect()), "nobody else was heard of since");
     zones.heard(ZoneId(0), 1_200 * MS);
