--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,5 +1,5 @@
 //! Everything that decides: which member gets a request, when, what happens after failures ([`policy`]), which zones
-//! have gone silent ([`zone_health`]), how the ill are tried ([`recovery`]), who of the clients' connections is let in
+//! have gone silent ([`zone_health`]), how the ill are tried ([`outlier_recovery`]), who of the clients' connections is let in
 //! ([`connection_admission`]), when discovery is asked ([`poll_schedule`]) or watched ([`watch_schedule`]), and how old its news is ([`staleness`]),
 //! how long clients have waited already ([`client_retry`]), what the site's goal makes of a request ([`service_objective`]), and what tenants may ask for ([`tenant_rate_limit`]);
 //! and what instances agree on: who they are ([`roster`]), what each may use ([`shares`]), who is out ([`outages`]).
@@ -14,10 +14,10 @@
 pub mod lifecycle;
 pub mod maintenance;
 pub mod outages;
+pub mod outlier_recovery;
 pub mod planted;
 pub mod policy;
 pub mod poll_schedule;
-pub mod recovery;
 pub mod roster;
 pub mod service_objective;
 pub mod shares;
--- a/crates/decisions/src/recovery.rs
+++ b/crates/decisions/src/outlier_recovery.rs
@@ -11,7 +11,7 @@
 
 /// A member that takes no ordinary traffic: it took work and answers nothing, or (`dead`) can't be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ill {
+pub struct EjectedMember {
     /// Since when, in microseconds.
     pub since: u64,
     /// It can't be reached.
@@ -27,11 +27,11 @@
     fleet: u64,
 }
 
-impl Ill {
+impl EjectedMember {
     /// Before one router of `fleet`.
-    pub fn new(now: u64, fleet: u32) -> Ill {
+    pub fn new(now: u64, fleet: u32) -> EjectedMember {
         let fleet = u64::from(fleet);
-        Ill { since: now, dead: false, down: false, ready: false, trial_at: now, backoff: 0, fleet }
+        EjectedMember { since: now, dead: false, down: false, ready: false, trial_at: now, backoff: 0, fleet }
     }
 
     fn gap(&self, alone: u64) -> u64 {
--- a/crates/decisions/src/policy/attempts.rs
+++ b/crates/decisions/src/policy/attempts.rs
@@ -15,7 +15,7 @@
             self.next_permit(member, self.means[class]);
         }
         let (Some(r), Some(m)) = (self.requests.get_mut(&id), self.members.get_mut(&member)) else { return };
-        m.ill.iter_mut().for_each(|ill| ill.tried(now));
+        m.ejected.iter_mut().for_each(|ejected| ejected.tried(now));
         m.open.insert((id, r.attempts), (now, r.class, r.session));
         r.open.push(Attempt { number: r.attempts, member, sent: now, cancelled: false });
         r.attempts += 1;
@@ -200,7 +200,7 @@
             // A primary that answers what came far later is not slow: this answer is lost.
             let again = !primary || m.passed > a.sent + (now - a.sent) * 3 / 4;
             let again = again && r.attempts + 1 < limits.max_attempts;
-            let lone = !primary && m.ill.as_ref().is_some_and(|i| a.sent < i.since);
+            let lone = !primary && m.ejected.as_ref().is_some_and(|i| a.sent < i.since);
             let usual = mean * if primary { 2.0 } else { 1.0 };
             let waited = if lone { f64::INFINITY } else { (now - a.sent) as f64 / usual };
             (safe && (useful || lone) && again && waited > COPIES.2.min(patient)).then_some((*id, waited))
--- a/crates/decisions/src/policy/draw.rs
+++ b/crates/decisions/src/policy/draw.rs
@@ -56,7 +56,7 @@
             let lag = self.now.saturating_sub(m.position) as f64 / furthest;
             let spare = if target == 0 { 1.0 + lag } else { 1.0 };
             let weight = if any { lag.powi(GATHER) / cost } else { cost.powf(-SHARPNESS) * spare };
-            let weight = weight * if m.ill.is_some() { 0.3 } else { 1.0 };
+            let weight = weight * if m.ejected.is_some() { 0.3 } else { 1.0 };
             total += weight;
             if drawn.is_none() || rng.f64() * total < weight {
                 drawn = Some(*id);
--- a/crates/decisions/src/policy/holds.rs
+++ b/crates/decisions/src/policy/holds.rs
@@ -146,7 +146,7 @@
         let waiting = g.held.iter().filter_map(|id| self.requests.get(id));
         let Some(target) = waiting.map(|r| self.target(r)).filter(|t| *t > 0).min() else { return };
         let gap = |m: &Member| SEEK_EVERY.0.max(target.saturating_sub(m.position) / 8).min(WAIT);
-        let due = |m: &Member| m.position < target && m.ill.is_none() && self.now >= m.probed + gap(m);
+        let due = |m: &Member| m.position < target && m.ejected.is_none() && self.now >= m.probed + gap(m);
         let stale = |id: &&MemberId| self.members.get(id).is_some_and(due);
         let ids: Vec<MemberId> = g.members.iter().filter(stale).copied().collect();
         if ids.len() * 2 > g.members.len() {
--- a/crates/decisions/src/policy/members.rs
+++ b/crates/decisions/src/policy/members.rs
@@ -57,7 +57,7 @@
         if started > m.started {
             // A restart: cold, and the old role is void; what it had applied it still has.
             (m.started, m.cold_since, m.permit_at, m.pace) = (started, Some(started), 0, 1.0);
-            (m.primary_at, m.limit, m.ill) = (0, limit, None);
+            (m.primary_at, m.limit, m.ejected) = (0, limit, None);
         }
         (m.zone, m.group, m.state, m.absent_since) = (Some(e.zone), Some(e.group), e.state, None);
         // The registry's word on roles is late: it counts only while nothing better was ever heard.
@@ -93,16 +93,16 @@
         let Some(m) = self.members.get_mut(&id) else { return };
         m.heard = if answered { now } else { m.heard };
         m.zone.into_iter().for_each(|z| self.zone_health.heard(z, now));
-        if let Some(ill) = &mut m.ill {
-            if !answered && !ill.dead {
-                return ill.ready = true; // Probes say only that the process runs: one request may try.
+        if let Some(ejected) = &mut m.ejected {
+            if !answered && !ejected.dead {
+                return ejected.ready = true; // Probes say only that the process runs: one request may try.
             }
             // Back from the dead before the list told: it may be cold, but not after a cut of it alone.
-            let gone = ill.dead && ill.down && now - ill.since > 1_000 * MS;
+            let gone = ejected.dead && ejected.down && now - ejected.since > 1_000 * MS;
             if gone && m.cold_since.is_none_or(|c| c + started_cold < now) {
                 (m.cold_since, m.permit_at, m.pace) = (Some(now), 0, 1.0);
             }
-            m.ill = None;
+            m.ejected = None;
             m.ratio = m.ratio.min(2.0);
         }
     }
@@ -110,13 +110,13 @@
     pub(super) fn fall_ill(&mut self, id: MemberId, dead: bool, down: bool) {
         let (now, chance, fleet) = (self.now, 0.5 + self.rng.get_mut().f64(), self.set.fleet_size);
         let Some(m) = self.members.get_mut(&id) else { return };
-        m.ill.get_or_insert_with(|| Ill::new(now, fleet)).worse(now, dead, down, chance);
+        m.ejected.get_or_insert_with(|| EjectedMember::new(now, fleet)).worse(now, dead, down, chance);
     }
 
     /// Well, and heard of so lately that a lost connection is no sign of its end, nor two new ones in a row.
     fn just_heard(&self, id: MemberId) -> bool {
         let word =
-            |m: &Member| m.ill.is_none() && m.refused < 2 && self.now <= m.heard.max(m.reported) + ALIVE;
+            |m: &Member| m.ejected.is_none() && m.refused < 2 && self.now <= m.heard.max(m.reported) + ALIVE;
         self.members.get(&id).is_some_and(word)
     }
 
@@ -137,9 +137,9 @@
         let alive = position.unwrap_or(0).saturating_sub(REPORT_AGE);
         let primary = self.groups.get(&group).and_then(|g| g.primary);
         if let Some(p) = primary.and_then(|p| self.members.get_mut(&p))
-            && p.ill.as_ref().is_some_and(|i| !i.dead && i.since < alive)
+            && p.ejected.as_ref().is_some_and(|i| !i.dead && i.since < alive)
         {
-            (p.ill, p.heard) = (None, now);
+            (p.ejected, p.heard) = (None, now);
         }
         self.find_primary(group);
     }
@@ -229,7 +229,7 @@
         // A lost zone isn't learned at a request a member: a probe each tells. Kept connections would break.
         let waits = self.members.iter().flat_map(|(id, m)| m.waits(*id, &self.means));
         for zone in self.zone_health.silent(now, waits) {
-            let lost = |m: &&Member| m.zone == Some(zone) && m.ill.as_ref().is_none_or(|i| !i.down);
+            let lost = |m: &&Member| m.zone == Some(zone) && m.ejected.as_ref().is_none_or(|i| !i.down);
             let lost = self.members.iter().filter(|(_, m)| lost(m)).map(|(id, _)| *id);
             for member in lost.collect::<Vec<_>>() {
                 self.fall_ill(member, false, true);
@@ -259,12 +259,12 @@
             let usual = self.means[class] * m.ratio.clamp(1.0, 4.0);
             let quiet = (now - sent.max(m.heard)) as f64;
             let bound = usual * (SILENT.0 + SILENT.1 / m.open.len() as f64);
-            if quiet > bound.max(SILENT.2) && m.ill.is_none() {
+            if quiet > bound.max(SILENT.2) && m.ejected.is_none() {
                 self.fall_ill(id, false, false);
             }
         }
         let Some(m) = self.members.get_mut(&id) else { return };
-        if m.ill.as_mut().is_some_and(|ill| ill.due(now, self.set.limits.probe)) {
+        if m.ejected.as_mut().is_some_and(|ejected| ejected.due(now, self.set.limits.probe)) {
             return self.probe(id, out);
         }
         if well(m) && now >= m.reported.max(m.probed) + PROBE_EVERY && self.probe_credit >= 1.0 {
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::api::*;
 pub use crate::state::Router;
-use crate::state::{Attempt, Group, Held, Ill, Member};
+use crate::state::{Attempt, EjectedMember, Group, Held, Member};
 use std::collections::BTreeSet;
 
 type Us = u64;
@@ -89,12 +89,12 @@
 
 /// Listed as serving, and neither silent nor unreachable.
 fn well(m: &Member) -> bool {
-    m.state == MemberState::InService && m.ill.is_none()
+    m.state == MemberState::InService && m.ejected.is_none()
 }
 
 /// Well, or ill and due for one trial.
 fn may_try(m: &Member) -> bool {
-    m.state == MemberState::InService && m.ill.as_ref().is_none_or(|i| i.ready)
+    m.state == MemberState::InService && m.ejected.as_ref().is_none_or(|i| i.ready)
 }
 
 impl Router {
--- a/crates/decisions/src/policy/primary.rs
+++ b/crates/decisions/src/policy/primary.rs
@@ -32,7 +32,7 @@
         let gap = self.seek_gap() + REPORT_AGE;
         let open = |m: &Member| well(m) && m.open.is_empty() && self.now >= m.replica_at + gap;
         let fits = |id: &&MemberId| !r.missed.contains_key(*id) && self.members.get(*id).is_some_and(open);
-        let long = |m: &Member| m.ill.as_ref().is_none_or(|i| i.since + ALIVE < self.now);
+        let long = |m: &Member| m.ejected.as_ref().is_none_or(|i| i.since + ALIVE < self.now);
         let lost = g.primary.map(|p| &self.members[&p]).is_none_or(|m| !may_try(m) && long(m));
         let search = lost && r.attempts < GUESSES;
         let fits: Vec<&MemberId> = g.members.iter().filter(fits).collect();
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -3,8 +3,8 @@
 use crate::api::*;
 use crate::client_retry::ClientRetryEstimator;
 use crate::outages::Cause;
+pub(crate) use crate::outlier_recovery::EjectedMember;
 use crate::poll_schedule::PollSchedule;
-pub(crate) use crate::recovery::Ill;
 use crate::service_objective::ServiceObjective;
 use crate::tenant_rate_limit::TenantRateLimiter;
 use crate::zone_health::{InFlightAttempt, ZoneHealth};
@@ -77,7 +77,7 @@
     pub(crate) passed: Us,
     pub(crate) linked_at: Option<Us>,
     pub(crate) heard: Us,
-    pub(crate) ill: Option<Ill>,
+    pub(crate) ejected: Option<EjectedMember>,
     pub(crate) probing: bool,
     pub(crate) probed: Us,
 }
@@ -186,7 +186,7 @@
         let cold = m.cold_since.is_some_and(|since| self.now < since + self.set.rules.cold.0);
         let cause = match () {
             () if m.state != MemberState::InService => Cause::Listed,
-            () if m.ill.is_some() => Cause::Ill,
+            () if m.ejected.is_some() => Cause::Ill,
             () if cold => Cause::Cold,
             () => Cause::InService,
         };
@@ -195,7 +195,7 @@
 
     /// Whether a member gets no ordinary work now: it drains, is gone, or is ill.
     pub fn avoids(&self, member: MemberId) -> bool {
-        self.members.get(&member).is_none_or(|m| m.state != MemberState::InService || m.ill.is_some())
+        self.members.get(&member).is_none_or(|m| m.state != MemberState::InService || m.ejected.is_some())
     }
 
     /// How many members, groups, requests and sessions are kept.
--- a/crates/decisions/tests/zone_health.rs
+++ b/crates/decisions/tests/zone_health.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use linenhill_decisions::api::*;
-use linenhill_decisions::recovery::Ill;
+use linenhill_decisions::outlier_recovery::EjectedMember;
 use linenhill_decisions::zone_health::{InFlightAttempt, ZoneHealth};
 
 // Guards against a false alarm at one slow member, one long request, a fault nearer by; and against missing a loss.
@@ -82,7 +82,7 @@
 #[test]
 fn trials_of_a_member_that_answers_nothing_stay_few_over_the_fleet() {
     for (fleet, dead, most) in [(2, false, 1.1), (FLEET, false, 12.0), (FLEET, true, 70.0)] {
-        let (mut trials, mut ill) = (0, Ill::new(0, fleet));
+        let (mut trials, mut ill) = (0, EjectedMember::new(0, fleet));
         ill.worse(0, dead, false, 1.0);
         for now in (0..60_000).step_by(10).map(|ms| ms * MS) {
             if ill.due(now, true) {
