--- a/crates/decisions/src/maintenance.rs
+++ b/crates/decisions/src/maintenance.rs
@@ -13,7 +13,7 @@
 
 /// Operators' last word on a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Word {
+pub struct MaintenanceOrder {
     /// When it was said, in Unix microseconds.
     pub at: Time,
     /// It is out, or may serve.
@@ -22,7 +22,7 @@
 
 /// Why a word is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unheard {
+pub enum UnknownMember {
     /// No list of late has named this member.
     Unknown,
     /// Too many words are kept.
@@ -31,7 +31,7 @@
 
 /// How a listed member is shown to the policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shown {
+pub enum EffectiveState {
     /// As it is listed, but started then, if told.
     Listed(Option<Time>),
     /// As drained and gone.
@@ -48,7 +48,7 @@
 /// The words, and who is known.
 #[derive(Debug, Default)]
 pub struct Maintenance {
-    words: BTreeMap<String, Word>,
+    orders: BTreeMap<String, MaintenanceOrder>,
     known: BTreeMap<String, Known>,
     /// Who is out by leave of the whole fleet.
     fenced: BTreeSet<String>,
@@ -58,7 +58,7 @@
     /// A list names a member; says how it is shown.
     pub fn listed(
         &mut self, now: Time, id: &str, group: GroupId, state: MemberState, started: Option<Time>,
-    ) -> Shown {
+    ) -> EffectiveState {
         let listed = state != MemberState::Gone;
         match self.known.get_mut(id) {
             Some(known) => *known = Known { seen: now, listed, group },
@@ -79,68 +79,68 @@
         for known in self.known.values_mut().filter(|known| known.listed) {
             (known.seen, known.listed) = (now, false);
         }
-        let words = &self.words;
-        let out = |id: &String| words.get(id).is_some_and(|word| word.out);
+        let orders = &self.orders;
+        let out = |id: &String| orders.get(id).is_some_and(|order| order.out);
         self.known.retain(|id, known| known.seen.0 + KNOWN_FOR > now.0 || out(id));
     }
 
-    fn shown(&self, id: &str, started: Option<Time>) -> Shown {
-        match self.words.get(id) {
-            _ if self.fenced.contains(id) => Shown::Out,
-            Some(Word { out: true, .. }) => Shown::Out,
+    fn shown(&self, id: &str, started: Option<Time>) -> EffectiveState {
+        match self.orders.get(id) {
+            _ if self.fenced.contains(id) => EffectiveState::Out,
+            Some(MaintenanceOrder { out: true, .. }) => EffectiveState::Out,
             // It was restarted while it was out, whatever the list says and however late.
-            Some(back) => Shown::Listed(started.max(Some(back.at))),
-            None => Shown::Listed(started),
+            Some(back) => EffectiveState::Listed(started.max(Some(back.at))),
+            None => EffectiveState::Listed(started),
         }
     }
 
     /// Operators say that a member is out, or back; whether that changes anything. Said again, it changes nothing.
-    pub fn say(&mut self, now: Time, id: &str, out: bool) -> Result<bool, Unheard> {
-        let before = self.words.get(id).copied();
+    pub fn say(&mut self, now: Time, id: &str, out: bool) -> Result<bool, UnknownMember> {
+        let before = self.orders.get(id).copied();
         let known = self.known.get(id).is_some_and(|k| k.listed || k.seen.0 + KNOWN_FOR > now.0);
-        if !known && !before.is_some_and(|word| word.out) {
-            return Err(Unheard::Unknown);
+        if !known && !before.is_some_and(|order| order.out) {
+            return Err(UnknownMember::Unknown);
         }
-        if before.is_some_and(|word| word.out) == out {
+        if before.is_some_and(|order| order.out) == out {
             return Ok(false);
         }
         // A clock that was set back must not let an older word win.
-        let at = before.map_or(now, |word| now.max(Time(word.at.0 + 1)));
+        let at = before.map_or(now, |order| now.max(Time(order.at.0 + 1)));
         if before.is_none() && !self.room() {
-            return Err(Unheard::Full);
+            return Err(UnknownMember::Full);
         }
-        self.words.insert(id.to_string(), Word { at, out });
+        self.orders.insert(id.to_string(), MaintenanceOrder { at, out });
         Ok(true)
     }
 
     /// Room for one more word, made if need be by dropping the oldest on somebody who is back.
     fn room(&mut self) -> bool {
-        if self.words.len() >= WORDS_MOST {
-            let back = self.words.iter().filter(|(_, word)| !word.out).min_by_key(|(_, word)| word.at);
+        if self.orders.len() >= WORDS_MOST {
+            let back = self.orders.iter().filter(|(_, order)| !order.out).min_by_key(|(_, order)| order.at);
             let back = back.map(|(id, _)| id.clone());
-            back.and_then(|id| self.words.remove(&id));
+            back.and_then(|id| self.orders.remove(&id));
         }
-        self.words.len() < WORDS_MOST
+        self.orders.len() < WORDS_MOST
     }
 
     /// Another process of this proxy has said so; whether that changes how the member is shown.
-    pub fn hear(&mut self, id: &str, word: Word) -> bool {
-        let before = self.words.get(id).copied();
-        if before.is_some_and(|before| before >= word) || (before.is_none() && !self.room()) {
+    pub fn hear(&mut self, id: &str, order: MaintenanceOrder) -> bool {
+        let before = self.orders.get(id).copied();
+        if before.is_some_and(|before| before >= order) || (before.is_none() && !self.room()) {
             return false;
         }
-        self.words.insert(id.to_string(), word);
-        before != Some(word)
+        self.orders.insert(id.to_string(), order);
+        before != Some(order)
     }
 
     /// All words.
-    pub fn words(&self) -> impl Iterator<Item = (&str, Word)> {
-        self.words.iter().map(|(id, word)| (id.as_str(), *word))
+    pub fn orders(&self) -> impl Iterator<Item = (&str, MaintenanceOrder)> {
+        self.orders.iter().map(|(id, order)| (id.as_str(), *order))
     }
 
     /// Whether operators have taken a member out.
     pub fn is_out(&self, id: &str) -> bool {
-        self.words.get(id).is_some_and(|word| word.out) || self.fenced.contains(id)
+        self.orders.get(id).is_some_and(|order| order.out) || self.fenced.contains(id)
     }
 
     /// The fleet says who is out, in the place of all before: whose standing changed. Whoever comes back counts as started
@@ -148,9 +148,9 @@
     pub fn fence(&mut self, now: Time, members: BTreeSet<String>) -> Vec<String> {
         let back: Vec<String> = self.fenced.difference(&members).cloned().collect();
         for id in &back {
-            let out = self.words.get(id).is_some_and(|word| word.out);
+            let out = self.orders.get(id).is_some_and(|order| order.out);
             if !out && self.room() {
-                self.words.insert(id.clone(), Word { at: now, out: false });
+                self.orders.insert(id.clone(), MaintenanceOrder { at: now, out: false });
             }
         }
         let changed = members.difference(&self.fenced).cloned().chain(back).collect();
@@ -165,7 +165,7 @@
 
     /// Whether operators have taken out all that a group has: nothing can be served there before one of their calls.
     pub fn closed(&self, group: GroupId) -> bool {
-        if !self.words.values().any(|word| word.out) {
+        if !self.orders.values().any(|order| order.out) {
             return false;
         }
         let mut listed =
--- a/crates/decisions/tests/maintenance.rs
+++ b/crates/decisions/tests/maintenance.rs
@@ -1,7 +1,7 @@
 //! Any order of operators' words and lists, told to two processes that exchange their words.
 
 use linenhill_decisions::api::{GroupId, MemberState, Time};
-use linenhill_decisions::maintenance::{Maintenance, Shown, Unheard};
+use linenhill_decisions::maintenance::{EffectiveState, Maintenance, UnknownMember};
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 const IDS: [&str; 4] = ["a", "b", "c", "nobody"];
 
 fn exchange(from: &Maintenance, to: &mut Maintenance) {
-    from.words().for_each(|(id, word)| _ = to.hear(id, word));
+    from.orders().for_each(|(id, order)| _ = to.hear(id, order));
 }
 
 // Guards against a ban that a list lifts, that binds only the process it was told to, that two calls make need two
@@ -33,7 +33,7 @@
                     let before = expected.get(id).is_some_and(|e| e.0);
                     let said = both[one].say(Time(now), id, out);
                     if id == "nobody" {
-                        assert_eq!(said, Err(Unheard::Unknown));
+                        assert_eq!(said, Err(UnknownMember::Unknown));
                     } else {
                         assert_eq!(said, Ok(before != out));
                         if before != out {
@@ -54,9 +54,9 @@
             exchange(b, a);
             for (id, m) in IDS[..3].iter().flat_map(|id| [(id, one), (id, 1 - one)]) {
                 let wanted = match expected.get(id) {
-                    None => Shown::Listed(Some(Time(5))),
-                    Some((true, _)) => Shown::Out,
-                    Some((false, at)) => Shown::Listed(Some(Time(*at))),
+                    None => EffectiveState::Listed(Some(Time(5))),
+                    Some((true, _)) => EffectiveState::Out,
+                    Some((false, at)) => EffectiveState::Listed(Some(Time(*at))),
                 };
                 assert_eq!(
                     both[m].listed(Time(now), id, GROUP, MemberState::InService, Some(Time(5))),
@@ -75,14 +75,14 @@
     for n in 0..9_000u64 {
         let id = format!("m{n}");
         m.listed(Time(n), &id, GROUP, MemberState::InService, None);
-        turned += u64::from(m.say(Time(n), &id, n % 2 == 0) == Err(Unheard::Full));
+        turned += u64::from(m.say(Time(n), &id, n % 2 == 0) == Err(UnknownMember::Full));
     }
-    assert!(m.words().count() <= 1_024 && m.count().0 <= 4_096);
+    assert!(m.orders().count() <= 1_024 && m.count().0 <= 4_096);
     assert!(turned > 0, "a bound refuses, it drops no ban");
     let hours = Time(10_000_000_000);
     m.whole_list(hours);
     assert_eq!(m.say(hours, "m0", false), Ok(true), "its way back is open");
-    assert_eq!(m.say(hours, "m1", true), Err(Unheard::Unknown));
+    assert_eq!(m.say(hours, "m1", true), Err(UnknownMember::Unknown));
 }
 
 // Guards against requests that wait for a group which operators have taken out whole, and against refusing those of a
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -12,7 +12,7 @@
 use crate::figures::Figures;
 use crate::fleet::outages::{self, No};
 use crate::lifecycle::Event;
-use crate::maintenance::Unheard;
+use crate::maintenance::UnknownMember;
 use crate::stages::Input;
 use crate::takeover::words::Words;
 use call::{Call, CallCodec, CallError};
@@ -164,8 +164,8 @@
                 info!("operators: {id} is {state}{again}");
                 said(200, format!("{id} is {state}{again}"))
             }
-            Err(Unheard::Unknown) => said(404, format!("no list of late has named {id}")),
-            Err(Unheard::Full) => said(409, "too many members are out"),
+            Err(UnknownMember::Unknown) => said(404, format!("no list of late has named {id}")),
+            Err(UnknownMember::Full) => said(409, "too many members are out"),
         }
     }
 
--- a/src/stages/mod.rs
+++ b/src/stages/mod.rs
@@ -87,7 +87,7 @@
     /// Somebody asks how many members are listed, and how many of them avoided.
     Asked(oneshot::Sender<(usize, usize)>),
     /// Operators have said something new on the member with this name.
-    Word(String),
+    MaintenanceChanged(String),
     /// The fleet asks how members are seen.
     Sights(oneshot::Sender<BTreeMap<String, Sight>>),
     /// The fleet says to whom nothing new may be sent; answered once that is so.
--- a/src/stages/route.rs
+++ b/src/stages/route.rs
@@ -10,7 +10,7 @@
 use crate::clock::Clock;
 use crate::discovery::list::{Listing, Names, News, Server};
 use crate::fleet::Shares;
-use crate::maintenance::{Maintenance, Shown};
+use crate::maintenance::{EffectiveState, Maintenance};
 use crate::members::pool::Pool;
 use crate::policy::Router;
 use linenhill_decisions::outages::{Cause, Sight};
@@ -163,7 +163,7 @@
                 let update = if full { ListUpdate::Full(entries) } else { ListUpdate::Changes(entries) };
                 self.list(update);
             }
-            Input::Word(id) => self.say_again(&id),
+            Input::MaintenanceChanged(id) => self.say_again(&id),
             Input::Sights(reply) => _ = reply.send(self.sights()),
             Input::Fence(members, done) => {
                 let now = self.clock.now();
@@ -240,8 +240,8 @@
         self.pool.name(entry.member, &name);
         let now = self.clock.now();
         match self.maintenance.borrow_mut().listed(now, &name, entry.group, entry.state, entry.started) {
-            Shown::Listed(started) => entries.push(ListEntry { started, ..entry }),
-            Shown::Out => {
+            EffectiveState::Listed(started) => entries.push(ListEntry { started, ..entry }),
+            EffectiveState::Out => {
                 entries.push(ListEntry { state: MemberState::Draining, ..entry.clone() });
                 entries.push(ListEntry { state: MemberState::Gone, ..entry });
             }
--- a/src/takeover/words.rs
+++ b/src/takeover/words.rs
@@ -4,7 +4,7 @@
 use super::saved::{self, SavedError};
 use crate::api::Time;
 use crate::clock::Clock;
-use crate::maintenance::{Maintenance, Unheard, Word};
+use crate::maintenance::{Maintenance, MaintenanceOrder, UnknownMember};
 use crate::settings;
 use crate::stages::Input;
 use log::{info, warn};
@@ -22,7 +22,7 @@
 const LOOK_EVERY: Duration = Duration::from_millis(100);
 
 #[derive(Serialize, Deserialize)]
-struct WordDoc {
+struct OrderRecord {
     id: String,
     out: bool,
     at_us: u64,
@@ -44,18 +44,18 @@
         maintenance: Rc<RefCell<Maintenance>>, file: Option<PathBuf>, clock: Clock,
         inbox: mpsc::UnboundedSender<Input>,
     ) -> Rc<Words> {
-        let words = Words { maintenance, file, seen: Cell::new(None), clock, inbox };
-        words.look();
-        Rc::new(words)
+        let orders = Words { maintenance, file, seen: Cell::new(None), clock, inbox };
+        orders.look();
+        Rc::new(orders)
     }
 
     /// Operators say that a member is out, or back; whether that changes anything.
-    pub fn say(&self, id: &str, out: bool) -> Result<bool, Unheard> {
+    pub fn say(&self, id: &str, out: bool) -> Result<bool, UnknownMember> {
         self.look();
         let changed = self.maintenance.borrow_mut().say(self.clock.now(), id, out)?;
         if changed {
             self.save();
-            let _ = self.inbox.send(Input::Word(id.to_string()));
+            let _ = self.inbox.send(Input::MaintenanceChanged(id.to_string()));
         }
         Ok(changed)
     }
@@ -85,23 +85,24 @@
             }
             Err(problem) => return warn!("{}: not taken: {problem}", file.display()),
         };
-        let told = text.map(|text| settings::parse::<Vec<WordDoc>>(&text));
+        let told = text.map(|text| settings::parse::<Vec<OrderRecord>>(&text));
         let told = match told.unwrap_or(Ok(Vec::new())) {
             Ok(told) => told,
             Err(problem) => return warn!("{}: not taken: {problem}", file.display()),
         };
         let mut written = BTreeMap::new();
         for doc in told {
-            let word = Word { at: Time(doc.at_us), out: doc.out };
-            written.insert(doc.id.clone(), word);
-            if self.maintenance.borrow_mut().hear(&doc.id, word) {
+            let order = MaintenanceOrder { at: Time(doc.at_us), out: doc.out };
+            written.insert(doc.id.clone(), order);
+            if self.maintenance.borrow_mut().hear(&doc.id, order) {
                 info!("maintenance: {} is {}", doc.id, if doc.out { "out" } else { "back" });
-                let _ = self.inbox.send(Input::Word(doc.id));
+                let _ = self.inbox.send(Input::MaintenanceChanged(doc.id));
             }
         }
         // Two that write at once overwrite each other's words: whoever misses one of its own writes again.
-        let newer = |(id, word): (&str, Word)| written.get(id).is_none_or(|written| *written < word);
-        let missing = self.maintenance.borrow().words().any(newer);
+        let newer =
+            |(id, order): (&str, MaintenanceOrder)| written.get(id).is_none_or(|written| *written < order);
+        let missing = self.maintenance.borrow().orders().any(newer);
         if missing {
             self.save();
         }
@@ -109,8 +110,12 @@
 
     fn save(&self) {
         let Some(file) = &self.file else { return };
-        let doc = |(id, word): (&str, Word)| WordDoc { id: id.to_string(), out: word.out, at_us: word.at.0 };
-        let docs: Vec<WordDoc> = self.maintenance.borrow().words().map(doc).collect();
+        let doc = |(id, order): (&str, MaintenanceOrder)| OrderRecord {
+            id: id.to_string(),
+            out: order.out,
+            at_us: order.at.0,
+        };
+        let docs: Vec<OrderRecord> = self.maintenance.borrow().orders().map(doc).collect();
         if let Err(problem) = saved::write(file, &miniserde::json::to_string(&docs)) {
             warn!("{}: not written: {problem}", file.display());
         }
