--- a/crates/decisions/src/lifecycle.rs
+++ b/crates/decisions/src/lifecycle.rs
@@ -32,15 +32,15 @@
 
 /// How clients are treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct View {
+pub struct ServingState {
     /// The empty query, by which the front asks whether to send clients, is answered yes.
-    pub yes: bool,
+    pub reports_ready: bool,
     /// Newcomers are accepted, and served.
-    pub accepts: bool,
+    pub accepts_connections: bool,
     /// A connection ends once no request of it is open.
-    pub closes: bool,
+    pub closes_idle: bool,
     /// What still comes is refused at once: there may be no time left to serve it.
-    pub refuses: bool,
+    pub rejects_requests: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -86,27 +86,40 @@
     }
 
     /// Whether clients are taken: neither draining, nor standing by, nor stopping.
-    pub fn serves(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.0 == State::Serving
     }
 
     /// Whether the process stops.
-    pub fn stops(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         matches!(self.0, State::Stopping { .. })
     }
 
     /// How clients are treated now. A stop leaves the front's question answered as it was: what the front then sends
     /// is still served, or its successor serves at the same address.
-    pub fn view(&self, now: Time) -> View {
+    pub fn serving_state(&self, now: Time) -> ServingState {
         match self.0 {
-            State::Serving => View { yes: true, accepts: true, closes: false, refuses: false },
-            State::Draining { since } => {
-                View { yes: false, accepts: true, closes: now >= after(since), refuses: false }
-            }
+            State::Serving => ServingState {
+                reports_ready: true,
+                accepts_connections: true,
+                closes_idle: false,
+                rejects_requests: false,
+            },
+            State::Draining { since } => ServingState {
+                reports_ready: false,
+                accepts_connections: true,
+                closes_idle: now >= after(since),
+                rejects_requests: false,
+            },
             State::Stopping { since, closing_from, handed_over } => {
-                let refuses = now.0 >= since.0.saturating_add(TAKEN_FOR);
-                let accepts = !handed_over && now < after(since);
-                View { yes: true, accepts, closes: now >= closing_from, refuses }
+                let rejects_requests = now.0 >= since.0.saturating_add(TAKEN_FOR);
+                let accepts_connections = !handed_over && now < after(since);
+                ServingState {
+                    reports_ready: true,
+                    accepts_connections,
+                    closes_idle: now >= closing_from,
+                    rejects_requests,
+                }
             }
         }
     }
--- a/crates/decisions/src/maintenance.rs
+++ b/crates/decisions/src/maintenance.rs
@@ -22,11 +22,11 @@
 
 /// Why a word is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UnknownMember {
+pub enum OrderRejected {
     /// No list of late has named this member.
-    Unknown,
+    UnknownMember,
     /// Too many words are kept.
-    Full,
+    TooManyOrders,
 }
 
 /// How a listed member is shown to the policy.
@@ -95,11 +95,11 @@
     }
 
     /// Operators say that a member is out, or back; whether that changes anything. Said again, it changes nothing.
-    pub fn say(&mut self, now: Time, id: &str, out: bool) -> Result<bool, UnknownMember> {
+    pub fn say(&mut self, now: Time, id: &str, out: bool) -> Result<bool, OrderRejected> {
         let before = self.orders.get(id).copied();
         let known = self.known.get(id).is_some_and(|k| k.listed || k.seen.0 + KNOWN_FOR > now.0);
         if !known && !before.is_some_and(|order| order.out) {
-            return Err(UnknownMember::Unknown);
+            return Err(OrderRejected::UnknownMember);
         }
         if before.is_some_and(|order| order.out) == out {
             return Ok(false);
@@ -107,7 +107,7 @@
         // A clock that was set back must not let an older word win.
         let at = before.map_or(now, |order| now.max(Time(order.at.0 + 1)));
         if before.is_none() && !self.room() {
-            return Err(UnknownMember::Full);
+            return Err(OrderRejected::TooManyOrders);
         }
         self.orders.insert(id.to_string(), MaintenanceOrder { at, out });
         Ok(true)
--- a/crates/decisions/tests/lifecycle.rs
+++ b/crates/decisions/tests/lifecycle.rs
@@ -47,29 +47,42 @@
                 _ => {
                     let wait = u64::from(u32::arbitrary(&mut g)) % 700_000;
                     // What changes in between is announced.
-                    let (before, wake) = (life.view(Time(now)), life.wake(Time(now)));
+                    let (before, wake) = (life.serving_state(Time(now)), life.wake(Time(now)));
                     let last = wake.map_or(now + wait, |at| (at.0 - 1).min(now + wait));
-                    assert_eq!(life.view(Time(last)), before, "{known:?}");
+                    assert_eq!(life.serving_state(Time(last)), before, "{known:?}");
                     now += wait;
                 }
             }
-            let view = life.view(Time(now));
-            assert_eq!(life.serves(), drained.is_none() && stopped.is_none(), "{known:?}");
+            let serving_state = life.serving_state(Time(now));
+            assert_eq!(life.is_serving(), drained.is_none() && stopped.is_none(), "{known:?}");
             let since = drained.into_iter().chain(stopped.map(|s| s.0)).min();
             match since {
-                None => assert!(view.yes && view.accepts && !view.closes, "{known:?}"),
-                Some(since) if now >= since + ENDS_BY => assert!(view.closes, "{known:?}"),
-                Some(since) if now <= since + FRONT => assert!(!view.closes, "{known:?}"),
+                None => assert!(
+                    serving_state.reports_ready
+                        && serving_state.accepts_connections
+                        && !serving_state.closes_idle,
+                    "{known:?}"
+                ),
+                Some(since) if now >= since + ENDS_BY => assert!(serving_state.closes_idle, "{known:?}"),
+                Some(since) if now <= since + FRONT => assert!(!serving_state.closes_idle, "{known:?}"),
                 Some(_) => {}
             }
             // The platform's 0.7 s.
             let late = stopped.is_some_and(|(at, _)| now >= at + 700_000);
-            assert!(view.refuses || !late, "{known:?}");
-            assert!(!view.refuses || stopped.is_some_and(|(at, _)| now > at + 450_000), "{known:?}");
+            assert!(serving_state.rejects_requests || !late, "{known:?}");
+            assert!(
+                !serving_state.rejects_requests || stopped.is_some_and(|(at, _)| now > at + 450_000),
+                "{known:?}"
+            );
             match stopped {
-                None => assert!(view.accepts && view.yes == drained.is_none(), "{known:?}"),
-                Some((_, true)) => assert!(!view.accepts, "{known:?}"),
-                Some((at, false)) => assert_eq!(view.accepts, now < at + 450_000, "{known:?}"),
+                None => assert!(
+                    serving_state.accepts_connections && serving_state.reports_ready == drained.is_none(),
+                    "{known:?}"
+                ),
+                Some((_, true)) => assert!(!serving_state.accepts_connections, "{known:?}"),
+                Some((at, false)) => {
+                    assert_eq!(serving_state.accepts_connections, now < at + 450_000, "{known:?}")
+                }
             }
         }
     }
--- a/crates/decisions/tests/maintenance.rs
+++ b/crates/decisions/tests/maintenance.rs
@@ -1,7 +1,7 @@
 //! Any order of operators' words and lists, told to two processes that exchange their words.
 
 use linenhill_decisions::api::{GroupId, MemberState, Time};
-use linenhill_decisions::maintenance::{EffectiveState, Maintenance, UnknownMember};
+use linenhill_decisions::maintenance::{EffectiveState, Maintenance, OrderRejected};
 use quickcheck::{Arbitrary, Gen};
 use std::collections::BTreeMap;
 
@@ -33,7 +33,7 @@
                     let before = expected.get(id).is_some_and(|e| e.0);
                     let said = both[one].say(Time(now), id, out);
                     if id == "nobody" {
-                        assert_eq!(said, Err(UnknownMember::Unknown));
+                        assert_eq!(said, Err(OrderRejected::UnknownMember));
                     } else {
                         assert_eq!(said, Ok(before != out));
                         if before != out {
@@ -75,14 +75,14 @@
     for n in 0..9_000u64 {
         let id = format!("m{n}");
         m.listed(Time(n), &id, GROUP, MemberState::InService, None);
-        turned += u64::from(m.say(Time(n), &id, n % 2 == 0) == Err(UnknownMember::Full));
+        turned += u64::from(m.say(Time(n), &id, n % 2 == 0) == Err(OrderRejected::TooManyOrders));
     }
     assert!(m.orders().count() <= 1_024 && m.count().0 <= 4_096);
     assert!(turned > 0, "a bound refuses, it drops no ban");
     let hours = Time(10_000_000_000);
     m.whole_list(hours);
     assert_eq!(m.say(hours, "m0", false), Ok(true), "its way back is open");
-    assert_eq!(m.say(hours, "m1", true), Err(UnknownMember::Unknown));
+    assert_eq!(m.say(hours, "m1", true), Err(OrderRejected::UnknownMember));
 }
 
 // Guards against requests that wait for a group which operators have taken out whole, and against refusing those of a
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -6,15 +6,15 @@
 
 pub mod call;
 
-use crate::clients::phase::Course;
+use crate::clients::lifecycle_driver::LifecycleDriver;
 use crate::close_reason::{CloseReason, Side, log_close};
 use crate::discovery::status::DiscoveryStatus;
 use crate::figures::Figures;
 use crate::fleet::outages::{self, No};
 use crate::lifecycle::Event;
-use crate::maintenance::UnknownMember;
+use crate::maintenance::OrderRejected;
 use crate::stages::Input;
-use crate::takeover::words::Words;
+use crate::takeover::maintenance_log::MaintenanceLog;
 use call::{Call, CallCodec, CallError};
 use futures_util::StreamExt;
 use linenhill_cluster::member::Fleet;
@@ -51,9 +51,9 @@
 /// What operators may read and tell.
 pub struct Controls {
     /// How far a drain or a stop has come.
-    pub course: Rc<Course>,
+    pub lifecycle: Rc<LifecycleDriver>,
     /// What operators say of members.
-    pub words: Rc<Words>,
+    pub maintenance_log: Rc<MaintenanceLog>,
     /// What they may read.
     pub figures: Rc<Figures>,
     /// What discovery was last heard to say.
@@ -105,7 +105,7 @@
 impl Controls {
     async fn answer(&self, call: Call) -> Answer {
         match call {
-            Call::Status if self.course.serves() => said(200, "serving"),
+            Call::Status if self.lifecycle.is_serving() => said(200, "serving"),
             Call::Status => said(503, "not serving"),
             Call::Standby(force) => match self.permit(Thing::Proxy, force).await {
                 Ok(()) => self.tell(Event::Standby, "draining"),
@@ -158,14 +158,14 @@
 
     fn say(&self, id: &str, out: bool) -> Answer {
         let state = if out { "out" } else { "in use" };
-        match self.words.say(id, out) {
+        match self.maintenance_log.say(id, out) {
             Ok(changed) => {
                 let again = if changed { "" } else { ", as before" };
                 info!("operators: {id} is {state}{again}");
                 said(200, format!("{id} is {state}{again}"))
             }
-            Err(UnknownMember::Unknown) => said(404, format!("no list of late has named {id}")),
-            Err(UnknownMember::Full) => said(409, "too many members are out"),
+            Err(OrderRejected::UnknownMember) => said(404, format!("no list of late has named {id}")),
+            Err(OrderRejected::TooManyOrders) => said(409, "too many members are out"),
         }
     }
 
@@ -185,7 +185,7 @@
     }
 
     fn tell(&self, event: Event, done: &str) -> Answer {
-        match self.course.tell(event) {
+        match self.lifecycle.handle(event) {
             Ok(()) => {
                 info!("operators: {done}");
                 said(200, done)
--- a/src/clients/phase.rs
+++ b/src/clients/lifecycle_driver.rs
@@ -2,30 +2,35 @@
 //! [`Lifecycle`] with a clock.
 
 use crate::clock::Clock;
-use crate::lifecycle::{Event, Lifecycle, Stopping, View};
+use crate::lifecycle::{Event, Lifecycle, ServingState, Stopping};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::watch;
 use tokio::time::sleep_until;
 
 /// The state of this process, with its clock.
-pub struct Course {
+pub struct LifecycleDriver {
     lifecycle: RefCell<Lifecycle>,
     clock: Clock,
-    view: watch::Sender<View>,
+    serving_state: watch::Sender<ServingState>,
     changed: watch::Sender<()>,
 }
 
-impl Course {
+impl LifecycleDriver {
     /// It serves.
-    pub fn new(clock: Clock) -> Rc<Course> {
+    pub fn new(clock: Clock) -> Rc<LifecycleDriver> {
         let lifecycle = Lifecycle::default();
-        let (view, _) = watch::channel(lifecycle.view(clock.now()));
-        Rc::new(Course { lifecycle: RefCell::new(lifecycle), clock, view, changed: watch::channel(()).0 })
+        let (serving_state, _) = watch::channel(lifecycle.serving_state(clock.now()));
+        Rc::new(LifecycleDriver {
+            lifecycle: RefCell::new(lifecycle),
+            clock,
+            serving_state,
+            changed: watch::channel(()).0,
+        })
     }
 
     /// Takes an event in.
-    pub fn tell(&self, event: Event) -> Result<(), Stopping> {
+    pub fn handle(&self, event: Event) -> Result<(), Stopping> {
         self.lifecycle.borrow_mut().handle(self.clock.now(), event)?;
         self.show();
         self.changed.send_replace(());
@@ -33,27 +38,27 @@
     }
 
     /// Whether clients are taken.
-    pub fn serves(&self) -> bool {
-        self.lifecycle.borrow().serves()
+    pub fn is_serving(&self) -> bool {
+        self.lifecycle.borrow().is_serving()
     }
 
     /// Whether the process stops.
-    pub fn stops(&self) -> bool {
-        self.lifecycle.borrow().stops()
+    pub fn is_stopping(&self) -> bool {
+        self.lifecycle.borrow().is_stopping()
     }
 
     /// How clients are treated, now and from then on.
-    pub fn watch(&self) -> watch::Receiver<View> {
-        self.view.subscribe()
+    pub fn subscribe(&self) -> watch::Receiver<ServingState> {
+        self.serving_state.subscribe()
     }
 
     fn show(&self) {
-        let view = self.lifecycle.borrow().view(self.clock.now());
-        self.view.send_if_modified(|shown| std::mem::replace(shown, view) != view);
+        let serving_state = self.lifecycle.borrow().serving_state(self.clock.now());
+        self.serving_state.send_if_modified(|shown| std::mem::replace(shown, serving_state) != serving_state);
     }
 
     /// Shows what changes with time, for as long as the program runs.
-    pub async fn look_after(self: Rc<Course>) {
+    pub async fn look_after(self: Rc<LifecycleDriver>) {
         let mut changed = self.changed.subscribe();
         loop {
             let at = self.lifecycle.borrow().wake(self.clock.now());
--- a/src/clients/listener.rs
+++ b/src/clients/listener.rs
@@ -5,7 +5,7 @@
 use super::session;
 use crate::close_reason::{CloseReason, Side, log_close};
 use crate::counters::Counters;
-use crate::lifecycle::View;
+use crate::lifecycle::ServingState;
 use log::warn;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 /// Accepts and serves until newcomers are accepted no more, then waits for the sessions to end.
 pub async fn run(
     listener: TcpListener, desk: Rc<Desk>, connection_gate: Rc<ConnectionGate>,
-    mut view: watch::Receiver<View>, counters: Rc<Counters>,
+    mut serving_state: watch::Receiver<ServingState>, counters: Rc<Counters>,
 ) {
     let (mut sessions, mut looked) = (JoinSet::new(), false);
     loop {
@@ -29,7 +29,7 @@
             // What the machine has accepted may hold requests: it comes before the end.
             accepted = listener.accept() => accepted,
             Some(_) = sessions.join_next() => continue,
-            _ = view.wait_for(|v| !v.accepts) => {
+            _ = serving_state.wait_for(|v| !v.accepts_connections) => {
                 // Who has come since the runtime last waited is there, but not told of yet: one more look.
                 if std::mem::replace(&mut looked, true) {
                     break;
@@ -59,9 +59,9 @@
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let (desk, view, counters) = (desk.clone(), view.clone(), counters.clone());
+        let (desk, serving_state, counters) = (desk.clone(), serving_state.clone(), counters.clone());
         sessions.spawn_local(async move {
-            let reason = session::run(stream, desk, seated, view).await;
+            let reason = session::run(stream, desk, seated, serving_state).await;
             ended(&counters, peer, reason);
         });
     }
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -2,6 +2,6 @@
 
 pub mod connection_gate;
 pub mod desk;
+pub mod lifecycle_driver;
 pub mod listener;
-pub mod phase;
 pub mod session;
--- a/src/clients/session.rs
+++ b/src/clients/session.rs
@@ -5,7 +5,7 @@
 use crate::api::Span;
 use crate::budget::Place;
 use crate::close_reason::CloseReason;
-use crate::lifecycle::View;
+use crate::lifecycle::ServingState;
 use crate::peek::{Unread, unread};
 use crate::pg::PgError;
 use crate::pg::frontend::{Answer as Wire, Frontend, FrontendCodec};
@@ -154,7 +154,7 @@
     /// An extended message came: all up to the next Sync is passed over.
     skipping: bool,
     /// How clients are treated now.
-    view: watch::Receiver<View>,
+    view: watch::Receiver<ServingState>,
     /// Malformed statements in a row.
     malformed: u32,
     /// When it was accepted, and whether it has asked anything since.
@@ -167,7 +167,7 @@
 
 /// Serves a connection to its end, and says why it ended.
 pub async fn run<S: Client>(
-    stream: S, desk: Rc<Desk>, seated: AdmittedConnection, mut view: watch::Receiver<View>,
+    stream: S, desk: Rc<Desk>, seated: AdmittedConnection, mut view: watch::Receiver<ServingState>,
 ) -> CloseReason {
     let framed = Framed::new(stream, FrontendCodec::new(desk.memory()));
     let (waiting, next, broken) = (VecDeque::new(), Order::default(), None);
@@ -240,7 +240,7 @@
 }
 
 impl<S: Client> Session<S> {
-    async fn serve(&mut self, view: &mut watch::Receiver<View>) -> Result<(), CloseReason> {
+    async fn serve(&mut self, view: &mut watch::Receiver<ServingState>) -> Result<(), CloseReason> {
         self.start(view).await?;
         loop {
             let came = match self.waiting.pop_front() {
@@ -254,7 +254,7 @@
                 Came::Terminate => return Ok(()),
                 Came::Passed => {}
                 Came::Synced => self.reply([Wire::Ready]).await?,
-                Came::Empty if !view.borrow().yes => {
+                Came::Empty if !view.borrow().reports_ready => {
                     self.reply([error("57P03", "standing by"), Wire::Ready]).await?;
                 }
                 Came::Empty => self.reply([Wire::Empty, Wire::Ready]).await?,
@@ -332,7 +332,7 @@
             }
         };
         let order = Order { key, writes: claim.writes() };
-        if self.view.borrow().refuses {
+        if self.view.borrow().rejects_requests {
             let progress = Progress::HandedIn(Err(self.desk.too_late(claim)));
             return Came::Request(Box::new(Ask { order, progress, _memory: memory, _long: long }));
         }
@@ -351,7 +351,7 @@
     }
 
     /// Everything up to the first query.
-    async fn start(&mut self, view: &mut watch::Receiver<View>) -> Result<(), CloseReason> {
+    async fn start(&mut self, view: &mut watch::Receiver<ServingState>) -> Result<(), CloseReason> {
         let by = Instant::now() + STARTUP_WITHIN;
         loop {
             let next = tokio::time::timeout_at(by, self.next(view)).await;
@@ -370,7 +370,9 @@
 
     /// The next message between requests. A drain or a stop ends the connection here, but a newcomer is heard first:
     /// whoever has just connected has a request on the way.
-    async fn next(&mut self, view: &mut watch::Receiver<View>) -> Result<Option<Frontend>, CloseReason> {
+    async fn next(
+        &mut self, view: &mut watch::Receiver<ServingState>,
+    ) -> Result<Option<Frontend>, CloseReason> {
         if let Some(problem) = self.broken.take() {
             return Err(self.violation(problem).await);
         }
@@ -381,7 +383,7 @@
         let heard_by = if self.heard { Instant::now() } else { self.since + NEWCOMER_WITHIN };
         loop {
             let ends = async {
-                let _ = view.wait_for(|v| v.closes).await;
+                let _ = view.wait_for(|v| v.closes_idle).await;
                 sleep_until(heard_by).await;
             };
             let (comes, told) = (!self.framed.read_buffer().is_empty(), self.told);
--- a/src/fleet/outages.rs
+++ b/src/fleet/outages.rs
@@ -1,7 +1,7 @@
 //! What this process tells the fleet of itself and of members, and what the fleet tells it in turn: carried out between the
 //! course of the process, the driver of the decisions, and the keepers. Decides nothing.
 
-use crate::clients::phase::Course;
+use crate::clients::lifecycle_driver::LifecycleDriver;
 use crate::stages::Input;
 use linenhill_cluster::member::Fleet;
 use linenhill_cluster::state::{OutageDoc, Wish};
@@ -19,12 +19,14 @@
 const BACK_TRIES: usize = 100;
 
 /// Tells the fleet for as long as the program runs, and carries out its fence.
-pub async fn look_after(fleet: Rc<Fleet>, course: Rc<Course>, inbox: mpsc::UnboundedSender<Input>) {
-    let (mut view, mut fences) = (course.watch(), fleet.fences());
+pub async fn look_after(
+    fleet: Rc<Fleet>, lifecycle: Rc<LifecycleDriver>, inbox: mpsc::UnboundedSender<Input>,
+) {
+    let (mut view, mut fences) = (lifecycle.subscribe(), fleet.fences());
     let mut look = interval(fleet.renews_every());
     look.set_missed_tick_behavior(MissedTickBehavior::Skip);
     loop {
-        fleet.own(course.cause());
+        fleet.own(lifecycle.cause());
         tokio::select! {
             changed = view.changed() => if changed.is_err() { return },
             _ = look.tick() => {
@@ -105,10 +107,10 @@
     if done.ok { Ok(done.text) } else { Err(No::Denied(done.text)) }
 }
 
-impl Course {
+impl LifecycleDriver {
     /// How this process is, in the fleet's words.
     pub fn cause(&self) -> Cause {
-        match (self.serves(), self.stops()) {
+        match (self.is_serving(), self.is_stopping()) {
             (true, _) => Cause::InService,
             (false, false) => Cause::Standby,
             (false, true) => Cause::Stopping,
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -4,8 +4,8 @@
 use crate::api;
 use crate::clients::connection_gate::ConnectionGate;
 use crate::clients::desk::Desk;
+use crate::clients::lifecycle_driver::LifecycleDriver;
 use crate::clients::listener;
-use crate::clients::phase::Course;
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::connection_admission::Bounds;
@@ -26,7 +26,7 @@
 use crate::stages::relay::Relay;
 use crate::stages::route::Route;
 use crate::stages::send::Sender;
-use crate::takeover::words::Words;
+use crate::takeover::maintenance_log::MaintenanceLog;
 use crate::watch_schedule::WatchSchedule;
 use linenhill_cluster::member::Fleet;
 use log::info;
@@ -138,8 +138,12 @@
         let _ = inbox.send(Input::List(News::Known(known)));
     }
     let (asked, maintenance) = (inbox.clone(), Rc::default());
-    let words =
-        Words::new(Rc::clone(&maintenance), shared.map(|dir| dir.join("words")), clock, inbox.clone());
+    let maintenance_log = MaintenanceLog::new(
+        Rc::clone(&maintenance),
+        shared.map(|dir| dir.join("words")),
+        clock,
+        inbox.clone(),
+    );
     let route = Route::new(router, clock, events, sender, relay, pool.clone(), names, subscribe, maintenance)
         .bound(shares);
     let driver = spawn_local(route.run());
@@ -150,29 +154,29 @@
     spawn_local(async move { kept.look_after().await });
     spawn_local(pool.clone().follow_shares());
     spawn_local(pool.look_after());
-    let course = Course::new(clock);
+    let lifecycle = LifecycleDriver::new(clock);
     let together = listeners.together.as_ref().map(|(_, fleet, _)| fleet.clone());
     if let Some((_, fleet, reached)) = listeners.together {
         spawn_local(fleet.clone().run());
         if fleet.bounds_outages() {
-            spawn_local(outages::look_after(fleet.clone(), course.clone(), asked.clone()));
+            spawn_local(outages::look_after(fleet.clone(), lifecycle.clone(), asked.clone()));
         }
         if let Some(reached) = reached {
             spawn_local(fleet.serve(reached));
         }
     }
     spawn_local(connection_gate.clone().look_after());
-    spawn_local(course.clone().look_after());
-    let view = course.watch();
+    spawn_local(lifecycle.clone().look_after());
+    let view = lifecycle.subscribe();
     let mut serving =
         spawn_local(listener::run(listeners.clients, desk.clone(), connection_gate, view, counters));
-    spawn_local(words.clone().look_after());
+    spawn_local(maintenance_log.clone().look_after());
     if let Some(operators) = listeners.operators {
         spawn_local(admin::run(
             operators,
             Rc::new(Controls {
-                course: course.clone(),
-                words: words.clone(),
+                lifecycle: lifecycle.clone(),
+                maintenance_log: maintenance_log.clone(),
                 figures,
                 status,
                 inbox: asked,
@@ -184,7 +188,7 @@
         () = stop => {}
         _ = driver => return Err(DriverEnded),
     }
-    let _ = course.tell(Event::Stop { handed_over: false });
+    let _ = lifecycle.handle(Event::Stop { handed_over: false });
     // Said once it holds: whoever reads it may count on it.
     info!("stopping, {} requests held", desk.held());
     let over = timeout(longest + PAST_LONGEST, &mut serving).await.is_ok();
--- a/src/takeover/words.rs
+++ b/src/takeover/maintenance_log.rs
@@ -4,7 +4,7 @@
 use super::saved::{self, SavedError};
 use crate::api::Time;
 use crate::clock::Clock;
-use crate::maintenance::{Maintenance, MaintenanceOrder, UnknownMember};
+use crate::maintenance::{Maintenance, MaintenanceOrder, OrderRejected};
 use crate::settings;
 use crate::stages::Input;
 use log::{info, warn};
@@ -29,7 +29,7 @@
 }
 
 /// The words with their file.
-pub struct Words {
+pub struct MaintenanceLog {
     maintenance: Rc<RefCell<Maintenance>>,
     file: Option<PathBuf>,
     /// The file as it was last looked at: a new one each time it is written.
@@ -38,19 +38,19 @@
     inbox: mpsc::UnboundedSender<Input>,
 }
 
-impl Words {
+impl MaintenanceLog {
     /// Words that are also kept in `file`, if there is one; what changes a member's standing goes to `inbox`.
     pub fn new(
         maintenance: Rc<RefCell<Maintenance>>, file: Option<PathBuf>, clock: Clock,
         inbox: mpsc::UnboundedSender<Input>,
-    ) -> Rc<Words> {
-        let orders = Words { maintenance, file, seen: Cell::new(None), clock, inbox };
+    ) -> Rc<MaintenanceLog> {
+        let orders = MaintenanceLog { maintenance, file, seen: Cell::new(None), clock, inbox };
         orders.look();
         Rc::new(orders)
     }
 
     /// Operators say that a member is out, or back; whether that changes anything.
-    pub fn say(&self, id: &str, out: bool) -> Result<bool, UnknownMember> {
+    pub fn say(&self, id: &str, out: bool) -> Result<bool, OrderRejected> {
         self.look();
         let changed = self.maintenance.borrow_mut().say(self.clock.now(), id, out)?;
         if changed {
@@ -61,7 +61,7 @@
     }
 
     /// Looks at the file for as long as the program runs.
-    pub async fn look_after(self: Rc<Words>) {
+    pub async fn look_after(self: Rc<MaintenanceLog>) {
         while self.file.is_some() {
             sleep(LOOK_EVERY).await;
             self.look();
--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -2,5 +2,5 @@
 //! both, and operators' words on members, in a file.
 
 pub mod inherit;
+pub mod maintenance_log;
 pub mod saved;
-pub mod words;
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -19,7 +19,7 @@
 use linenhill::counters::Counters;
 use linenhill::discovery::{self, list, list::News, status::DiscoveryStatus};
 use linenhill::figures::Figures;
-use linenhill::lifecycle::View;
+use linenhill::lifecycle::ServingState;
 use linenhill::maintenance::Maintenance;
 use linenhill::members::attempt::{self, Errand};
 use linenhill::members::link::Link;
@@ -33,7 +33,7 @@
 use linenhill::stages::route::Route;
 use linenhill::stages::send::Sender;
 use linenhill::stages::{Answer, Input};
-use linenhill::takeover::{saved, words::Words};
+use linenhill::takeover::{maintenance_log::MaintenanceLog, saved};
 use std::cell::RefCell;
 use std::io::{Read, Write};
 use std::path::Path;
@@ -151,19 +151,24 @@
 /// A session on one end of a stream, before this desk.
 fn before(
     desk: &Rc<Desk>, seated: AdmittedConnection,
-) -> (DuplexStream, impl Future<Output = CloseReason> + use<>, watch::Sender<View>) {
+) -> (DuplexStream, impl Future<Output = CloseReason> + use<>, watch::Sender<ServingState>) {
     let (near, far) = duplex(4096);
-    let (tell, view) = watch::channel(SERVING);
-    (near, session::run(far, desk.clone(), seated, view), tell)
+    let (tell, serving_state) = watch::channel(SERVING);
+    (near, session::run(far, desk.clone(), seated, serving_state), tell)
 }
 
-fn session() -> (DuplexStream, Events, impl Future<Output = CloseReason>, watch::Sender<View>) {
+fn session() -> (DuplexStream, Events, impl Future<Output = CloseReason>, watch::Sender<ServingState>) {
     let (desk, events) = desk();
     let (near, session, tell) = before(&desk, connection_gate(9).enter().expect("a place"));
     (near, events, session, tell)
 }
 
-const SERVING: View = View { yes: true, accepts: true, closes: false, refuses: false };
+const SERVING: ServingState = ServingState {
+    reports_ready: true,
+    accepts_connections: true,
+    closes_idle: false,
+    rejects_requests: false,
+};
 const STARTUP: &[u8] = b"\0\0\0\x08\0\x03\0\0";
 
 fn query(id: &str, class: &str) -> Vec<u8> {
@@ -340,7 +345,7 @@
     let at = listener.local_addr().expect("an address");
     let bounds = Bounds { requests: 8, ..bounds(40) };
     let connection_gate = ConnectionGate::new(bounds, Clock::start());
-    let (_tell, view) = watch::channel(SERVING);
+    let (_tell, serving_state) = watch::channel(SERVING);
     let counters = Rc::new(Counters::default());
     let answering = async move {
         while let Some(input) = events.recv().await {
@@ -365,7 +370,13 @@
         }
     };
     let local = LocalSet::new();
-    local.spawn_local(listener::run(listener, desk, connection_gate.clone(), view, counters.clone()));
+    local.spawn_local(listener::run(
+        listener,
+        desk,
+        connection_gate.clone(),
+        serving_state,
+        counters.clone(),
+    ));
     local.spawn_local(connection_gate.look_after());
     local.spawn_local(answering);
     let done = local.run_until(timeout(Duration::from_secs(20), asking)).await;
@@ -432,7 +443,7 @@
 #[tokio::test(start_paused = true)]
 async fn amid_a_drain_a_newcomer_is_served_once_and_the_front_is_told_no() {
     let (mut near, mut events, session, tell) = session();
-    let _ = tell.send(View { yes: false, closes: true, ..SERVING });
+    let _ = tell.send(ServingState { reports_ready: false, closes_idle: true, ..SERVING });
     let client = async {
         sleep(Duration::from_millis(200)).await;
         near.write_all(&[STARTUP, b"Q"].concat()).await.expect("written");
@@ -459,7 +470,12 @@
     let client = async {
         near.write_all(&[STARTUP, &query("1", "list")].concat()).await.expect("written");
         let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
-        let _ = tell.send(View { accepts: false, closes: true, refuses: true, ..SERVING });
+        let _ = tell.send(ServingState {
+            accepts_connections: false,
+            closes_idle: true,
+            rejects_requests: true,
+            ..SERVING
+        });
         near.write_all(&query("2", "list")).await.expect("written");
         sleep(Duration::from_millis(100)).await;
         assert!(events.try_recv().is_err(), "it is not handed in");
@@ -486,7 +502,7 @@
             let rest = if broken { b"Q\0\0\0\0".as_slice() } else { b"" };
             near.write_all(&[startup, b"Q", &length, query, rest].concat()).await.expect("written");
             let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
-            let _ = tell.send(View { closes: true, ..SERVING });
+            let _ = tell.send(ServingState { closes_idle: true, ..SERVING });
             sleep(Duration::from_millis(300)).await;
             taken.reply.send(Answer::Served(b"the row".as_slice().into())).expect("still owed");
             let mut got = Vec::new();
@@ -832,7 +848,7 @@
         for id in ["a", "b"] {
             known.listed(clock.now(), id, GroupId(1), MemberState::InService, None);
         }
-        Words::new(Rc::new(RefCell::new(known)), Some(file.clone()), clock, inbox.clone())
+        MaintenanceLog::new(Rc::new(RefCell::new(known)), Some(file.clone()), clock, inbox.clone())
     };
     let text = || saved::read(&file).expect("a file").unwrap_or_default();
     let one = version();
