--- a/crates/decisions/src/connection_admission.rs
+++ b/crates/decisions/src/connection_admission.rs
@@ -16,17 +16,17 @@
 
 /// How much there is of everything.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct AdmissionLimits {
     /// Connections that are served.
-    pub places: usize,
+    pub max_served: usize,
     /// Connections beyond those, whose first request is refused.
-    pub stands: usize,
+    pub max_rejected: usize,
     /// Connections that were told to leave and have not left yet, beyond the places.
-    pub leaving: usize,
+    pub max_closing: usize,
     /// Connections that clients may hold for requests, by the platform's promise.
-    pub requests: usize,
+    pub max_request_connections: usize,
     /// The longest time to come back that may be named.
-    pub longest: Span,
+    pub max_retry_after: Span,
 }
 
 /// What happened.
@@ -159,7 +159,7 @@
 
 /// The door of one proxy.
 pub struct ConnectionAdmission {
-    bounds: Bounds,
+    limits: AdmissionLimits,
     /// Of the connections that clients may hold for requests, those that may be open at a time before the idle
     /// ones among them leave.
     wanted: usize,
@@ -175,12 +175,12 @@
 
 impl ConnectionAdmission {
     /// Nobody is in.
-    pub fn new(bounds: Bounds) -> ConnectionAdmission {
+    pub fn new(limits: AdmissionLimits) -> ConnectionAdmission {
         let part = |of: usize, part: f64| (of as f64 * part) as usize;
         ConnectionAdmission {
-            wanted: bounds.requests - part(bounds.requests, FREE_PART),
-            silent_most: part(bounds.places, SILENT_PART).max(1),
-            bounds,
+            wanted: limits.max_request_connections - part(limits.max_request_connections, FREE_PART),
+            silent_most: part(limits.max_served, SILENT_PART).max(1),
+            limits,
             served: ConnectionTable::default(),
             refused: ConnectionTable::default(),
             wake: None,
@@ -209,7 +209,7 @@
     }
 
     /// Whether somebody was asked to leave and has not left.
-    pub fn awaits(&self) -> bool {
+    pub fn has_closing(&self) -> bool {
         self.served.count(ConnectionState::Leaving) + self.refused.count(ConnectionState::Leaving) > 0
     }
 
@@ -237,10 +237,10 @@
 
     /// Whether there is a place for a newcomer, made if need be.
     fn seat(&mut self, now: Time, out: &mut Vec<Action>) -> bool {
-        if self.served.seats.len() >= self.bounds.places + self.bounds.leaving {
+        if self.served.seats.len() >= self.limits.max_served + self.limits.max_closing {
             return false;
         }
-        if self.served.staying() < self.bounds.places {
+        if self.served.staying() < self.limits.max_served {
             return true;
         }
         let longest_first =
@@ -259,7 +259,7 @@
 
     /// Whether there is a stand for somebody who is refused, made if need be.
     fn stand_free(&mut self, now: Time, out: &mut Vec<Action>) -> bool {
-        if self.refused.seats.len() < self.bounds.stands {
+        if self.refused.seats.len() < self.limits.max_rejected {
             return true;
         }
         if !self.refused.order[ConnectionState::Leaving as usize].is_empty() {
@@ -290,7 +290,7 @@
     /// refused since the last one come before.
     fn advice(&mut self) -> Span {
         self.turned += 1;
-        let longest = self.bounds.longest.max(ADVICE_LEAST);
+        let longest = self.limits.max_retry_after.max(ADVICE_LEAST);
         let Some(gap) = self.gap else { return ADVICE_FIRST.min(longest) };
         Span((gap * self.turned as f64) as u64).clamp(ADVICE_LEAST, longest)
     }
--- a/crates/decisions/tests/connection_admission.rs
+++ b/crates/decisions/tests/connection_admission.rs
@@ -1,13 +1,20 @@
 //! The door alone: the crowd of a recorded incident in virtual time, and whatever may happen in any order.
 
 use linenhill_decisions::api::{Span, Time};
-use linenhill_decisions::connection_admission::{Action, Bounds, ConnectionAdmission, ConnectionId, Event};
+use linenhill_decisions::connection_admission::{
+    Action, AdmissionLimits, ConnectionAdmission, ConnectionId, Event,
+};
 use quickcheck::{Gen, QuickCheck, TestResult};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: u64 = 1_000;
-const BOUNDS: Bounds =
-    Bounds { places: 218, stands: 18, leaving: 6, requests: 128, longest: Span(2_000 * MS) };
+const LIMITS: AdmissionLimits = AdmissionLimits {
+    max_served: 218,
+    max_rejected: 18,
+    max_closing: 6,
+    max_request_connections: 128,
+    max_retry_after: Span(2_000 * MS),
+};
 
 /// Clients that ask once on a connection each and hold it for good, until they are told to leave: 300 requests
 /// a second over at most 128 connections, of 30 to 100 ms each. Beside them 46 connections a second that say
@@ -64,7 +71,7 @@
 
     fn play(seconds: u64) -> Crowd {
         let mut rng = fastrand::Rng::with_seed(7);
-        let admission = ConnectionAdmission::new(BOUNDS);
+        let admission = ConnectionAdmission::new(LIMITS);
         let sets = BTreeSet::new;
         let (holding, busy) = (sets(), sets());
         let due = BTreeSet::new();
@@ -98,7 +105,7 @@
                 }
                 Kind::Request => {
                     c.asked += 1;
-                    if c.holding.len() >= BOUNDS.requests {
+                    if c.holding.len() >= LIMITS.max_request_connections {
                         c.without += 1;
                         continue;
                     }
@@ -123,7 +130,7 @@
                 }
                 Kind::Wake => drop(c.tell(Event::Woke)),
             }
-            assert!(c.admission.held() <= BOUNDS.places + BOUNDS.stands + BOUNDS.leaving);
+            assert!(c.admission.held() <= LIMITS.max_served + LIMITS.max_rejected + LIMITS.max_closing);
         }
         c
     }
@@ -143,7 +150,7 @@
 // Guards against thinning out clients that use few connections and use them again.
 #[test]
 fn a_pool_that_fits_is_left_alone() {
-    let mut admission = ConnectionAdmission::new(BOUNDS);
+    let mut admission = ConnectionAdmission::new(LIMITS);
     let mut out = Vec::new();
     for n in 0..96 {
         for event in [Event::Arrived, Event::Started, Event::Asked, Event::Answered] {
@@ -158,8 +165,14 @@
 // gets them.
 #[test]
 fn the_time_to_come_back_follows_the_rate_at_which_places_come_free() {
-    let bounds = Bounds { places: 2, stands: 9, leaving: 0, requests: 9, longest: Span(2_000 * MS) };
-    let mut admission = ConnectionAdmission::new(bounds);
+    let limits = AdmissionLimits {
+        max_served: 2,
+        max_rejected: 9,
+        max_closing: 0,
+        max_request_connections: 9,
+        max_retry_after: Span(2_000 * MS),
+    };
+    let mut admission = ConnectionAdmission::new(limits);
     let mut play = |at: u64, event| {
         let mut out = Vec::new();
         admission.handle(Time(at * MS), event, &mut out);
@@ -185,8 +198,14 @@
 #[test]
 fn in_any_order_nobody_busy_leaves_and_the_bounds_hold() {
     fn holds(steps: Vec<(u8, u8, u16)>) -> TestResult {
-        let bounds = Bounds { places: 5, stands: 2, leaving: 2, requests: 4, longest: Span(900 * MS) };
-        let (mut admission, mut now, mut next) = (ConnectionAdmission::new(bounds), 0, 0);
+        let limits = AdmissionLimits {
+            max_served: 5,
+            max_rejected: 2,
+            max_closing: 2,
+            max_request_connections: 4,
+            max_retry_after: Span(900 * MS),
+        };
+        let (mut admission, mut now, mut next) = (ConnectionAdmission::new(limits), 0, 0);
         // Whether a request of it is open, and whether it was told to leave.
         let mut seats: BTreeMap<ConnectionId, (bool, bool)> = BTreeMap::new();
         for (what, which, later) in steps {
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -158,7 +158,7 @@
 
     fn say(&self, id: &str, out: bool) -> Answer {
         let state = if out { "out" } else { "in use" };
-        match self.maintenance_log.say(id, out) {
+        match self.maintenance_log.order(id, out) {
             Ok(changed) => {
                 let again = if changed { "" } else { ", as before" };
                 info!("operators: {id} is {state}{again}");
@@ -176,7 +176,7 @@
         if let Ok(Ok((listed, avoided))) = timeout(ASK_WITHIN, asked).await {
             self.figures.members(listed, avoided);
         }
-        let (word, list) = self.status.age();
+        let (word, list) = self.status.ages();
         self.figures.news(word, list, self.status.version());
         match self.figures.text() {
             Ok(text) => Answer { status: 200, kind: OPEN_METRICS, text },
--- a/src/clients/connection_gate.rs
+++ b/src/clients/connection_gate.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Span, Time};
 use crate::clock::Clock;
-use crate::connection_admission::{Action, Bounds, ConnectionAdmission, ConnectionId, Event};
+use crate::connection_admission::{Action, AdmissionLimits, ConnectionAdmission, ConnectionId, Event};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -49,17 +49,17 @@
     }
 
     /// The connection has sent its startup message.
-    pub fn started(&self) {
+    pub fn mark_started(&self) {
         self.connection_gate.tell(Event::Started(self.id));
     }
 
     /// A request of the connection is open.
-    pub fn busy(&self) {
+    pub fn mark_busy(&self) {
         self.connection_gate.tell(Event::Asked(self.id));
     }
 
     /// No request of the connection is open any more.
-    pub fn idle(&self) {
+    pub fn mark_idle(&self) {
         self.connection_gate.tell(Event::Answered(self.id));
     }
 
@@ -71,14 +71,14 @@
 
 impl ConnectionGate {
     /// A door with these bounds.
-    pub fn new(bounds: Bounds, clock: Clock) -> Rc<ConnectionGate> {
-        let admission = RefCell::new(ConnectionAdmission::new(bounds));
+    pub fn new(limits: AdmissionLimits, clock: Clock) -> Rc<ConnectionGate> {
+        let admission = RefCell::new(ConnectionAdmission::new(limits));
         let (wake, _) = watch::channel(None);
         Rc::new(ConnectionGate { admission, clock, bells: RefCell::default(), next: Cell::new(0), wake })
     }
 
     /// Seats a new connection, if there is any place for it.
-    pub fn enter(self: &Rc<ConnectionGate>) -> Option<AdmittedConnection> {
+    pub fn admit(self: &Rc<ConnectionGate>) -> Option<AdmittedConnection> {
         let id = ConnectionId(self.next.replace(self.next.get() + 1));
         let mode = match self.tell(Event::Arrived(id)) {
             Some(Action::Serve(_)) => AdmissionMode::Serve,
@@ -91,8 +91,8 @@
     }
 
     /// Whether somebody was told to leave and has not left yet.
-    pub fn awaits(&self) -> bool {
-        self.admission.borrow().awaits()
+    pub fn has_closing(&self) -> bool {
+        self.admission.borrow().has_closing()
     }
 
     /// Tells the door what happened and does what it says; what it says of a newcomer is returned.
@@ -116,7 +116,7 @@
     }
 
     /// Wakes the door when it asked for it, for as long as the program runs.
-    pub async fn look_after(self: Rc<ConnectionGate>) {
+    pub async fn run(self: Rc<ConnectionGate>) {
         let mut wake = self.wake.subscribe();
         loop {
             let at = *wake.borrow_and_update();
--- a/src/clients/lifecycle_driver.rs
+++ b/src/clients/lifecycle_driver.rs
@@ -58,7 +58,7 @@
     }
 
     /// Shows what changes with time, for as long as the program runs.
-    pub async fn look_after(self: Rc<LifecycleDriver>) {
+    pub async fn run(self: Rc<LifecycleDriver>) {
         let mut changed = self.changed.subscribe();
         loop {
             let at = self.lifecycle.borrow().wake(self.clock.now());
--- a/src/clients/listener.rs
+++ b/src/clients/listener.rs
@@ -47,8 +47,8 @@
             }
         };
         counters.clients.add();
-        let entered = connection_gate.enter();
-        if connection_gate.awaits() {
+        let entered = connection_gate.admit();
+        if connection_gate.has_closing() {
             // Whoever was told to leave gives its descriptor back when its task runs.
             tokio::task::yield_now().await;
         }
--- a/src/clients/session.rs
+++ b/src/clients/session.rs
@@ -195,7 +195,7 @@
     };
     if matches!(reason, CloseReason::Protocol | CloseReason::PipelineFull | CloseReason::EdgeFull) {
         // What lingers counts on nothing but its last answer being read.
-        s.seated.started();
+        s.seated.mark_started();
         s.linger().await;
     }
     reason
@@ -268,9 +268,9 @@
                 }
                 Came::Request(ask) => {
                     self.malformed = 0;
-                    self.seated.busy();
+                    self.seated.mark_busy();
                     let answered = self.query(ask).await;
-                    self.seated.idle();
+                    self.seated.mark_idle();
                     answered?;
                 }
                 Came::Malformed(error) => {
@@ -361,7 +361,7 @@
                 Some(Frontend::Cancel) => return Err(CloseReason::CancelRequest),
                 Some(_) => {
                     self.started = true;
-                    self.seated.started();
+                    self.seated.mark_started();
                     return self.reply([Wire::Welcome, Wire::Ready]).await;
                 }
             }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -110,7 +110,7 @@
         let now = clock.now();
         keeping.ended(now, rng.f64());
         // It may have fallen silent right after its last word, or after the call if it never said any.
-        let quiet = Span(status.quiet().0.min(now.0.saturating_sub(opened.0)));
+        let quiet = Span(status.silence().0.min(now.0.saturating_sub(opened.0)));
         let quiet = (last == Some(CloseReason::Silent)).then_some(quiet);
         if inbox.send(Input::List(News::Failed { quiet })).is_err() {
             return;
@@ -180,7 +180,7 @@
             Ok(Some(Ok(Piece::Line(line)))) => line,
         };
         patience = SILENT_AFTER;
-        status.word();
+        status.record_message();
         let blank = line.iter().all(u8::is_ascii_whitespace);
         // Also without a list the call has succeeded.
         if std::mem::take(&mut up) && blank && inbox.send(Input::List(News::Unchanged)).is_err() {
@@ -208,7 +208,7 @@
             }
             Ok(listing) => {
                 first = false;
-                status.list(listing.version);
+                status.record_list(listing.version);
                 if inbox.send(Input::List(News::Told(listing))).is_err() {
                     return CloseReason::Stopping;
                 }
--- a/src/discovery/status.rs
+++ b/src/discovery/status.rs
@@ -36,24 +36,24 @@
     }
 
     /// Something was said, be it that there is nothing new.
-    pub fn word(&self) {
+    pub fn record_message(&self) {
         let notice = self.staleness.borrow_mut().word(self.clock.now().0);
         self.tell(notice);
     }
 
     /// A list of this version was taken.
-    pub fn list(&self, version: u64) {
+    pub fn record_list(&self, version: u64) {
         self.version.set(version);
         self.staleness.borrow_mut().list(self.clock.now().0);
     }
 
     /// How long nothing was said.
-    pub fn quiet(&self) -> Span {
+    pub fn silence(&self) -> Span {
         Span(self.staleness.borrow().age(self.clock.now().0).0)
     }
 
     /// Seconds since anything was said (or since the start), and since a list was taken, if one was.
-    pub fn age(&self) -> (f64, Option<f64>) {
+    pub fn ages(&self) -> (f64, Option<f64>) {
         let (word, list) = self.staleness.borrow().age(self.clock.now().0);
         (seconds(word), list.map(seconds))
     }
@@ -73,7 +73,7 @@
     }
 
     /// Logs its silence, for as long as the program runs.
-    pub async fn look_after(&self) {
+    pub async fn log_silence(&self) {
         loop {
             sleep(LOOK_EVERY).await;
             let notice = self.staleness.borrow_mut().quiet(self.clock.now().0);
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -8,7 +8,7 @@
 use crate::clients::listener;
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::connection_admission::Bounds;
+use crate::connection_admission::AdmissionLimits;
 use crate::counters::Counters;
 use crate::discovery::list::News;
 use crate::discovery::status::DiscoveryStatus;
@@ -110,12 +110,12 @@
     let book = Book::new(counters.clone(), figures.clone());
     let sender = Sender::new(pool.clone(), inbox.clone(), book.clone(), limits.max_attempts);
     let longest = Duration::from_micros(site.longest.0);
-    let bounds = Bounds {
-        places: share(SERVED_PART),
-        stands: share(REFUSED_PART),
-        leaving: LEAVING,
-        requests: config.sockets / REQUESTS_PART,
-        longest: limits.max_retry_after,
+    let bounds = AdmissionLimits {
+        max_served: share(SERVED_PART),
+        max_rejected: share(REFUSED_PART),
+        max_closing: LEAVING,
+        max_request_connections: config.sockets / REQUESTS_PART,
+        max_retry_after: limits.max_retry_after,
     };
     let connection_gate = ConnectionGate::new(bounds, clock);
     let intake = Intake::new(&site, clock);
@@ -151,7 +151,7 @@
     let (kept, calls) = (status.clone(), counters.clone());
     spawn_local(discovery::run(discovery, keeping, kept, inbox, calls, within, chance));
     let kept = status.clone();
-    spawn_local(async move { kept.look_after().await });
+    spawn_local(async move { kept.log_silence().await });
     spawn_local(pool.clone().follow_shares());
     spawn_local(pool.look_after());
     let lifecycle = LifecycleDriver::new(clock);
@@ -165,12 +165,12 @@
             spawn_local(fleet.serve(reached));
         }
     }
-    spawn_local(connection_gate.clone().look_after());
-    spawn_local(lifecycle.clone().look_after());
+    spawn_local(connection_gate.clone().run());
+    spawn_local(lifecycle.clone().run());
     let view = lifecycle.subscribe();
     let mut serving =
         spawn_local(listener::run(listeners.clients, desk.clone(), connection_gate, view, counters));
-    spawn_local(maintenance_log.clone().look_after());
+    spawn_local(maintenance_log.clone().follow_file());
     if let Some(operators) = listeners.operators {
         spawn_local(admin::run(
             operators,
--- a/src/takeover/maintenance_log.rs
+++ b/src/takeover/maintenance_log.rs
@@ -45,13 +45,13 @@
         inbox: mpsc::UnboundedSender<Input>,
     ) -> Rc<MaintenanceLog> {
         let orders = MaintenanceLog { maintenance, file, seen: Cell::new(None), clock, inbox };
-        orders.look();
+        orders.sync();
         Rc::new(orders)
     }
 
     /// Operators say that a member is out, or back; whether that changes anything.
-    pub fn say(&self, id: &str, out: bool) -> Result<bool, OrderRejected> {
-        self.look();
+    pub fn order(&self, id: &str, out: bool) -> Result<bool, OrderRejected> {
+        self.sync();
         let changed = self.maintenance.borrow_mut().say(self.clock.now(), id, out)?;
         if changed {
             self.save();
@@ -61,15 +61,15 @@
     }
 
     /// Looks at the file for as long as the program runs.
-    pub async fn look_after(self: Rc<MaintenanceLog>) {
+    pub async fn follow_file(self: Rc<MaintenanceLog>) {
         while self.file.is_some() {
             sleep(LOOK_EVERY).await;
-            self.look();
+            self.sync();
         }
     }
 
     /// Takes in what another process has written since, and writes again what it did not know.
-    pub fn look(&self) {
+    pub fn sync(&self) {
         let Some(file) = &self.file else { return };
         let stamp = std::fs::metadata(file).ok().and_then(|m| Some((m.ino(), m.modified().ok()?, m.len())));
         if stamp == self.seen.get() {
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -15,7 +15,7 @@
 use linenhill::clock::Clock;
 use linenhill::close_reason::CloseReason;
 use linenhill::config::{Config, Reading, Variables};
-use linenhill::connection_admission::Bounds;
+use linenhill::connection_admission::AdmissionLimits;
 use linenhill::counters::Counters;
 use linenhill::discovery::{self, list, list::News, status::DiscoveryStatus};
 use linenhill::figures::Figures;
@@ -140,12 +140,18 @@
     Rc::new(Figures::new(["list", "own", "order"]))
 }
 
-fn bounds(places: usize) -> Bounds {
-    Bounds { places, stands: 0, leaving: 2, requests: 99, longest: Span(2_000_000) }
+fn bounds(max_served: usize) -> AdmissionLimits {
+    AdmissionLimits {
+        max_served,
+        max_rejected: 0,
+        max_closing: 2,
+        max_request_connections: 99,
+        max_retry_after: Span(2_000_000),
+    }
 }
 
-fn connection_gate(places: usize) -> Rc<ConnectionGate> {
-    ConnectionGate::new(bounds(places), Clock::start())
+fn connection_gate(max_served: usize) -> Rc<ConnectionGate> {
+    ConnectionGate::new(bounds(max_served), Clock::start())
 }
 
 /// A session on one end of a stream, before this desk.
@@ -159,7 +165,7 @@
 
 fn session() -> (DuplexStream, Events, impl Future<Output = CloseReason>, watch::Sender<ServingState>) {
     let (desk, events) = desk();
-    let (near, session, tell) = before(&desk, connection_gate(9).enter().expect("a place"));
+    let (near, session, tell) = before(&desk, connection_gate(9).admit().expect("a place"));
     (near, events, session, tell)
 }
 
@@ -216,8 +222,8 @@
 async fn the_id_of_an_open_request_is_taken() {
     let (desk, mut events) = desk();
     let (connection_gate, ask) = (connection_gate(9), [STARTUP, &query("7", "list")].concat());
-    let (mut first, serve_first, _tell) = before(&desk, connection_gate.enter().expect("a place"));
-    let (mut second, serve_second, _tell2) = before(&desk, connection_gate.enter().expect("a place"));
+    let (mut first, serve_first, _tell) = before(&desk, connection_gate.admit().expect("a place"));
+    let (mut second, serve_second, _tell2) = before(&desk, connection_gate.admit().expect("a place"));
     let play = async {
         first.write_all(&ask).await.expect("written");
         let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
@@ -284,8 +290,8 @@
     let (desk, _events) = desk();
     let connection_gate = connection_gate(9);
     let large = [STARTUP, b"Q", &(150u32 << 10).to_be_bytes(), b"/* "].concat();
-    let (mut first, serve_first, _tell) = before(&desk, connection_gate.enter().expect("a place"));
-    let (mut second, serve_second, _tell2) = before(&desk, connection_gate.enter().expect("a place"));
+    let (mut first, serve_first, _tell) = before(&desk, connection_gate.admit().expect("a place"));
+    let (mut second, serve_second, _tell2) = before(&desk, connection_gate.admit().expect("a place"));
     let play = async {
         first.write_all(&large).await.expect("written");
         sleep(Duration::from_millis(10)).await;
@@ -313,25 +319,25 @@
 #[tokio::test(start_paused = true)]
 async fn a_newcomer_gets_the_place_of_the_one_idle_longest() {
     let connection_gate = connection_gate(4);
-    let seat = |_| connection_gate.enter().inspect(AdmittedConnection::busy);
+    let seat = |_| connection_gate.admit().inspect(AdmittedConnection::mark_busy);
     let seats: Vec<AdmittedConnection> = (0..4).filter_map(seat).collect();
     let left = |i: usize| seats[i].close_requested().now_or_never().is_some();
-    seats[3].started();
+    seats[3].mark_started();
     sleep(Duration::from_millis(100)).await;
-    seats[2].idle();
-    assert!(connection_gate.enter().is_none(), "nobody has been idle or silent for long enough");
+    seats[2].mark_idle();
+    assert!(connection_gate.admit().is_none(), "nobody has been idle or silent for long enough");
     sleep(Duration::from_millis(100)).await;
-    let fourth = connection_gate.enter().inspect(AdmittedConnection::busy);
+    let fourth = connection_gate.admit().inspect(AdmittedConnection::mark_busy);
     assert!(fourth.is_some() && left(3) && !left(2), "it has asked nothing for 0.2 s");
     sleep(Duration::from_millis(150)).await;
-    let fifth = connection_gate.enter().inspect(AdmittedConnection::busy);
+    let fifth = connection_gate.admit().inspect(AdmittedConnection::mark_busy);
     assert!(fifth.is_some() && left(2), "idle for 0.2 s");
     assert!(
-        connection_gate.enter().is_none() && !left(0) && !left(1),
+        connection_gate.admit().is_none() && !left(0) && !left(1),
         "requests are open, or it came just now"
     );
     drop(seats);
-    let crowd: Vec<AdmittedConnection> = (0..2).filter_map(|_| connection_gate.enter()).collect();
+    let crowd: Vec<AdmittedConnection> = (0..2).filter_map(|_| connection_gate.admit()).collect();
     let told = |seat: &AdmittedConnection| seat.close_requested().now_or_never().is_some();
     assert!(told(&crowd[0]) && !told(&crowd[1]), "only the oldest of a silent crowd, with places left");
 }
@@ -343,7 +349,7 @@
     let (desk, mut events) = desk();
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
-    let bounds = Bounds { requests: 8, ..bounds(40) };
+    let bounds = AdmissionLimits { max_request_connections: 8, ..bounds(40) };
     let connection_gate = ConnectionGate::new(bounds, Clock::start());
     let (_tell, serving_state) = watch::channel(SERVING);
     let counters = Rc::new(Counters::default());
@@ -377,7 +383,7 @@
         serving_state,
         counters.clone(),
     ));
-    local.spawn_local(connection_gate.look_after());
+    local.spawn_local(connection_gate.run());
     local.spawn_local(answering);
     let done = local.run_until(timeout(Duration::from_secs(20), asking)).await;
     assert!(done.is_ok(), "after {} connections no more could be opened", counters.clients.get());
@@ -390,17 +396,17 @@
 async fn who_is_told_to_leave_leaves_between_requests() {
     let connection_gate = connection_gate(1);
     let (desk, mut events) = desk();
-    let (mut near, session, _tell) = before(&desk, connection_gate.enter().expect("a place"));
+    let (mut near, session, _tell) = before(&desk, connection_gate.admit().expect("a place"));
     let client = async {
         near.write_all(b"\0\0\0\x08\0\x03\0\0").await.expect("written");
         let query = b"Q\0\0\0\x2f/* id=1,c=list,d=900,cluster=1 */ SELECT 1\0";
         near.write_all(query).await.expect("written");
         let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
         sleep(Duration::from_secs(3)).await;
-        assert!(connection_gate.enter().is_none(), "its request is open");
+        assert!(connection_gate.admit().is_none(), "its request is open");
         taken.reply.send(Answer::Served(b"the row".as_slice().into())).expect("still owed");
         sleep(Duration::from_secs(3)).await;
-        assert!(connection_gate.enter().is_some());
+        assert!(connection_gate.admit().is_some());
     };
     let (reason, ()) = tokio::join!(session, client);
     assert_eq!(reason, CloseReason::MadeRoom);
@@ -413,13 +419,13 @@
     for (ends, spoken) in [(true, true), (false, true), (false, false)] {
         let connection_gate = connection_gate(1);
         let (desk, mut events) = desk();
-        let (mut near, session, _tell) = before(&desk, connection_gate.enter().expect("a place"));
+        let (mut near, session, _tell) = before(&desk, connection_gate.admit().expect("a place"));
         let client = async {
             let whole = if spoken { [STARTUP, &query("1", "list")].concat() } else { STARTUP.to_vec() };
             let cut = if spoken { STARTUP.len() + 9 } else { 3 };
             near.write_all(&whole[..cut]).await.expect("written");
             sleep(Duration::from_secs(1)).await;
-            let _next = connection_gate.enter().expect("the place of the one that asks nothing");
+            let _next = connection_gate.admit().expect("the place of the one that asks nothing");
             if ends {
                 sleep(Duration::from_millis(100)).await;
                 near.write_all(&whole[cut..]).await.expect("written");
@@ -852,20 +858,20 @@
     };
     let text = || saved::read(&file).expect("a file").unwrap_or_default();
     let one = version();
-    assert_eq!(one.say("a", true), Ok(true));
+    assert_eq!(one.order("a", true), Ok(true));
     let stale = std::fs::read(&file).expect("the file");
-    assert_eq!(one.say("a", false), Ok(true));
+    assert_eq!(one.order("a", false), Ok(true));
     let newest = text();
     for over in [stale, saved::sealed(&newest).into_bytes()[..30].to_vec()] {
         std::fs::write(&file, over).expect("written over");
-        one.look();
+        one.sync();
         assert_eq!(text(), newest, "its own newest word is there again");
     }
     let two = version();
-    assert_eq!(two.say("b", true), Ok(true));
-    one.look();
-    assert_eq!(one.say("b", true), Ok(false), "told to the other one");
+    assert_eq!(two.order("b", true), Ok(true));
+    one.sync();
+    assert_eq!(one.order("b", true), Ok(false), "told to the other one");
     std::fs::write(&file, "something else\n").expect("written");
-    one.look();
+    one.sync();
     assert_eq!(std::fs::read(&file).expect("the file"), b"something else\n");
 }
