--- a/crates/decisions/src/staleness.rs
+++ b/crates/decisions/src/staleness.rs
@@ -1,61 +1,75 @@
-//! How old the news of the members is, and when that is worth a line in the log: pure, told what came and when.
+//! How old the news of discovery is, and when that is worth a line in the log: a pure record, told what
+//! arrived and when.
 //!
-//! A list that stays in use because nothing newer came looks like one that is right. Whether discovery has nothing to
-//! tell or can't be heard shows only in when it last said anything at all.
+//! A list that stays in use because nothing newer arrived looks like one that is up to date. Whether
+//! discovery has nothing to tell or can't be reached shows only in when it last sent anything at all.
 
-/// Discovery says something every 2 s, if only that there is nothing new: after three times that its silence is worth
-/// a line, and again after each doubling. In microseconds.
-const QUIET: u64 = 6_000_000;
+use crate::api::{Span, Time};
+
+/// Silence of this length is worth a line in the log, and again after each doubling. Discovery sends
+/// something every 2 s, if only that nothing is new: this is three times that.
+const SILENCE_NOTICED: Span = Span(6_000_000);
 
 /// A line for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// Nothing was heard for so long, in microseconds.
-    Quiet(u64),
-    /// Something was heard again after so long, in microseconds.
-    Again(u64),
+    /// Nothing has arrived for this long.
+    Silent(Span),
+    /// Something arrived again, after this long.
+    Resumed(Span),
 }
 
-/// When discovery was last heard, in microseconds on the caller's clock.
+/// When discovery last sent something.
 #[derive(Debug)]
 pub struct StalenessMonitor {
-    word: u64,
-    list: Option<u64>,
-    /// The silence that is worth the next line.
-    worth: u64,
+    /// When the last message arrived; before that, when monitoring began.
+    last_message: Time,
+    last_list: Option<Time>,
+    /// The length of silence that is worth the next line.
+    next_notice: Span,
 }
 
 impl StalenessMonitor {
-    /// Nothing was heard yet.
-    pub fn new(now: u64) -> StalenessMonitor {
-        StalenessMonitor { word: now, list: None, worth: QUIET }
+    /// Nothing has arrived yet.
+    pub fn new(now: Time) -> StalenessMonitor {
+        StalenessMonitor { last_message: now, last_list: None, next_notice: SILENCE_NOTICED }
+    }
+
+    /// Discovery sent a message, possibly only that nothing is new. A notice if a silence was logged before.
+    pub fn record_message(&mut self, now: Time) -> Option<Notice> {
+        let silence = self.silence(now);
+        let was_noticed = self.next_notice > SILENCE_NOTICED;
+        self.last_message = self.last_message.max(now);
+        self.next_notice = SILENCE_NOTICED;
+        was_noticed.then_some(Notice::Resumed(silence))
     }
 
-    /// It said something, be it that there is nothing new.
-    pub fn word(&mut self, now: u64) -> Option<Notice> {
-        let quiet = now.saturating_sub(self.word);
-        let told = self.worth > QUIET;
-        (self.word, self.worth) = (self.word.max(now), QUIET);
-        told.then_some(Notice::Again(quiet))
+    /// A list, or changes to one, came into use.
+    pub fn record_list(&mut self, now: Time) {
+        self.last_list = Some(now);
     }
 
-    /// A list of its, or changes to one, were taken.
-    pub fn list(&mut self, now: u64) {
-        self.list = Some(now);
+    /// Time since the last message, or since monitoring began.
+    pub fn silence(&self, now: Time) -> Span {
+        elapsed(self.last_message, now)
     }
 
-    /// How long ago it last said anything, or this began; and how long ago a list was taken, if one was.
-    pub fn age(&self, now: u64) -> (u64, Option<u64>) {
-        (now.saturating_sub(self.word), self.list.map(|at| now.saturating_sub(at)))
+    /// Time since a list last came into use, if one did.
+    pub fn list_age(&self, now: Time) -> Option<Span> {
+        self.last_list.map(|at| elapsed(at, now))
     }
 
-    /// Whether its silence is worth a line now.
-    pub fn quiet(&mut self, now: u64) -> Option<Notice> {
-        let quiet = now.saturating_sub(self.word);
-        let worth = quiet >= self.worth;
-        if worth {
-            self.worth = quiet.saturating_mul(2);
+    /// A notice if the silence is worth a line now.
+    pub fn check_silence(&mut self, now: Time) -> Option<Notice> {
+        let silence = self.silence(now);
+        if silence < self.next_notice {
+            return None;
         }
-        worth.then_some(Notice::Quiet(quiet))
+        self.next_notice = Span(silence.0.saturating_mul(2));
+        Some(Notice::Silent(silence))
     }
 }
+
+fn elapsed(since: Time, now: Time) -> Span {
+    Span(now.0.saturating_sub(since.0))
+}
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::clients::lifecycle_driver::LifecycleDriver;
 use crate::close_reason::{CloseReason, Side, log_close};
-use crate::discovery::status::DiscoveryStatus;
+use crate::discovery::status::{DiscoveryStatus, seconds};
 use crate::figures::Figures;
 use crate::fleet::outages::{self, No};
 use crate::lifecycle::Event;
@@ -176,8 +176,8 @@
         if let Ok(Ok((listed, avoided))) = timeout(ASK_WITHIN, asked).await {
             self.figures.members(listed, avoided);
         }
-        let (word, list) = self.status.ages();
-        self.figures.news(word, list, self.status.version());
+        let silence = seconds(self.status.silence());
+        self.figures.news(silence, self.status.list_age().map(seconds), self.status.list_version());
         match self.figures.text() {
             Ok(text) => Answer { status: 200, kind: OPEN_METRICS, text },
             Err(_) => said(500, "the figures can't be written"),
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -47,8 +47,8 @@
     async fn due(&self, clock: Clock) {
         match self {
             Keeping::Asked(asked) => asked.notified().await,
-            Keeping::Kept(schedule) => match schedule.due() {
-                Some(at) => sleep_until(clock.instant(Time(at))).await,
+            Keeping::Kept(schedule) => match schedule.next_watch() {
+                Some(at) => sleep_until(clock.instant(at)).await,
                 None => std::future::pending().await,
             },
         }
@@ -56,19 +56,19 @@
 
     fn opening(&mut self, now: Time) {
         if let Keeping::Kept(schedule) = self {
-            schedule.opening(now.0);
+            schedule.opening(now);
         }
     }
 
     fn ended(&mut self, now: Time, chance: f64) {
         if let Keeping::Kept(schedule) = self {
-            schedule.ended(now.0, chance);
+            schedule.ended(now, chance);
         }
     }
 
     fn moved(&mut self, now: Time) {
         if let Keeping::Kept(schedule) = self {
-            schedule.moved(now.0);
+            schedule.agent_moved(now);
         }
     }
 }
@@ -137,7 +137,7 @@
 async fn watch(
     addr: SocketAddr, status: &DiscoveryStatus, inbox: &mpsc::UnboundedSender<Input>, within: Duration,
 ) -> CloseReason {
-    let (version, by) = (status.version(), Instant::now() + within);
+    let (version, by) = (status.list_version(), Instant::now() + within);
     let call = format!("GET /v1/endpoints?watch=1&from={version} HTTP/1.1\r\nHost: {addr}\r\n\r\n");
     let connect = async {
         let mut stream = TcpStream::connect(addr).await?;
@@ -199,11 +199,11 @@
         match decoded {
             // An old change would undo newer ones, a drain among them. A whole list that a new watch begins with counts
             // whatever its number: the service may have begun anew.
-            Ok(listing) if listing.version < status.version() && !(listing.full && first) => {
+            Ok(listing) if listing.version < status.list_version() && !(listing.full && first) => {
                 warn!(
                     "discovery: version {} was not taken after version {}",
                     listing.version,
-                    status.version()
+                    status.list_version()
                 );
             }
             Ok(listing) => {
--- a/src/discovery/status.rs
+++ b/src/discovery/status.rs
@@ -1,4 +1,5 @@
-//! What discovery was last heard to say, and when: carries out [`StalenessMonitor`] with a clock and the log.
+//! When discovery last sent something, and which list is in use: carries out [`StalenessMonitor`] with a
+//! clock and the log. Decides nothing, and never touches a connection.
 
 use crate::api::Span;
 use crate::clock::Clock;
@@ -8,80 +9,80 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often its silence is looked at.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// How often the silence is checked.
+const CHECK_EVERY: Duration = Duration::from_secs(1);
 
-/// The version of the last list taken, and the age of the news.
+/// The version of the list in use, and the age of the news.
 pub struct DiscoveryStatus {
-    version: Cell<u64>,
-    staleness: RefCell<StalenessMonitor>,
+    list_version: Cell<u64>,
+    monitor: RefCell<StalenessMonitor>,
     clock: Clock,
 }
 
 impl DiscoveryStatus {
-    /// Nothing was heard yet; a saved list has this version, or 0.
-    pub fn new(version: u64, clock: Clock) -> DiscoveryStatus {
-        let staleness = RefCell::new(StalenessMonitor::new(clock.now().0));
-        DiscoveryStatus { version: Cell::new(version), staleness, clock }
+    /// Nothing has arrived yet; `saved_version` is that of a saved list, or 0.
+    pub fn new(saved_version: u64, clock: Clock) -> DiscoveryStatus {
+        let monitor = RefCell::new(StalenessMonitor::new(clock.now()));
+        DiscoveryStatus { list_version: Cell::new(saved_version), monitor, clock }
     }
 
-    /// The clock that it goes by.
+    /// The clock by which ages are measured.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// The version of the last list taken.
-    pub fn version(&self) -> u64 {
-        self.version.get()
+    /// The version of the list in use; 0 before the first one.
+    pub fn list_version(&self) -> u64 {
+        self.list_version.get()
     }
 
-    /// Something was said, be it that there is nothing new.
+    /// Discovery sent a message, possibly only that nothing is new.
     pub fn record_message(&self) {
-        let notice = self.staleness.borrow_mut().word(self.clock.now().0);
-        self.tell(notice);
+        let notice = self.monitor.borrow_mut().record_message(self.clock.now());
+        self.log(notice);
     }
 
-    /// A list of this version was taken.
+    /// A list of this version came into use.
     pub fn record_list(&self, version: u64) {
-        self.version.set(version);
-        self.staleness.borrow_mut().list(self.clock.now().0);
+        self.list_version.set(version);
+        self.monitor.borrow_mut().record_list(self.clock.now());
     }
 
-    /// How long nothing was said.
+    /// Time since the last message, or since the start.
     pub fn silence(&self) -> Span {
-        Span(self.staleness.borrow().age(self.clock.now().0).0)
+        self.monitor.borrow().silence(self.clock.now())
     }
 
-    /// Seconds since anything was said (or since the start), and since a list was taken, if one was.
-    pub fn ages(&self) -> (f64, Option<f64>) {
-        let (word, list) = self.staleness.borrow().age(self.clock.now().0);
-        (seconds(word), list.map(seconds))
+    /// Time since a list came into use, if one did.
+    pub fn list_age(&self) -> Option<Span> {
+        self.monitor.borrow().list_age(self.clock.now())
     }
 
-    fn tell(&self, notice: Option<Notice>) {
-        let version = self.version();
-        match notice {
-            Some(Notice::Quiet(us)) => {
-                warn!(
-                    "discovery: nothing heard for {:.1} s, list version {version} stays in use",
-                    seconds(us)
-                );
-            }
-            Some(Notice::Again(us)) => info!("discovery: heard again after {:.1} s", seconds(us)),
-            None => {}
+    /// Logs silences and their ends, for as long as the program runs.
+    pub async fn log_silence(&self) {
+        loop {
+            sleep(CHECK_EVERY).await;
+            let notice = self.monitor.borrow_mut().check_silence(self.clock.now());
+            self.log(notice);
         }
     }
 
-    /// Logs its silence, for as long as the program runs.
-    pub async fn log_silence(&self) {
-        loop {
-            sleep(LOOK_EVERY).await;
-            let notice = self.staleness.borrow_mut().quiet(self.clock.now().0);
-            self.tell(notice);
+    fn log(&self, notice: Option<Notice>) {
+        let version = self.list_version();
+        match notice {
+            Some(Notice::Silent(silence)) => warn!(
+                "discovery: nothing heard for {:.1} s, list version {version} stays in use",
+                seconds(silence)
+            ),
+            Some(Notice::Resumed(silence)) => {
+                info!("discovery: heard again after {:.1} s", seconds(silence));
+            }
+            None => {}
         }
     }
 }
 
-fn seconds(us: u64) -> f64 {
-    us as f64 / 1e6
+/// A length of time in seconds, as figures and log lines give it.
+pub fn seconds(span: Span) -> f64 {
+    span.0 as f64 / 1e6
 }
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -129,7 +129,7 @@
     let keeping = match site.settings.discovery {
         api::Discovery::OnRequest => Keeping::Asked(subscribe.clone()),
         api::Discovery::Pushed => {
-            Keeping::Kept(WatchSchedule::new(clock.now().0, site.settings.rules.drain_grace.0))
+            Keeping::Kept(WatchSchedule::new(clock.now(), site.settings.rules.drain_grace))
         }
     };
     let router = Router::new(site.settings, config.seed, clock.now());
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -75,7 +75,7 @@
     while let Ok(input) = events.try_recv() {
         lists += usize::from(matches!(input, Input::List(News::Told(_))));
     }
-    (status.version(), lists, reason)
+    (status.list_version(), lists, reason)
 }
 
 // Guards against trusting a watch whose service is gone without a word: only its blank lines show it alive, and a word
