--- a/crates/decisions/src/client_retry.rs
+++ b/crates/decisions/src/client_retry.rs
@@ -1,114 +1,155 @@
-//! How long a client has waited before it sent this request: pure, learned from how long requests say they will wait.
+//! How long a client has already been retrying when it sends a request: a pure estimate, learned from the
+//! timeouts that requests carry.
 //!
-//! Clients try again by themselves, and a request says how long its sender will wait for it, not that it is a second or
-//! third try of something begun long ago. A last try waits for what is left of the time after which the client gives up
-//! altogether. So where first tries all wait equally long, a wait of another length is that rest, and tells how long the
-//! client has been at it. Work for an answer that comes too late to be worth anything takes the place of work that
-//! isn't; without this every refusal under overload came back as such work.
+//! Clients retry by themselves. A request tells how long its sender will wait for it, but not that it is the
+//! second or third attempt at something begun long ago. A last attempt waits for what is left of the time
+//! after which the client gives up altogether. So where first attempts all carry the same timeout, another
+//! timeout is such a remainder, and tells how long the client has been trying. Work for an answer that comes
+//! too late takes the place of work that is still worth something; without this estimate, every rejection
+//! under overload came back as late work.
 //!
-//! Nothing is concluded where waits have no usual length, nor from a length that is usual for a part of the clients. Nor
-//! from shorter ones alone: clients that are in a hurry wait for less, too, but only a rest can be longer than usual.
+//! Nothing is concluded where timeouts have no usual length, nor from a length that is usual for a part of
+//! the clients, nor from shorter timeouts alone: clients in a hurry wait for less, too, but only a remainder
+//! can exceed the usual timeout.
 
-/// Waits within this part of the time to give up are the same: they are told less the way here, which differs.
-const SAME_PART: u64 = 100;
-/// Lengths that are watched, and requests after which all counts are halved.
-const LENGTHS: usize = 16;
+/// Timeouts that differ by less than the client's total time divided by this are the same: they arrive
+/// shortened by the time that the request travelled.
+const SAME_DIVISOR: u64 = 100;
+/// Bound on the timeouts that are tracked in each class.
+const TRACKED_MAX: usize = 16;
+/// Once this many requests are counted, all counts are halved, so that old ones fade.
 const HALVE_AT: u32 = 512;
-/// A length is usual for a part of the clients from this share of the requests on: one in so many.
-const USUAL: u32 = 20;
-/// Lengths that are usual together make up this share of requests at least, or there is no usual length: a half.
-const MOST: u32 = 2;
-/// An answer can come in this part of its usual time.
-const WORK_PART: f64 = 0.7;
-/// Shorter waits than usual are rests where for so many of them one longer than usual was seen, over all classes.
-const LONGER: u32 = 16;
-/// Nothing is concluded from fewer requests.
-const ENOUGH: u32 = 64;
+/// A timeout is usual for a part of the clients if at least one request in this many carries it.
+const USUAL_ONE_IN: u32 = 20;
+/// There are usual timeouts at all if together they make up at least one request in this many.
+const USUAL_TOGETHER_ONE_IN: u32 = 2;
+/// An answer can come within this share of its usual time.
+const FASTEST_WORK_SHARE: f64 = 0.7;
+/// Timeouts shorter than usual count as remainders while more than one in this many unusual ones is longer
+/// than usual.
+const LONGER_ONE_IN: u32 = 16;
+/// Nothing is concluded from fewer requests than this.
+const REQUESTS_MIN: u32 = 64;
 
-/// What is known of the waits in all classes.
+/// The timeouts of all classes. All times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct ClientRetryEstimator {
-    classes: Vec<ClassWaits>,
+    classes: Vec<ClassTimeouts>,
+    /// Unusual timeouts that were longer than the usual one, over all classes.
     longer: u32,
+    /// Unusual timeouts that were shorter.
     shorter: u32,
 }
 
 impl ClientRetryEstimator {
-    /// Where clients give up after so long altogether, by class, in microseconds; 0 where that isn't told.
+    /// `give_up` yields for each class the time after which a client gives up altogether; 0 where that is not
+    /// known.
     pub fn new(give_up: impl Iterator<Item = u64>) -> ClientRetryEstimator {
-        ClientRetryEstimator { classes: give_up.map(ClassWaits::new).collect(), longer: 0, shorter: 0 }
+        ClientRetryEstimator { classes: give_up.map(ClassTimeouts::new).collect(), longer: 0, shorter: 0 }
     }
 
-    /// Takes in that a request's sender will wait for `left` microseconds; what is left of the aim, which counts from
-    /// when the client began. None where an answer, in its usual time `work`, would miss it.
-    pub fn rest(&mut self, class: usize, left: u64, aim: u64, work: f64) -> Option<u64> {
-        let spent = self.spent(class, left);
-        let missed = spent > 0 && spent.saturating_add((work * WORK_PART) as u64) > aim;
-        (!missed).then(|| aim.saturating_sub(spent))
+    /// Counts a request whose sender will wait for `timeout`. Returns what is left of the latency objective,
+    /// which runs from the client's first attempt; `None` if an answer that usually takes `work` would miss
+    /// it.
+    pub fn objective_left(&mut self, class: usize, timeout: u64, objective: u64, work: f64) -> Option<u64> {
+        let elapsed = self.elapsed(class, timeout);
+        let fastest_work = (work * FASTEST_WORK_SHARE) as u64;
+        let too_late = elapsed > 0 && elapsed.saturating_add(fastest_work) > objective;
+        (!too_late).then(|| objective.saturating_sub(elapsed))
     }
 
-    fn spent(&mut self, class: usize, left: u64) -> u64 {
-        let Some(estimator) = self.classes.get_mut(class) else { return 0 };
-        let Some(usual) = estimator.unusual(left) else { return 0 };
-        let longer = left > usual;
-        let count = if longer { &mut self.longer } else { &mut self.shorter };
+    /// Time since the client's first attempt, by estimate; 0 for a first attempt, or where nothing can be
+    /// concluded.
+    fn elapsed(&mut self, class: usize, timeout: u64) -> u64 {
+        let Some(timeouts) = self.classes.get_mut(class) else { return 0 };
+        let Some(usual) = timeouts.record(timeout) else { return 0 };
+        let remainder_of = timeouts.give_up;
+        let is_longer = timeout > usual;
+        self.count_unusual(is_longer);
+        let shorter_are_remainders = self.longer.saturating_mul(LONGER_ONE_IN) > self.shorter;
+        if is_longer || shorter_are_remainders { remainder_of.saturating_sub(timeout) } else { 0 }
+    }
+
+    fn count_unusual(&mut self, is_longer: bool) {
+        let count = if is_longer { &mut self.longer } else { &mut self.shorter };
         *count += 1;
         if *count >= HALVE_AT {
-            (self.longer, self.shorter) = (self.longer / 2, self.shorter / 2);
-        }
-        if longer || self.longer.saturating_mul(LONGER) > self.shorter {
-            self.classes[class].give_up.saturating_sub(left)
-        } else {
-            0
+            self.longer /= 2;
+            self.shorter /= 2;
         }
     }
 }
 
-/// What is known of the waits in one class.
+/// The timeouts that the requests of one class carry.
 #[derive(Clone, Debug)]
-struct ClassWaits {
+struct ClassTimeouts {
+    /// Time after which a client gives up altogether.
     give_up: u64,
-    /// Lengths seen, each with its count.
-    lengths: Vec<(u64, u32)>,
-    all: u32,
+    tracked: Vec<TrackedTimeout>,
+    requests: u32,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct TrackedTimeout {
+    /// As first seen. If it followed its latest value, it would drift through all remainders.
+    timeout: u64,
+    count: u32,
 }
 
-impl ClassWaits {
-    fn new(give_up: u64) -> ClassWaits {
-        ClassWaits { give_up, lengths: Vec::new(), all: 0 }
+impl ClassTimeouts {
+    fn new(give_up: u64) -> ClassTimeouts {
+        ClassTimeouts { give_up, tracked: Vec::new(), requests: 0 }
+    }
+
+    /// Counts a request's timeout. If it is not a usual one, the longest usual timeout; `None` if it is
+    /// usual, or if no usual one is known.
+    fn record(&mut self, timeout: u64) -> Option<u64> {
+        self.requests += 1;
+        let index = self.track(timeout);
+        self.tracked[index].count += 1;
+        let is_usual = self.is_usual(&self.tracked[index]);
+        let longest_usual = self.longest_usual().filter(|_| !is_usual);
+        if self.requests >= HALVE_AT {
+            self.halve_counts();
+        }
+        longest_usual
+    }
+
+    /// The index at which this timeout is tracked from now on.
+    fn track(&mut self, timeout: u64) -> usize {
+        let tolerance = self.give_up / SAME_DIVISOR;
+        let same = |tracked: &TrackedTimeout| tracked.timeout.abs_diff(timeout) <= tolerance;
+        if let Some(index) = self.tracked.iter().position(same) {
+            return index;
+        }
+        if self.tracked.len() < TRACKED_MAX {
+            self.tracked.push(TrackedTimeout { timeout, count: 0 });
+            return self.tracked.len() - 1;
+        }
+        // Space-saving: the rarest makes room, and leaves its count to the newcomer as an upper bound.
+        let rarest = (0..TRACKED_MAX).min_by_key(|index| self.tracked[*index].count).unwrap_or(0);
+        self.tracked[rarest].timeout = timeout;
+        rarest
+    }
+
+    fn is_usual(&self, tracked: &TrackedTimeout) -> bool {
+        tracked.count.saturating_mul(USUAL_ONE_IN) >= self.requests
+    }
+
+    /// The longest usual timeout, if enough requests were counted and enough of them carried a usual one.
+    fn longest_usual(&self) -> Option<u64> {
+        let usual = || self.tracked.iter().filter(|tracked| self.is_usual(tracked));
+        let together: u32 = usual().map(|tracked| tracked.count).sum();
+        let is_known =
+            self.requests >= REQUESTS_MIN && together.saturating_mul(USUAL_TOGETHER_ONE_IN) >= self.requests;
+        usual().map(|tracked| tracked.timeout).max().filter(|_| is_known)
     }
 
-    /// Takes in a wait; if it is none of the usual ones, the longest of those.
-    fn unusual(&mut self, left: u64) -> Option<u64> {
-        let same = self.give_up / SAME_PART;
-        self.all += 1;
-        let place = match self.lengths.iter().position(|(length, _)| length.abs_diff(left) <= same) {
-            Some(place) => place,
-            None if self.lengths.len() < LENGTHS => {
-                self.lengths.push((left, 0));
-                self.lengths.len() - 1
-            }
-            None => {
-                // Space-saving: the rarest makes room, and leaves its count to the newcomer as its bound.
-                let rarest = (0..LENGTHS).min_by_key(|i| self.lengths[*i].1).unwrap_or(0);
-                self.lengths[rarest].0 = left;
-                rarest
-            }
-        };
-        // A length stays as it was first seen: one that followed its latest would wander through all rests.
-        self.lengths[place].1 += 1;
-        let count = self.lengths[place].1;
-        let usual = |count: u32| count.saturating_mul(USUAL) >= self.all;
-        let often = || self.lengths.iter().filter(|(_, n)| usual(*n));
-        let together: u32 = often().map(|(_, n)| n).sum();
-        let longest = often().map(|(length, _)| *length).max();
-        let known = self.all >= ENOUGH && together.saturating_mul(MOST) >= self.all;
-        let longest = longest.filter(|_| known && !usual(count));
-        if self.all >= HALVE_AT {
-            self.all /= 2;
-            self.lengths.iter_mut().for_each(|(_, count)| *count /= 2);
-            self.lengths.retain(|(_, count)| *count > 0);
+    fn halve_counts(&mut self) {
+        self.requests /= 2;
+        for tracked in &mut self.tracked {
+            tracked.count /= 2;
         }
-        longest
+        self.tracked.retain(|tracked| tracked.count > 0);
     }
 }
--- a/crates/decisions/src/outlier_recovery.rs
+++ b/crates/decisions/src/outlier_recovery.rs
@@ -1,69 +1,94 @@
-//! How a member that fell ill is tried: a pure state machine for each, told what happened and when.
+//! How an ejected member is tried again: a pure state machine for each such member, told what happened and
+//! when.
 //!
-//! A member that can't be reached costs a probe a trial, and most of its probes reach nobody. One that takes work and
-//! answers nothing, or with errors only, costs a request a trial, since a probe finds it alive: at each router of the
-//! fleet for itself. So the more routers there are, the rarer are their trials of such a member.
+//! A member that can't be reached costs a probe for each trial, and most of its probes reach nobody. A member
+//! that accepts work and answers nothing, or only errors, costs a request for each trial, since a probe finds
+//! it alive; and each router of the fleet tries it for itself. So the more routers there are, the rarer are
+//! their trials of such a member.
 
-/// The first gap between trials and the longest, in microseconds; they double in between.
-const TRIAL: (u64, u64) = (250_000, 2_000_000);
-/// From so many routers on, the gaps of members that take work and don't answer grow with the fleet.
-const FEW: u64 = 16;
+/// The gap after a first failure; it doubles up to [`LONGEST_GAP`]. Microseconds.
+const FIRST_GAP: u64 = 250_000;
+/// The longest gap between trials. Microseconds.
+const LONGEST_GAP: u64 = 2_000_000;
+/// From this many routers on, the gaps of members that accept work and don't answer grow with the fleet.
+const SMALL_FLEET: u64 = 16;
 
-/// A member that takes no ordinary traffic: it took work and answers nothing, or (`dead`) can't be reached.
+/// A member that receives no ordinary requests: it can't be reached, or it accepts work and doesn't answer
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EjectedMember {
-    /// Since when, in microseconds.
+    /// When it was ejected. Microseconds on the caller's clock, as are all times here.
     pub since: u64,
-    /// It can't be reached.
-    pub dead: bool,
-    /// Its return counts as a restart: a connection failed at once, nobody listening, or its whole zone went silent.
-    /// A member alone that was only cut off comes back as it was, and a restart behind a cut the list will tell.
-    pub down: bool,
+    /// It can't be reached, so a trial is a probe.
+    pub unreachable: bool,
+    /// Its return counts as a restart: a connection failed at once because nobody listened, or its whole zone
+    /// went silent. A single member that was only cut off comes back as it was, and the list tells of a
+    /// restart behind a cut.
+    pub restarted: bool,
     /// One request may try it.
-    pub ready: bool,
-    /// When it is probed next.
+    pub trial_ready: bool,
+    /// When the next trial is due.
     pub trial_at: u64,
     backoff: u64,
-    fleet: u64,
+    fleet_size: u64,
 }
 
 impl EjectedMember {
-    /// Before one router of `fleet`.
-    pub fn new(now: u64, fleet: u32) -> EjectedMember {
-        let fleet = u64::from(fleet);
-        EjectedMember { since: now, dead: false, down: false, ready: false, trial_at: now, backoff: 0, fleet }
-    }
-
-    fn gap(&self, alone: u64) -> u64 {
-        if self.dead { alone } else { alone.max(alone.saturating_mul(self.fleet) / FEW) }
+    /// Ejected now, by one router of a fleet of this size.
+    pub fn new(now: u64, fleet_size: u32) -> EjectedMember {
+        EjectedMember {
+            since: now,
+            unreachable: false,
+            restarted: false,
+            trial_ready: false,
+            trial_at: now,
+            backoff: 0,
+            fleet_size: u64::from(fleet_size),
+        }
     }
 
-    /// It failed again, or for the first time. At first silence may be a lost answer: a probe at once. Else the next
-    /// trial comes after the gap; that of a dead one is spread by `chance` (0.5 to 1.5), since hundreds of routers
-    /// lose it together.
-    pub fn worse(&mut self, now: u64, dead: bool, down: bool, chance: f64) {
-        (self.dead, self.down, self.ready) = (self.dead || dead, self.down || down, false);
-        let first = self.backoff == 0;
-        self.backoff = (self.backoff * 2).clamp(self.gap(TRIAL.0), self.gap(TRIAL.1));
-        self.trial_at = match (self.dead, first) {
-            (true, _) => now + (self.backoff as f64 * chance) as u64,
+    /// It failed, for the first time or again; `unreachable` and `restarted` hold from then on if they ever
+    /// did.
+    ///
+    /// A first silence may be a lost answer, so a probe is due at once. Otherwise the next trial comes after
+    /// the backoff. That of an unreachable member is multiplied by `jitter` (0.5 to 1.5), since hundreds of
+    /// routers lose it together.
+    pub fn failed(&mut self, now: u64, unreachable: bool, restarted: bool, jitter: f64) {
+        self.unreachable |= unreachable;
+        self.restarted |= restarted;
+        self.trial_ready = false;
+        let is_first = self.backoff == 0;
+        self.backoff = (self.backoff * 2).clamp(self.scaled(FIRST_GAP), self.scaled(LONGEST_GAP));
+        self.trial_at = match (self.unreachable, is_first) {
+            (true, _) => now + (self.backoff as f64 * jitter) as u64,
             (false, true) => now,
             (false, false) => now + self.backoff,
         };
     }
 
     /// One request was sent to try it.
-    pub fn tried(&mut self, now: u64) {
-        (self.ready, self.trial_at) = (false, now + self.backoff);
-        self.backoff = (self.backoff * 2).min(self.gap(TRIAL.1));
+    pub fn trial_sent(&mut self, now: u64) {
+        self.trial_ready = false;
+        self.trial_at = now + self.backoff;
+        self.backoff = (self.backoff * 2).min(self.scaled(LONGEST_GAP));
+    }
+
+    /// Whether a trial is due; if so, the one after it is scheduled. Where `probes` are not allowed, a
+    /// request may try it at once.
+    pub fn take_due_trial(&mut self, now: u64, probes: bool) -> bool {
+        let is_due = now >= self.trial_at && !self.trial_ready;
+        if is_due {
+            self.trial_at = now + self.backoff;
+            self.trial_ready = !probes;
+        }
+        is_due
     }
 
-    /// Whether a probe is due; where none may be sent, a request may try at once.
-    pub fn due(&mut self, now: u64, probes: bool) -> bool {
-        let due = now >= self.trial_at && !self.ready;
-        if due {
-            (self.trial_at, self.ready) = (now + self.backoff, !probes);
+    /// The gap that one router keeps so that the trials of the whole fleet stay few.
+    fn scaled(&self, gap: u64) -> u64 {
+        if self.unreachable {
+            return gap;
         }
-        due
+        gap.max(gap.saturating_mul(self.fleet_size) / SMALL_FLEET)
     }
 }
--- a/crates/decisions/src/policy/attempts.rs
+++ b/crates/decisions/src/policy/attempts.rs
@@ -15,7 +15,7 @@
             self.next_permit(member, self.means[class]);
         }
         let (Some(r), Some(m)) = (self.requests.get_mut(&id), self.members.get_mut(&member)) else { return };
-        m.ejected.iter_mut().for_each(|ejected| ejected.tried(now));
+        m.ejected.iter_mut().for_each(|ejected| ejected.trial_sent(now));
         m.open.insert((id, r.attempts), (now, r.class, r.session));
         r.open.push(Attempt { number: r.attempts, member, sent: now, cancelled: false });
         r.attempts += 1;
--- a/crates/decisions/src/policy/holds.rs
+++ b/crates/decisions/src/policy/holds.rs
@@ -14,17 +14,17 @@
         self.probe_credit = save(self.probe_credit, spend, self.set.prices.probe);
         self.tell_credit = save(self.tell_credit, TELL_SPEND, self.set.prices.peer);
         self.copies = (self.copies + COPIES.0).min(COPIES.1);
-        let mut worth = self.objective.asked(now, class);
+        let mut worth = self.objective.request_arrived(now, class);
         if let Some(t) = q.tenant
             && let rate = self.shared(self.set.tenants[t.0].allowance_per_s)
             && let Some(limiter) = self.rate_limits.get_mut(t.0)
         {
-            worth *= if limiter.over(now, rate) { self.set.over_share_worth } else { 1.0 };
+            worth *= if limiter.exceeds(now, rate) { self.set.over_share_worth } else { 1.0 };
         }
         let part = WAIT_PART.0 + (WAIT_PART.1 - WAIT_PART.0) * self.rng.get_mut().f64();
         // Whoever began long ago waits for the rest of its patience: little or no worth is left either.
         let (full, work) = (self.aim(class) as Us, self.means[class]);
-        let rest = self.client_retries.rest(class, left, full, work);
+        let rest = self.client_retries.objective_left(class, left, full, work);
         let aim = left.min(rest.unwrap_or(full));
         worth *= if rest.is_none() { self.set.classes[class].late_worth } else { 1.0 };
         let r = Held {
--- a/crates/decisions/src/policy/members.rs
+++ b/crates/decisions/src/policy/members.rs
@@ -9,13 +9,13 @@
             ListUpdate::Changes(e) => (e, false),
             ListUpdate::Full(e) => (e, true),
             ListUpdate::Cached(e) => {
-                self.polls.known(self.now, chance, e.len());
+                self.polls.list_loaded(self.now, chance, e.len());
                 (e, true)
             }
             ListUpdate::Failed { .. } if self.set.discovery == Discovery::Pushed => return,
             ListUpdate::Failed { quiet } => return self.polls.failed(self.now, chance, quiet.map(|q| q.0)),
         };
-        self.polls.told();
+        self.polls.succeeded();
         entries.iter().for_each(|e| self.on_entry(e));
         if whole {
             let named: BTreeSet<MemberId> = entries.iter().map(|e| e.member).collect();
@@ -92,13 +92,13 @@
         let (now, started_cold) = (self.now, self.set.rules.cold.0);
         let Some(m) = self.members.get_mut(&id) else { return };
         m.heard = if answered { now } else { m.heard };
-        m.zone.into_iter().for_each(|z| self.zone_health.heard(z, now));
+        m.zone.into_iter().for_each(|z| self.zone_health.record_answer(z, now));
         if let Some(ejected) = &mut m.ejected {
-            if !answered && !ejected.dead {
-                return ejected.ready = true; // Probes say only that the process runs: one request may try.
+            if !answered && !ejected.unreachable {
+                return ejected.trial_ready = true; // A probe shows only that the process runs: a request may try.
             }
             // Back from the dead before the list told: it may be cold, but not after a cut of it alone.
-            let gone = ejected.dead && ejected.down && now - ejected.since > 1_000 * MS;
+            let gone = ejected.unreachable && ejected.restarted && now - ejected.since > 1_000 * MS;
             if gone && m.cold_since.is_none_or(|c| c + started_cold < now) {
                 (m.cold_since, m.permit_at, m.pace) = (Some(now), 0, 1.0);
             }
@@ -110,7 +110,7 @@
     pub(super) fn fall_ill(&mut self, id: MemberId, dead: bool, down: bool) {
         let (now, chance, fleet) = (self.now, 0.5 + self.rng.get_mut().f64(), self.set.fleet_size);
         let Some(m) = self.members.get_mut(&id) else { return };
-        m.ejected.get_or_insert_with(|| EjectedMember::new(now, fleet)).worse(now, dead, down, chance);
+        m.ejected.get_or_insert_with(|| EjectedMember::new(now, fleet)).failed(now, dead, down, chance);
     }
 
     /// Well, and heard of so lately that a lost connection is no sign of its end, nor two new ones in a row.
@@ -137,7 +137,7 @@
         let alive = position.unwrap_or(0).saturating_sub(REPORT_AGE);
         let primary = self.groups.get(&group).and_then(|g| g.primary);
         if let Some(p) = primary.and_then(|p| self.members.get_mut(&p))
-            && p.ejected.as_ref().is_some_and(|i| !i.dead && i.since < alive)
+            && p.ejected.as_ref().is_some_and(|i| !i.unreachable && i.since < alive)
         {
             (p.ejected, p.heard) = (None, now);
         }
@@ -216,7 +216,7 @@
 
     pub(super) fn on_tick(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
-        if self.polls.due(now) {
+        if self.polls.take_due(now) {
             out.push(Action::Subscribe);
         }
         self.pace = if self.members.values().any(|m| self.warmth(m) < 1.0) { self.pace } else { 1.0 };
@@ -228,8 +228,8 @@
         }
         // A lost zone isn't learned at a request a member: a probe each tells. Kept connections would break.
         let waits = self.members.iter().flat_map(|(id, m)| m.waits(*id, &self.means));
-        for zone in self.zone_health.silent(now, waits) {
-            let lost = |m: &&Member| m.zone == Some(zone) && m.ejected.as_ref().is_none_or(|i| !i.down);
+        for zone in self.zone_health.silent_zones(now, waits) {
+            let lost = |m: &&Member| m.zone == Some(zone) && m.ejected.as_ref().is_none_or(|i| !i.restarted);
             let lost = self.members.iter().filter(|(_, m)| lost(m)).map(|(id, _)| *id);
             for member in lost.collect::<Vec<_>>() {
                 self.fall_ill(member, false, true);
@@ -264,7 +264,7 @@
             }
         }
         let Some(m) = self.members.get_mut(&id) else { return };
-        if m.ejected.as_mut().is_some_and(|ejected| ejected.due(now, self.set.limits.probe)) {
+        if m.ejected.as_mut().is_some_and(|ejected| ejected.take_due_trial(now, self.set.limits.probe)) {
             return self.probe(id, out);
         }
         if well(m) && now >= m.reported.max(m.probed) + PROBE_EVERY && self.probe_credit >= 1.0 {
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -94,7 +94,7 @@
 
 /// Well, or ill and due for one trial.
 fn may_try(m: &Member) -> bool {
-    m.state == MemberState::InService && m.ejected.as_ref().is_none_or(|i| i.ready)
+    m.state == MemberState::InService && m.ejected.as_ref().is_none_or(|i| i.trial_ready)
 }
 
 impl Router {
--- a/crates/decisions/src/poll_schedule.rs
+++ b/crates/decisions/src/poll_schedule.rs
@@ -1,102 +1,144 @@
-//! When discovery is asked: a pure state machine, told what became of each call.
+//! When discovery is polled: a pure state machine, told how each poll ended.
 //!
-//! All proxies share one discovery service that takes calls in turn, and what it turns away or what is given up
-//! still costs it a turn. Calls that come together therefore outlast themselves: whoever was turned away comes
-//! again with all the others. So the first call of a proxy that has a saved list has a slot of its own by its
-//! place in the fleet, and after a failure the gap is drawn from a window that holds a turn for each proxy,
-//! doubling up to two (`docs/design/fleet.md`).
+//! All proxies of a fleet poll one discovery service, which serves one call at a time. A call that it
+//! rejects, or that its caller abandons, still costs it a turn. Calls that arrive together therefore keep
+//! arriving together: whoever is rejected returns with all the others. So the first poll of a proxy that has
+//! a saved list goes out in a slot of its own, by the proxy's place in the fleet; and after a failure the
+//! next poll is drawn from a backoff window that holds one turn for each proxy, and doubles up to two
+//! (`docs/design/fleet.md`).
 //!
-//! A watch that fell silent is another matter: what it misses counts as told soon, and a drain's grace runs from there.
-//! Until then the calls use what time is left, all of it by chance, since all watches may have fallen silent at once
-//! (`docs/design/crossings.md`).
+//! A watch that fell silent sets a deadline instead. What it misses counts as notified some seconds later,
+//! and the grace of a drain runs from then. Until the deadline, polls are drawn from all the time that is
+//! left, because the watches of the whole fleet may have fallen silent at once (`docs/design/crossings.md`).
+//!
+//! The module must never let a second poll go out beside one that is out, and never leave none due after a
+//! failure.
 
 use std::collections::BTreeSet;
 
-/// A turn that the service is taken to need for a call, in microseconds. A guess: its capacity is told nowhere.
-const TURN: u64 = 40_000;
-/// The windows of the smallest fleets: after a first failure, and the longest, in microseconds.
-const WINDOW: (u64, u64) = (250_000, 2_000_000);
-/// What a silent watch misses counts as told so long after it fell silent (the platform's figure), in microseconds.
-const TOLD_AFTER: u64 = 6_000_000;
-/// Of the time that is left then, what is set aside for the call itself and what comes after it, in microseconds.
-const CALL: u64 = 1_000_000;
-/// So many silent watches are kept in mind: silence takes 1.5 s to be noticed, and counts for 6 s and a grace.
-const SILENCES: usize = 8;
-/// The least gap, in microseconds: a service that fails calls at once is not asked in a loop.
-const GAP_LEAST: u64 = 50_000;
+/// Time that the service is assumed to need for one call. Microseconds. An assumption: nothing tells its
+/// capacity.
+const SERVICE_TURN: u64 = 40_000;
+/// The backoff window after a first failure is at least this long. Microseconds.
+const FIRST_WINDOW_MIN: u64 = 250_000;
+/// The backoff window grows at least to this length. Microseconds.
+const LONGEST_WINDOW_MIN: u64 = 2_000_000;
+/// What a silent watch misses counts as notified this long after it fell silent. Microseconds; the platform's
+/// figure.
+const NOTIFIED_AFTER: u64 = 6_000_000;
+/// Part of the time before the deadline that is reserved for the call itself and what follows it.
+/// Microseconds.
+const CALL_RESERVE: u64 = 1_000_000;
+/// Bound on the silent watches that are remembered. Silence is noticed after 1.5 s and counts for 6 s and a
+/// grace.
+const SILENT_WATCHES_MAX: usize = 8;
+/// The shortest gap between polls. Microseconds. A service that fails calls at once is not polled in a loop.
+const GAP_MIN: u64 = 50_000;
 
-/// The state of the calls, all times in microseconds on the caller's clock.
+/// When the next poll is due. All times are in microseconds on the caller's clock.
+#[derive(Debug)]
 pub struct PollSchedule {
-    /// When the next call is due; none while one is out, or where lists come unasked.
-    at: Option<u64>,
-    /// When after a start the first call may go out, and the length from which chance draws its part.
-    slot: (u64, u64),
-    first: u64,
-    longest: u64,
+    /// When the next poll is due; none while one is out, or where lists are pushed.
+    next_poll: Option<u64>,
+    first_slot: FirstSlot,
+    first_window: u64,
+    longest_window: u64,
+    /// The window from which the gap after the next failure is drawn.
     window: u64,
-    grace: u64,
-    /// Watches have fallen silent, and nothing was heard since: by then calls must go out at the latest, for what each
-    /// of them missed.
-    by: BTreeSet<u64>,
+    drain_grace: u64,
+    /// One for each watch that fell silent since the last poll that succeeded: what it missed must be polled
+    /// by then.
+    deadlines: BTreeSet<u64>,
+}
+
+/// When the first poll may go out, counted from the moment at which a saved list is known.
+#[derive(Debug)]
+struct FirstSlot {
+    offset: u64,
+    /// The poll is placed by chance within this length.
+    length: u64,
 }
 
 impl PollSchedule {
-    /// For proxy `me` of `fleet`, whose slot is a matter of chance if its place isn't told. Without a list a call is due at once (`now`); `None` where lists come unasked.
-    /// Whoever asks for nothing for `within` counts as told, so no gap comes near it.
-    pub fn new(me: Option<u32>, fleet: u32, within: u64, now: Option<u64>) -> PollSchedule {
-        let turns = u64::from(fleet.max(1)) * TURN;
-        let longest = WINDOW.1.max(2 * turns).min(within / 5 * 4).max(1);
-        let first = WINDOW.0.max(turns).min(longest);
-        let slot = match me {
-            Some(me) => ((u64::from(me % fleet.max(1)) * TURN).min(longest), TURN),
-            None => (0, turns.min(longest)),
+    /// A schedule for the proxy at `index` of a fleet; without an index its first slot is a matter of chance.
+    /// The first poll is due at `first_poll`, which is `None` where lists are pushed. A proxy that has not
+    /// polled for `poll_within` microseconds counts as notified, so every gap stays well below that.
+    pub fn new(
+        index: Option<u32>, fleet_size: u32, poll_within: u64, first_poll: Option<u64>,
+    ) -> PollSchedule {
+        let fleet_size = fleet_size.max(1);
+        let fleet_turns = u64::from(fleet_size) * SERVICE_TURN;
+        let longest_window = LONGEST_WINDOW_MIN.max(2 * fleet_turns).min(poll_within / 5 * 4).max(1);
+        let first_window = FIRST_WINDOW_MIN.max(fleet_turns).min(longest_window);
+        let first_slot = match index {
+            Some(index) => FirstSlot {
+                offset: (u64::from(index % fleet_size) * SERVICE_TURN).min(longest_window),
+                length: SERVICE_TURN,
+            },
+            None => FirstSlot { offset: 0, length: fleet_turns.min(longest_window) },
         };
-        PollSchedule { at: now, slot, first, longest, window: first, grace: 0, by: BTreeSet::new() }
+        PollSchedule {
+            next_poll: first_poll,
+            first_slot,
+            first_window,
+            longest_window,
+            window: first_window,
+            drain_grace: 0,
+            deadlines: BTreeSet::new(),
+        }
     }
 
-    /// The same, where a member that drains may be sent to for so long after it was told.
-    pub fn within_grace(self, grace: u64) -> PollSchedule {
-        PollSchedule { grace, ..self }
+    /// The same schedule, where a draining member may receive requests for `grace` microseconds after the
+    /// notification.
+    pub fn with_drain_grace(self, grace: u64) -> PollSchedule {
+        PollSchedule { drain_grace: grace, ..self }
     }
 
-    /// A saved list of so many members is at hand: unless it is empty the first call can wait for its slot, and in it
-    /// for `chance` (0 to 1).
-    pub fn known(&mut self, now: u64, chance: f64, members: usize) {
-        self.at = self.at.map(|at| match members {
-            0 => at,
-            _ => at.max(now + self.slot.0 + (self.slot.1 as f64 * chance) as u64),
-        });
+    /// A saved list of this many members was loaded. Unless it is empty, the first poll waits for its slot,
+    /// and is placed within the slot by `chance` (0 to 1).
+    pub fn list_loaded(&mut self, now: u64, chance: f64, members: usize) {
+        if members == 0 {
+            return;
+        }
+        let slot = now + self.first_slot.offset + (self.first_slot.length as f64 * chance) as u64;
+        self.next_poll = self.next_poll.map(|due| due.max(slot));
     }
 
-    /// The call brought a list, or the word that there is nothing new.
-    pub fn told(&mut self) {
-        self.window = self.first;
-        self.by.clear();
+    /// The poll brought a list, or the answer that nothing has changed.
+    pub fn succeeded(&mut self) {
+        self.window = self.first_window;
+        self.deadlines.clear();
     }
 
-    /// The call failed, or the watch ended; `quiet` where it fell silent, and since when. `chance` (0 to 1) places the
-    /// next one in the later half of the window, or anywhere in the time left since a watch fell silent.
-    pub fn failed(&mut self, now: u64, chance: f64, quiet: Option<u64>) {
-        if let Some(quiet) = quiet {
-            let told = now.saturating_sub(quiet).saturating_add(TOLD_AFTER).saturating_add(self.grace);
-            // A second silent watch leaves no more time: what the first one missed still counts from there. Once that
-            // is over, what the second one missed does.
-            self.by.insert(told.saturating_sub(CALL));
-            while self.by.len() > SILENCES {
-                self.by.pop_last();
-            }
+    /// The poll failed, or its watch ended; `silent_for` tells for how long the watch had been silent, if
+    /// that was the cause. `chance` (0 to 1) places the next poll in the later half of the backoff window, or
+    /// anywhere before the nearest deadline.
+    pub fn failed(&mut self, now: u64, chance: f64, silent_for: Option<u64>) {
+        if let Some(silent_for) = silent_for {
+            self.add_deadline(now.saturating_sub(silent_for));
         }
-        self.by.retain(|by| *by > now);
-        let gap = match self.by.first().map(|by| by - now) {
-            Some(room) => (self.window.min(room) as f64 * chance) as u64,
+        self.deadlines.retain(|deadline| *deadline > now);
+        let gap = match self.deadlines.first() {
+            Some(deadline) => (self.window.min(deadline - now) as f64 * chance) as u64,
             None => (self.window as f64 * (0.5 + 0.5 * chance)) as u64,
         };
-        self.at = Some(now + gap.max(GAP_LEAST));
-        self.window = (self.window * 2).min(self.longest);
+        self.next_poll = Some(now + gap.max(GAP_MIN));
+        self.window = (self.window * 2).min(self.longest_window);
+    }
+
+    /// Remembers a watch that fell silent at this moment. Each silent watch keeps a deadline of its own: a
+    /// later one leaves no more time for what an earlier one missed, and still counts once the earlier
+    /// deadline has passed.
+    fn add_deadline(&mut self, silent_since: u64) {
+        let drain_binds = silent_since.saturating_add(NOTIFIED_AFTER).saturating_add(self.drain_grace);
+        self.deadlines.insert(drain_binds.saturating_sub(CALL_RESERVE));
+        while self.deadlines.len() > SILENT_WATCHES_MAX {
+            self.deadlines.pop_last();
+        }
     }
 
-    /// Whether a call is due; says so once.
-    pub fn due(&mut self, now: u64) -> bool {
-        self.at.take_if(|at| *at <= now).is_some()
+    /// Whether a poll is due. Says so once: from then on the poll counts as out.
+    pub fn take_due(&mut self, now: u64) -> bool {
+        self.next_poll.take_if(|due| *due <= now).is_some()
     }
 }
--- a/crates/decisions/src/service_objective.rs
+++ b/crates/decisions/src/service_objective.rs
@@ -1,70 +1,92 @@
-//! What one more request of a class is worth to the site's goal, which counts the class that is served worst apart. Pure.
+//! How much a request counts for the site's service objective, which weighs the class that is served worst by
+//! itself. Pure: told which requests arrive and which are served.
 //!
-//! Under overload the class of the least worth for its work would be shed whole; where the goal weighs the worst-served
-//! class, its requests gain in rank the more the worse it is served, until others are served as badly.
+//! Under overload, the class with the least weight for its work would be rejected as a whole. Where the
+//! objective weighs the worst-served class, its requests gain rank the worse it is served, until other
+//! classes are served as badly.
 
 use crate::api::Goal;
 
-/// What was asked and served counts less with time; the goal looks at whole days, members change within seconds.
-const FADE: f64 = 30_000_000.0;
-/// Classes whose served parts differ by less than this share the place of the worst.
-const NEAR: f64 = 0.05;
-/// So many requests' worth must have been asked for before a class is judged.
-const JUDGED: f64 = 20.0;
+/// Requested and served weights decay with this time constant. Microseconds. The objective looks at whole
+/// days, but members change within seconds.
+const DECAY: f64 = 30_000_000.0;
+/// Classes whose served shares differ by less than this share the place of the worst.
+const NEAR_WORST: f64 = 0.05;
+/// A class is judged once this many requests' weight arrived.
+const JUDGED_FROM: f64 = 20.0;
 
+/// What recently arrived and was served of one class, in units of weight.
 #[derive(Clone, Copy, Debug, Default)]
-struct Class {
-    worth: f64,
-    /// Worth asked for and served of late.
-    asked: f64,
+struct ClassTotals {
+    /// Weight of one request.
+    weight: f64,
+    requested: f64,
     served: f64,
 }
 
-/// The classes of one router's requests.
+impl ClassTotals {
+    /// Whether enough has arrived to judge how the class is served.
+    fn is_judged(&self) -> bool {
+        self.requested >= JUDGED_FROM * self.weight && self.weight > 0.0
+    }
+
+    fn served_share(&self) -> f64 {
+        (self.served / self.requested).min(1.0)
+    }
+}
+
+/// How the classes of one router are served.
 #[derive(Clone, Debug)]
 pub struct ServiceObjective {
     goal: Goal,
-    classes: Vec<Class>,
-    faded: u64,
+    classes: Vec<ClassTotals>,
+    /// When the totals last decayed. Microseconds.
+    decayed_at: u64,
 }
 
 impl ServiceObjective {
-    /// One router's classes, by the worth of a request of each.
-    pub fn new(goal: Goal, worths: impl Iterator<Item = f64>) -> ServiceObjective {
-        let classes = worths.map(|worth| Class { worth, ..Class::default() }).collect();
-        ServiceObjective { goal, classes, faded: 0 }
+    /// Nothing has arrived yet; `weights` are those of one request of each class.
+    pub fn new(goal: Goal, weights: impl Iterator<Item = f64>) -> ServiceObjective {
+        let classes = weights.map(|weight| ClassTotals { weight, ..ClassTotals::default() }).collect();
+        ServiceObjective { goal, classes, decayed_at: 0 }
+    }
+
+    /// Counts a request of a class that arrived at `now` microseconds, and returns its priority weight; 0 for
+    /// an unknown class.
+    pub fn request_arrived(&mut self, now: u64, class: usize) -> f64 {
+        self.decay(now);
+        let Some(totals) = self.classes.get_mut(class) else { return 0.0 };
+        totals.requested += totals.weight;
+        totals.weight * self.priority_factor(class)
     }
 
-    /// A request of a class came: its worth in rank.
-    pub fn asked(&mut self, now: u64, class: usize) -> f64 {
-        let kept = (-(now.saturating_sub(self.faded) as f64) / FADE).exp();
-        self.faded = now;
-        for c in &mut self.classes {
-            (c.asked, c.served) = (c.asked * kept, c.served * kept);
+    /// Counts a request of a class that was served with this share (0 to 1) of its weight.
+    pub fn request_served(&mut self, class: usize, share: f64) {
+        if let Some(totals) = self.classes.get_mut(class) {
+            totals.served += totals.weight * share;
         }
-        let Some(worth) = self.classes.get(class).map(|c| c.worth) else { return 0.0 };
-        self.classes[class].asked += worth;
-        worth * self.weight(class)
     }
 
-    /// A request of a class was served, with so much of its worth.
-    pub fn served(&mut self, class: usize, part: f64) {
-        if let Some(c) = self.classes.get_mut(class) {
-            c.served += c.worth * part;
+    fn decay(&mut self, now: u64) {
+        let kept = (-(now.saturating_sub(self.decayed_at) as f64) / DECAY).exp();
+        self.decayed_at = now;
+        for totals in &mut self.classes {
+            totals.requested *= kept;
+            totals.served *= kept;
         }
     }
 
-    /// How much more than its own worth a request of a class weighs.
-    fn weight(&self, class: usize) -> f64 {
-        let judged = |c: &&Class| c.asked >= JUDGED * c.worth && c.worth > 0.0;
-        let part = |c: &Class| (c.served / c.asked).min(1.0);
-        let worst = self.classes.iter().filter(judged).map(part).fold(f64::INFINITY, f64::min);
-        let near = |c: &Class| (-(part(c) - worst) / NEAR).exp();
-        let all: f64 = self.classes.iter().filter(judged).map(near).sum();
-        let Some(c) = self.classes.get(class).filter(judged).filter(|_| self.goal.whole > 0.0) else {
-            return 1.0;
-        };
-        let asked: f64 = self.classes.iter().map(|c| c.asked).sum();
-        1.0 + self.goal.worst_class / self.goal.whole * asked / c.asked * near(c) / all
+    /// How many times its own weight a request of a class counts.
+    fn priority_factor(&self, class: usize) -> f64 {
+        let weighs_worst = self.goal.whole > 0.0;
+        let totals = self.classes.get(class).filter(|totals| weighs_worst && totals.is_judged());
+        let Some(totals) = totals else { return 1.0 };
+        let judged = || self.classes.iter().filter(|totals| totals.is_judged());
+        let worst_share = judged().map(ClassTotals::served_share).fold(f64::INFINITY, f64::min);
+        let nearness = |totals: &ClassTotals| (-(totals.served_share() - worst_share) / NEAR_WORST).exp();
+        let all_nearness: f64 = judged().map(nearness).sum();
+        let all_requested: f64 = self.classes.iter().map(|totals| totals.requested).sum();
+        let worst_weight = self.goal.worst_class / self.goal.whole;
+        1.0 + worst_weight * all_requested / totals.requested * nearness(totals) / all_nearness
     }
 }
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -175,7 +175,8 @@
     pub(crate) fn credit(&mut self, id: &RequestId) -> Us {
         if let Some(r) = self.requests.get(id) {
             let late = self.now > r.aim_at;
-            self.objective.served(r.class, if late { self.set.classes[r.class].late_worth } else { 1.0 });
+            self.objective
+                .request_served(r.class, if late { self.set.classes[r.class].late_worth } else { 1.0 });
         }
         self.now
     }
@@ -213,7 +214,7 @@
         Router {
             sharers: (sharers, sharers),
             polls: PollSchedule::new(set.me, set.fleet_size, set.rules.ask_within.0, first)
-                .within_grace(set.rules.drain_grace.0),
+                .with_drain_grace(set.rules.drain_grace.0),
             rate_limits: vec![TenantRateLimiter::new(now); set.tenants.len()],
             set,
             rng: RefCell::new(rng),
--- a/crates/decisions/src/tenant_rate_limit.rs
+++ b/crates/decisions/src/tenant_rate_limit.rs
@@ -1,24 +1,35 @@
-//! What a tenant may ask for in a second: a pure leaky bucket for each, told when each of its requests came.
+//! How many requests a second a tenant may send: a pure leaky bucket for each tenant, told when its requests
+//! arrive.
+//!
+//! The limiter rejects nothing. Whether a request over the rate counts for less is the policy's decision.
 
-/// The requests of one tenant lately.
+/// Microseconds in a second.
+const SECOND: f64 = 1e6;
+
+/// The recent requests of one tenant.
 #[derive(Clone, Copy, Debug)]
 pub struct TenantRateLimiter {
+    /// Requests in the bucket when it was last updated.
     level: f64,
-    at: u64,
+    /// Microseconds on the caller's clock.
+    updated_at: u64,
 }
 
 impl TenantRateLimiter {
-    /// Nothing was asked for yet.
+    /// An empty bucket, at `now` microseconds.
     pub fn new(now: u64) -> TenantRateLimiter {
-        TenantRateLimiter { level: 0.0, at: now }
+        TenantRateLimiter { level: 0.0, updated_at: now }
     }
 
-    /// Takes a request in, at `now` microseconds, where `rate` a second are allowed here and a second's worth may come
-    /// at once; whether it is over that. What is over doesn't count against those that follow.
-    pub fn over(&mut self, now: u64, rate: f64) -> bool {
-        let level = (self.level - now.saturating_sub(self.at) as f64 / 1e6 * rate).max(0.0);
-        let over = level > rate.max(1.0);
-        *self = TenantRateLimiter { level: if over { level } else { level + 1.0 }, at: now };
-        over
+    /// Counts a request that arrived at `now` microseconds, and tells whether it exceeds the rate. `rate`
+    /// requests a second may come, and one second's worth of them (at least one) at once. A request over the
+    /// rate does not count against those that follow it.
+    pub fn exceeds(&mut self, now: u64, rate: f64) -> bool {
+        let leaked = now.saturating_sub(self.updated_at) as f64 / SECOND * rate;
+        let level = (self.level - leaked).max(0.0);
+        let exceeds = level > rate.max(1.0);
+        self.level = if exceeds { level } else { level + 1.0 };
+        self.updated_at = now;
+        exceeds
     }
 }
--- a/crates/decisions/src/zone_health.rs
+++ b/crates/decisions/src/zone_health.rs
@@ -1,68 +1,96 @@
-//! Which zones have gone silent: a pure record of when each was last heard of, against what is out there.
+//! Which zones have gone silent: a pure record of when each zone last answered, compared with the attempts in
+//! flight there.
 //!
-//! A router of a large fleet has a request out at a member once in seconds. If a zone is lost, it would learn so one
-//! member at a time, each at the price of a request. What it has out in the whole zone tells much sooner: were the
-//! zone alive, each attempt would be answered at a rate of one in its usual time, so the chance that none of them was
-//! falls with the sum of the times they have waited, each in units of its usual one.
+//! A router of a large fleet sends each member a request once in seconds. If a zone is lost, the router would
+//! learn of it one member at a time, each at the price of a request. All attempts in flight in the zone tell
+//! much sooner. If the zone were alive, each attempt would be answered at a rate of one in its usual time, so
+//! the probability that none was falls with the sum of the times they have waited, each in units of its usual
+//! time.
 
 use crate::api::{MemberId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The sum from which a zone counts as silent: by chance alone one silence in about 3,000 lasts as long.
-const DOUBT: f64 = 8.0;
-/// At least so many members must be silent: one or two are their own trouble, not their zone's.
-const MEMBERS: usize = 3;
-/// Of so many zones it is kept when they were heard of; beyond that the one silent longest is forgotten.
-const ZONES_MOST: usize = 64;
-/// One attempt counts for this at most: work that is long by itself says little.
-const DOUBT_EACH: f64 = 4.0;
+/// A zone counts as silent from this sum of relative waits on: by chance alone, one silence in about 3,000
+/// lasts as long.
+const SILENT_FROM: f64 = 8.0;
+/// At least this many members must be silent: one or two have a fault of their own.
+const SILENT_MEMBERS_MIN: usize = 3;
+/// Bound on the zones whose last answer is remembered; beyond it the one that answered longest ago is
+/// forgotten.
+const ZONES_MAX: usize = 64;
+/// The most that one attempt adds to the sum: work that takes long by itself says little.
+const RELATIVE_WAIT_MAX: f64 = 4.0;
 
-/// An attempt that is out.
+/// An attempt that was sent and not answered yet.
 pub struct InFlightAttempt {
-    /// Where.
+    /// The zone of the member.
     pub zone: ZoneId,
-    /// At which member.
+    /// The member it was sent to.
     pub member: MemberId,
-    /// Since when, in microseconds.
+    /// When it was sent. Microseconds.
     pub sent: u64,
-    /// How long it usually takes, in microseconds.
+    /// How long an answer usually takes. Microseconds.
     pub usual: f64,
 }
 
-/// What is known of the zones.
-#[derive(Default)]
+/// When each zone last answered. All times are in microseconds on the caller's clock.
+#[derive(Debug, Default)]
 pub struct ZoneHealth {
-    heard: BTreeMap<ZoneId, u64>,
+    last_answers: BTreeMap<ZoneId, u64>,
+}
+
+/// What the attempts in flight in one zone say against it.
+#[derive(Default)]
+struct Suspicion {
+    /// The sum of the waits, each in units of its usual time.
+    relative_waits: f64,
+    silent_members: BTreeSet<MemberId>,
+}
+
+impl Suspicion {
+    fn add(&mut self, member: MemberId, relative_wait: f64) {
+        self.relative_waits += relative_wait.min(RELATIVE_WAIT_MAX);
+        if relative_wait >= 1.0 {
+            self.silent_members.insert(member);
+        }
+    }
+
+    fn is_confirmed(&self) -> bool {
+        self.relative_waits >= SILENT_FROM && self.silent_members.len() >= SILENT_MEMBERS_MIN
+    }
 }
 
 impl ZoneHealth {
-    /// A member there has answered.
-    pub fn heard(&mut self, zone: ZoneId, now: u64) {
-        let at = self.heard.entry(zone).or_default();
-        *at = (*at).max(now);
-        if self.heard.len() > ZONES_MOST {
-            let oldest = self.heard.iter().min_by_key(|(_, at)| **at).map(|(zone, _)| *zone);
-            oldest.and_then(|zone| self.heard.remove(&zone));
+    /// A member of the zone answered.
+    pub fn record_answer(&mut self, zone: ZoneId, now: u64) {
+        let last_answer = self.last_answers.entry(zone).or_default();
+        *last_answer = (*last_answer).max(now);
+        if self.last_answers.len() > ZONES_MAX {
+            let oldest = self.last_answers.iter().min_by_key(|(_, at)| **at).map(|(zone, _)| *zone);
+            oldest.and_then(|zone| self.last_answers.remove(&zone));
         }
     }
 
-    /// The zones that are silent, going by what is out there, while another zone was heard of: where nobody answers
-    /// at all, the fault lies nearer by. A zone never heard of is not judged.
-    pub fn silent(&self, now: u64, out: impl Iterator<Item = InFlightAttempt>) -> Vec<ZoneId> {
-        let mut doubts: BTreeMap<ZoneId, (f64, BTreeSet<MemberId>)> = BTreeMap::new();
-        for o in out {
-            let Some(heard) = self.heard.get(&o.zone) else { continue };
-            let waited = now.saturating_sub(o.sent.max(*heard)) as f64 / o.usual.max(1.0);
-            let (sum, members) = doubts.entry(o.zone).or_default();
-            *sum += waited.min(DOUBT_EACH);
-            if waited >= 1.0 {
-                members.insert(o.member);
-            }
+    /// The zones that are silent, judged by the attempts in flight. A zone is judged only if it has ever
+    /// answered, and if another zone has answered since: where no zone answers at all, the fault lies nearer
+    /// by.
+    pub fn silent_zones(&self, now: u64, in_flight: impl Iterator<Item = InFlightAttempt>) -> Vec<ZoneId> {
+        let mut suspicions: BTreeMap<ZoneId, Suspicion> = BTreeMap::new();
+        for attempt in in_flight {
+            let Some(last_answer) = self.last_answers.get(&attempt.zone) else { continue };
+            let waited = now.saturating_sub(attempt.sent.max(*last_answer)) as f64;
+            let suspicion = suspicions.entry(attempt.zone).or_default();
+            suspicion.add(attempt.member, waited / attempt.usual.max(1.0));
         }
-        let elsewhere = |zone: &ZoneId| self.heard.iter().any(|(z, at)| z != zone && *at > self.heard[zone]);
-        let silent = |(zone, (sum, members)): &(ZoneId, (f64, BTreeSet<MemberId>))| {
-            *sum >= DOUBT && members.len() >= MEMBERS && elsewhere(zone)
+        let is_silent = |(zone, suspicion): &(ZoneId, Suspicion)| {
+            suspicion.is_confirmed() && self.another_answered_since(*zone)
         };
-        doubts.into_iter().filter(silent).map(|(zone, _)| zone).collect()
+        suspicions.into_iter().filter(is_silent).map(|(zone, _)| zone).collect()
+    }
+
+    /// Whether any other zone has answered after the last answer of this one.
+    fn another_answered_since(&self, zone: ZoneId) -> bool {
+        let Some(last_answer) = self.last_answers.get(&zone) else { return false };
+        self.last_answers.iter().any(|(other, at)| *other != zone && at > last_answer)
     }
 }
