--- a/src/clients/connection_gate.rs
+++ b/src/clients/connection_gate.rs
@@ -1,4 +1,5 @@
-//! Carries out what the [`ConnectionAdmission`] decides: tells connections to leave, and wakes the door in time.
+//! Carries out what [`ConnectionAdmission`] decides: asks connections to close, and fires its timer. Decides
+//! nothing, and touches no socket.
 
 use crate::api::{Span, Time};
 use crate::clock::Clock;
@@ -9,122 +10,132 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::sleep_until;
 
-/// What a connection may expect.
+/// How a new connection is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionMode {
     /// Its queries are served.
     Serve,
-    /// Its first query is refused, with this time to come back, and it ends.
-    Refuse(Span),
+    /// Its first query is rejected, with this time after which to retry, and it ends.
+    Reject(Span),
 }
 
-/// The door with its clock, and a bell for each connection.
+/// The admission of connections with its clock, and a signal to each connection.
 pub struct ConnectionGate {
     admission: RefCell<ConnectionAdmission>,
     clock: Clock,
-    bells: RefCell<BTreeMap<ConnectionId, Rc<Notify>>>,
-    next: Cell<u64>,
-    wake: watch::Sender<Option<Time>>,
+    /// For each admitted connection, what tells it to close.
+    close_signals: RefCell<BTreeMap<ConnectionId, Rc<Notify>>>,
+    next_id: Cell<u64>,
+    timer: watch::Sender<Option<Time>>,
 }
 
-/// The seat of one connection; free again when dropped.
+/// An admitted connection. Dropping it gives its slot back, so it must live as long as the connection's
+/// descriptor.
 pub struct AdmittedConnection {
-    connection_gate: Rc<ConnectionGate>,
+    gate: Rc<ConnectionGate>,
     id: ConnectionId,
-    bell: Rc<Notify>,
+    close_signal: Rc<Notify>,
     mode: AdmissionMode,
 }
 
 impl Drop for AdmittedConnection {
     fn drop(&mut self) {
-        self.connection_gate.bells.borrow_mut().remove(&self.id);
-        self.connection_gate.tell(Event::Left(self.id));
+        self.gate.close_signals.borrow_mut().remove(&self.id);
+        self.gate.handle(Event::Closed(self.id));
     }
 }
 
 impl AdmittedConnection {
-    /// What the connection may expect.
+    /// How it was admitted.
     pub fn mode(&self) -> AdmissionMode {
         self.mode
     }
 
-    /// The connection has sent its startup message.
+    /// It has sent its startup message.
     pub fn mark_started(&self) {
-        self.connection_gate.tell(Event::Started(self.id));
+        self.gate.handle(Event::Started(self.id));
     }
 
-    /// A request of the connection is open.
+    /// A request of it is open.
     pub fn mark_busy(&self) {
-        self.connection_gate.tell(Event::Asked(self.id));
+        self.gate.handle(Event::RequestOpened(self.id));
     }
 
-    /// No request of the connection is open any more.
+    /// No request of it is open any more.
     pub fn mark_idle(&self) {
-        self.connection_gate.tell(Event::Answered(self.id));
+        self.gate.handle(Event::RequestsFinished(self.id));
     }
 
-    /// Returns when the connection has to make room.
+    /// Returns once the connection was asked to close. A request that is already open is still answered.
     pub async fn close_requested(&self) {
-        self.bell.notified().await;
+        self.close_signal.notified().await;
     }
 }
 
 impl ConnectionGate {
-    /// A door with these bounds.
+    /// A gate with these limits.
     pub fn new(limits: AdmissionLimits, clock: Clock) -> Rc<ConnectionGate> {
-        let admission = RefCell::new(ConnectionAdmission::new(limits));
-        let (wake, _) = watch::channel(None);
-        Rc::new(ConnectionGate { admission, clock, bells: RefCell::default(), next: Cell::new(0), wake })
+        let (timer, _) = watch::channel(None);
+        Rc::new(ConnectionGate {
+            admission: RefCell::new(ConnectionAdmission::new(limits)),
+            clock,
+            close_signals: RefCell::default(),
+            next_id: Cell::new(0),
+            timer,
+        })
     }
 
-    /// Seats a new connection, if there is any place for it.
+    /// Admits a new connection; `None` if it has to be closed at once.
     pub fn admit(self: &Rc<ConnectionGate>) -> Option<AdmittedConnection> {
-        let id = ConnectionId(self.next.replace(self.next.get() + 1));
-        let mode = match self.tell(Event::Arrived(id)) {
-            Some(Action::Serve(_)) => AdmissionMode::Serve,
-            Some(Action::Refuse(_, after)) => AdmissionMode::Refuse(after),
-            _ => return None,
-        };
-        let bell = Rc::new(Notify::new());
-        self.bells.borrow_mut().insert(id, bell.clone());
-        Some(AdmittedConnection { connection_gate: self.clone(), id, bell, mode })
+        let id = ConnectionId(self.next_id.get());
+        self.next_id.set(id.0 + 1);
+        let mode = self.handle(Event::Accepted(id))?;
+        let close_signal = Rc::new(Notify::new());
+        self.close_signals.borrow_mut().insert(id, close_signal.clone());
+        Some(AdmittedConnection { gate: self.clone(), id, close_signal, mode })
     }
 
-    /// Whether somebody was told to leave and has not left yet.
+    /// Whether any connection was asked to close and has not closed yet.
     pub fn has_closing(&self) -> bool {
         self.admission.borrow().has_closing()
     }
 
-    /// Tells the door what happened and does what it says; what it says of a newcomer is returned.
-    fn tell(&self, event: Event) -> Option<Action> {
-        let (mut out, mut newcomer) = (Vec::new(), None);
-        self.admission.borrow_mut().handle(self.clock.now(), event, &mut out);
-        for action in out {
+    /// Hands an event to the admission and carries out its actions. Returns the mode of a connection that it
+    /// admitted.
+    fn handle(&self, event: Event) -> Option<AdmissionMode> {
+        let mut actions = Vec::new();
+        self.admission.borrow_mut().handle(self.clock.now(), event, &mut actions);
+        let mut admitted = None;
+        for action in actions {
             match action {
-                Action::Leave(id) => {
-                    if let Some(bell) = self.bells.borrow().get(&id) {
-                        bell.notify_one();
-                    }
+                Action::Serve(_) => admitted = Some(AdmissionMode::Serve),
+                Action::Reject(_, retry_after) => admitted = Some(AdmissionMode::Reject(retry_after)),
+                Action::CloseAtOnce(_) => {}
+                Action::RequestClose(id) => self.signal_close(id),
+                Action::SetTimer(at) => {
+                    self.timer.send_replace(Some(at));
                 }
-                Action::Wake(at) => {
-                    self.wake.send_replace(Some(at));
-                }
-                Action::Serve(_) | Action::Refuse(..) | Action::TurnAway(_) => newcomer = Some(action),
             }
         }
-        newcomer
+        admitted
+    }
+
+    fn signal_close(&self, id: ConnectionId) {
+        if let Some(signal) = self.close_signals.borrow().get(&id) {
+            signal.notify_one();
+        }
     }
 
-    /// Wakes the door when it asked for it, for as long as the program runs.
+    /// Fires the admission's timer, for as long as the program runs.
     pub async fn run(self: Rc<ConnectionGate>) {
-        let mut wake = self.wake.subscribe();
+        let mut timer = self.timer.subscribe();
         loop {
-            let at = *wake.borrow_and_update();
+            let at = *timer.borrow_and_update();
             tokio::select! {
-                changed = wake.changed() => if changed.is_err() { return },
+                changed = timer.changed() => if changed.is_err() { return },
                 () = sleep_until(self.clock.instant(at.unwrap_or_default())), if at.is_some() => {
-                    self.wake.send_replace(None);
-                    self.tell(Event::Woke);
+                    self.timer.send_replace(None);
+                    self.handle(Event::TimerFired);
                 }
             }
         }
--- a/src/clients/session.rs
+++ b/src/clients/session.rs
@@ -310,7 +310,7 @@
             Frontend::Query(statement) if statement::is_empty(&statement) => return Came::Empty,
             Frontend::Query(statement) => match self.seated.mode() {
                 AdmissionMode::Serve => statement,
-                AdmissionMode::Refuse(after) => {
+                AdmissionMode::Reject(after) => {
                     let class = statement::parse(&statement).ok().map(|s| s.class);
                     return Came::Refused(after, class);
                 }
