--- a/crates/decisions/src/lifecycle.rs
+++ b/crates/decisions/src/lifecycle.rs
@@ -1,27 +1,29 @@
-//! Serving, draining, standing by, stopping: one state machine for operators' calls, signals and upgrades. It is told
-//! what happened and when, and says how clients are treated; it must never say that a connection with an open request
-//! be ended.
+//! Serving, draining, standing by, stopping: one state machine for operators' calls, signals and upgrades.
+//!
+//! It is told what happened and when, and says how clients are treated. It must never let a connection be
+//! ended while a request of it is open.
 
-use crate::api::Time;
+use crate::api::{Span, Time};
+use std::fmt;
 
-/// From the start of a drain or stop, newcomers still come and kept connections still ask for so long: the platform's
-/// front keeps sending for up to 0.4 s. In microseconds.
-const STILL_COMING: u64 = 450_000;
+/// After a drain or stop begins, new connections and requests still arrive for this long: the platform's
+/// front keeps sending for up to 0.4 s.
+const FRONT_SENDS_FOR: Span = Span(450_000);
 
-/// From the start of a stop, requests are taken for so long: the platform ends the process without regard to what came
-/// over 0.7 s after it. In microseconds.
-const TAKEN_FOR: u64 = 600_000;
+/// After a stop begins, requests are accepted for this long: the platform ends the process regardless of
+/// requests that arrived more than 0.7 s after it.
+const REQUESTS_ACCEPTED_FOR: Span = Span(600_000);
 
 /// What happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Operators want it drained.
+    /// Operators drain the process.
     Standby,
-    /// Operators want it back.
+    /// Operators put it back in service.
     Active,
-    /// The process was told to stop. Where a successor takes newcomers from the same socket, it need not.
+    /// The process was told to stop.
     Stop {
-        /// A successor serves.
+        /// A successor accepts new connections from the same socket, so that this process need not.
         handed_over: bool,
     },
 }
@@ -30,109 +32,121 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stopping;
 
+impl fmt::Display for Stopping {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str("the process is stopping")
+    }
+}
+
+impl std::error::Error for Stopping {}
+
 /// How clients are treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServingState {
-    /// The empty query, by which the front asks whether to send clients, is answered yes.
+    /// The empty query, by which the front asks whether to send clients, is answered with yes.
     pub reports_ready: bool,
-    /// Newcomers are accepted, and served.
+    /// New connections are accepted and served.
     pub accepts_connections: bool,
-    /// A connection ends once no request of it is open.
+    /// A connection is closed once no request of it is open.
     pub closes_idle: bool,
-    /// What still comes is refused at once: there may be no time left to serve it.
+    /// New requests are rejected at once: there may be no time left to serve them.
     pub rejects_requests: bool,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
-    Serving,
-    Draining { since: Time },
-    Stopping { since: Time, closing_from: Time, handed_over: bool },
-}
-
 /// The state of one process.
-#[derive(Debug)]
-pub struct Lifecycle(State);
-
-impl Default for Lifecycle {
-    fn default() -> Lifecycle {
-        Lifecycle(State::Serving)
-    }
+#[derive(Debug, Default)]
+pub struct Lifecycle {
+    phase: Phase,
 }
 
-fn after(since: Time) -> Time {
-    Time(since.0.saturating_add(STILL_COMING))
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum Phase {
+    #[default]
+    Serving,
+    Draining {
+        since: Time,
+    },
+    Stopping {
+        since: Time,
+        close_idle_from: Time,
+        handed_over: bool,
+    },
 }
 
 impl Lifecycle {
-    /// Takes an event in. Said again, it changes nothing: a second call doesn't prolong a drain.
+    /// Handles an event. A repeated one changes nothing: a second call does not prolong a drain.
     pub fn handle(&mut self, now: Time, event: Event) -> Result<(), Stopping> {
-        self.0 = match (event, self.0) {
-            (Event::Standby, State::Serving) => State::Draining { since: now },
-            (Event::Standby, draining @ State::Draining { .. }) => draining,
-            (Event::Active, State::Serving | State::Draining { .. }) => State::Serving,
-            (Event::Standby | Event::Active, State::Stopping { .. }) => return Err(Stopping),
-            (Event::Stop { .. }, stopping @ State::Stopping { .. }) => stopping,
-            (Event::Stop { handed_over }, before) => {
-                // What drains already closes when it would have; nobody is kept longer for a stop.
-                let closing_from = match before {
-                    State::Draining { since } => after(since).min(after(now)),
-                    _ => after(now),
-                };
-                State::Stopping { since: now, closing_from, handed_over }
+        self.phase = match (event, self.phase) {
+            (Event::Standby, Phase::Serving) => Phase::Draining { since: now },
+            (Event::Standby, draining @ Phase::Draining { .. }) => draining,
+            (Event::Active, Phase::Serving | Phase::Draining { .. }) => Phase::Serving,
+            (Event::Standby | Event::Active, Phase::Stopping { .. }) => return Err(Stopping),
+            (Event::Stop { .. }, stopping @ Phase::Stopping { .. }) => stopping,
+            (Event::Stop { handed_over }, Phase::Serving) => {
+                Phase::Stopping { since: now, close_idle_from: front_silent_at(now), handed_over }
+            }
+            // A stop keeps no connection for longer than the drain before it would have.
+            (Event::Stop { handed_over }, Phase::Draining { since }) => {
+                let close_idle_from = front_silent_at(since).min(front_silent_at(now));
+                Phase::Stopping { since: now, close_idle_from, handed_over }
             }
         };
         Ok(())
     }
 
-    /// Whether clients are taken: neither draining, nor standing by, nor stopping.
+    /// Whether the process serves: it is neither draining, nor standing by, nor stopping.
     pub fn is_serving(&self) -> bool {
-        self.0 == State::Serving
+        self.phase == Phase::Serving
     }
 
-    /// Whether the process stops.
+    /// Whether the process is stopping.
     pub fn is_stopping(&self) -> bool {
-        matches!(self.0, State::Stopping { .. })
+        matches!(self.phase, Phase::Stopping { .. })
     }
 
-    /// How clients are treated now. A stop leaves the front's question answered as it was: what the front then sends
-    /// is still served, or its successor serves at the same address.
+    /// How clients are treated at `now`. A stop leaves the answer to the front's empty query as it was: what
+    /// the front then sends is still served, or a successor serves it at the same address.
     pub fn serving_state(&self, now: Time) -> ServingState {
-        match self.0 {
-            State::Serving => ServingState {
+        match self.phase {
+            Phase::Serving => ServingState {
                 reports_ready: true,
                 accepts_connections: true,
                 closes_idle: false,
                 rejects_requests: false,
             },
-            State::Draining { since } => ServingState {
+            Phase::Draining { since } => ServingState {
                 reports_ready: false,
                 accepts_connections: true,
-                closes_idle: now >= after(since),
+                closes_idle: now >= front_silent_at(since),
                 rejects_requests: false,
             },
-            State::Stopping { since, closing_from, handed_over } => {
-                let rejects_requests = now.0 >= since.0.saturating_add(TAKEN_FOR);
-                let accepts_connections = !handed_over && now < after(since);
-                ServingState {
-                    reports_ready: true,
-                    accepts_connections,
-                    closes_idle: now >= closing_from,
-                    rejects_requests,
-                }
-            }
+            Phase::Stopping { since, close_idle_from, handed_over } => ServingState {
+                reports_ready: true,
+                accepts_connections: !handed_over && now < front_silent_at(since),
+                closes_idle: now >= close_idle_from,
+                rejects_requests: now >= requests_end_at(since),
+            },
         }
     }
 
-    /// When the view changes next by itself.
-    pub fn wake(&self, now: Time) -> Option<Time> {
-        let moments = match self.0 {
-            State::Serving => [None; 3],
-            State::Draining { since } => [Some(after(since)), None, None],
-            State::Stopping { since, closing_from, .. } => {
-                [Some(after(since)), Some(closing_from), Some(Time(since.0.saturating_add(TAKEN_FOR)))]
+    /// When [`Lifecycle::serving_state`] changes next without a further event.
+    pub fn next_change(&self, now: Time) -> Option<Time> {
+        let is_ahead = |at: &Time| *at > now;
+        match self.phase {
+            Phase::Serving => None,
+            Phase::Draining { since } => Some(front_silent_at(since)).filter(is_ahead),
+            Phase::Stopping { since, close_idle_from, .. } => {
+                let changes = [front_silent_at(since), close_idle_from, requests_end_at(since)];
+                changes.into_iter().filter(is_ahead).min()
             }
-        };
-        moments.into_iter().flatten().filter(|at| *at > now).min()
+        }
     }
 }
+
+fn front_silent_at(since: Time) -> Time {
+    Time(since.0.saturating_add(FRONT_SENDS_FOR.0))
+}
+
+fn requests_end_at(stop: Time) -> Time {
+    Time(stop.0.saturating_add(REQUESTS_ACCEPTED_FOR.0))
+}
--- a/crates/decisions/tests/lifecycle.rs
+++ b/crates/decisions/tests/lifecycle.rs
@@ -1,89 +1,102 @@
-//! Any order of calls, signals and waits: what a process says of itself holds together.
+//! Any order of calls, signals and waits: what a process tells clients holds together.
 
 use linenhill_decisions::api::Time;
-use linenhill_decisions::lifecycle::{Event, Lifecycle};
+use linenhill_decisions::lifecycle::{Event, Lifecycle, ServingState, Stopping};
 use quickcheck::{Arbitrary, Gen};
 
-/// Connections end at the latest this long after a drain began, in microseconds: under the platform's 2 s, after which
-/// no request may be on a kept connection that is open at 4 s.
-const ENDS_BY: u64 = 1_000_000;
-/// The platform's front sends for so long after it was told no.
-const FRONT: u64 = 400_000;
+/// Connections end at the latest this long after a drain began, in microseconds: under the platform's 2 s,
+/// after which no request may be on a kept connection that is open at 4 s.
+const CLOSED_BY: u64 = 1_000_000;
+/// The platform's front sends for this long after it was told no, in microseconds.
+const FRONT_SENDS: u64 = 400_000;
+/// Requests are accepted for at least this long after a stop, and rejected at the latest from the platform's
+/// 0.7 s on.
+const ACCEPTED_AT_LEAST: u64 = 450_000;
+const REJECTED_FROM: u64 = 700_000;
 
-// Guards against a second call that prolongs a drain, an /active that leaves connections ending, a stop that is taken
-// back, and a view that changes without a wake-up.
+/// What happened to a process, kept apart from the machine under test.
+#[derive(Clone, Copy, Debug, Default)]
+struct History {
+    drained_at: Option<u64>,
+    /// When it was told to stop, and whether a successor serves.
+    stopped: Option<(u64, bool)>,
+}
+
+impl History {
+    fn expected_answer(&self) -> Result<(), Stopping> {
+        if self.stopped.is_some() { Err(Stopping) } else { Ok(()) }
+    }
+
+    /// Checks what the process tells clients at `now`.
+    fn check(&self, state: ServingState, now: u64) {
+        let since = self.drained_at.into_iter().chain(self.stopped.map(|(at, _)| at)).min();
+        match since {
+            None => {
+                assert!(state.reports_ready && state.accepts_connections && !state.closes_idle, "{self:?}")
+            }
+            Some(since) if now >= since + CLOSED_BY => assert!(state.closes_idle, "{self:?}"),
+            Some(since) if now <= since + FRONT_SENDS => assert!(!state.closes_idle, "{self:?}"),
+            Some(_) => {}
+        }
+        let must_reject = self.stopped.is_some_and(|(at, _)| now >= at + REJECTED_FROM);
+        let may_reject = self.stopped.is_some_and(|(at, _)| now > at + ACCEPTED_AT_LEAST);
+        assert!(state.rejects_requests || !must_reject, "{self:?}");
+        assert!(!state.rejects_requests || may_reject, "{self:?}");
+        match self.stopped {
+            None => {
+                assert!(state.accepts_connections, "{self:?}");
+                assert_eq!(state.reports_ready, self.drained_at.is_none(), "{self:?}");
+            }
+            Some((_, true)) => assert!(!state.accepts_connections, "{self:?}"),
+            Some((at, false)) => {
+                assert_eq!(state.accepts_connections, now < at + ACCEPTED_AT_LEAST, "{self:?}");
+            }
+        }
+    }
+}
+
+/// Guards against a second call that prolongs a drain, an /active that leaves connections ending, a stop that
+/// is taken back, and a state that changes without being announced.
 #[test]
-fn every_order_of_calls_and_signals_keeps_the_promises() {
+fn any_order_of_calls_and_signals_keeps_the_promises() {
     let mut g = Gen::from_size_and_seed(40, 11);
     for round in 0..2_000 {
-        let (mut life, mut now) = (Lifecycle::default(), 1_000_000);
-        // Since when it drains or stops, and whether it is stopping, handed over.
-        let (mut drained, mut stopped) = (None::<u64>, None::<(u64, bool)>);
+        let mut lifecycle = Lifecycle::default();
+        let mut history = History::default();
+        let mut now = 1_000_000;
         for _ in 0..12 {
-            let event = *g.choose(&[0, 1, 2, 3]).expect("one of them");
-            let known = (drained, stopped, event);
-            match event {
+            match *g.choose(&[0, 1, 2, 3]).expect("one of them") {
                 0 => {
-                    assert_eq!(
-                        life.handle(Time(now), Event::Standby).is_err(),
-                        stopped.is_some(),
-                        "{known:?}"
-                    );
-                    drained = drained.or(stopped.is_none().then_some(now));
+                    let answer = lifecycle.handle(Time(now), Event::Standby);
+                    assert_eq!(answer, history.expected_answer(), "{history:?}");
+                    let begins = history.stopped.is_none().then_some(now);
+                    history.drained_at = history.drained_at.or(begins);
                 }
                 1 => {
-                    assert_eq!(
-                        life.handle(Time(now), Event::Active).is_err(),
-                        stopped.is_some(),
-                        "{known:?}"
-                    );
-                    drained = drained.filter(|_| stopped.is_some());
+                    let answer = lifecycle.handle(Time(now), Event::Active);
+                    assert_eq!(answer, history.expected_answer(), "{history:?}");
+                    history.drained_at = history.drained_at.filter(|_| history.stopped.is_some());
                 }
                 2 if round % 2 == 0 => {
                     let handed_over = bool::arbitrary(&mut g);
-                    assert!(life.handle(Time(now), Event::Stop { handed_over }).is_ok());
-                    stopped = stopped.or(Some((now, handed_over)));
+                    assert_eq!(lifecycle.handle(Time(now), Event::Stop { handed_over }), Ok(()));
+                    history.stopped = history.stopped.or(Some((now, handed_over)));
                 }
                 _ => {
                     let wait = u64::from(u32::arbitrary(&mut g)) % 700_000;
                     // What changes in between is announced.
-                    let (before, wake) = (life.serving_state(Time(now)), life.wake(Time(now)));
-                    let last = wake.map_or(now + wait, |at| (at.0 - 1).min(now + wait));
-                    assert_eq!(life.serving_state(Time(last)), before, "{known:?}");
+                    let before = lifecycle.serving_state(Time(now));
+                    let unchanged_until = match lifecycle.next_change(Time(now)) {
+                        Some(change) => (change.0 - 1).min(now + wait),
+                        None => now + wait,
+                    };
+                    assert_eq!(lifecycle.serving_state(Time(unchanged_until)), before, "{history:?}");
                     now += wait;
                 }
             }
-            let serving_state = life.serving_state(Time(now));
-            assert_eq!(life.is_serving(), drained.is_none() && stopped.is_none(), "{known:?}");
-            let since = drained.into_iter().chain(stopped.map(|s| s.0)).min();
-            match since {
-                None => assert!(
-                    serving_state.reports_ready
-                        && serving_state.accepts_connections
-                        && !serving_state.closes_idle,
-                    "{known:?}"
-                ),
-                Some(since) if now >= since + ENDS_BY => assert!(serving_state.closes_idle, "{known:?}"),
-                Some(since) if now <= since + FRONT => assert!(!serving_state.closes_idle, "{known:?}"),
-                Some(_) => {}
-            }
-            // The platform's 0.7 s.
-            let late = stopped.is_some_and(|(at, _)| now >= at + 700_000);
-            assert!(serving_state.rejects_requests || !late, "{known:?}");
-            assert!(
-                !serving_state.rejects_requests || stopped.is_some_and(|(at, _)| now > at + 450_000),
-                "{known:?}"
-            );
-            match stopped {
-                None => assert!(
-                    serving_state.accepts_connections && serving_state.reports_ready == drained.is_none(),
-                    "{known:?}"
-                ),
-                Some((_, true)) => assert!(!serving_state.accepts_connections, "{known:?}"),
-                Some((at, false)) => {
-                    assert_eq!(serving_state.accepts_connections, now < at + 450_000, "{known:?}")
-                }
-            }
+            let serves = history.drained_at.is_none() && history.stopped.is_none();
+            assert_eq!(lifecycle.is_serving(), serves, "{history:?}");
+            history.check(lifecycle.serving_state(Time(now)), now);
         }
     }
 }
--- a/src/clients/lifecycle_driver.rs
+++ b/src/clients/lifecycle_driver.rs
@@ -1,5 +1,5 @@
-//! How far a drain or a stop has come, for the listener, its sessions and the operators' door alike: carries out
-//! [`Lifecycle`] with a clock.
+//! How far a drain or a stop has come, for the listener, its sessions and the operators' calls alike: carries
+//! out [`Lifecycle`] with a clock. Decides nothing.
 
 use crate::clock::Clock;
 use crate::lifecycle::{Event, Lifecycle, ServingState, Stopping};
@@ -12,60 +12,59 @@
 pub struct LifecycleDriver {
     lifecycle: RefCell<Lifecycle>,
     clock: Clock,
-    serving_state: watch::Sender<ServingState>,
-    changed: watch::Sender<()>,
+    state: watch::Sender<ServingState>,
+    /// Wakes [`LifecycleDriver::run`] after each event, since the time of the next change may be another one.
+    rescheduled: watch::Sender<()>,
 }
 
 impl LifecycleDriver {
-    /// It serves.
+    /// The process serves.
     pub fn new(clock: Clock) -> Rc<LifecycleDriver> {
         let lifecycle = Lifecycle::default();
-        let (serving_state, _) = watch::channel(lifecycle.serving_state(clock.now()));
-        Rc::new(LifecycleDriver {
-            lifecycle: RefCell::new(lifecycle),
-            clock,
-            serving_state,
-            changed: watch::channel(()).0,
-        })
+        let (state, _) = watch::channel(lifecycle.serving_state(clock.now()));
+        let (rescheduled, _) = watch::channel(());
+        Rc::new(LifecycleDriver { lifecycle: RefCell::new(lifecycle), clock, state, rescheduled })
     }
 
-    /// Takes an event in.
+    /// Handles an event, and publishes what it changes.
     pub fn handle(&self, event: Event) -> Result<(), Stopping> {
         self.lifecycle.borrow_mut().handle(self.clock.now(), event)?;
-        self.show();
-        self.changed.send_replace(());
+        self.publish();
+        self.rescheduled.send_replace(());
         Ok(())
     }
 
-    /// Whether clients are taken.
+    /// Whether the process serves: it is neither draining, nor standing by, nor stopping.
     pub fn is_serving(&self) -> bool {
         self.lifecycle.borrow().is_serving()
     }
 
-    /// Whether the process stops.
+    /// Whether the process is stopping.
     pub fn is_stopping(&self) -> bool {
         self.lifecycle.borrow().is_stopping()
     }
 
-    /// How clients are treated, now and from then on.
+    /// How clients are treated, now and after each change.
     pub fn subscribe(&self) -> watch::Receiver<ServingState> {
-        self.serving_state.subscribe()
+        self.state.subscribe()
     }
 
-    fn show(&self) {
-        let serving_state = self.lifecycle.borrow().serving_state(self.clock.now());
-        self.serving_state.send_if_modified(|shown| std::mem::replace(shown, serving_state) != serving_state);
-    }
-
-    /// Shows what changes with time, for as long as the program runs.
+    /// Publishes what changes with time, for as long as the program runs.
     pub async fn run(self: Rc<LifecycleDriver>) {
-        let mut changed = self.changed.subscribe();
+        let mut rescheduled = self.rescheduled.subscribe();
         loop {
-            let at = self.lifecycle.borrow().wake(self.clock.now());
+            let next_change = self.lifecycle.borrow().next_change(self.clock.now());
             tokio::select! {
-                told = changed.changed() => if told.is_err() { return },
-                () = sleep_until(self.clock.instant(at.unwrap_or_default())), if at.is_some() => self.show(),
+                changed = rescheduled.changed() => if changed.is_err() { return },
+                () = sleep_until(self.clock.instant(next_change.unwrap_or_default())), if next_change.is_some() => {
+                    self.publish();
+                }
             }
         }
     }
+
+    fn publish(&self) {
+        let now = self.lifecycle.borrow().serving_state(self.clock.now());
+        self.state.send_if_modified(|published| std::mem::replace(published, now) != now);
+    }
 }
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -26,7 +26,7 @@
 use crate::stages::relay::Relay;
 use crate::stages::route::Route;
 use crate::stages::send::Sender;
-use crate::takeover::maintenance_log::MaintenanceLog;
+use crate::takeover::maintenance_log::{self, MaintenanceLog};
 use crate::watch_schedule::WatchSchedule;
 use linenhill_cluster::member::Fleet;
 use log::info;
@@ -140,7 +140,7 @@
     let (asked, maintenance) = (inbox.clone(), Rc::default());
     let maintenance_log = MaintenanceLog::new(
         Rc::clone(&maintenance),
-        shared.map(|dir| dir.join("words")),
+        shared.map(|dir| dir.join(maintenance_log::FILE_NAME)),
         clock,
         inbox.clone(),
     );
--- a/src/stages/route.rs
+++ b/src/stages/route.rs
@@ -10,7 +10,7 @@
 use crate::clock::Clock;
 use crate::discovery::list::{Listing, Names, News, Server};
 use crate::fleet::Shares;
-use crate::maintenance::{EffectiveState, Maintenance};
+use crate::maintenance::{EffectiveState, ListedMember, Maintenance};
 use crate::members::pool::Pool;
 use crate::policy::Router;
 use linenhill_decisions::outages::{Cause, Sight};
@@ -115,7 +115,7 @@
         match input {
             Input::Taken(taken) => {
                 let Taken { request, payload, deadline, reply } = *taken;
-                let closed = self.maintenance.borrow().closed(request.group) || !self.shares.serves();
+                let closed = self.maintenance.borrow().is_group_out(request.group) || !self.shares.serves();
                 if closed || !self.shares.admission(request.class) {
                     let _ = reply.send(Answer::Refused { retry_after: Some(COME_BACK) });
                     return;
@@ -167,7 +167,8 @@
             Input::Sights(reply) => _ = reply.send(self.sights()),
             Input::Fence(members, done) => {
                 let now = self.clock.now();
-                let changed = self.maintenance.borrow_mut().fence(now, members.into_iter().collect());
+                let changed =
+                    self.maintenance.borrow_mut().set_out_by_fleet(now, members.into_iter().collect());
                 changed.iter().for_each(|id| self.say_again(id));
                 let _ = done.send(());
             }
@@ -218,7 +219,7 @@
     fn entries(&mut self, listing: Listing) -> Arc<Vec<ListEntry>> {
         if listing.full {
             self.listed.clear();
-            self.maintenance.borrow_mut().whole_list(self.clock.now());
+            self.maintenance.borrow_mut().begin_full_list(self.clock.now());
         }
         let mut entries = Vec::with_capacity(listing.servers.len());
         for server in listing.servers {
@@ -239,9 +240,11 @@
         self.pool.locate(entry.member, addr);
         self.pool.name(entry.member, &name);
         let now = self.clock.now();
-        match self.maintenance.borrow_mut().listed(now, &name, entry.group, entry.state, entry.started) {
-            EffectiveState::Listed(started) => entries.push(ListEntry { started, ..entry }),
-            EffectiveState::Out => {
+        let listed =
+            ListedMember { id: &name, group: entry.group, state: entry.state, started: entry.started };
+        match self.maintenance.borrow_mut().record_listed(now, listed) {
+            EffectiveState::AsListed { started } => entries.push(ListEntry { started, ..entry }),
+            EffectiveState::OutOfService => {
                 entries.push(ListEntry { state: MemberState::Draining, ..entry.clone() });
                 entries.push(ListEntry { state: MemberState::Gone, ..entry });
             }
--- a/src/takeover/saved.rs
+++ b/src/takeover/saved.rs
@@ -1,97 +1,118 @@
-//! A small file that two versions of the proxy share: replaced whole, with a version and a checksum, and bounded. What
-//! is torn, foreign, of another version or too long is refused whole; that nothing is there is normal.
+//! A small file that two versions of the proxy share. It is replaced as a whole, bounded, and carries a
+//! version and a checksum. A file that is torn, foreign, of another version or too long is rejected as a
+//! whole; a file that does not exist is no error.
 
+use std::error::Error;
 use std::fmt;
-use std::io::{self, Read, Write};
+use std::fs::File;
+use std::io::{self, ErrorKind, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// The form's version; another one's file is not read.
+/// The version of the format. A file of another one is not read.
 const VERSION: &str = "linenhill-saved-1";
-/// The longest file taken, in bytes.
-const MOST: u64 = 1 << 20;
+/// The longest file that is read or written, in bytes.
+const FILE_MAX: u64 = 1 << 20;
 
-/// Why a file can't be taken.
+/// Why a file can't be read or written.
 #[derive(Debug)]
 pub enum SavedError {
     /// It is longer than any that is written here.
-    Long,
-    /// Its first line is none of this version.
-    Version,
+    TooLong,
+    /// Its first line is not one of this version.
+    WrongVersion,
     /// Its text is not what was written.
     Torn,
-    /// It can't be read or written.
+    /// The system can't read or write it.
     Io(io::Error),
 }
 
 impl From<io::Error> for SavedError {
-    fn from(e: io::Error) -> SavedError {
-        SavedError::Io(e)
+    fn from(error: io::Error) -> SavedError {
+        SavedError::Io(error)
     }
 }
 
 impl fmt::Display for SavedError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            SavedError::Long => write!(f, "over {MOST} bytes"),
-            SavedError::Version => write!(f, "not of the form {VERSION}"),
+            SavedError::TooLong => write!(f, "over {FILE_MAX} bytes"),
+            SavedError::WrongVersion => write!(f, "not of the form {VERSION}"),
             SavedError::Torn => write!(f, "torn: the checksum does not fit"),
-            SavedError::Io(e) => write!(f, "{e}"),
+            SavedError::Io(error) => write!(f, "{error}"),
         }
     }
 }
 
-impl std::error::Error for SavedError {}
+impl Error for SavedError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            SavedError::Io(error) => Some(error),
+            _ => None,
+        }
+    }
+}
 
-/// The file's bytes for a text.
-pub fn sealed(text: &str) -> String {
+/// The bytes of the file for a text: a line with version, CRC-32 and length, then the text.
+pub fn seal(text: &str) -> String {
     format!("{VERSION} {:08x} {}\n{text}", crc32fast::hash(text.as_bytes()), text.len())
 }
 
-/// The text in a file's bytes.
-pub fn opened(bytes: &[u8]) -> Result<&str, SavedError> {
-    if bytes.len() as u64 > MOST {
-        return Err(SavedError::Long);
+/// The text in the bytes of a file.
+pub fn unseal(bytes: &[u8]) -> Result<&str, SavedError> {
+    if bytes.len() as u64 > FILE_MAX {
+        return Err(SavedError::TooLong);
     }
-    let head = bytes.iter().position(|b| *b == b'\n').ok_or(SavedError::Version)?;
-    let (head, text) = (std::str::from_utf8(&bytes[..head]), &bytes[head + 1..]);
-    let mut words = head.map_err(|_| SavedError::Version)?.split(' ');
-    if words.next() != Some(VERSION) {
-        return Err(SavedError::Version);
+    let line_end = bytes.iter().position(|byte| *byte == b'\n').ok_or(SavedError::WrongVersion)?;
+    let header = std::str::from_utf8(&bytes[..line_end]).map_err(|_| SavedError::WrongVersion)?;
+    let text = &bytes[line_end + 1..];
+    let mut fields = header.split(' ');
+    if fields.next() != Some(VERSION) {
+        return Err(SavedError::WrongVersion);
     }
-    let sum = words.next().and_then(|w| u32::from_str_radix(w, 16).ok());
-    let length = words.next().and_then(|w| w.parse::<usize>().ok());
-    if words.next().is_some() || sum != Some(crc32fast::hash(text)) || length != Some(text.len()) {
+    let checksum = fields.next().and_then(|field| u32::from_str_radix(field, 16).ok());
+    let length = fields.next().and_then(|field| field.parse::<usize>().ok());
+    let is_whole = checksum == Some(crc32fast::hash(text)) && length == Some(text.len());
+    if !is_whole || fields.next().is_some() {
         return Err(SavedError::Torn);
     }
     std::str::from_utf8(text).map_err(|_| SavedError::Torn)
 }
 
-/// Reads a file; none is there is none.
+/// Reads a file's text; `None` if the file does not exist.
 pub fn read(path: &Path) -> Result<Option<String>, SavedError> {
-    let file = match std::fs::File::open(path) {
+    let file = match File::open(path) {
         Ok(file) => file,
-        Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(e) => return Err(e.into()),
+        Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
+        Err(error) => return Err(error.into()),
     };
     let mut bytes = Vec::new();
-    file.take(MOST + 1).read_to_end(&mut bytes)?;
-    opened(&bytes).map(|text| Some(text.to_string()))
+    file.take(FILE_MAX + 1).read_to_end(&mut bytes)?;
+    unseal(&bytes).map(|text| Some(text.to_string()))
 }
 
-/// Replaces a file whole: a reader sees the old text or the new one.
+/// Replaces a file as a whole: a reader sees the old text or the new one.
 pub fn write(path: &Path, text: &str) -> Result<(), SavedError> {
-    let bytes = sealed(text);
-    if bytes.len() as u64 > MOST {
-        return Err(SavedError::Long);
+    let bytes = seal(text);
+    if bytes.len() as u64 > FILE_MAX {
+        return Err(SavedError::TooLong);
     }
-    let mut beside = path.as_os_str().to_owned();
-    beside.push(format!(".{}", std::process::id()));
-    let beside = PathBuf::from(beside);
-    let done = std::fs::File::create(&beside)
-        .and_then(|mut file| file.write_all(bytes.as_bytes()))
-        .and_then(|()| std::fs::rename(&beside, path));
-    if done.is_err() {
-        let _ = std::fs::remove_file(&beside);
+    let temporary = temporary_path(path);
+    let written = replace(path, &temporary, bytes.as_bytes());
+    if written.is_err() {
+        // A leftover does no harm, so that it can't be removed is no error of its own.
+        let _ = std::fs::remove_file(&temporary);
     }
-    Ok(done?)
+    Ok(written?)
+}
+
+fn replace(path: &Path, temporary: &Path, bytes: &[u8]) -> io::Result<()> {
+    File::create(temporary)?.write_all(bytes)?;
+    std::fs::rename(temporary, path)
+}
+
+/// Beside the file, so that it can be renamed; two processes that write at once don't share it.
+fn temporary_path(path: &Path) -> PathBuf {
+    let mut name = path.as_os_str().to_owned();
+    name.push(format!(".{}", std::process::id()));
+    PathBuf::from(name)
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -258,14 +258,14 @@
         assert_eq!(CallCodec.decode(&mut whole).map_err(|e| e.status()).err(), Some(status), "{head}");
     }
     let text = r#"[{"id":"a","out":true,"at_us":5}]"#;
-    let sealed = saved::sealed(text);
-    assert_eq!(saved::opened(sealed.as_bytes()).ok(), Some(text));
-    check_whole(32, sealed.as_bytes(), |bytes| saved::opened(bytes).ok().map(str::to_string));
+    let sealed = saved::seal(text);
+    assert_eq!(saved::unseal(sealed.as_bytes()).ok(), Some(text));
+    check_whole(32, sealed.as_bytes(), |bytes| saved::unseal(bytes).ok().map(str::to_string));
     for at in 0..sealed.len() {
-        assert!(saved::opened(&sealed.as_bytes()[..at]).is_err(), "torn at {at}");
+        assert!(saved::unseal(&sealed.as_bytes()[..at]).is_err(), "torn at {at}");
         let mut flipped = sealed.clone().into_bytes();
         flipped[at] ^= 0x11;
-        assert!(saved::opened(&flipped).is_err(), "changed at {at}");
+        assert!(saved::unseal(&flipped).is_err(), "changed at {at}");
     }
 }
 
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -20,7 +20,7 @@
 use linenhill::discovery::{self, list, list::News, status::DiscoveryStatus};
 use linenhill::figures::Figures;
 use linenhill::lifecycle::ServingState;
-use linenhill::maintenance::Maintenance;
+use linenhill::maintenance::{ListedMember, Maintenance};
 use linenhill::members::attempt::{self, Errand};
 use linenhill::members::link::Link;
 use linenhill::members::pool::Pool;
@@ -842,17 +842,18 @@
     assert_eq!((listing.servers.len(), skipped.len()), (2, 0), "that it leaves counts, wherever it is");
 }
 
-// Guards against a word that is lost when two versions write at once, when the file is torn, or when its new text is as
-// long as the old; and against a foreign file that is written over.
+/// Guards against an order that is lost when two versions write at once, when the file is torn, or when its new text is
+/// as long as the old; and against a foreign file that is written over.
 #[tokio::test]
-async fn words_outlast_what_others_write_over_them() {
-    let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-words", std::process::id()));
+async fn orders_outlast_what_others_write_over_them() {
+    let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-orders", std::process::id()));
     let _ = std::fs::remove_file(&file);
     let (clock, (inbox, _events)) = (Clock::start(), mpsc::unbounded_channel());
     let version = || {
         let mut known = Maintenance::default();
         for id in ["a", "b"] {
-            known.listed(clock.now(), id, GroupId(1), MemberState::InService, None);
+            let (group, state) = (GroupId(1), MemberState::InService);
+            known.record_listed(clock.now(), ListedMember { id, group, state, started: None });
         }
         MaintenanceLog::new(Rc::new(RefCell::new(known)), Some(file.clone()), clock, inbox.clone())
     };
@@ -862,7 +863,7 @@
     let stale = std::fs::read(&file).expect("the file");
     assert_eq!(one.order("a", false), Ok(true));
     let newest = text();
-    for over in [stale, saved::sealed(&newest).into_bytes()[..30].to_vec()] {
+    for over in [stale, saved::seal(&newest).into_bytes()[..30].to_vec()] {
         std::fs::write(&file, over).expect("written over");
         one.sync();
         assert_eq!(text(), newest, "its own newest word is there again");
@@ -870,7 +871,7 @@
     let two = version();
     assert_eq!(two.order("b", true), Ok(true));
     one.sync();
-    assert_eq!(one.order("b", true), Ok(false), "told to the other one");
+    assert_eq!(one.order("b", true), Ok(false), "given to the other one");
     std::fs::write(&file, "something else\n").expect("written");
     one.sync();
     assert_eq!(std::fs::read(&file).expect("the file"), b"something else\n");
