--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,10 +1,14 @@
-//! Everything that decides: which member gets a request, when, what happens after failures ([`policy`]), which zones
-//! have gone silent ([`zone_health`]), how the ill are tried ([`outlier_recovery`]), who of the clients' connections is let in
-//! ([`connection_admission`]), when discovery is asked ([`poll_schedule`]) or watched ([`watch_schedule`]), and how old its news is ([`staleness`]),
-//! how long clients have waited already ([`client_retry`]), what the site's goal makes of a request ([`service_objective`]), and what tenants may ask for ([`tenant_rate_limit`]);
-//! and what instances agree on: who they are ([`roster`]), what each may use ([`shares`]), who is out ([`outages`]).
-//! State machines that are told what happened and when, and push what is to be done; no I/O, no clock, no async,
-//! nothing of linenhill's other packages.
+//! Everything that decides. State machines that are told what happened and when, and push what is to be done:
+//! no I/O, no clock, no async, nothing of linenhill's other packages.
+//!
+//! - [`policy`]: which member gets a request, when, and what happens after failures;
+//! - [`zone_health`], [`outlier_recovery`]: which zones have gone silent, and how ejected members are tried again;
+//! - [`service_objective`], [`client_retry`], [`tenant_rate_limit`]: what counts in the priority of a request;
+//! - [`connection_admission`]: which connections of clients are served, closed or rejected;
+//! - [`poll_schedule`], [`watch_schedule`], [`staleness`]: when discovery is polled or watched, how old its
+//!   news is;
+//! - [`lifecycle`], [`maintenance`]: whether this process serves, which members are out by order of operators;
+//! - [`roster`], [`shares`], [`outages`]: what instances agree on: who they are, what each may use, who is out.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
