--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -65,6 +65,11 @@
     }
 }
 
+/// Settings of a site whose replicas reject reads that they are behind for.
+pub fn settings_with_replica_check() -> Settings {
+    Settings { check: ReplicaCheck::Refuse, ..settings() }
+}
+
 /// So many routers make a large fleet.
 pub const FLEET: u32 = 100;
 
--- a/crates/decisions/tests/lifecycle.rs
+++ b/crates/decisions/tests/lifecycle.rs
@@ -59,13 +59,13 @@
 /// is taken back, and a state that changes without being announced.
 #[test]
 fn any_order_of_calls_and_signals_keeps_the_promises() {
-    let mut g = Gen::from_size_and_seed(40, 11);
+    let mut generator = Gen::from_size_and_seed(40, 11);
     for round in 0..2_000 {
         let mut lifecycle = Lifecycle::default();
         let mut history = History::default();
         let mut now = 1_000_000;
         for _ in 0..12 {
-            match *g.choose(&[0, 1, 2, 3]).expect("one of them") {
+            match *generator.choose(&[0, 1, 2, 3]).expect("one of them") {
                 0 => {
                     let answer = lifecycle.handle(Time(now), Event::Standby);
                     assert_eq!(answer, history.expected_answer(), "{history:?}");
@@ -78,12 +78,12 @@
                     history.drained_at = history.drained_at.filter(|_| history.stopped.is_some());
                 }
                 2 if round % 2 == 0 => {
-                    let handed_over = bool::arbitrary(&mut g);
+                    let handed_over = bool::arbitrary(&mut generator);
                     assert_eq!(lifecycle.handle(Time(now), Event::Stop { handed_over }), Ok(()));
                     history.stopped = history.stopped.or(Some((now, handed_over)));
                 }
                 _ => {
-                    let wait = u64::from(u32::arbitrary(&mut g)) % 700_000;
+                    let wait = u64::from(u32::arbitrary(&mut generator)) % 700_000;
                     // What changes in between is announced.
                     let before = lifecycle.serving_state(Time(now));
                     let unchanged_until = match lifecycle.next_change(Time(now)) {
--- a/crates/decisions/tests/maintenance.rs
+++ b/crates/decisions/tests/maintenance.rs
@@ -22,7 +22,7 @@
 #[test]
 fn last_order_counts_in_both_processes() {
     let started = Some(Time(5));
-    let mut g = Gen::from_size_and_seed(40, 12);
+    let mut generator = Gen::from_size_and_seed(40, 12);
     for _ in 0..500 {
         let mut both = [Maintenance::default(), Maintenance::default()];
         let mut expected: BTreeMap<&str, (bool, u64)> = BTreeMap::new();
@@ -31,11 +31,12 @@
             IDS[..3].iter().for_each(|id| _ = maintenance.record_listed(Time(now), in_service(id)));
         }
         for _ in 0..30 {
-            now += 1 + u64::from(u16::arbitrary(&mut g));
-            let (id, one) = (*g.choose(&IDS).expect("one"), usize::from(bool::arbitrary(&mut g)));
-            match *g.choose(&[0, 1, 2, 3]).expect("one") {
+            now += 1 + u64::from(u16::arbitrary(&mut generator));
+            let id = *generator.choose(&IDS).expect("one");
+            let one = usize::from(bool::arbitrary(&mut generator));
+            match *generator.choose(&[0, 1, 2, 3]).expect("one") {
                 0 | 1 => {
-                    let out = bool::arbitrary(&mut g);
+                    let out = bool::arbitrary(&mut generator);
                     let before = expected.get(id).is_some_and(|e| e.0);
                     let result = both[one].order(Time(now), id, out);
                     if id == "nobody" {
@@ -49,7 +50,7 @@
                 }
                 2 => both[one].begin_full_list(Time(now)),
                 _ => {
-                    let state = *g.choose(&[MemberState::InService, MemberState::Gone]).expect("one");
+                    let state = *generator.choose(&[MemberState::InService, MemberState::Gone]).expect("one");
                     if id != "nobody" {
                         both[one].record_listed(Time(now), ListedMember { state, started, ..in_service(id) });
                     }
@@ -74,39 +75,40 @@
 /// Guards against orders and ids without a bound, and against a member that is forgotten while it is out.
 #[test]
 fn orders_are_bounded_and_members_out_stay_known() {
-    let mut m = Maintenance::default();
+    let mut maintenance = Maintenance::default();
     let mut rejected = 0;
     for n in 0..9_000u64 {
         let id = format!("m{n}");
-        m.record_listed(Time(n), in_service(&id));
-        rejected += u64::from(m.order(Time(n), &id, n % 2 == 0) == Err(OrderRejected::TooManyOrders));
+        maintenance.record_listed(Time(n), in_service(&id));
+        rejected +=
+            u64::from(maintenance.order(Time(n), &id, n % 2 == 0) == Err(OrderRejected::TooManyOrders));
     }
-    let listed = m.known().filter(|(_, _, is_listed)| *is_listed).count();
-    assert!(m.orders().count() <= 1_024 && m.known().count() <= 4_096 && listed > 0);
+    let listed = maintenance.known().filter(|(_, _, is_listed)| *is_listed).count();
+    assert!(maintenance.orders().count() <= 1_024 && maintenance.known().count() <= 4_096 && listed > 0);
     assert!(rejected > 0, "at the bound an order is rejected, and none that holds is dropped");
     let hours = Time(10_000_000_000);
-    m.begin_full_list(hours);
-    assert_eq!(m.order(hours, "m0", false), Ok(true), "its way back is open");
-    assert_eq!(m.order(hours, "m1", true), Err(OrderRejected::UnknownMember));
+    maintenance.begin_full_list(hours);
+    assert_eq!(maintenance.order(hours, "m0", false), Ok(true), "its way back is open");
+    assert_eq!(maintenance.order(hours, "m1", true), Err(OrderRejected::UnknownMember));
 }
 
 /// Guards against requests that wait for a group of which operators have taken out every member, and against
 /// rejecting those of a group with one member left, or with none listed.
 #[test]
 fn group_is_out_once_all_its_listed_members_are() {
-    let mut m = Maintenance::default();
+    let mut maintenance = Maintenance::default();
     let now = Time(1_000_000);
     for (id, group) in [("a", 1), ("b", 1), ("c", 2)] {
-        m.record_listed(now, ListedMember { group: GroupId(group), ..in_service(id) });
+        maintenance.record_listed(now, ListedMember { group: GroupId(group), ..in_service(id) });
     }
-    let out = |m: &Maintenance| [1, 2, 3].map(|group| m.is_group_out(GroupId(group)));
-    assert_eq!(m.order(now, "a", true), Ok(true));
-    assert_eq!(out(&m), [false; 3]);
-    assert_eq!(m.order(now, "b", true), Ok(true));
-    assert_eq!(out(&m), [true, false, false]);
-    m.record_listed(now, in_service("d"));
-    assert_eq!(out(&m), [false; 3]);
-    m.record_listed(now, ListedMember { state: MemberState::Gone, ..in_service("d") });
-    assert_eq!(m.order(now, "b", false), Ok(true));
-    assert_eq!(out(&m), [false; 3]);
+    let out = |maintenance: &Maintenance| [1, 2, 3].map(|group| maintenance.is_group_out(GroupId(group)));
+    assert_eq!(maintenance.order(now, "a", true), Ok(true));
+    assert_eq!(out(&maintenance), [false; 3]);
+    assert_eq!(maintenance.order(now, "b", true), Ok(true));
+    assert_eq!(out(&maintenance), [true, false, false]);
+    maintenance.record_listed(now, in_service("d"));
+    assert_eq!(out(&maintenance), [false; 3]);
+    maintenance.record_listed(now, ListedMember { state: MemberState::Gone, ..in_service("d") });
+    assert_eq!(maintenance.order(now, "b", false), Ok(true));
+    assert_eq!(out(&maintenance), [false; 3]);
 }
--- a/crates/decisions/tests/member_load.rs
+++ b/crates/decisions/tests/member_load.rs
@@ -33,7 +33,7 @@
 #[test]
 fn draining_member_is_not_probed() {
     let mut rig = Rig::new(settings());
-    let drains = |m: u32| ListEntry { state: MemberState::Draining, ..entry(m) };
+    let drains = |member: u32| ListEntry { state: MemberState::Draining, ..entry(member) };
     rig.list(vec![drains(1), drains(2), drains(3)]);
     rig.out.clear();
     for _ in 0..20 {
@@ -47,7 +47,7 @@
 /// and against one that reports busy ones and is given ever more.
 #[test]
 fn member_with_idle_processors_is_not_held_back() {
-    let play = |util: f64| {
+    let most_at_once = |utilisation: f64| {
         let mut rig = Rig::new(Settings { fleet_size: 3, ..settings() });
         let mut most = 0;
         for _ in 0..50 {
@@ -57,13 +57,13 @@
             most = sent.iter().sum();
             rig.wait(220);
             for id in &ids {
-                rig.ends(*id, (Outcome::Ok, 220), util, |_| true);
+                rig.ends(*id, (Outcome::Ok, 220), utilisation, |_| true);
             }
             rig.wait(300);
             rig.out.clear();
         }
         most
     };
-    assert_eq!(play(0.3), 4, "two replicas, two each");
-    assert!(play(0.97) < 4, "strained, and busy by its own word");
+    assert_eq!(most_at_once(0.3), 4, "two replicas, two each");
+    assert!(most_at_once(0.97) < 4, "strained, and busy by its own report");
 }
--- a/crates/decisions/tests/poll_schedule.rs
+++ b/crates/decisions/tests/poll_schedule.rs
@@ -5,7 +5,15 @@
 
 const MS: u64 = 1_000;
 const FLEET: u32 = 100;
+/// A proxy that has not polled for so long counts as notified.
 const WITHIN: u64 = 10_000 * MS;
+/// When a watch that fell silent at the start is noticed.
+const NOTICED: u64 = 3_000 * MS;
+
+/// When the next poll is due, looking once in each millisecond from then on.
+fn next_due(schedule: &mut PollSchedule, from: u64) -> u64 {
+    (from..).step_by(MS as usize).find(|at| schedule.take_due(*at)).expect("due")
+}
 
 /// How a fleet that started together was notified.
 struct StartResult {
@@ -51,11 +59,13 @@
 /// the fleet never had a list. After a release only most of them call, and the others keep their watch.
 #[test]
 fn fleet_that_starts_together_is_notified_with_few_calls() {
-    for (part, named, calls_most, last_most) in
+    for (part, indexed, calls_most, last_most) in
         [(10, true, 150, 12_000), (7, true, 70, 5_500), (10, false, 180, 12_000)]
     {
-        let starters: Vec<Option<u32>> =
-            (0..FLEET).filter(|me| me % 10 < part).map(|me| Some(me).filter(|_| named)).collect();
+        let starters: Vec<Option<u32>> = (0..FLEET)
+            .filter(|index| index % 10 < part)
+            .map(|index| Some(index).filter(|_| indexed))
+            .collect();
         let StartResult { last_notified, calls, busiest_second } = play_start(&starters);
         assert!(last_notified <= last_most * MS, "the last at {last_notified}");
         assert!(calls <= calls_most && busiest_second <= 30, "{calls} calls, {busiest_second} in a second");
@@ -68,21 +78,23 @@
 #[test]
 fn backoff_is_spread_and_bounded() {
     for fleet in [1, 3, FLEET, u32::MAX] {
-        let (mut gaps, mut rng) = (Vec::new(), fastrand::Rng::with_seed(3));
-        for me in (0..fleet.min(FLEET)).chain([u32::MAX]) {
-            let mut schedule = PollSchedule::new(Some(me), fleet, WITHIN, Some(0));
+        let mut gaps = Vec::new();
+        let mut rng = fastrand::Rng::with_seed(3);
+        for index in (0..fleet.min(FLEET)).chain([u32::MAX]) {
+            let mut schedule = PollSchedule::new(Some(index), fleet, WITHIN, Some(0));
             schedule.list_loaded(0, 1.0, 0);
             assert!(schedule.take_due(0), "without a list the first call is due at once");
             let mut now = 0;
             for _ in 0..6 {
                 schedule.failed(now, rng.f64(), None);
-                let from = now;
-                now = (from..).step_by(MS as usize).find(|at| schedule.take_due(*at)).expect("due");
-                gaps.push(now - from);
+                let next = next_due(&mut schedule, now);
+                gaps.push(next - now);
+                now = next;
             }
         }
         assert!(gaps.iter().all(|gap| *gap <= WITHIN / 5 * 4 + MS), "{gaps:?}");
-        let rate = 1e6 * f64::from(fleet.min(FLEET)) / (gaps.iter().sum::<u64>() as f64 / gaps.len() as f64);
+        let mean_gap = gaps.iter().sum::<u64>() as f64 / gaps.len() as f64;
+        let rate = 1e6 * f64::from(fleet.min(FLEET)) / mean_gap;
         assert!(rate <= 20.0, "{fleet} proxies call {rate} times a second");
     }
     let mut pushed = PollSchedule::new(None, 0, 0, None);
@@ -96,41 +108,48 @@
 /// call in one wave either.
 #[test]
 fn poll_after_a_silent_watch_precedes_the_drain() {
-    const NOTICED: u64 = 3_000 * MS;
     for (fleet, grace) in [(2, 250), (2, 2_000), (12, 250), (12, 2_000), (300, 250), (300, 2_000)] {
-        let (binds, mut calls, mut rng) = (6_000 * MS + grace * MS, Vec::new(), fastrand::Rng::with_seed(11));
-        for me in 0..fleet {
-            let mut schedule =
-                PollSchedule::new(Some(me), fleet, WITHIN, Some(0)).with_drain_grace(grace * MS);
-            assert!(schedule.take_due(0));
-            schedule.succeeded();
-            let due = |schedule: &mut PollSchedule, from: u64| {
-                (from..).step_by(MS as usize).find(|at| schedule.take_due(*at)).expect("due")
-            };
-            schedule.failed(NOTICED, rng.f64(), Some(NOTICED));
-            let first = due(&mut schedule, NOTICED);
-            assert!(first + 1_000 * MS <= binds + MS, "{fleet}, {grace}: called after {first} us");
-            calls.push(first);
-            // A call that fails at once is followed by others, the sooner the less time is left.
-            let (mut now, mut after) = (first, 0);
-            while now + 1_050 * MS < binds {
-                schedule.failed(now, rng.f64(), None);
-                now = due(&mut schedule, now);
-                after += u32::from(now + 1_000 * MS <= binds + MS);
-            }
-            assert!(first + 1_200 * MS >= binds || after > 0, "{fleet}, {grace}: nothing after {first} us");
-            // Heard again, it has the gaps of before; what was missed before the next silence counts from
-            // there.
-            schedule.succeeded();
-            schedule.failed(60_000 * MS, 0.0, None);
-            assert!(due(&mut schedule, 60_000 * MS) >= 60_000 * MS + 125 * MS);
-        }
-        let wave = |from: u64| calls.iter().filter(|at| (from..from + 100 * MS).contains(at)).count();
-        let most = (NOTICED..binds).step_by(50 * MS as usize).map(wave).max().expect("a wave");
+        let grace = grace * MS;
+        let drain_binds = 6_000 * MS + grace;
+        let mut rng = fastrand::Rng::with_seed(11);
+        let first_calls: Vec<u64> = (0..fleet)
+            .map(|index| {
+                let schedule = PollSchedule::new(Some(index), fleet, WITHIN, Some(0));
+                poll_after_silence(schedule.with_drain_grace(grace), drain_binds, &mut rng)
+            })
+            .collect();
+        let within_100_ms = |from: u64| from..from + 100 * MS;
+        let wave = |from: u64| first_calls.iter().filter(|at| within_100_ms(from).contains(at)).count();
+        let most = (NOTICED..drain_binds).step_by(50 * MS as usize).map(wave).max().expect("a wave");
         assert!(fleet < 300 || most < 40, "{fleet}, {grace}: {most} calls within 100 ms");
     }
 }
 
+/// Plays one proxy whose first watch falls silent at once; returns when it calls for the first time after
+/// that.
+fn poll_after_silence(mut schedule: PollSchedule, drain_binds: u64, rng: &mut fastrand::Rng) -> u64 {
+    assert!(schedule.take_due(0));
+    schedule.succeeded();
+    schedule.failed(NOTICED, rng.f64(), Some(NOTICED));
+    let first = next_due(&mut schedule, NOTICED);
+    assert!(first + 1_000 * MS <= drain_binds + MS, "{drain_binds}: called after {first} us");
+    // A call that fails at once is followed by others, the sooner the less time is left.
+    let mut now = first;
+    let mut later_calls = 0;
+    while now + 1_050 * MS < drain_binds {
+        schedule.failed(now, rng.f64(), None);
+        now = next_due(&mut schedule, now);
+        later_calls += u32::from(now + 1_000 * MS <= drain_binds + MS);
+    }
+    let is_late = first + 1_200 * MS >= drain_binds;
+    assert!(is_late || later_calls > 0, "{drain_binds}: nothing after {first} us");
+    // After a success it has the gaps of before; what the next silent watch misses counts from that silence.
+    schedule.succeeded();
+    schedule.failed(60_000 * MS, 0.0, None);
+    assert!(next_due(&mut schedule, 60_000 * MS) >= 60_000 * MS + 125 * MS);
+    first
+}
+
 /// Guards against a second silent watch that moves the deadline of the first; and against odd figures: a
 /// silence as long as the clock, or one that ended long ago.
 #[test]
@@ -146,11 +165,11 @@
     schedule.failed(20_000 * MS, 1.0, None);
     assert!(
         !schedule.take_due(27_999 * MS) && schedule.take_due(28_000 * MS),
-        "what is over is over: gaps as ever"
+        "a deadline that has passed no longer counts"
     );
-    for (now, quiet, grace) in [(0, u64::MAX, 0), (u64::MAX / 2, u64::MAX, u64::MAX), (5, 0, u64::MAX)] {
+    for (now, silent_for, grace) in [(0, u64::MAX, 0), (u64::MAX / 2, u64::MAX, u64::MAX), (5, 0, u64::MAX)] {
         let mut schedule = PollSchedule::new(None, u32::MAX, WITHIN, Some(0)).with_drain_grace(grace);
-        schedule.failed(now, 1.0, Some(quiet));
+        schedule.failed(now, 1.0, Some(silent_for));
         schedule.failed(now, 0.0, None);
         assert!(schedule.take_due(now + WITHIN));
     }
@@ -163,20 +182,26 @@
 fn any_order_keeps_one_poll_out_and_the_deadlines() {
     for seed in 0..500 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (fleet, grace) = (*rng.choice(&[1, 12, 300]).expect("one"), rng.u64(..2_000) * MS);
+        let fleet = *rng.choice(&[1, 12, 300]).expect("one");
+        let grace = rng.u64(..2_000) * MS;
         let mut schedule = PollSchedule::new(None, fleet, WITHIN, Some(0)).with_drain_grace(grace);
-        let (mut now, mut out, mut opened, mut by, mut missed) = (0, false, 0, 0, Vec::new());
+        let mut now = 0;
+        let mut is_out = false;
+        let mut opened_at = 0;
+        let mut due_by = 0;
+        // When the drains bind that silent watches have missed.
+        let mut missed = Vec::new();
         for _ in 0..80 {
             if rng.bool() {
                 now += rng.u64(..1_500) * MS;
             }
             let due = schedule.take_due(now);
-            assert!(!due || !out, "{seed}: a call beside one that is out");
-            assert!(due || out || now <= by, "{seed}: none by {by}, it is {now}");
-            opened = if due { now } else { opened };
-            out |= due;
+            assert!(!due || !is_out, "{seed}: a call beside one that is out");
+            assert!(due || is_out || now <= due_by, "{seed}: none by {due_by}, it is {now}");
+            opened_at = if due { now } else { opened_at };
+            is_out |= due;
             assert!(!schedule.take_due(now), "{seed}: said twice");
-            if !out {
+            if !is_out {
                 continue;
             }
             match rng.u32(..4) {
@@ -185,16 +210,18 @@
                     missed.clear();
                 }
                 1 => {}
-                failed => {
+                failure => {
                     // No watch is silent for longer than it is open, and silence is noticed after 3 s.
-                    let quiet = (failed == 3).then(|| rng.u64(..=(now - opened).min(3_000 * MS)));
-                    schedule.failed(now, rng.f64(), quiet);
-                    let binds = quiet.map(|q| now.saturating_sub(q) + 6_000 * MS + grace);
-                    // Every silence since anything was heard counts, until it is over.
+                    let open_for = (now - opened_at).min(3_000 * MS);
+                    let silent_for = (failure == 3).then(|| rng.u64(..=open_for));
+                    schedule.failed(now, rng.f64(), silent_for);
+                    let binds = silent_for.map(|length| now.saturating_sub(length) + 6_000 * MS + grace);
+                    // Every silence since a success counts, until its drain binds.
                     missed.extend(binds);
                     missed.retain(|binds| *binds > now + 1_050 * MS);
-                    let first = missed.iter().min().map(|binds| binds - 1_000 * MS);
-                    (out, by) = (false, first.unwrap_or(u64::MAX).min(now + WITHIN / 5 * 4));
+                    let first = missed.iter().min().map_or(u64::MAX, |binds| binds - 1_000 * MS);
+                    due_by = first.min(now + WITHIN / 5 * 4);
+                    is_out = false;
                 }
             }
         }
--- a/crates/decisions/tests/zone_health.rs
+++ b/crates/decisions/tests/zone_health.rs
@@ -10,38 +10,47 @@
 #[test]
 fn zone_is_silent_by_the_sum_of_its_waits() {
     let mut zones = ZoneHealth::default();
-    let wait =
-        |m, sent: u64| InFlightAttempt { zone: ZoneId(1), member: MemberId(m), sent: sent * MS, usual: 1e5 };
-    let many = |members: u32, sent| (0..4).map(move |n| wait(n % members, sent));
-    let silent = |zones: &ZoneHealth, waits: Vec<InFlightAttempt>| {
-        !zones.silent_zones(1_300 * MS, waits.into_iter()).is_empty()
+    let attempt = |member, sent: u64| InFlightAttempt {
+        zone: ZoneId(1),
+        member: MemberId(member),
+        sent: sent * MS,
+        usual: 1e5,
     };
-    (0..2).for_each(|z| zones.record_answer(ZoneId(z), 1_000 * MS));
-    assert!(!silent(&zones, many(4, 1_000).collect()), "nobody else was heard of since");
+    let four =
+        |members: u32, sent| -> Vec<InFlightAttempt> { (0..4).map(|n| attempt(n % members, sent)).collect() };
+    let is_silent = |zones: &ZoneHealth, in_flight: Vec<InFlightAttempt>| {
+        !zones.silent_zones(1_300 * MS, in_flight.into_iter()).is_empty()
+    };
+    (0..2).for_each(|zone| zones.record_answer(ZoneId(zone), 1_000 * MS));
+    assert!(!is_silent(&zones, four(4, 1_000)), "no other zone has answered since");
     zones.record_answer(ZoneId(0), 1_200 * MS);
-    assert!(silent(&zones, many(4, 1_000).collect()), "4 x 3 usual times");
-    assert!(!silent(&zones, many(2, 1_000).collect()), "two members");
-    assert!(!silent(&zones, many(4, 1_150).collect()), "too soon");
-    assert!(!silent(&zones, vec![wait(1, 0), wait(2, 1_190), wait(3, 1_190)]), "one that takes long");
-    // A list can name any number of zones; those heard of last are kept.
-    (2..1_000).for_each(|z| zones.record_answer(ZoneId(z), 1_201 * MS));
-    assert!(!silent(&zones, many(4, 1_000).collect()), "forgotten");
+    assert!(is_silent(&zones, four(4, 1_000)), "4 x 3 usual times");
+    assert!(!is_silent(&zones, four(2, 1_000)), "two members");
+    assert!(!is_silent(&zones, four(4, 1_150)), "too soon");
+    assert!(
+        !is_silent(&zones, vec![attempt(1, 0), attempt(2, 1_190), attempt(3, 1_190)]),
+        "one that takes long"
+    );
+    // A list can name any number of zones; those that answered last are kept.
+    (2..1_000).for_each(|zone| zones.record_answer(ZoneId(zone), 1_201 * MS));
+    assert!(!is_silent(&zones, four(4, 1_000)), "forgotten");
 }
 
-/// A router before two zones of `each` replicas; after two seconds the second zone answers nothing any more,
-/// and is lost for four. The attempts that went there meanwhile.
+/// Plays a router before two zones of `each` replicas. After two seconds the second zone answers nothing any
+/// more, for four seconds. Returns the attempts that went there meanwhile.
 fn lose_a_zone(rig: &mut Rig, each: u32) -> usize {
-    let zone = |m: u32| ZoneId(usize::from(m > each));
-    rig.list((1..=2 * each).map(|m| ListEntry { zone: zone(m), ..entry(m) }).collect());
+    let zone = |member: u32| ZoneId(usize::from(member > each));
+    rig.list((1..=2 * each).map(|member| ListEntry { zone: zone(member), ..entry(member) }).collect());
     let there = |rig: &Rig| {
-        rig.out.iter().filter(|a| matches!(a, Action::Send { member, .. } if member.0 > each)).count()
+        let is_there = |action: &&Action| matches!(action, Action::Send { member, .. } if member.0 > each);
+        rig.out.iter().filter(is_there).count()
     };
     let mut before = 0;
     for step in 0..120 {
         before = if step == 40 { there(rig) } else { before };
         let read = rig.ask(SESSION, 450, None);
         rig.wait(50);
-        rig.ends(read, (Outcome::Ok, 50), 0.5, |m| step < 40 || m <= each);
+        rig.ends(read, (Outcome::Ok, 50), 0.5, |member| step < 40 || member <= each);
     }
     there(rig) - before
 }
@@ -50,19 +59,15 @@
 /// each. Without the sum over the zone they lost 1,441 requests here, 345 with it.
 #[test]
 fn lost_zone_costs_a_router_few_requests() {
-    let lost: usize = fleet(checked()).map(|mut rig| lose_a_zone(&mut rig, 15)).sum();
+    let lost: usize = fleet(settings_with_replica_check()).map(|mut rig| lose_a_zone(&mut rig, 15)).sum();
     assert!((FLEET as usize..=6 * FLEET as usize).contains(&lost), "{lost} requests lost");
 }
 
-fn checked() -> Settings {
-    Settings { check: ReplicaCheck::Refuse, ..settings() }
-}
-
 /// Guards against a full share for members that lost power with their zone and come back cold: their
 /// connections time out, as at a cut, and the list tells of their start only seconds later.
 #[test]
 fn zone_returns_cold_before_the_list_tells() {
-    let mut rig = fleet(checked()).next().expect("one");
+    let mut rig = fleet(settings_with_replica_check()).next().expect("one");
     lose_a_zone(&mut rig, 8);
     let report = LoadReport::default();
     (9..=16).map(MemberId).for_each(|member| {
@@ -70,9 +75,10 @@
     });
     for (after, least, most) in [(2_000, 0, 2), (16_000, 4, 16)] {
         rig.wait(after);
-        (1..=16).for_each(|m| rig.report(m, rig.now, Role::Replica));
+        (1..=16).for_each(|member| rig.report(member, rig.now, Role::Replica));
         let reads: Vec<RequestId> = (0..16).map(|_| rig.ask(SESSION, 450, None)).collect();
-        let there = reads.iter().filter(|r| rig.sends(**r).iter().any(|m| *m > 8)).count();
+        let is_there = |read: &&RequestId| rig.sends(**read).iter().any(|member| *member > 8);
+        let there = reads.iter().filter(is_there).count();
         assert!((least..=most).contains(&there), "{there} of 16 reads after {after} ms");
     }
 }
