--- a/crates/decisions/src/client_retry.rs
+++ b/crates/decisions/src/client_retry.rs
@@ -126,7 +126,7 @@
             self.tracked.push(TrackedTimeout { timeout, count: 0 });
             return self.tracked.len() - 1;
         }
-        // Space-saving: the rarest makes room, and leaves its count to the newcomer as an upper bound.
+        // Space-saving: the rarest makes room, and leaves its count to the new one as an upper bound.
         let rarest = (0..TRACKED_MAX).min_by_key(|index| self.tracked[*index].count).unwrap_or(0);
         self.tracked[rarest].timeout = timeout;
         rarest
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -110,14 +110,14 @@
     let book = Book::new(counters.clone(), figures.clone());
     let sender = Sender::new(pool.clone(), inbox.clone(), book.clone(), limits.max_attempts);
     let longest = Duration::from_micros(site.longest.0);
-    let bounds = AdmissionLimits {
+    let admission_limits = AdmissionLimits {
         max_served: share(SERVED_PART),
         max_rejected: share(REFUSED_PART),
         max_closing: LEAVING,
         max_request_connections: config.sockets / REQUESTS_PART,
         max_retry_after: limits.max_retry_after,
     };
-    let connection_gate = ConnectionGate::new(bounds, clock);
+    let connection_gate = ConnectionGate::new(admission_limits, clock);
     let intake = Intake::new(&site, clock);
     let admit =
         Admit::new(site.max_open, config.memory / MESSAGES_PART, (config.memory as f64 * LONG_PART) as usize);
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -140,7 +140,7 @@
     Rc::new(Figures::new(["list", "own", "order"]))
 }
 
-fn bounds(max_served: usize) -> AdmissionLimits {
+fn admission_limits(max_served: usize) -> AdmissionLimits {
     AdmissionLimits {
         max_served,
         max_rejected: 0,
@@ -151,7 +151,7 @@
 }
 
 fn connection_gate(max_served: usize) -> Rc<ConnectionGate> {
-    ConnectionGate::new(bounds(max_served), Clock::start())
+    ConnectionGate::new(admission_limits(max_served), Clock::start())
 }
 
 /// A session on one end of a stream, before this desk.
@@ -314,43 +314,43 @@
     drop(near);
 }
 
-// Guards against newcomers turned away for the sake of connections that ask nothing, and against ending one
-// whose request is open.
+/// Guards against rejecting new connections for the sake of those that send nothing, and against ending one while a
+/// request of it is open.
 #[tokio::test(start_paused = true)]
-async fn a_newcomer_gets_the_place_of_the_one_idle_longest() {
-    let connection_gate = connection_gate(4);
-    let seat = |_| connection_gate.admit().inspect(AdmittedConnection::mark_busy);
-    let seats: Vec<AdmittedConnection> = (0..4).filter_map(seat).collect();
-    let left = |i: usize| seats[i].close_requested().now_or_never().is_some();
-    seats[3].mark_started();
+async fn new_connection_gets_the_slot_of_the_one_idle_longest() {
+    let gate = connection_gate(4);
+    let admit_busy = || gate.admit().inspect(AdmittedConnection::mark_busy);
+    let is_asked_to_close =
+        |connection: &AdmittedConnection| connection.close_requested().now_or_never().is_some();
+    let admitted: Vec<AdmittedConnection> = (0..4).filter_map(|_| admit_busy()).collect();
+    let is_asked = |index: usize| is_asked_to_close(&admitted[index]);
+    admitted[3].mark_started();
     sleep(Duration::from_millis(100)).await;
-    seats[2].mark_idle();
-    assert!(connection_gate.admit().is_none(), "nobody has been idle or silent for long enough");
+    admitted[2].mark_idle();
+    assert!(gate.admit().is_none(), "none has been idle or silent for long enough");
     sleep(Duration::from_millis(100)).await;
-    let fourth = connection_gate.admit().inspect(AdmittedConnection::mark_busy);
-    assert!(fourth.is_some() && left(3) && !left(2), "it has asked nothing for 0.2 s");
+    let fourth = admit_busy();
+    assert!(fourth.is_some() && is_asked(3) && !is_asked(2), "it has sent no request for 0.2 s");
     sleep(Duration::from_millis(150)).await;
-    let fifth = connection_gate.admit().inspect(AdmittedConnection::mark_busy);
-    assert!(fifth.is_some() && left(2), "idle for 0.2 s");
-    assert!(
-        connection_gate.admit().is_none() && !left(0) && !left(1),
-        "requests are open, or it came just now"
-    );
-    drop(seats);
-    let crowd: Vec<AdmittedConnection> = (0..2).filter_map(|_| connection_gate.admit()).collect();
-    let told = |seat: &AdmittedConnection| seat.close_requested().now_or_never().is_some();
-    assert!(told(&crowd[0]) && !told(&crowd[1]), "only the oldest of a silent crowd, with places left");
-}
-
-// Guards against the recorded incident on real sockets: clients that may hold 8 connections for requests, ask
-// once on each and hold it for good, ask nothing more once all 8 are held, unless the door ends some.
+    let fifth = admit_busy();
+    assert!(fifth.is_some() && is_asked(2), "idle for 0.2 s");
+    let sixth = gate.admit();
+    assert!(sixth.is_none() && !is_asked(0) && !is_asked(1), "requests are open, or it came just now");
+    drop(admitted);
+    let silent: Vec<AdmittedConnection> = (0..2).filter_map(|_| gate.admit()).collect();
+    let asked: Vec<bool> = silent.iter().map(is_asked_to_close).collect();
+    assert_eq!(asked, [true, false], "only the oldest of those that are silent, with slots left");
+}
+
+/// Guards against the recorded incident on real sockets: clients that may hold 8 connections for requests, send one
+/// request on each and hold it, send nothing more once all 8 are held, unless some are closed.
 #[tokio::test]
-async fn clients_that_hold_their_connections_for_good_are_served_on() {
+async fn clients_that_hold_connections_are_still_served() {
     let (desk, mut events) = desk();
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
-    let bounds = AdmissionLimits { max_request_connections: 8, ..bounds(40) };
-    let connection_gate = ConnectionGate::new(bounds, Clock::start());
+    let limits = AdmissionLimits { max_request_connections: 8, ..admission_limits(40) };
+    let connection_gate = ConnectionGate::new(limits, Clock::start());
     let (_tell, serving_state) = watch::channel(SERVING);
     let counters = Rc::new(Counters::default());
     let answering = async move {
@@ -387,8 +387,9 @@
     local.spawn_local(answering);
     let done = local.run_until(timeout(Duration::from_secs(20), asking)).await;
     assert!(done.is_ok(), "after {} connections no more could be opened", counters.clients.get());
-    let ends = (counters.ended.get(CloseReason::MadeRoom), counters.ended.sum());
-    assert!(ends.0 >= 32 && ends.0 == ends.1, "{ends:?}");
+    let made_room = counters.ended.get(CloseReason::MadeRoom);
+    let all_ended = counters.ended.sum();
+    assert!(made_room >= 32 && made_room == all_ended, "{made_room} of {all_ended}");
 }
 
 // Guards against a place that is not given back, and against a request lost to a newcomer.
