--- a/crates/decisions/src/policy/members.rs
+++ b/crates/decisions/src/policy/members.rs
@@ -227,8 +227,8 @@
             self.check_member(id, out);
         }
         // A lost zone isn't learned at a request a member: a probe each tells. Kept connections would break.
-        let waits = self.members.iter().flat_map(|(id, m)| m.waits(*id, &self.means));
-        for zone in self.zone_health.silent_zones(now, waits) {
+        let in_flight = self.members.iter().flat_map(|(id, m)| m.in_flight(*id, &self.means));
+        for zone in self.zone_health.silent_zones(now, in_flight) {
             let lost = |m: &&Member| m.zone == Some(zone) && m.ejected.as_ref().is_none_or(|i| !i.restarted);
             let lost = self.members.iter().filter(|(_, m)| lost(m)).map(|(id, _)| *id);
             for member in lost.collect::<Vec<_>>() {
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -95,8 +95,8 @@
         self.state == MemberState::InService && !self.probing
     }
 
-    /// What is out here, each with its usual time by its class's mean.
-    pub(crate) fn waits(&self, id: MemberId, means: &[f64]) -> impl Iterator<Item = InFlightAttempt> {
+    /// The attempts in flight here, each with its usual time by its class's mean.
+    pub(crate) fn in_flight(&self, id: MemberId, means: &[f64]) -> impl Iterator<Item = InFlightAttempt> {
         let usual = |class: usize| means[class] * self.ratio.clamp(1.0, 4.0);
         let out = move |o: &Sent| {
             Some(InFlightAttempt { zone: self.zone?, member: id, sent: o.0, usual: usual(o.1) })
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -35,19 +35,19 @@
 /// one after the other leave a part of the 6 s.
 const AGENT_WITHIN: Duration = Duration::from_millis(1_500);
 
-/// When the next watch is opened.
-pub enum Keeping {
-    /// Whenever the decisions ask for one: a service answers the calls of all proxies in turn.
-    Asked(Rc<Notify>),
-    /// Always, at an agent on this machine to which lists are pushed.
-    Kept(WatchSchedule),
+/// What opens the next watch.
+pub enum WatchTrigger {
+    /// A request of the decisions: one service answers the calls of all proxies in turn.
+    OnRequest(Rc<Notify>),
+    /// The schedule of a watch that is always open, at an agent on this machine to which lists are pushed.
+    Always(WatchSchedule),
 }
 
-impl Keeping {
+impl WatchTrigger {
     async fn due(&self, clock: Clock) {
         match self {
-            Keeping::Asked(asked) => asked.notified().await,
-            Keeping::Kept(schedule) => match schedule.next_watch() {
+            WatchTrigger::OnRequest(request) => request.notified().await,
+            WatchTrigger::Always(schedule) => match schedule.next_watch() {
                 Some(at) => sleep_until(clock.instant(at)).await,
                 None => std::future::pending().await,
             },
@@ -55,19 +55,19 @@
     }
 
     fn opening(&mut self, now: Time) {
-        if let Keeping::Kept(schedule) = self {
+        if let WatchTrigger::Always(schedule) = self {
             schedule.opening(now);
         }
     }
 
     fn ended(&mut self, now: Time, chance: f64) {
-        if let Keeping::Kept(schedule) = self {
+        if let WatchTrigger::Always(schedule) = self {
             schedule.ended(now, chance);
         }
     }
 
     fn moved(&mut self, now: Time) {
-        if let Keeping::Kept(schedule) = self {
+        if let WatchTrigger::Always(schedule) = self {
             schedule.agent_moved(now);
         }
     }
@@ -76,21 +76,21 @@
 /// Keeps one watch at a time, and says when one has failed. When discovery moves, a new watch begins there at once,
 /// from the version known.
 pub async fn run(
-    mut at: watch::Receiver<SocketAddr>, mut keeping: Keeping, status: Rc<DiscoveryStatus>,
+    mut at: watch::Receiver<SocketAddr>, mut trigger: WatchTrigger, status: Rc<DiscoveryStatus>,
     inbox: mpsc::UnboundedSender<Input>, counters: Rc<Counters>, within: Duration, mut rng: fastrand::Rng,
 ) {
     let (clock, mut last) = (status.clock(), None);
     let mut opened;
     loop {
         tokio::select! {
-            () = keeping.due(clock) => {}
+            () = trigger.due(clock) => {}
             () = moved(&mut at) => {}
         }
         loop {
             let addr = *at.borrow_and_update();
             counters.calls.add();
             opened = clock.now();
-            keeping.opening(opened);
+            trigger.opening(opened);
             let ended = tokio::select! {
                 reason = watch(addr, &status, &inbox, within) => Some(reason),
                 () = moved(&mut at) => None,
@@ -98,17 +98,17 @@
             // An agent that is away is tried many times a second: its first refusal tells as much as all of them.
             let reason = ended.unwrap_or(CloseReason::Moved);
             let again = reason == CloseReason::Refused && last == Some(reason);
-            if !again || matches!(keeping, Keeping::Asked(_)) {
+            if !again || matches!(trigger, WatchTrigger::OnRequest(_)) {
                 log_close(Side::Discovery, addr, reason);
             }
             last = Some(reason);
             if ended.is_some() {
                 break;
             }
-            keeping.moved(clock.now());
+            trigger.moved(clock.now());
         }
         let now = clock.now();
-        keeping.ended(now, rng.f64());
+        trigger.ended(now, rng.f64());
         // It may have fallen silent right after its last word, or after the call if it never said any.
         let quiet = Span(status.silence().0.min(now.0.saturating_sub(opened.0)));
         let quiet = (last == Some(CloseReason::Silent)).then_some(quiet);
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -12,7 +12,7 @@
 use crate::counters::Counters;
 use crate::discovery::list::News;
 use crate::discovery::status::DiscoveryStatus;
-use crate::discovery::{self, Keeping};
+use crate::discovery::{self, WatchTrigger};
 use crate::figures::Figures;
 use crate::fleet::Shares;
 use crate::fleet::outages;
@@ -126,10 +126,10 @@
     let version = known.as_ref().map_or(0, |k| k.version);
     let within = discovery::answer_within(site.settings.discovery);
     let status = Rc::new(DiscoveryStatus::new(version, clock));
-    let keeping = match site.settings.discovery {
-        api::Discovery::OnRequest => Keeping::Asked(subscribe.clone()),
+    let trigger = match site.settings.discovery {
+        api::Discovery::OnRequest => WatchTrigger::OnRequest(subscribe.clone()),
         api::Discovery::Pushed => {
-            Keeping::Kept(WatchSchedule::new(clock.now(), site.settings.rules.drain_grace))
+            WatchTrigger::Always(WatchSchedule::new(clock.now(), site.settings.rules.drain_grace))
         }
     };
     let router = Router::new(site.settings, config.seed, clock.now());
@@ -149,7 +149,7 @@
     let driver = spawn_local(route.run());
     let chance = fastrand::Rng::with_seed(config.seed);
     let (kept, calls) = (status.clone(), counters.clone());
-    spawn_local(discovery::run(discovery, keeping, kept, inbox, calls, within, chance));
+    spawn_local(discovery::run(discovery, trigger, kept, inbox, calls, within, chance));
     let kept = status.clone();
     spawn_local(async move { kept.log_silence().await });
     spawn_local(pool.clone().follow_shares());
