--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,28 +1,32 @@
-//! Everything that decides: which member gets a request, when, what happens after failures ([`policy`]), which zones
-//! have gone silent ([`outage`]), how the ill are tried ([`recovery`]), who of the clients' connections is let in
-//! ([`door`]), when discovery is asked ([`asking`]) or watched ([`watching`]), and how old its news is ([`freshness`]),
-//! how long clients have waited already ([`patience`]), what the site's goal makes of a request ([`goals`]), and what tenants may ask for ([`allowance`]);
-//! and what instances agree on: who they are ([`roster`]), what each may use ([`shares`]), who is out ([`outages`]).
-//! State machines that are told what happened and when, and push what is to be done; no I/O, no clock, no async,
-//! nothing of linenhill's other packages.
+//! Everything that decides. State machines that are told what happened and when, and push what is to be done:
+//! no I/O, no clock, no async, nothing of linenhill's other packages.
+//!
+//! - [`policy`]: which member gets a request, when, and what happens after failures;
+//! - [`zone_health`], [`outlier_recovery`]: which zones have gone silent, and how ejected members are tried again;
+//! - [`service_objective`], [`client_retry`], [`tenant_rate_limit`]: what counts in the priority of a request;
+//! - [`connection_admission`]: which connections of clients are served, closed or rejected;
+//! - [`poll_schedule`], [`watch_schedule`], [`staleness`]: when discovery is polled or watched, how old its
+//!   news is;
+//! - [`lifecycle`], [`maintenance`]: whether this process serves, which members are out by order of operators;
+//! - [`roster`], [`shares`], [`outages`]: what instances agree on: who they are, what each may use, who is out.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod allowance;
 pub mod api;
-pub mod asking;
-pub mod door;
-pub mod freshness;
-pub mod goals;
+pub mod client_retry;
+pub mod connection_admission;
 pub mod lifecycle;
 pub mod maintenance;
-pub mod outage;
 pub mod outages;
-pub mod patience;
+pub mod outlier_recovery;
 pub mod planted;
 pub mod policy;
-pub mod recovery;
+pub mod poll_schedule;
 pub mod roster;
+pub mod service_objective;
 pub mod shares;
+pub mod staleness;
 mod state;
-pub mod watching;
+pub mod tenant_rate_limit;
+pub mod watch_schedule;
+pub mod zone_health;
--- a/crates/decisions/src/policy/holds.rs
+++ b/crates/decisions/src/policy/holds.rs
@@ -14,17 +14,17 @@
         self.probe_credit = save(self.probe_credit, spend, self.set.prices.probe);
         self.tell_credit = save(self.tell_credit, TELL_SPEND, self.set.prices.peer);
         self.copies = (self.copies + COPIES.0).min(COPIES.1);
-        let mut worth = self.goals.asked(now, class);
+        let mut worth = self.objective.request_arrived(now, class);
         if let Some(t) = q.tenant
             && let rate = self.shared(self.set.tenants[t.0].allowance_per_s)
-            && let Some(bucket) = self.buckets.get_mut(t.0)
+            && let Some(limiter) = self.rate_limits.get_mut(t.0)
         {
-            worth *= if bucket.over(now, rate) { self.set.over_share_worth } else { 1.0 };
+            worth *= if limiter.exceeds(now, rate) { self.set.over_share_worth } else { 1.0 };
         }
         let part = WAIT_PART.0 + (WAIT_PART.1 - WAIT_PART.0) * self.rng.get_mut().f64();
         // Whoever began long ago waits for the rest of its patience: little or no worth is left either.
         let (full, work) = (self.aim(class) as Us, self.means[class]);
-        let rest = self.waits.rest(class, left, full, work);
+        let rest = self.client_retries.objective_left(class, left, full, work);
         let aim = left.min(rest.unwrap_or(full));
         worth *= if rest.is_none() { self.set.classes[class].late_worth } else { 1.0 };
         let r = Held {
@@ -146,7 +146,7 @@
         let waiting = g.held.iter().filter_map(|id| self.requests.get(id));
         let Some(target) = waiting.map(|r| self.target(r)).filter(|t| *t > 0).min() else { return };
         let gap = |m: &Member| SEEK_EVERY.0.max(target.saturating_sub(m.position) / 8).min(WAIT);
-        let due = |m: &Member| m.position < target && m.ill.is_none() && self.now >= m.probed + gap(m);
+        let due = |m: &Member| m.position < target && m.ejected.is_none() && self.now >= m.probed + gap(m);
         let stale = |id: &&MemberId| self.members.get(id).is_some_and(due);
         let ids: Vec<MemberId> = g.members.iter().filter(stale).copied().collect();
         if ids.len() * 2 > g.members.len() {
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -1,13 +1,13 @@
 //! What a router keeps in mind: plain records, no decisions. The decisions on them are in `policy/`.
 
-use crate::allowance::Allowance;
 use crate::api::*;
-use crate::asking::Asking;
-use crate::goals::Goals;
-use crate::outage::{Out, Outages};
+use crate::client_retry::ClientRetryEstimator;
 use crate::outages::Cause;
-use crate::patience::Waits;
-pub(crate) use crate::recovery::Ill;
+pub(crate) use crate::outlier_recovery::EjectedMember;
+use crate::poll_schedule::PollSchedule;
+use crate::service_objective::ServiceObjective;
+use crate::tenant_rate_limit::TenantRateLimiter;
+use crate::zone_health::{InFlightAttempt, ZoneHealth};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -77,7 +77,7 @@
     pub(crate) passed: Us,
     pub(crate) linked_at: Option<Us>,
     pub(crate) heard: Us,
-    pub(crate) ill: Option<Ill>,
+    pub(crate) ejected: Option<EjectedMember>,
     pub(crate) probing: bool,
     pub(crate) probed: Us,
 }
@@ -95,10 +95,12 @@
         self.state == MemberState::InService && !self.probing
     }
 
-    /// What is out here, each with its usual time by its class's mean.
-    pub(crate) fn waits(&self, id: MemberId, means: &[f64]) -> impl Iterator<Item = Out> {
+    /// The attempts in flight here, each with its usual time by its class's mean.
+    pub(crate) fn in_flight(&self, id: MemberId, means: &[f64]) -> impl Iterator<Item = InFlightAttempt> {
         let usual = |class: usize| means[class] * self.ratio.clamp(1.0, 4.0);
-        let out = move |o: &Sent| Some(Out { zone: self.zone?, member: id, sent: o.0, usual: usual(o.1) });
+        let out = move |o: &Sent| {
+            Some(InFlightAttempt { zone: self.zone?, member: id, sent: o.0, usual: usual(o.1) })
+        };
         self.open.values().filter_map(out)
     }
 }
@@ -130,21 +132,21 @@
     pub(crate) requests: BTreeMap<RequestId, Held>,
     pub(crate) means: Vec<f64>,
     pub(crate) patience: Vec<f64>,
-    pub(crate) waits: Waits,
-    pub(crate) goals: Goals,
-    pub(crate) buckets: Vec<Allowance>,
+    pub(crate) client_retries: ClientRetryEstimator,
+    pub(crate) objective: ServiceObjective,
+    pub(crate) rate_limits: Vec<TenantRateLimiter>,
     pub(crate) copies: f64,
     pub(crate) lost: f64,
     pub(crate) link_cost: f64,
     pub(crate) pace: f64,
-    pub(crate) outages: Outages,
+    pub(crate) zone_health: ZoneHealth,
     pub(crate) squeezed_until: Us,
     pub(crate) probe_credit: f64,
     pub(crate) tell_credit: f64,
     pub(crate) timer: u64,
     pub(crate) timer_at: Us,
     pub(crate) walk_at: Us,
-    pub(crate) asking: Asking,
+    pub(crate) polls: PollSchedule,
     /// As how many routers like this one all that share nothing count: for limits, and for what cold members bear.
     pub(crate) sharers: (f64, f64),
 }
@@ -173,7 +175,8 @@
     pub(crate) fn credit(&mut self, id: &RequestId) -> Us {
         if let Some(r) = self.requests.get(id) {
             let late = self.now > r.aim_at;
-            self.goals.served(r.class, if late { self.set.classes[r.class].late_worth } else { 1.0 });
+            self.objective
+                .request_served(r.class, if late { self.set.classes[r.class].late_worth } else { 1.0 });
         }
         self.now
     }
@@ -184,7 +187,7 @@
         let cold = m.cold_since.is_some_and(|since| self.now < since + self.set.rules.cold.0);
         let cause = match () {
             () if m.state != MemberState::InService => Cause::Listed,
-            () if m.ill.is_some() => Cause::Ill,
+            () if m.ejected.is_some() => Cause::Ill,
             () if cold => Cause::Cold,
             () => Cause::InService,
         };
@@ -193,7 +196,7 @@
 
     /// Whether a member gets no ordinary work now: it drains, is gone, or is ill.
     pub fn avoids(&self, member: MemberId) -> bool {
-        self.members.get(&member).is_none_or(|m| m.state != MemberState::InService || m.ill.is_some())
+        self.members.get(&member).is_none_or(|m| m.state != MemberState::InService || m.ejected.is_some())
     }
 
     /// How many members, groups, requests and sessions are kept.
@@ -204,15 +207,15 @@
 
     /// An empty record.
     pub(crate) fn blank(set: Settings, rng: fastrand::Rng, now: Us) -> Router {
-        let goals = Goals::new(set.goal, set.classes.iter().map(|c| c.worth));
-        let waits = Waits::new(set.classes.iter().map(|c| c.give_up.0));
+        let objective = ServiceObjective::new(set.goal, set.classes.iter().map(|c| c.worth));
+        let client_retries = ClientRetryEstimator::new(set.classes.iter().map(|c| c.give_up.0));
         let first = (set.discovery == Discovery::OnRequest).then_some(now);
         let sharers = f64::from(set.fleet_size.max(1));
         Router {
             sharers: (sharers, sharers),
-            asking: Asking::new(set.me, set.fleet_size, set.rules.ask_within.0, first)
-                .within_grace(set.rules.drain_grace.0),
-            buckets: vec![Allowance::new(now); set.tenants.len()],
+            polls: PollSchedule::new(set.me, set.fleet_size, set.rules.ask_within.0, first)
+                .with_drain_grace(set.rules.drain_grace.0),
+            rate_limits: vec![TenantRateLimiter::new(now); set.tenants.len()],
             set,
             rng: RefCell::new(rng),
             now,
@@ -221,13 +224,13 @@
             requests: BTreeMap::new(),
             means: Vec::new(),
             patience: Vec::new(),
-            waits,
-            goals,
+            client_retries,
+            objective,
             copies: 0.0,
             lost: 0.0,
             link_cost: 0.0,
             pace: 1.0,
-            outages: Outages::default(),
+            zone_health: ZoneHealth::default(),
             squeezed_until: 0,
             probe_credit: 0.0,
             tell_credit: 0.0,
--- /dev/null
+++ b/crates/decisions/tests/connection_admission.rs
@@ -0,0 +1,275 @@
+//! Admission alone: the crowd of a recorded incident in virtual time, and events in any order.
+
+use linenhill_decisions::api::{Span, Time};
+use linenhill_decisions::connection_admission::{
+    Action, AdmissionLimits, ConnectionAdmission, ConnectionId, Event,
+};
+use quickcheck::{Gen, QuickCheck, TestResult};
+use std::collections::{BTreeMap, BTreeSet};
+
+const MS: u64 = 1_000;
+const LIMITS: AdmissionLimits = AdmissionLimits {
+    max_served: 218,
+    max_rejected: 18,
+    max_closing: 6,
+    max_request_connections: 128,
+    max_retry_after: Span(2_000 * MS),
+};
+
+/// Clients that send one request on each connection and hold it until they are asked to close it: 300
+/// requests a second over at most 128 connections, of 30 to 100 ms each. Beside them 46 connections a second
+/// that send nothing, and once 300 at once that only start.
+struct Crowd {
+    admission: ConnectionAdmission,
+    rng: fastrand::Rng,
+    now: u64,
+    next: u64,
+    /// What happens when, in order; the second number keeps equal events apart.
+    due: BTreeSet<(u64, u64, Kind)>,
+    holding: BTreeSet<ConnectionId>,
+    closed_while_busy: usize,
+    busy: BTreeSet<ConnectionId>,
+    requests: usize,
+    without_connection: usize,
+    rejected: usize,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Kind {
+    Request,
+    Silent,
+    Starter,
+    Answer(ConnectionId),
+    Gone(ConnectionId),
+    Timer,
+}
+
+impl Crowd {
+    /// Whether a new connection is served, if the event is one.
+    fn handle(&mut self, event: Event) -> Option<bool> {
+        let mut actions = Vec::new();
+        self.admission.handle(Time(self.now), event, &mut actions);
+        let mut served = None;
+        for action in actions {
+            match action {
+                Action::Serve(_) => served = Some(true),
+                Action::Reject(..) | Action::CloseAtOnce(_) => served = Some(false),
+                Action::RequestClose(id) => {
+                    self.closed_while_busy += usize::from(self.busy.contains(&id));
+                    self.due.insert((self.now + MS, 0, Kind::Gone(id)));
+                }
+                Action::SetTimer(at) => {
+                    self.due.insert((at.0, 0, Kind::Timer));
+                }
+            }
+        }
+        served
+    }
+
+    fn connect(&mut self) -> (ConnectionId, Option<bool>) {
+        self.next += 1;
+        let id = ConnectionId(self.next);
+        (id, self.handle(Event::Accepted(id)))
+    }
+
+    fn new() -> Crowd {
+        Crowd {
+            admission: ConnectionAdmission::new(LIMITS),
+            rng: fastrand::Rng::with_seed(7),
+            now: 0,
+            next: 0,
+            due: BTreeSet::new(),
+            holding: BTreeSet::new(),
+            busy: BTreeSet::new(),
+            closed_while_busy: 0,
+            requests: 0,
+            without_connection: 0,
+            rejected: 0,
+        }
+    }
+
+    fn play(seconds: u64) -> Crowd {
+        let mut crowd = Crowd::new();
+        crowd.plan(seconds, 300, Kind::Request);
+        crowd.plan(seconds, 46, Kind::Silent);
+        crowd.due.extend((0..300).map(|n| (1_500_000, n, Kind::Starter)));
+        while let Some((at, _, kind)) = crowd.due.pop_first() {
+            crowd.now = at;
+            crowd.step(kind);
+            let open_max = LIMITS.max_served + LIMITS.max_rejected + LIMITS.max_closing;
+            assert!(crowd.admission.open_connections() <= open_max);
+        }
+        crowd
+    }
+
+    /// Plans this many events a second.
+    fn plan(&mut self, seconds: u64, rate: u64, kind: Kind) {
+        self.due.extend((0..rate * seconds).map(|n| (n * 1_000_000 / rate, n, kind)));
+    }
+
+    fn step(&mut self, kind: Kind) {
+        match kind {
+            Kind::Silent => drop(self.connect()),
+            Kind::Starter => {
+                let (id, _) = self.connect();
+                self.handle(Event::Started(id));
+            }
+            Kind::Request => self.request(),
+            Kind::Answer(id) => {
+                self.busy.remove(&id);
+                self.handle(Event::RequestsFinished(id));
+            }
+            Kind::Gone(id) => {
+                self.holding.remove(&id);
+                self.handle(Event::Closed(id));
+            }
+            Kind::Timer => drop(self.handle(Event::TimerFired)),
+        }
+    }
+
+    fn request(&mut self) {
+        self.requests += 1;
+        if self.holding.len() >= LIMITS.max_request_connections {
+            self.without_connection += 1;
+            return;
+        }
+        let (id, served) = self.connect();
+        if served != Some(true) {
+            self.rejected += 1;
+            return;
+        }
+        self.holding.insert(id);
+        self.busy.insert(id);
+        self.handle(Event::Started(id));
+        self.handle(Event::RequestOpened(id));
+        let answered_at = self.now + self.rng.u64(30 * MS..100 * MS);
+        self.due.insert((answered_at, 0, Kind::Answer(id)));
+    }
+}
+
+/// Guards against clients that hold their connections for good and so can't connect any more: without the
+/// share that is kept free, nine requests in ten find no connection.
+#[test]
+fn idle_connections_close_before_clients_run_out_of_them() {
+    let crowd = Crowd::play(10);
+    assert_eq!(crowd.requests, 3_000);
+    assert_eq!(crowd.without_connection, 0, "requests without a connection");
+    assert!(crowd.rejected <= 60, "{} requests rejected, in the 0.2 s of the burst at most", crowd.rejected);
+    assert_eq!(crowd.closed_while_busy, 0, "none is asked to close while a request of it is open");
+}
+
+/// Guards against closing connections of clients that use few and use them again.
+#[test]
+fn pool_that_fits_is_left_alone() {
+    let mut admission = ConnectionAdmission::new(LIMITS);
+    let mut out = Vec::new();
+    for n in 0..96 {
+        for event in [Event::Accepted, Event::Started, Event::RequestOpened, Event::RequestsFinished] {
+            admission.handle(Time(n), event(ConnectionId(n)), &mut out);
+        }
+    }
+    admission.handle(Time(60_000 * MS), Event::TimerFired, &mut out);
+    assert!(out.iter().all(|a| matches!(a, Action::Serve(_))), "{out:?}");
+}
+
+/// Guards against telling all rejected clients the same time: slots come free at a rate, and one client after
+/// the other gets them.
+#[test]
+fn retry_after_follows_the_rate_of_free_slots() {
+    let limits = AdmissionLimits {
+        max_served: 2,
+        max_rejected: 9,
+        max_closing: 0,
+        max_request_connections: 9,
+        max_retry_after: Span(2_000 * MS),
+    };
+    let mut admission = ConnectionAdmission::new(limits);
+    let mut play = |at: u64, event| {
+        let mut out = Vec::new();
+        admission.handle(Time(at * MS), event, &mut out);
+        out
+    };
+    for n in 0..2 {
+        play(0, Event::Accepted(ConnectionId(n)));
+        play(0, Event::RequestOpened(ConnectionId(n)));
+    }
+    assert_eq!(play(0, Event::Accepted(ConnectionId(8))), [Action::Reject(ConnectionId(8), Span(250 * MS))]);
+    for n in 0..3 {
+        play(100 * n, Event::Closed(ConnectionId(n)));
+        play(100 * n, Event::Accepted(ConnectionId(n + 2)));
+        play(100 * n, Event::RequestOpened(ConnectionId(n + 2)));
+    }
+    let rejected = |id, ms| [Action::Reject(ConnectionId(id), Span(ms * MS))];
+    assert_eq!(play(210, Event::Accepted(ConnectionId(20))), rejected(20, 100));
+    assert_eq!(play(210, Event::Accepted(ConnectionId(21))), rejected(21, 200));
+}
+
+/// Guards against any order of events that asks a busy connection to close, answers a new one not once, or
+/// takes more descriptors than there are.
+#[test]
+fn any_order_keeps_busy_connections_and_the_limits() {
+    fn holds(steps: Vec<(u8, u8, u16)>) -> TestResult {
+        let limits = AdmissionLimits {
+            max_served: 5,
+            max_rejected: 2,
+            max_closing: 2,
+            max_request_connections: 4,
+            max_retry_after: Span(900 * MS),
+        };
+        let (mut admission, mut now, mut next) = (ConnectionAdmission::new(limits), 0, 0);
+        // Whether a request of it is open, and whether it was asked to close.
+        let mut connections: BTreeMap<ConnectionId, (bool, bool)> = BTreeMap::new();
+        for (what, which, later) in steps {
+            now += u64::from(later) * 50;
+            let some = connections.keys().nth(usize::from(which) % connections.len().max(1)).copied();
+            let event = match (what % 6, some) {
+                (0 | 1, _) | (_, None) => {
+                    next += 1;
+                    Event::Accepted(ConnectionId(next))
+                }
+                (2, Some(id)) => Event::Started(id),
+                (3, Some(id)) => Event::RequestOpened(id),
+                (4, Some(id)) => Event::RequestsFinished(id),
+                (_, Some(id)) => Event::Closed(id),
+            };
+            match event {
+                Event::Started(id) | Event::RequestOpened(id) | Event::RequestsFinished(id) => {
+                    let busy = matches!(event, Event::RequestOpened(_));
+                    connections.entry(id).and_modify(|s| s.0 = busy);
+                }
+                Event::Closed(id) => drop(connections.remove(&id)),
+                _ => {}
+            }
+            let mut out = Vec::new();
+            admission.handle(Time(now), event, &mut out);
+            let mut answers = 0;
+            for action in out {
+                match action {
+                    Action::Serve(id) | Action::Reject(id, _) => {
+                        answers += 1;
+                        connections.insert(id, (false, false));
+                    }
+                    Action::CloseAtOnce(_) => answers += 1,
+                    Action::RequestClose(id) => match connections.get_mut(&id) {
+                        Some((false, asked)) if !*asked => *asked = true,
+                        other => return TestResult::error(format!("{id:?} is asked to close: {other:?}")),
+                    },
+                    Action::SetTimer(at) => assert!(at.0 > now, "a timer in the past"),
+                }
+            }
+            if answers != usize::from(matches!(event, Event::Accepted(_))) {
+                return TestResult::error(format!("{answers} answers on {event:?}"));
+            }
+            if admission.open_connections() != connections.len() || connections.len() > 9 {
+                return TestResult::error(format!(
+                    "{} open, {} there",
+                    admission.open_connections(),
+                    connections.len()
+                ));
+            }
+        }
+        TestResult::passed()
+    }
+    let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(200, 11)).tests(300);
+    check.quickcheck(holds as fn(Vec<(u8, u8, u16)>) -> TestResult);
+}
--- /dev/null
+++ b/crates/decisions/tests/watch_schedule.rs
@@ -0,0 +1,88 @@
+//! The watch at an agent on the proxy's own machine: always opened again, soon enough for a drain, never in a
+//! loop.
+
+use linenhill_decisions::api::{Span, Time};
+use linenhill_decisions::watch_schedule::WatchSchedule;
+
+const MS: u64 = 1_000;
+const GRACE: Span = Span(250 * MS);
+
+fn later(time: Time, by: u64) -> Time {
+    Time(time.0 + by)
+}
+
+/// The longest gap that a drain's grace allows.
+fn longest_gap(grace: Span) -> u64 {
+    (grace.0 / 4).clamp(10 * MS, 250 * MS)
+}
+
+/// Guards against the slots and windows made for a service that a whole fleet polls. What the agent holds
+/// counts as notified, so each gap must leave most of the grace, whatever the grace is; and a new agent
+/// starts without the old one's backoff.
+#[test]
+fn absent_agent_is_retried_within_the_grace_and_never_in_a_loop() {
+    let mut rng = fastrand::Rng::with_seed(5);
+    for grace in [0, 20 * MS, GRACE.0, 2_000 * MS, u64::MAX].map(Span) {
+        let start = Time(7);
+        let mut schedule = WatchSchedule::new(start, grace);
+        assert_eq!(schedule.next_watch(), Some(start), "the first watch is opened at the start");
+        let mut now = start;
+        let mut gaps = Vec::new();
+        for _ in 0..200 {
+            schedule.opening(now);
+            assert_eq!(schedule.next_watch(), None, "one watch at a time");
+            schedule.ended(now, rng.f64());
+            let next = schedule.next_watch().expect("another");
+            gaps.push(next.0 - now.0);
+            now = next;
+        }
+        let shortest = *gaps.iter().min().expect("a gap");
+        let longest = *gaps.iter().max().expect("a gap");
+        assert!(shortest >= 5 * MS && longest <= longest_gap(grace), "{grace:?}: {gaps:?}");
+        schedule.opening(now);
+        schedule.agent_moved(now);
+        assert_eq!(schedule.next_watch(), Some(now));
+        schedule.opening(now);
+        schedule.ended(now, 1.0);
+        assert_eq!(schedule.next_watch(), Some(later(now, 10 * MS)));
+    }
+}
+
+/// Guards against a pause after a watch that simply ended, during which the news of a drain would be missed.
+#[test]
+fn stable_watch_is_opened_again_at_once() {
+    let mut schedule = WatchSchedule::new(Time(0), GRACE);
+    for round in 1..5 {
+        let opened = Time(round * 10_000 * MS);
+        let ended = later(opened, 1_000 * MS);
+        schedule.opening(opened);
+        schedule.ended(ended, 1.0);
+        assert_eq!(schedule.next_watch(), Some(ended));
+    }
+}
+
+/// Any order of watches that end at once or later, and of moves. Guards against a second watch beside one
+/// that is open, and against a pause of over a quarter of a drain's grace.
+#[test]
+fn any_order_keeps_one_watch_open() {
+    for seed in 0..500 {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let grace = Span(rng.u64(..3_000) * MS);
+        let mut schedule = WatchSchedule::new(Time(0), grace);
+        let mut now = Time(0);
+        for _ in 0..80 {
+            let due = schedule.next_watch().expect("a watch is due where none is open");
+            assert!(due <= later(now, longest_gap(grace)), "{seed}: {due:?} at {now:?}");
+            now = now.max(due);
+            schedule.opening(now);
+            assert_eq!(schedule.next_watch(), None, "{seed}: one at a time");
+            now = later(now, *rng.choice(&[0, 1, 900, 1_000, 5_000]).expect("one") * MS);
+            if rng.u32(..4) == 0 {
+                schedule.agent_moved(now);
+                assert_eq!(schedule.next_watch(), Some(now), "{seed}: at once where it moved to");
+            } else {
+                schedule.ended(now, rng.f64());
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/clients/lifecycle_driver.rs
@@ -0,0 +1,70 @@
+//! How far a drain or a stop has come, for the listener, its sessions and the operators' calls alike: carries
+//! out [`Lifecycle`] with a clock. Decides nothing.
+
+use crate::clock::Clock;
+use crate::lifecycle::{Event, Lifecycle, ServingState, Stopping};
+use std::cell::RefCell;
+use std::rc::Rc;
+use tokio::sync::watch;
+use tokio::time::sleep_until;
+
+/// The state of this process, with its clock.
+pub struct LifecycleDriver {
+    lifecycle: RefCell<Lifecycle>,
+    clock: Clock,
+    state: watch::Sender<ServingState>,
+    /// Wakes [`LifecycleDriver::run`] after each event, since the time of the next change may be another one.
+    rescheduled: watch::Sender<()>,
+}
+
+impl LifecycleDriver {
+    /// The process serves.
+    pub fn new(clock: Clock) -> Rc<LifecycleDriver> {
+        let lifecycle = Lifecycle::default();
+        let (state, _) = watch::channel(lifecycle.serving_state(clock.now()));
+        let (rescheduled, _) = watch::channel(());
+        Rc::new(LifecycleDriver { lifecycle: RefCell::new(lifecycle), clock, state, rescheduled })
+    }
+
+    /// Handles an event, and publishes what it changes.
+    pub fn handle(&self, event: Event) -> Result<(), Stopping> {
+        self.lifecycle.borrow_mut().handle(self.clock.now(), event)?;
+        self.publish();
+        self.rescheduled.send_replace(());
+        Ok(())
+    }
+
+    /// Whether the process serves: it is neither draining, nor standing by, nor stopping.
+    pub fn is_serving(&self) -> bool {
+        self.lifecycle.borrow().is_serving()
+    }
+
+    /// Whether the process is stopping.
+    pub fn is_stopping(&self) -> bool {
+        self.lifecycle.borrow().is_stopping()
+    }
+
+    /// How clients are treated, now and after each change.
+    pub fn subscribe(&self) -> watch::Receiver<ServingState> {
+        self.state.subscribe()
+    }
+
+    /// Publishes what changes with time, for as long as the program runs.
+    pub async fn run(self: Rc<LifecycleDriver>) {
+        let mut rescheduled = self.rescheduled.subscribe();
+        loop {
+            let next_change = self.lifecycle.borrow().next_change(self.clock.now());
+            tokio::select! {
+                changed = rescheduled.changed() => if changed.is_err() { return },
+                () = sleep_until(self.clock.instant(next_change.unwrap_or_default())), if next_change.is_some() => {
+                    self.publish();
+                }
+            }
+        }
+    }
+
+    fn publish(&self) {
+        let now = self.lifecycle.borrow().serving_state(self.clock.now());
+        self.state.send_if_modified(|published| std::mem::replace(published, now) != now);
+    }
+}
--- a/src/clients/listener.rs
+++ b/src/clients/listener.rs
@@ -1,11 +1,11 @@
 //! Accepts clients, within the budget of descriptors.
 
+use super::connection_gate::ConnectionGate;
 use super::desk::Desk;
-use super::doorway::Doorway;
 use super::session;
 use crate::close_reason::{CloseReason, Side, log_close};
 use crate::counters::Counters;
-use crate::lifecycle::View;
+use crate::lifecycle::ServingState;
 use log::warn;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,8 +19,8 @@
 
 /// Accepts and serves until newcomers are accepted no more, then waits for the sessions to end.
 pub async fn run(
-    listener: TcpListener, desk: Rc<Desk>, doorway: Rc<Doorway>, mut view: watch::Receiver<View>,
-    counters: Rc<Counters>,
+    listener: TcpListener, desk: Rc<Desk>, connection_gate: Rc<ConnectionGate>,
+    mut serving_state: watch::Receiver<ServingState>, counters: Rc<Counters>,
 ) {
     let (mut sessions, mut looked) = (JoinSet::new(), false);
     loop {
@@ -29,7 +29,7 @@
             // What the machine has accepted may hold requests: it comes before the end.
             accepted = listener.accept() => accepted,
             Some(_) = sessions.join_next() => continue,
-            _ = view.wait_for(|v| !v.accepts) => {
+            _ = serving_state.wait_for(|v| !v.accepts_connections) => {
                 // Who has come since the runtime last waited is there, but not told of yet: one more look.
                 if std::mem::replace(&mut looked, true) {
                     break;
@@ -47,8 +47,8 @@
             }
         };
         counters.clients.add();
-        let entered = doorway.enter();
-        if doorway.awaits() {
+        let entered = connection_gate.admit();
+        if connection_gate.has_closing() {
             // Whoever was told to leave gives its descriptor back when its task runs.
             tokio::task::yield_now().await;
         }
@@ -59,9 +59,9 @@
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let (desk, view, counters) = (desk.clone(), view.clone(), counters.clone());
+        let (desk, serving_state, counters) = (desk.clone(), serving_state.clone(), counters.clone());
         sessions.spawn_local(async move {
-            let reason = session::run(stream, desk, seated, view).await;
+            let reason = session::run(stream, desk, seated, serving_state).await;
             ended(&counters, peer, reason);
         });
     }
--- a/src/clients/session.rs
+++ b/src/clients/session.rs
@@ -1,11 +1,11 @@
 //! One client connection: queries in, answers out in their order.
 
+use super::connection_gate::{AdmissionMode, AdmittedConnection};
 use super::desk::{COME_BACK, Claim, Desk, Pending};
-use super::doorway::{Manner, Seated};
 use crate::api::Span;
 use crate::budget::Place;
 use crate::close_reason::CloseReason;
-use crate::lifecycle::View;
+use crate::lifecycle::ServingState;
 use crate::peek::{Unread, unread};
 use crate::pg::PgError;
 use crate::pg::frontend::{Answer as Wire, Frontend, FrontendCodec};
@@ -142,7 +142,7 @@
 struct Session<S> {
     framed: Framed<S, FrontendCodec>,
     desk: Rc<Desk>,
-    seated: Seated,
+    seated: AdmittedConnection,
     /// What came while an earlier query was being answered; requests run meanwhile, answers keep the order.
     waiting: VecDeque<Came>,
     /// The order of the request that is answered next.
@@ -154,7 +154,7 @@
     /// An extended message came: all up to the next Sync is passed over.
     skipping: bool,
     /// How clients are treated now.
-    view: watch::Receiver<View>,
+    view: watch::Receiver<ServingState>,
     /// Malformed statements in a row.
     malformed: u32,
     /// When it was accepted, and whether it has asked anything since.
@@ -167,7 +167,7 @@
 
 /// Serves a connection to its end, and says why it ended.
 pub async fn run<S: Client>(
-    stream: S, desk: Rc<Desk>, seated: Seated, mut view: watch::Receiver<View>,
+    stream: S, desk: Rc<Desk>, seated: AdmittedConnection, mut view: watch::Receiver<ServingState>,
 ) -> CloseReason {
     let framed = Framed::new(stream, FrontendCodec::new(desk.memory()));
     let (waiting, next, broken) = (VecDeque::new(), Order::default(), None);
@@ -195,7 +195,7 @@
     };
     if matches!(reason, CloseReason::Protocol | CloseReason::PipelineFull | CloseReason::EdgeFull) {
         // What lingers counts on nothing but its last answer being read.
-        s.seated.started();
+        s.seated.mark_started();
         s.linger().await;
     }
     reason
@@ -240,7 +240,7 @@
 }
 
 impl<S: Client> Session<S> {
-    async fn serve(&mut self, view: &mut watch::Receiver<View>) -> Result<(), CloseReason> {
+    async fn serve(&mut self, view: &mut watch::Receiver<ServingState>) -> Result<(), CloseReason> {
         self.start(view).await?;
         loop {
             let came = match self.waiting.pop_front() {
@@ -254,7 +254,7 @@
                 Came::Terminate => return Ok(()),
                 Came::Passed => {}
                 Came::Synced => self.reply([Wire::Ready]).await?,
-                Came::Empty if !view.borrow().yes => {
+                Came::Empty if !view.borrow().reports_ready => {
                     self.reply([error("57P03", "standing by"), Wire::Ready]).await?;
                 }
                 Came::Empty => self.reply([Wire::Empty, Wire::Ready]).await?,
@@ -268,9 +268,9 @@
                 }
                 Came::Request(ask) => {
                     self.malformed = 0;
-                    self.seated.busy();
+                    self.seated.mark_busy();
                     let answered = self.query(ask).await;
-                    self.seated.idle();
+                    self.seated.mark_idle();
                     answered?;
                 }
                 Came::Malformed(error) => {
@@ -308,9 +308,9 @@
                 return Came::Passed;
             }
             Frontend::Query(statement) if statement::is_empty(&statement) => return Came::Empty,
-            Frontend::Query(statement) => match self.seated.manner() {
-                Manner::Serve => statement,
-                Manner::Refuse(after) => {
+            Frontend::Query(statement) => match self.seated.mode() {
+                AdmissionMode::Serve => statement,
+                AdmissionMode::Reject(after) => {
                     let class = statement::parse(&statement).ok().map(|s| s.class);
                     return Came::Refused(after, class);
                 }
@@ -332,7 +332,7 @@
             }
         };
         let order = Order { key, writes: claim.writes() };
-        if self.view.borrow().refuses {
+        if self.view.borrow().rejects_requests {
             let progress = Progress::HandedIn(Err(self.desk.too_late(claim)));
             return Came::Request(Box::new(Ask { order, progress, _memory: memory, _long: long }));
         }
@@ -351,7 +351,7 @@
     }
 
     /// Everything up to the first query.
-    async fn start(&mut self, view: &mut watch::Receiver<View>) -> Result<(), CloseReason> {
+    async fn start(&mut self, view: &mut watch::Receiver<ServingState>) -> Result<(), CloseReason> {
         let by = Instant::now() + STARTUP_WITHIN;
         loop {
             let next = tokio::time::timeout_at(by, self.next(view)).await;
@@ -361,7 +361,7 @@
                 Some(Frontend::Cancel) => return Err(CloseReason::CancelRequest),
                 Some(_) => {
                     self.started = true;
-                    self.seated.started();
+                    self.seated.mark_started();
                     return self.reply([Wire::Welcome, Wire::Ready]).await;
                 }
             }
@@ -370,7 +370,9 @@
 
     /// The next message between requests. A drain or a stop ends the connection here, but a newcomer is heard first:
     /// whoever has just connected has a request on the way.
-    async fn next(&mut self, view: &mut watch::Receiver<View>) -> Result<Option<Frontend>, CloseReason> {
+    async fn next(
+        &mut self, view: &mut watch::Receiver<ServingState>,
+    ) -> Result<Option<Frontend>, CloseReason> {
         if let Some(problem) = self.broken.take() {
             return Err(self.violation(problem).await);
         }
@@ -381,7 +383,7 @@
         let heard_by = if self.heard { Instant::now() } else { self.since + NEWCOMER_WITHIN };
         loop {
             let ends = async {
-                let _ = view.wait_for(|v| v.closes).await;
+                let _ = view.wait_for(|v| v.closes_idle).await;
                 sleep_until(heard_by).await;
             };
             let (comes, told) = (!self.framed.read_buffer().is_empty(), self.told);
@@ -389,7 +391,7 @@
                 match rest_by.filter(|_| comes) {
                     Some(by) => sleep_until(by).await,
                     None if told => {}
-                    None => self.seated.told_to_leave().await,
+                    None => self.seated.close_requested().await,
                 }
             };
             tokio::select! {
@@ -612,7 +614,7 @@
         let drain = async { while timeout(silent, away(stream)).await.is_ok_and(|more| more) {} };
         tokio::select! {
             _ = timeout(most, drain) => {}
-            () = seated.told_to_leave() => {}
+            () = seated.close_requested() => {}
         }
     }
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,20 +1,20 @@
 //! Discovery: one watch at a time over HTTP/1.1, and the lists it brings.
 
-pub mod heard;
 pub mod http;
 pub mod list;
+pub mod status;
 
 use crate::api::{Discovery, Span, Time};
 use crate::clock::Clock;
 use crate::close_reason::{CloseReason, Side, log_close};
 use crate::counters::Counters;
 use crate::stages::Input;
-use crate::watching::Watching;
+use crate::watch_schedule::WatchSchedule;
 use futures_util::StreamExt;
-use heard::Heard;
 use http::{Piece, WatchCodec};
 use list::News;
 use log::warn;
+use status::DiscoveryStatus;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,40 +35,40 @@
 /// one after the other leave a part of the 6 s.
 const AGENT_WITHIN: Duration = Duration::from_millis(1_500);
 
-/// When the next watch is opened.
-pub enum Keeping {
-    /// Whenever the decisions ask for one: a service answers the calls of all proxies in turn.
-    Asked(Rc<Notify>),
-    /// Always, at an agent on this machine to which lists are pushed.
-    Kept(Watching),
+/// What opens the next watch.
+pub enum WatchTrigger {
+    /// A request of the decisions: one service answers the calls of all proxies in turn.
+    OnRequest(Rc<Notify>),
+    /// The schedule of a watch that is always open, at an agent on this machine to which lists are pushed.
+    Always(WatchSchedule),
 }
 
-impl Keeping {
+impl WatchTrigger {
     async fn due(&self, clock: Clock) {
         match self {
-            Keeping::Asked(asked) => asked.notified().await,
-            Keeping::Kept(watching) => match watching.due() {
-                Some(at) => sleep_until(clock.instant(Time(at))).await,
+            WatchTrigger::OnRequest(request) => request.notified().await,
+            WatchTrigger::Always(schedule) => match schedule.next_watch() {
+                Some(at) => sleep_until(clock.instant(at)).await,
                 None => std::future::pending().await,
             },
         }
     }
 
     fn opening(&mut self, now: Time) {
-        if let Keeping::Kept(watching) = self {
-            watching.opening(now.0);
+        if let WatchTrigger::Always(schedule) = self {
+            schedule.opening(now);
         }
     }
 
     fn ended(&mut self, now: Time, chance: f64) {
-        if let Keeping::Kept(watching) = self {
-            watching.ended(now.0, chance);
+        if let WatchTrigger::Always(schedule) = self {
+            schedule.ended(now, chance);
         }
     }
 
     fn moved(&mut self, now: Time) {
-        if let Keeping::Kept(watching) = self {
-            watching.moved(now.0);
+        if let WatchTrigger::Always(schedule) = self {
+            schedule.agent_moved(now);
         }
     }
 }
@@ -76,41 +76,41 @@
 /// Keeps one watch at a time, and says when one has failed. When discovery moves, a new watch begins there at once,
 /// from the version known.
 pub async fn run(
-    mut at: watch::Receiver<SocketAddr>, mut keeping: Keeping, heard: Rc<Heard>,
+    mut at: watch::Receiver<SocketAddr>, mut trigger: WatchTrigger, status: Rc<DiscoveryStatus>,
     inbox: mpsc::UnboundedSender<Input>, counters: Rc<Counters>, within: Duration, mut rng: fastrand::Rng,
 ) {
-    let (clock, mut last) = (heard.clock(), None);
+    let (clock, mut last) = (status.clock(), None);
     let mut opened;
     loop {
         tokio::select! {
-            () = keeping.due(clock) => {}
+            () = trigger.due(clock) => {}
             () = moved(&mut at) => {}
         }
         loop {
             let addr = *at.borrow_and_update();
             counters.calls.add();
             opened = clock.now();
-            keeping.opening(opened);
+            trigger.opening(opened);
             let ended = tokio::select! {
-                reason = watch(addr, &heard, &inbox, within) => Some(reason),
+                reason = watch(addr, &status, &inbox, within) => Some(reason),
                 () = moved(&mut at) => None,
             };
             // An agent that is away is tried many times a second: its first refusal tells as much as all of them.
             let reason = ended.unwrap_or(CloseReason::Moved);
             let again = reason == CloseReason::Refused && last == Some(reason);
-            if !again || matches!(keeping, Keeping::Asked(_)) {
+            if !again || matches!(trigger, WatchTrigger::OnRequest(_)) {
                 log_close(Side::Discovery, addr, reason);
             }
             last = Some(reason);
             if ended.is_some() {
                 break;
             }
-            keeping.moved(clock.now());
+            trigger.moved(clock.now());
         }
         let now = clock.now();
-        keeping.ended(now, rng.f64());
+        trigger.ended(now, rng.f64());
         // It may have fallen silent right after its last word, or after the call if it never said any.
-        let quiet = Span(heard.quiet().0.min(now.0.saturating_sub(opened.0)));
+        let quiet = Span(status.silence().0.min(now.0.saturating_sub(opened.0)));
         let quiet = (last == Some(CloseReason::Silent)).then_some(quiet);
         if inbox.send(Input::List(News::Failed { quiet })).is_err() {
             return;
@@ -135,9 +135,9 @@
 }
 
 async fn watch(
-    addr: SocketAddr, heard: &Heard, inbox: &mpsc::UnboundedSender<Input>, within: Duration,
+    addr: SocketAddr, status: &DiscoveryStatus, inbox: &mpsc::UnboundedSender<Input>, within: Duration,
 ) -> CloseReason {
-    let (version, by) = (heard.version(), Instant::now() + within);
+    let (version, by) = (status.list_version(), Instant::now() + within);
     let call = format!("GET /v1/endpoints?watch=1&from={version} HTTP/1.1\r\nHost: {addr}\r\n\r\n");
     let connect = async {
         let mut stream = TcpStream::connect(addr).await?;
@@ -150,12 +150,13 @@
         Ok(Err(_)) => return CloseReason::Refused,
         Err(_) => return CloseReason::ConnectTimeout,
     };
-    follow(stream, heard, inbox, by.saturating_duration_since(Instant::now())).await
+    follow(stream, status, inbox, by.saturating_duration_since(Instant::now())).await
 }
 
 /// Passes on what a watch brings until it ends, and notes what was heard. Its first word may take `within`.
 pub async fn follow(
-    stream: impl AsyncRead + Unpin, heard: &Heard, inbox: &mpsc::UnboundedSender<Input>, within: Duration,
+    stream: impl AsyncRead + Unpin, status: &DiscoveryStatus, inbox: &mpsc::UnboundedSender<Input>,
+    within: Duration,
 ) -> CloseReason {
     let mut pieces = FramedRead::new(stream, WatchCodec::default());
     let (mut patience, mut first, mut up) = (within, true, true);
@@ -179,7 +180,7 @@
             Ok(Some(Ok(Piece::Line(line)))) => line,
         };
         patience = SILENT_AFTER;
-        heard.word();
+        status.record_message();
         let blank = line.iter().all(u8::is_ascii_whitespace);
         // Also without a list the call has succeeded.
         if std::mem::take(&mut up) && blank && inbox.send(Input::List(News::Unchanged)).is_err() {
@@ -198,16 +199,16 @@
         match decoded {
             // An old change would undo newer ones, a drain among them. A whole list that a new watch begins with counts
             // whatever its number: the service may have begun anew.
-            Ok(listing) if listing.version < heard.version() && !(listing.full && first) => {
+            Ok(listing) if listing.version < status.list_version() && !(listing.full && first) => {
                 warn!(
                     "discovery: version {} was not taken after version {}",
                     listing.version,
-                    heard.version()
+                    status.list_version()
                 );
             }
             Ok(listing) => {
                 first = false;
-                heard.list(listing.version);
+                status.record_list(listing.version);
                 if inbox.send(Input::List(News::Told(listing))).is_err() {
                     return CloseReason::Stopping;
                 }
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -2,17 +2,17 @@
 
 use crate::admin::{self, Controls, OPERATORS};
 use crate::api;
+use crate::clients::connection_gate::ConnectionGate;
 use crate::clients::desk::Desk;
-use crate::clients::doorway::Doorway;
+use crate::clients::lifecycle_driver::LifecycleDriver;
 use crate::clients::listener;
-use crate::clients::phase::Course;
 use crate::clock::Clock;
 use crate::config::Config;
+use crate::connection_admission::AdmissionLimits;
 use crate::counters::Counters;
-use crate::discovery::heard::Heard;
 use crate::discovery::list::News;
-use crate::discovery::{self, Keeping};
-use crate::door::Bounds;
+use crate::discovery::status::DiscoveryStatus;
+use crate::discovery::{self, WatchTrigger};
 use crate::figures::Figures;
 use crate::fleet::Shares;
 use crate::fleet::outages;
@@ -26,8 +26,8 @@
 use crate::stages::relay::Relay;
 use crate::stages::route::Route;
 use crate::stages::send::Sender;
-use crate::takeover::words::Words;
-use crate::watching::Watching;
+use crate::takeover::maintenance_log::{self, MaintenanceLog};
+use crate::watch_schedule::WatchSchedule;
 use linenhill_cluster::member::Fleet;
 use log::info;
 use std::fmt;
@@ -110,14 +110,14 @@
     let book = Book::new(counters.clone(), figures.clone());
     let sender = Sender::new(pool.clone(), inbox.clone(), book.clone(), limits.max_attempts);
     let longest = Duration::from_micros(site.longest.0);
-    let bounds = Bounds {
-        places: share(SERVED_PART),
-        stands: share(REFUSED_PART),
-        leaving: LEAVING,
-        requests: config.sockets / REQUESTS_PART,
-        longest: limits.max_retry_after,
+    let admission_limits = AdmissionLimits {
+        max_served: share(SERVED_PART),
+        max_rejected: share(REFUSED_PART),
+        max_closing: LEAVING,
+        max_request_connections: config.sockets / REQUESTS_PART,
+        max_retry_after: limits.max_retry_after,
     };
-    let doorway = Doorway::new(bounds, clock);
+    let connection_gate = ConnectionGate::new(admission_limits, clock);
     let intake = Intake::new(&site, clock);
     let admit =
         Admit::new(site.max_open, config.memory / MESSAGES_PART, (config.memory as f64 * LONG_PART) as usize);
@@ -125,11 +125,11 @@
     let subscribe = Rc::new(Notify::new());
     let version = known.as_ref().map_or(0, |k| k.version);
     let within = discovery::answer_within(site.settings.discovery);
-    let heard = Rc::new(Heard::new(version, clock));
-    let keeping = match site.settings.discovery {
-        api::Discovery::OnRequest => Keeping::Asked(subscribe.clone()),
+    let status = Rc::new(DiscoveryStatus::new(version, clock));
+    let trigger = match site.settings.discovery {
+        api::Discovery::OnRequest => WatchTrigger::OnRequest(subscribe.clone()),
         api::Discovery::Pushed => {
-            Keeping::Kept(Watching::new(clock.now().0, site.settings.rules.drain_grace.0))
+            WatchTrigger::Always(WatchSchedule::new(clock.now(), site.settings.rules.drain_grace))
         }
     };
     let router = Router::new(site.settings, config.seed, clock.now());
@@ -138,42 +138,47 @@
         let _ = inbox.send(Input::List(News::Known(known)));
     }
     let (asked, maintenance) = (inbox.clone(), Rc::default());
-    let words =
-        Words::new(Rc::clone(&maintenance), shared.map(|dir| dir.join("words")), clock, inbox.clone());
+    let maintenance_log = MaintenanceLog::new(
+        Rc::clone(&maintenance),
+        shared.map(|dir| dir.join(maintenance_log::FILE_NAME)),
+        clock,
+        inbox.clone(),
+    );
     let route = Route::new(router, clock, events, sender, relay, pool.clone(), names, subscribe, maintenance)
         .bound(shares);
     let driver = spawn_local(route.run());
     let chance = fastrand::Rng::with_seed(config.seed);
-    let (kept, calls) = (heard.clone(), counters.clone());
-    spawn_local(discovery::run(discovery, keeping, kept, inbox, calls, within, chance));
-    let kept = heard.clone();
-    spawn_local(async move { kept.look_after().await });
+    let (kept, calls) = (status.clone(), counters.clone());
+    spawn_local(discovery::run(discovery, trigger, kept, inbox, calls, within, chance));
+    let kept = status.clone();
+    spawn_local(async move { kept.log_silence().await });
     spawn_local(pool.clone().follow_shares());
     spawn_local(pool.look_after());
-    let course = Course::new(clock);
+    let lifecycle = LifecycleDriver::new(clock);
     let together = listeners.together.as_ref().map(|(_, fleet, _)| fleet.clone());
     if let Some((_, fleet, reached)) = listeners.together {
         spawn_local(fleet.clone().run());
         if fleet.bounds_outages() {
-            spawn_local(outages::look_after(fleet.clone(), course.clone(), asked.clone()));
+            spawn_local(outages::look_after(fleet.clone(), lifecycle.clone(), asked.clone()));
         }
         if let Some(reached) = reached {
             spawn_local(fleet.serve(reached));
         }
     }
-    spawn_local(doorway.clone().look_after());
-    spawn_local(course.clone().look_after());
-    let view = course.watch();
-    let mut serving = spawn_local(listener::run(listeners.clients, desk.clone(), doorway, view, counters));
-    spawn_local(words.clone().look_after());
+    spawn_local(connection_gate.clone().run());
+    spawn_local(lifecycle.clone().run());
+    let view = lifecycle.subscribe();
+    let mut serving =
+        spawn_local(listener::run(listeners.clients, desk.clone(), connection_gate, view, counters));
+    spawn_local(maintenance_log.clone().follow_file());
     if let Some(operators) = listeners.operators {
         spawn_local(admin::run(
             operators,
             Rc::new(Controls {
-                course: course.clone(),
-                words: words.clone(),
+                lifecycle: lifecycle.clone(),
+                maintenance_log: maintenance_log.clone(),
                 figures,
-                heard,
+                status,
                 inbox: asked,
                 fleet: together,
             }),
@@ -183,7 +188,7 @@
         () = stop => {}
         _ = driver => return Err(DriverEnded),
     }
-    let _ = course.tell(Event::Stop { handed_over: false });
+    let _ = lifecycle.handle(Event::Stop { handed_over: false });
     // Said once it holds: whoever reads it may count on it.
     info!("stopping, {} requests held", desk.held());
     let over = timeout(longest + PAST_LONGEST, &mut serving).await.is_ok();
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -8,19 +8,19 @@
 use futures_util::FutureExt;
 use linenhill::api::{Discovery, GroupId, MemberId, MemberState, Outcome, RequestId, Span, Time};
 use linenhill::budget::Budget;
+use linenhill::clients::connection_gate::{AdmittedConnection, ConnectionGate};
 use linenhill::clients::desk::Desk;
-use linenhill::clients::doorway::{Doorway, Seated};
 use linenhill::clients::listener;
 use linenhill::clients::session;
 use linenhill::clock::Clock;
 use linenhill::close_reason::CloseReason;
 use linenhill::config::{Config, Reading, Variables};
+use linenhill::connection_admission::AdmissionLimits;
 use linenhill::counters::Counters;
-use linenhill::discovery::{self, heard::Heard, list, list::News};
-use linenhill::door::Bounds;
+use linenhill::discovery::{self, list, list::News, status::DiscoveryStatus};
 use linenhill::figures::Figures;
-use linenhill::lifecycle::View;
-use linenhill::maintenance::Maintenance;
+use linenhill::lifecycle::ServingState;
+use linenhill::maintenance::{ListedMember, Maintenance};
 use linenhill::members::attempt::{self, Errand};
 use linenhill::members::link::Link;
 use linenhill::members::pool::Pool;
@@ -33,7 +33,7 @@
 use linenhill::stages::route::Route;
 use linenhill::stages::send::Sender;
 use linenhill::stages::{Answer, Input};
-use linenhill::takeover::{saved, words::Words};
+use linenhill::takeover::{maintenance_log::MaintenanceLog, saved};
 use std::cell::RefCell;
 use std::io::{Read, Write};
 use std::path::Path;
@@ -66,16 +66,16 @@
         }
         std::future::pending::<()>().await;
     };
-    let heard = Heard::new(41, Clock::start());
+    let status = DiscoveryStatus::new(41, Clock::start());
     let reason = tokio::select! {
-        reason = discovery::follow(stream, &heard, &inbox, WITHIN) => reason,
+        reason = discovery::follow(stream, &status, &inbox, WITHIN) => reason,
         () = told => unreachable!(),
     };
     let mut lists = 0;
     while let Ok(input) = events.try_recv() {
         lists += usize::from(matches!(input, Input::List(News::Told(_))));
     }
-    (heard.version(), lists, reason)
+    (status.list_version(), lists, reason)
 }
 
 // Guards against trusting a watch whose service is gone without a word: only its blank lines show it alive, and a word
@@ -107,9 +107,9 @@
         let (inbox, mut events) = mpsc::unbounded_channel();
         let text = HEAD.to_string() + &lines.iter().map(|l| chunk(l)).collect::<String>() + "0\r\n\r\n";
         async move {
-            let heard = Heard::new(41, Clock::start());
+            let status = DiscoveryStatus::new(41, Clock::start());
             assert_eq!(
-                discovery::follow(text.as_bytes(), &heard, &inbox, WITHIN).await,
+                discovery::follow(text.as_bytes(), &status, &inbox, WITHIN).await,
                 CloseReason::WatchEnded
             );
             let told = std::iter::from_fn(|| events.try_recv().ok());
@@ -140,30 +140,41 @@
     Rc::new(Figures::new(["list", "own", "order"]))
 }
 
-fn bounds(places: usize) -> Bounds {
-    Bounds { places, stands: 0, leaving: 2, requests: 99, longest: Span(2_000_000) }
+fn admission_limits(max_served: usize) -> AdmissionLimits {
+    AdmissionLimits {
+        max_served,
+        max_rejected: 0,
+        max_closing: 2,
+        max_request_connections: 99,
+        max_retry_after: Span(2_000_000),
+    }
 }
 
-fn doorway(places: usize) -> Rc<Doorway> {
-    Doorway::new(bounds(places), Clock::start())
+fn connection_gate(max_served: usize) -> Rc<ConnectionGate> {
+    ConnectionGate::new(admission_limits(max_served), Clock::start())
 }
 
 /// A session on one end of a stream, before this desk.
 fn before(
-    desk: &Rc<Desk>, seated: Seated,
-) -> (DuplexStream, impl Future<Output = CloseReason> + use<>, watch::Sender<View>) {
+    desk: &Rc<Desk>, seated: AdmittedConnection,
+) -> (DuplexStream, impl Future<Output = CloseReason> + use<>, watch::Sender<ServingState>) {
     let (near, far) = duplex(4096);
-    let (tell, view) = watch::channel(SERVING);
-    (near, session::run(far, desk.clone(), seated, view), tell)
+    let (tell, serving_state) = watch::channel(SERVING);
+    (near, session::run(far, desk.clone(), seated, serving_state), tell)
 }
 
-fn session() -> (DuplexStream, Events, impl Future<Output = CloseReason>, watch::Sender<View>) {
+fn session() -> (DuplexStream, Events, impl Future<Output = CloseReason>, watch::Sender<ServingState>) {
     let (desk, events) = desk();
-    let (near, session, tell) = before(&desk, doorway(9).enter().expect("a place"));
+    let (near, session, tell) = before(&desk, connection_gate(9).admit().expect("a place"));
     (near, events, session, tell)
 }
 
-const SERVING: View = View { yes: true, accepts: true, closes: false, refuses: false };
+const SERVING: ServingState = ServingState {
+    reports_ready: true,
+    accepts_connections: true,
+    closes_idle: false,
+    rejects_requests: false,
+};
 const STARTUP: &[u8] = b"\0\0\0\x08\0\x03\0\0";
 
 fn query(id: &str, class: &str) -> Vec<u8> {
@@ -210,9 +221,9 @@
 #[tokio::test(start_paused = true)]
 async fn the_id_of_an_open_request_is_taken() {
     let (desk, mut events) = desk();
-    let (doorway, ask) = (doorway(9), [STARTUP, &query("7", "list")].concat());
-    let (mut first, serve_first, _tell) = before(&desk, doorway.enter().expect("a place"));
-    let (mut second, serve_second, _tell2) = before(&desk, doorway.enter().expect("a place"));
+    let (connection_gate, ask) = (connection_gate(9), [STARTUP, &query("7", "list")].concat());
+    let (mut first, serve_first, _tell) = before(&desk, connection_gate.admit().expect("a place"));
+    let (mut second, serve_second, _tell2) = before(&desk, connection_gate.admit().expect("a place"));
     let play = async {
         first.write_all(&ask).await.expect("written");
         let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
@@ -277,10 +288,10 @@
 #[tokio::test(start_paused = true)]
 async fn without_memory_for_its_message_a_client_is_refused() {
     let (desk, _events) = desk();
-    let doorway = doorway(9);
+    let connection_gate = connection_gate(9);
     let large = [STARTUP, b"Q", &(150u32 << 10).to_be_bytes(), b"/* "].concat();
-    let (mut first, serve_first, _tell) = before(&desk, doorway.enter().expect("a place"));
-    let (mut second, serve_second, _tell2) = before(&desk, doorway.enter().expect("a place"));
+    let (mut first, serve_first, _tell) = before(&desk, connection_gate.admit().expect("a place"));
+    let (mut second, serve_second, _tell2) = before(&desk, connection_gate.admit().expect("a place"));
     let play = async {
         first.write_all(&large).await.expect("written");
         sleep(Duration::from_millis(10)).await;
@@ -303,41 +314,44 @@
     drop(near);
 }
 
-// Guards against newcomers turned away for the sake of connections that ask nothing, and against ending one
-// whose request is open.
+/// Guards against rejecting new connections for the sake of those that send nothing, and against ending one while a
+/// request of it is open.
 #[tokio::test(start_paused = true)]
-async fn a_newcomer_gets_the_place_of_the_one_idle_longest() {
-    let doorway = doorway(4);
-    let seat = |_| doorway.enter().inspect(Seated::busy);
-    let seats: Vec<Seated> = (0..4).filter_map(seat).collect();
-    let left = |i: usize| seats[i].told_to_leave().now_or_never().is_some();
-    seats[3].started();
+async fn new_connection_gets_the_slot_of_the_one_idle_longest() {
+    let gate = connection_gate(4);
+    let admit_busy = || gate.admit().inspect(AdmittedConnection::mark_busy);
+    let is_asked_to_close =
+        |connection: &AdmittedConnection| connection.close_requested().now_or_never().is_some();
+    let admitted: Vec<AdmittedConnection> = (0..4).filter_map(|_| admit_busy()).collect();
+    let is_asked = |index: usize| is_asked_to_close(&admitted[index]);
+    admitted[3].mark_started();
     sleep(Duration::from_millis(100)).await;
-    seats[2].idle();
-    assert!(doorway.enter().is_none(), "nobody has been idle or silent for long enough");
+    admitted[2].mark_idle();
+    assert!(gate.admit().is_none(), "none has been idle or silent for long enough");
     sleep(Duration::from_millis(100)).await;
-    let fourth = doorway.enter().inspect(Seated::busy);
-    assert!(fourth.is_some() && left(3) && !left(2), "it has asked nothing for 0.2 s");
+    let fourth = admit_busy();
+    assert!(fourth.is_some() && is_asked(3) && !is_asked(2), "it has sent no request for 0.2 s");
     sleep(Duration::from_millis(150)).await;
-    let fifth = doorway.enter().inspect(Seated::busy);
-    assert!(fifth.is_some() && left(2), "idle for 0.2 s");
-    assert!(doorway.enter().is_none() && !left(0) && !left(1), "requests are open, or it came just now");
-    drop(seats);
-    let crowd: Vec<Seated> = (0..2).filter_map(|_| doorway.enter()).collect();
-    let told = |seat: &Seated| seat.told_to_leave().now_or_never().is_some();
-    assert!(told(&crowd[0]) && !told(&crowd[1]), "only the oldest of a silent crowd, with places left");
-}
-
-// Guards against the recorded incident on real sockets: clients that may hold 8 connections for requests, ask
-// once on each and hold it for good, ask nothing more once all 8 are held, unless the door ends some.
+    let fifth = admit_busy();
+    assert!(fifth.is_some() && is_asked(2), "idle for 0.2 s");
+    let sixth = gate.admit();
+    assert!(sixth.is_none() && !is_asked(0) && !is_asked(1), "requests are open, or it came just now");
+    drop(admitted);
+    let silent: Vec<AdmittedConnection> = (0..2).filter_map(|_| gate.admit()).collect();
+    let asked: Vec<bool> = silent.iter().map(is_asked_to_close).collect();
+    assert_eq!(asked, [true, false], "only the oldest of those that are silent, with slots left");
+}
+
+/// Guards against the recorded incident on real sockets: clients that may hold 8 connections for requests, send one
+/// request on each and hold it, send nothing more once all 8 are held, unless some are closed.
 #[tokio::test]
-async fn clients_that_hold_their_connections_for_good_are_served_on() {
+async fn clients_that_hold_connections_are_still_served() {
     let (desk, mut events) = desk();
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
-    let bounds = Bounds { requests: 8, ..bounds(40) };
-    let doorway = Doorway::new(bounds, Clock::start());
-    let (_tell, view) = watch::channel(SERVING);
+    let limits = AdmissionLimits { max_request_connections: 8, ..admission_limits(40) };
+    let connection_gate = ConnectionGate::new(limits, Clock::start());
+    let (_tell, serving_state) = watch::channel(SERVING);
     let counters = Rc::new(Counters::default());
     let answering = async move {
         while let Some(input) = events.recv().await {
@@ -362,31 +376,38 @@
         }
     };
     let local = LocalSet::new();
-    local.spawn_local(listener::run(listener, desk, doorway.clone(), view, counters.clone()));
-    local.spawn_local(doorway.look_after());
+    local.spawn_local(listener::run(
+        listener,
+        desk,
+        connection_gate.clone(),
+        serving_state,
+        counters.clone(),
+    ));
+    local.spawn_local(connection_gate.run());
     local.spawn_local(answering);
     let done = local.run_until(timeout(Duration::from_secs(20), asking)).await;
     assert!(done.is_ok(), "after {} connections no more could be opened", counters.clients.get());
-    let ends = (counters.ended.get(CloseReason::MadeRoom), counters.ended.sum());
-    assert!(ends.0 >= 32 && ends.0 == ends.1, "{ends:?}");
+    let made_room = counters.ended.get(CloseReason::MadeRoom);
+    let all_ended = counters.ended.sum();
+    assert!(made_room >= 32 && made_room == all_ended, "{made_room} of {all_ended}");
 }
 
 // Guards against a place that is not given back, and against a request lost to a newcomer.
 #[tokio::test(start_paused = true)]
 async fn who_is_told_to_leave_leaves_between_requests() {
-    let doorway = doorway(1);
+    let connection_gate = connection_gate(1);
     let (desk, mut events) = desk();
-    let (mut near, session, _tell) = before(&desk, doorway.enter().expect("a place"));
+    let (mut near, session, _tell) = before(&desk, connection_gate.admit().expect("a place"));
     let client = async {
         near.write_all(b"\0\0\0\x08\0\x03\0\0").await.expect("written");
         let query = b"Q\0\0\0\x2f/* id=1,c=list,d=900,cluster=1 */ SELECT 1\0";
         near.write_all(query).await.expect("written");
         let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
         sleep(Duration::from_secs(3)).await;
-        assert!(doorway.enter().is_none(), "its request is open");
+        assert!(connection_gate.admit().is_none(), "its request is open");
         taken.reply.send(Answer::Served(b"the row".as_slice().into())).expect("still owed");
         sleep(Duration::from_secs(3)).await;
-        assert!(doorway.enter().is_some());
+        assert!(connection_gate.admit().is_some());
     };
     let (reason, ()) = tokio::join!(session, client);
     assert_eq!(reason, CloseReason::MadeRoom);
@@ -397,15 +418,15 @@
 #[tokio::test(start_paused = true)]
 async fn who_is_told_to_leave_amid_a_message_is_waited_for_a_moment() {
     for (ends, spoken) in [(true, true), (false, true), (false, false)] {
-        let doorway = doorway(1);
+        let connection_gate = connection_gate(1);
         let (desk, mut events) = desk();
-        let (mut near, session, _tell) = before(&desk, doorway.enter().expect("a place"));
+        let (mut near, session, _tell) = before(&desk, connection_gate.admit().expect("a place"));
         let client = async {
             let whole = if spoken { [STARTUP, &query("1", "list")].concat() } else { STARTUP.to_vec() };
             let cut = if spoken { STARTUP.len() + 9 } else { 3 };
             near.write_all(&whole[..cut]).await.expect("written");
             sleep(Duration::from_secs(1)).await;
-            let _next = doorway.enter().expect("the place of the one that asks nothing");
+            let _next = connection_gate.admit().expect("the place of the one that asks nothing");
             if ends {
                 sleep(Duration::from_millis(100)).await;
                 near.write_all(&whole[cut..]).await.expect("written");
@@ -429,7 +450,7 @@
 #[tokio::test(start_paused = true)]
 async fn amid_a_drain_a_newcomer_is_served_once_and_the_front_is_told_no() {
     let (mut near, mut events, session, tell) = session();
-    let _ = tell.send(View { yes: false, closes: true, ..SERVING });
+    let _ = tell.send(ServingState { reports_ready: false, closes_idle: true, ..SERVING });
     let client = async {
         sleep(Duration::from_millis(200)).await;
         near.write_all(&[STARTUP, b"Q"].concat()).await.expect("written");
@@ -456,7 +477,12 @@
     let client = async {
         near.write_all(&[STARTUP, &query("1", "list")].concat()).await.expect("written");
         let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
-        let _ = tell.send(View { accepts: false, closes: true, refuses: true, ..SERVING });
+        let _ = tell.send(ServingState {
+            accepts_connections: false,
+            closes_idle: true,
+            rejects_requests: true,
+            ..SERVING
+        });
         near.write_all(&query("2", "list")).await.expect("written");
         sleep(Duration::from_millis(100)).await;
         assert!(events.try_recv().is_err(), "it is not handed in");
@@ -483,7 +509,7 @@
             let rest = if broken { b"Q\0\0\0\0".as_slice() } else { b"" };
             near.write_all(&[startup, b"Q", &length, query, rest].concat()).await.expect("written");
             let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
-            let _ = tell.send(View { closes: true, ..SERVING });
+            let _ = tell.send(ServingState { closes_idle: true, ..SERVING });
             sleep(Duration::from_millis(300)).await;
             taken.reply.send(Answer::Served(b"the row".as_slice().into())).expect("still owed");
             let mut got = Vec::new();
@@ -817,36 +843,37 @@
     assert_eq!((listing.servers.len(), skipped.len()), (2, 0), "that it leaves counts, wherever it is");
 }
 
-// Guards against a word that is lost when two versions write at once, when the file is torn, or when its new text is as
-// long as the old; and against a foreign file that is written over.
+/// Guards against an order that is lost when two versions write at once, when the file is torn, or when its new text is
+/// as long as the old; and against a foreign file that is written over.
 #[tokio::test]
-async fn words_outlast_what_others_write_over_them() {
-    let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-words", std::process::id()));
+async fn orders_outlast_what_others_write_over_them() {
+    let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-orders", std::process::id()));
     let _ = std::fs::remove_file(&file);
     let (clock, (inbox, _events)) = (Clock::start(), mpsc::unbounded_channel());
     let version = || {
         let mut known = Maintenance::default();
         for id in ["a", "b"] {
-            known.listed(clock.now(), id, GroupId(1), MemberState::InService, None);
+            let (group, state) = (GroupId(1), MemberState::InService);
+            known.record_listed(clock.now(), ListedMember { id, group, state, started: None });
         }
-        Words::new(Rc::new(RefCell::new(known)), Some(file.clone()), clock, inbox.clone())
+        MaintenanceLog::new(Rc::new(RefCell::new(known)), Some(file.clone()), clock, inbox.clone())
     };
     let text = || saved::read(&file).expect("a file").unwrap_or_default();
     let one = version();
-    assert_eq!(one.say("a", true), Ok(true));
+    assert_eq!(one.order("a", true), Ok(true));
     let stale = std::fs::read(&file).expect("the file");
-    assert_eq!(one.say("a", false), Ok(true));
+    assert_eq!(one.order("a", false), Ok(true));
     let newest = text();
-    for over in [stale, saved::sealed(&newest).into_bytes()[..30].to_vec()] {
+    for over in [stale, saved::seal(&newest).into_bytes()[..30].to_vec()] {
         std::fs::write(&file, over).expect("written over");
-        one.look();
+        one.sync();
         assert_eq!(text(), newest, "its own newest word is there again");
     }
     let two = version();
-    assert_eq!(two.say("b", true), Ok(true));
-    one.look();
-    assert_eq!(one.say("b", true), Ok(false), "told to the other one");
+    assert_eq!(two.order("b", true), Ok(true));
+    one.sync();
+    assert_eq!(one.order("b", true), Ok(false), "given to the other one");
     std::fs::write(&file, "something else\n").expect("written");
-    one.look();
+    one.sync();
     assert_eq!(std::fs::read(&file).expect("the file"), b"something else\n");
 }
