--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -14,9 +14,9 @@
     Body, BudgetStatus, Done, Elsewhere, Envelope, Granted, Join, Operate, OutStatus, ProxyAsk, Refused,
     SeatStatus, Status,
 };
+use linenhill_decisions::membership::SessionRejected;
 use linenhill_decisions::outages::Cause;
 use linenhill_decisions::outages::table::{Permit, Seen};
-use linenhill_decisions::roster::Unseated;
 use linenhill_decisions::shares::table::Effect;
 use linenhill_settings::operator::Operator;
 use log::{error, info, warn};
@@ -672,11 +672,11 @@
                 Body::Granted(Granted { grant, fence })
             }
             Err(problem) => {
-                let superseded = matches!(problem, Unseated::Superseded);
-                if !matches!(problem, Unseated::Old | Unseated::Taken) {
-                    info!("fleet: {name} is not let in: {problem:?}");
+                let superseded = matches!(problem, SessionRejected::Superseded);
+                if !matches!(problem, SessionRejected::StaleRequest | SessionRejected::NameInUse) {
+                    info!("fleet: {name} is not let in: {}", problem.wire_reason());
                 }
-                let reason = format!("{problem:?}");
+                let reason = problem.wire_reason().to_string();
                 Body::Refused(Refused { seq: waiting.seq, superseded, reason, incarnation })
             }
         };
@@ -688,7 +688,7 @@
         let Some(waiting) = self.waiting.iter().position(mine).and_then(|at| self.waiting.remove(at)) else {
             return;
         };
-        let seats = &self.state.table.roster.seats;
+        let seats = &self.state.table.membership.sessions;
         let name = |i: &u64| seats.iter().find(|(_, s)| s.incarnation == *i).map(|(name, _)| name.clone());
         let unconfirmed = told.unconfirmed.iter().filter_map(name).collect();
         self.answer(
@@ -706,15 +706,15 @@
             StateRole::Candidate | StateRole::PreCandidate => "candidate",
         };
         let table = &self.state.table;
-        let now = table.roster.now;
-        let lease = table.terms.stretched(table.terms.lease_us);
-        let seat = |(name, s): (&String, &linenhill_decisions::roster::Seat)| SeatStatus {
+        let now = table.membership.now;
+        let lease = table.terms.with_drift_margin(table.terms.lease_us);
+        let seat = |(name, s): (&String, &linenhill_decisions::membership::Session)| SeatStatus {
             name: name.clone(),
             incarnation: s.incarnation,
             version: s.version.clone(),
             zone: s.zone.clone(),
-            heard_ms: now.saturating_sub(s.heard) / 1_000,
-            holds: now <= s.heard.saturating_add(lease),
+            heard_ms: now.saturating_sub(s.last_request_at) / 1_000,
+            holds: now <= s.last_request_at.saturating_add(lease),
         };
         let budget = |(name, line): (&String, &linenhill_decisions::shares::table::Line)| BudgetStatus {
             name: name.clone(),
@@ -728,14 +728,14 @@
             let Permit { number, by, reason, forced, .. } = permit;
             OutStatus { thing, cause: cause.word().to_string(), permit: number, by, reason, forced }
         };
-        let out = outages.out(&Seen::new(&table.roster, &table.terms)).into_iter().map(out).collect();
+        let out = outages.out(&Seen::new(&table.membership, &table.terms)).into_iter().map(out).collect();
         Status {
             role: role.to_string(),
             leader: self.leader(),
             term: self.engine.raft.term,
             applied: self.applied,
             keepers: self.state.keepers.values().map(|k| (k.name.clone(), k.address.clone())).collect(),
-            seats: table.roster.seats.iter().map(seat).collect(),
+            seats: table.membership.sessions.iter().map(seat).collect(),
             budgets: table.lines.iter().map(budget).collect(),
             news_ms: self.now.saturating_sub(self.news) / 1_000,
             out,
--- a/crates/cluster/src/state.rs
+++ b/crates/cluster/src/state.rs
@@ -1,9 +1,9 @@
 //! What the entries of the agreed log make of the state: the table of shares, who is out, and who the keepers are.
 
 use crate::wire::ProxyAsk;
+use linenhill_decisions::membership::LeaseTerms;
 use linenhill_decisions::outages::table::{Denied, Outages, Permit, Seen};
 use linenhill_decisions::outages::{Limits, Thing};
-use linenhill_decisions::roster::Terms;
 use linenhill_decisions::shares::Budgets;
 use linenhill_decisions::shares::table::{Command, Effect, Table};
 use prost::Message;
@@ -107,7 +107,7 @@
 pub struct DeclareDoc {
     /// The terms.
     #[prost(message, required, tag = "1")]
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// The budgets.
     #[prost(btree_map = "string, message", tag = "2")]
     pub budgets: Budgets,
@@ -185,9 +185,10 @@
             }
         }
         let effects = self.table.apply(entry.elapsed_us, commands);
-        let seen = Seen::new(&self.table.roster, &self.table.terms);
+        let seen = Seen::new(&self.table.membership, &self.table.terms);
         for (name, incarnation, zone, report) in reports {
-            let seated = self.table.roster.seats.get(&name).is_some_and(|s| s.incarnation == incarnation);
+            let seated =
+                self.table.membership.sessions.get(&name).is_some_and(|s| s.incarnation == incarnation);
             if let Some(report) = report.filter(|_| seated) {
                 self.outages.heard(&seen, &name, incarnation, &zone, &report);
             }
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store.rs
@@ -4,7 +4,7 @@
 //! A store has a number of its own, drawn when it is made. Whoever lost its disk has another number, so it can never vote
 //! again under the one it had.
 
-use linenhill_decisions::roster::NAME_MOST;
+use linenhill_decisions::membership::MAX_NAME_BYTES;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::storage::MemStorage;
@@ -73,7 +73,7 @@
         }
         let (id, founding) = (lines.next()?.parse().ok()?, lines.next()?.parse().ok()?);
         let (name, cluster) = (lines.next()?.to_string(), lines.next()?.to_string());
-        (name.len() <= NAME_MOST).then_some(Identity { id, founding, name, cluster })
+        (name.len() <= MAX_NAME_BYTES).then_some(Identity { id, founding, name, cluster })
     }
 }
 
--- a/crates/decisions/src/outages/table.rs
+++ b/crates/decisions/src/outages/table.rs
@@ -1,9 +1,9 @@
 //! The table of what is out, the same at every keeper, changed only by entries of the agreed log. Time and who is heard of
-//! come from the [`Roster`]. Pure: no clock, no chance, no order but the keys'.
+//! come from the [`Membership`]. Pure: no clock, no chance, no order but the keys'.
 
 use super::{Cause, Fence, Limits, Report, THINGS_MOST, Thing, WORDS_MOST};
+use crate::membership::{LeaseTerms, Membership};
 use crate::planted::{Fault, planted};
-use crate::roster::{Roster, Terms};
 use std::collections::BTreeMap;
 
 /// Leave to be out.
@@ -104,22 +104,23 @@
     pub edition: u64,
 }
 
-/// Who is heard of: what an entry sees of the roster.
+/// Who is heard of: what an entry sees of the membership.
 pub struct Seen<'a> {
-    roster: &'a Roster,
+    membership: &'a Membership,
     lease: u64,
     /// For so long a proxy serves under what it was last granted, in log time.
-    membership: u64,
+    membership_span: u64,
     /// Proxies that are.
     alive: usize,
 }
 
 impl<'a> Seen<'a> {
     /// Whoever spoke within a lease is heard of.
-    pub fn new(roster: &'a Roster, terms: &Terms) -> Seen<'a> {
-        let (lease, membership) = (terms.stretched(terms.lease_us), terms.stretched(terms.membership_us));
-        let alive = roster.seats.keys().filter(|name| roster.heard_within(name, lease)).count();
-        Seen { roster, lease, membership, alive }
+    pub fn new(membership: &'a Membership, terms: &LeaseTerms) -> Seen<'a> {
+        let (lease, membership_span) =
+            (terms.with_drift_margin(terms.lease_us), terms.with_drift_margin(terms.membership_us));
+        let alive = membership.sessions.keys().filter(|name| membership.is_live_within(name, lease)).count();
+        Seen { membership, lease, membership_span, alive }
     }
 }
 
@@ -140,7 +141,7 @@
         if self.limits.is_none() {
             return;
         }
-        let now = seen.roster.now;
+        let now = seen.membership.now;
         if let Some(own) = self.entry(Thing::Proxy(name.to_string()).key()) {
             (own.zone, own.own, own.seen) = (zone.to_string(), report.own, now);
         }
@@ -182,7 +183,7 @@
         if self.limits.is_none() {
             return;
         }
-        let seats: Vec<u64> = seen.roster.seats.values().map(|s| s.incarnation).collect();
+        let seats: Vec<u64> = seen.membership.sessions.values().map(|s| s.incarnation).collect();
         let keys: Vec<String> = self.things.keys().cloned().collect();
         for key in keys {
             if let Some(known) = self.things.get_mut(&key) {
@@ -190,7 +191,7 @@
                 known.primary_by.retain(|incarnation| seats.contains(incarnation));
                 if let Some(permit) = &mut known.permit {
                     // Every grant since then tells of the fence, and is not gone by before the fence is carried out.
-                    let over = seen.roster.now >= permit.given.saturating_add(seen.membership);
+                    let over = seen.membership.now >= permit.given.saturating_add(seen.membership_span);
                     permit.unconfirmed.retain(|incarnation| !over && seats.contains(incarnation));
                 }
             }
@@ -215,7 +216,7 @@
     pub fn cause(&self, key: &str, seen: &Seen) -> Cause {
         let Some(known) = self.things.get(key) else { return Cause::InService };
         if let Some(name) = key.strip_prefix("proxy/") {
-            if !seen.roster.heard_within(name, seen.lease) {
+            if !seen.membership.is_live_within(name, seen.lease) {
                 return if planted(Fault::DeadUncounted) { Cause::InService } else { Cause::Silent };
             }
             return Cause::try_from(known.own).unwrap_or(Cause::InService);
@@ -266,14 +267,14 @@
         if member {
             self.edition += 1;
         }
-        let seats = || seen.roster.seats.values().map(|s| s.incarnation).collect();
+        let seats = || seen.membership.sessions.values().map(|s| s.incarnation).collect();
         let acknowledged_early = planted(Fault::FenceUnconfirmed);
         let permit = Permit {
             number: self.permits,
             by: by.chars().take(WORDS_MOST / 4).collect(),
             reason: reason.chars().take(WORDS_MOST / 4).collect(),
             forced: force,
-            given: seen.roster.now,
+            given: seen.membership.now,
             left: false,
             returns: false,
             edition: if member { self.edition } else { 0 },
--- a/crates/decisions/src/shares/table.rs
+++ b/crates/decisions/src/shares/table.rs
@@ -1,13 +1,13 @@
 //! The granters' half: what each proxy may use, and for how long that must be counted. The same at every keeper, changed
-//! only by the entries of the agreed log; see [`crate::roster`] for what time is here.
+//! only by the entries of the agreed log; see [`crate::membership`] for what time is here.
 
 use super::divide::{Claim, divide};
 use super::{
     Ask, BUDGETS_MOST, Budget, Budgets, Grant, HOLDINGS_MOST, LINE_NAME_MOST, LINES_MOST, Need, Share,
     UNITS_MOST,
 };
+use crate::membership::{LeaseTerms, Membership, SessionRejected};
 use crate::planted::{Fault, planted};
-use crate::roster::{Roster, Terms, Unseated};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Grants of one holder that are counted apart; beyond that the two oldest count as one that is as large as the larger
@@ -124,7 +124,7 @@
     /// These budgets, in the place of all before, under these terms.
     Declare {
         /// How long things hold.
-        terms: Terms,
+        terms: LeaseTerms,
         /// The budgets.
         budgets: Budgets,
         /// Which edition of them: one that is not higher than what was agreed on before changes nothing.
@@ -158,7 +158,7 @@
     /// Its incarnation.
     pub incarnation: u64,
     /// The grant, or why there is none.
-    pub answer: Result<Grant, Unseated>,
+    pub answer: Result<Grant, SessionRejected>,
 }
 
 /// The table.
@@ -166,10 +166,10 @@
 pub struct Table {
     /// Who is there.
     #[prost(message, required, tag = "1")]
-    pub roster: Roster,
+    pub membership: Membership,
     /// How long things hold.
     #[prost(message, required, tag = "2")]
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// The budgets by name.
     #[prost(btree_map = "string, message", tag = "3")]
     pub lines: BTreeMap<String, Line>,
@@ -200,7 +200,7 @@
     /// Takes an entry of the log in: `elapsed` microseconds went by on its leader's clock since the entry before of that
     /// leader's, or since it became leader; then the commands, in their order.
     pub fn apply(&mut self, elapsed: u64, commands: Vec<Command>) -> Vec<Effect> {
-        self.roster.pass(elapsed);
+        self.membership.advance(elapsed);
         self.tidy();
         let (mut effects, mut seated) = (Vec::new(), Vec::new());
         for command in commands {
@@ -212,8 +212,8 @@
                 Command::Declare { .. } => {}
                 Command::Remove { name } => self.remove(&name),
                 Command::Ask { name, incarnation, version, zone, ask } => {
-                    let silent = ask.gives_way.then(|| self.terms.stretched(self.terms.lease_us));
-                    match self.roster.ask(&name, incarnation, ask.seq, silent) {
+                    let silent = ask.gives_way.then(|| self.terms.with_drift_margin(self.terms.lease_us));
+                    match self.membership.open_or_renew(&name, incarnation, ask.seq, silent) {
                         Err(problem) => {
                             effects.push(Effect { name, incarnation, answer: Err(problem) });
                         }
@@ -221,7 +221,7 @@
                             if new && planted(Fault::OldIncarnation) {
                                 self.take_over(&name, incarnation);
                             }
-                            if let Some(seat) = self.roster.seats.get_mut(&name).filter(|_| new) {
+                            if let Some(seat) = self.membership.sessions.get_mut(&name).filter(|_| new) {
                                 (seat.version, seat.zone) = (version, zone);
                             }
                             self.note(incarnation, &ask);
@@ -238,7 +238,7 @@
                 share.into_iter().for_each(|share| _ = grant.insert(budget.clone(), share));
             }
         }
-        let Terms { lease_us, membership_us, drift_ppm } = self.terms;
+        let LeaseTerms { lease_us, membership_us, drift_ppm } = self.terms;
         for (Seated { name, incarnation, ask }, shares) in seated.into_iter().zip(grants) {
             let grant = Grant { seq: ask.seq, lease_us, membership_us, drift_ppm, shares };
             effects.push(Effect { name, incarnation, answer: Ok(grant) });
@@ -248,13 +248,13 @@
 
     /// Whether budgets of this revision would be taken: an older file at a new leader changes nothing.
     pub fn takes(&self, revision: u64) -> bool {
-        revision > self.revision || self.terms == Terms::default()
+        revision > self.revision || self.terms == LeaseTerms::default()
     }
 
     /// Only planted: what all others held counts no more.
     fn take_over(&mut self, name: &str, incarnation: u64) {
-        let seats: BTreeSet<u64> = self.roster.seats.values().map(|s| s.incarnation).collect();
-        debug_assert!(self.roster.seats.get(name).is_some_and(|s| s.incarnation == incarnation));
+        let seats: BTreeSet<u64> = self.membership.sessions.values().map(|s| s.incarnation).collect();
+        debug_assert!(self.membership.sessions.get(name).is_some_and(|s| s.incarnation == incarnation));
         self.lines.values_mut().for_each(|l| l.holdings.retain(|i, _| seats.contains(i)));
     }
 
@@ -262,23 +262,23 @@
     fn seat_kept(&self) -> u64 {
         let outlives = self.lines.values().filter_map(|l| l.budget.as_ref()).map(|b| b.outlives_us);
         let longest = self.terms.membership_us.max(self.terms.lease_us);
-        self.terms.stretched(longest.saturating_add(outlives.max().unwrap_or(0)))
+        self.terms.with_drift_margin(longest.saturating_add(outlives.max().unwrap_or(0)))
     }
 
     fn tidy(&mut self) {
-        let (now, kept) = (self.roster.now, self.seat_kept());
+        let (now, kept) = (self.membership.now, self.seat_kept());
         for line in self.lines.values_mut() {
             line.holdings.values_mut().for_each(|h| h.tidy(now));
             line.holdings.retain(|_, h| !h.is_over(now));
         }
         let stays = |line: &Line| line.budget.as_ref().is_some_and(|b| !b.each) || !line.holdings.is_empty();
         self.lines.retain(|_, line| stays(line));
-        self.roster.seats.retain(|_, seat| now < seat.heard.saturating_add(kept));
+        self.membership.sessions.retain(|_, seat| now < seat.last_request_at.saturating_add(kept));
     }
 
     /// New budgets in the place of all before. What is held counts on, also of what is declared no more: a budget that
     /// comes back smaller begins with what is still out.
-    fn declare(&mut self, terms: Terms, budgets: Budgets) {
+    fn declare(&mut self, terms: LeaseTerms, budgets: Budgets) {
         self.terms = terms;
         self.declared = budgets.into_iter().take(BUDGETS_MOST).collect();
         let declared = &self.declared;
@@ -289,15 +289,15 @@
     }
 
     fn remove(&mut self, name: &str) {
-        if let Some(seat) = self.roster.seats.remove(name) {
-            self.roster.retire(seat.incarnation);
+        if let Some(seat) = self.membership.sessions.remove(name) {
+            self.membership.retire(seat.incarnation);
         }
     }
 
     /// What a holder says of itself: the grants before the one it goes by are over, and what it has in use counts until
     /// it says otherwise or it must have ended.
     fn note(&mut self, incarnation: u64, ask: &Ask) {
-        let (now, terms) = (self.roster.now, self.terms);
+        let (now, terms) = (self.membership.now, self.terms);
         for name in ask.needs.keys().filter(|name| name.len() <= LINE_NAME_MOST) {
             let new = !self.lines.contains_key(name) && self.lines.len() < LINES_MOST;
             if let Some(budget) = budget(&self.declared, name).filter(|_| new) {
@@ -328,19 +328,19 @@
             holding.in_use_until = match in_use {
                 0 => 0,
                 _ if planted(Fault::FreedEarly) => 0,
-                _ => now.saturating_add(terms.stretched(terms.lease_us.saturating_add(outlives))),
+                _ => now.saturating_add(terms.with_drift_margin(terms.lease_us.saturating_add(outlives))),
             };
         }
     }
 
     /// The shares of one budget for those who ask in this entry, in their order.
     fn share(&mut self, name: &str, seated: &[Seated]) -> Vec<Option<Share>> {
-        let (now, terms) = (self.roster.now, self.terms);
+        let (now, terms) = (self.membership.now, self.terms);
         let Some(line) = self.lines.get_mut(name) else { return vec![None; seated.len()] };
         let Some(budget) = line.budget.clone() else { return vec![None; seated.len()] };
-        let lease = terms.stretched(terms.lease_us);
+        let lease = terms.with_drift_margin(terms.lease_us);
         // Whoever is silent for a lease wants nothing, but its floor stays set aside while it has a seat.
-        let seats: BTreeSet<u64> = self.roster.seats.values().map(|s| s.incarnation).collect();
+        let seats: BTreeSet<u64> = self.membership.sessions.values().map(|s| s.incarnation).collect();
         let base = budget.floor.min(budget.whole / seats.len().max(1) as u64);
         let rest = budget.whole - base * seats.len() as u64;
         let active: Vec<u64> =
@@ -395,7 +395,8 @@
                 holding.turn = now;
             }
             let outlives = if budget.is_rate() { 0 } else { budget.outlives_us };
-            let until = |span: u64| now.saturating_add(terms.stretched(span.saturating_add(outlives)));
+            let until =
+                |span: u64| now.saturating_add(terms.with_drift_margin(span.saturating_add(outlives)));
             holding.add(Live {
                 seq: ask.seq,
                 units,
@@ -421,7 +422,7 @@
 
     /// Budgets of which more can be in use than the whole, since it was lowered: with what is counted.
     pub fn over(&self) -> Vec<(&str, u64, u64)> {
-        let now = self.roster.now;
+        let now = self.membership.now;
         self.lines
             .iter()
             .map(|(name, line)| {
--- a/crates/decisions/tests/outages.rs
+++ b/crates/decisions/tests/outages.rs
@@ -1,14 +1,14 @@
 //! Leave to be out: never more at once than is allowed, whatever dies, is lost or asked twice. The checker knows who is out
 //! and the limits, and nothing of permits.
 
+use linenhill_decisions::membership::{LeaseTerms, Membership};
 use linenhill_decisions::outages::reporter::Reporter;
 use linenhill_decisions::outages::table::{Denied, Outages, Permit, Seen};
 use linenhill_decisions::outages::{Cap, Cause, Fence, Limits, Report, Sight, Thing};
-use linenhill_decisions::roster::{Roster, Terms};
 use std::collections::BTreeMap;
 
 const LEASE: u64 = 1_000_000;
-const TERMS: Terms = Terms { lease_us: LEASE, membership_us: 10 * LEASE, drift_ppm: 10_000 };
+const TERMS: LeaseTerms = LeaseTerms { lease_us: LEASE, membership_us: 10 * LEASE, drift_ppm: 10_000 };
 
 fn most(count: u64) -> Cap {
     Cap { count: Some(count), percent: None }
@@ -21,7 +21,7 @@
 
 /// A fleet whose proxies speak when they are told to.
 struct Fleet {
-    roster: Roster,
+    membership: Membership,
     outages: Outages,
     seq: u64,
     incarnations: BTreeMap<String, u64>,
@@ -31,7 +31,8 @@
     fn new(proxies: usize, limits: Limits) -> Fleet {
         let mut outages = Outages::default();
         outages.limit(Some(limits));
-        let mut fleet = Fleet { roster: Roster::default(), outages, seq: 0, incarnations: BTreeMap::new() };
+        let mut fleet =
+            Fleet { membership: Membership::default(), outages, seq: 0, incarnations: BTreeMap::new() };
         (0..proxies).for_each(|i| fleet.speaks(i, Cause::InService, &[]));
         fleet
     }
@@ -45,29 +46,29 @@
         let name = format!("p{i}");
         let incarnation = *self.incarnations.entry(name.clone()).or_insert(1_000 * (1 + i as u64));
         self.seq += 1;
-        self.roster.ask(&name, incarnation, self.seq, None).expect("a seat");
+        self.membership.open_or_renew(&name, incarnation, self.seq, None).expect("a seat");
         let sight = |(id, cause): &(&str, Cause)| {
             (id.to_string(), Sight { group: 1, cause: *cause as i32, primary: *id == "m0" })
         };
         let report = Report { own: own as i32, sights: members.iter().map(sight).collect(), fenced };
-        let seen = Seen::new(&self.roster, &TERMS);
+        let seen = Seen::new(&self.membership, &TERMS);
         self.outages.heard(&seen, &name, incarnation, "z1", &report);
         self.outages.tidy(&seen);
     }
 
     fn passes(&mut self, span: u64) {
-        self.roster.pass(span);
-        self.outages.tidy(&Seen::new(&self.roster, &TERMS));
+        self.membership.advance(span);
+        self.outages.tidy(&Seen::new(&self.membership, &TERMS));
     }
 
     fn permit(&mut self, key: &str, by: &str, force: bool) -> Result<Permit, Denied> {
         let thing = Thing::of(key).expect("a key");
-        let seen = Seen::new(&self.roster, &TERMS);
+        let seen = Seen::new(&self.membership, &TERMS);
         self.outages.permit(&seen, &thing, by, "a test", force)
     }
 
     fn out(&self) -> Vec<(String, Cause)> {
-        self.outages.out(&Seen::new(&self.roster, &TERMS))
+        self.outages.out(&Seen::new(&self.membership, &TERMS))
     }
 }
 
@@ -134,7 +135,7 @@
     fleet.confirms(1, Cause::InService, &[("m1", Cause::Banned)], permit.edition);
     assert_eq!(unconfirmed(&mut fleet), 1);
     // The third is cut off: it may still send there for as long as it has a seat, and no longer.
-    fleet.roster.seats.remove("p2");
+    fleet.membership.sessions.remove("p2");
     fleet.passes(0);
     assert_eq!(unconfirmed(&mut fleet), 0);
     // One that is heard of and hears nothing: what it was granted before it could know is over by then.
@@ -253,9 +254,9 @@
         }
         for i in 0..3 {
             for what in 0..4 {
-                let (roster, outages) = (fleet.roster.clone(), fleet.outages.clone());
+                let (membership, outages) = (fleet.membership.clone(), fleet.outages.clone());
                 let (seq, incarnations) = (fleet.seq, fleet.incarnations.clone());
-                let mut next = Fleet { roster, outages, seq, incarnations };
+                let mut next = Fleet { membership, outages, seq, incarnations };
                 let mut truth = truth;
                 match what {
                     0 if truth[i] == Cause::InService => {
--- a/crates/decisions/tests/shares.rs
+++ b/crates/decisions/tests/shares.rs
@@ -2,8 +2,8 @@
 //! go on and die: by seed, over a network that loses, doubles, delays and reorders, with clocks at the edge of the bound.
 //! The checker knows the wholes and looks at what is in use; it knows nothing of shares.
 
+use linenhill_decisions::membership::{LeaseTerms, SessionRejected};
 use linenhill_decisions::planted::Fault;
-use linenhill_decisions::roster::{Terms, Unseated};
 use linenhill_decisions::shares::divide::{Claim, divide};
 use linenhill_decisions::shares::holder::{Holder, Leave};
 use linenhill_decisions::shares::table::{Command, Effect, Table};
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: u64 = 1_000;
-const TERMS: Terms = Terms { lease_us: 1_000 * MS, membership_us: 5_000 * MS, drift_ppm: 50_000 };
+const TERMS: LeaseTerms = LeaseTerms { lease_us: 1_000 * MS, membership_us: 5_000 * MS, drift_ppm: 50_000 };
 const OUTLIVES: u64 = 400 * MS;
 
 fn held(whole: u64, floor: u64) -> Budget {
@@ -19,7 +19,7 @@
 }
 
 /// Each declaration is a later edition than all before it.
-fn declared(terms: Terms, budgets: Budgets) -> Command {
+fn declared(terms: LeaseTerms, budgets: Budgets) -> Command {
     thread_local! {
         static LAST: std::cell::Cell<u64> = const { std::cell::Cell::new(0) };
     }
@@ -59,7 +59,7 @@
 
 enum Sent {
     Ask(String, u64, Ask),
-    Grant(u64, Result<Grant, Unseated>),
+    Grant(u64, Result<Grant, SessionRejected>),
 }
 
 struct World {
@@ -154,7 +154,7 @@
                 let now = p.now(real);
                 match answer {
                     Ok(grant) => _ = p.holder.granted(now, grant),
-                    Err(Unseated::Superseded) => {
+                    Err(SessionRejected::Superseded) => {
                         p.incarnation = next;
                         p.holder.supersede(now);
                     }
@@ -362,7 +362,7 @@
     rates: [u64; 3],
 }
 
-const SMALL: Terms = Terms { lease_us: 3, membership_us: 5, drift_ppm: 333_334 };
+const SMALL: LeaseTerms = LeaseTerms { lease_us: 3, membership_us: 5, drift_ppm: 333_334 };
 /// A tick of true time is three units; clocks show two to four.
 const RATES: [u64; 2] = [2, 4];
 
@@ -660,10 +660,10 @@
         zone: String::new(),
         ask: old,
     };
-    assert_eq!(granted(fleet.table.apply(0, vec![late])), Err(Unseated::Superseded));
-    let after = TERMS.stretched(TERMS.lease_us + OUTLIVES);
+    assert_eq!(granted(fleet.table.apply(0, vec![late])), Err(SessionRejected::Superseded));
+    let after = TERMS.with_drift_margin(TERMS.lease_us + OUTLIVES);
     assert_eq!(granted(fleet.table.apply(after, vec![ask(77, 2)])), Ok(4));
-    assert_eq!(granted(fleet.table.apply(0, vec![ask(77, 2)])), Err(Unseated::Old));
+    assert_eq!(granted(fleet.table.apply(0, vec![ask(77, 2)])), Err(SessionRejected::StaleRequest));
 }
 
 // Guards against state that grows with time, restarts and lost answers.
@@ -681,7 +681,7 @@
         table.apply(100 * MS, vec![Command::Ask { name, incarnation: 1_000 + round, version, zone, ask }]);
         if round % 1_000 == 999 {
             let holdings: usize = table.lines.values().map(|l| l.holdings.len()).sum();
-            sizes.push((table.roster.seats.len(), holdings));
+            sizes.push((table.membership.sessions.len(), holdings));
         }
     }
     assert!(sizes.iter().all(|(seats, holdings)| *seats <= 20 && *holdings <= 250), "{sizes:?}");
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -3,7 +3,7 @@
 
 use crate::together::{Plan, World};
 use linenhill_cluster::node::KeeperError;
-use linenhill_decisions::roster::Terms;
+use linenhill_decisions::membership::LeaseTerms;
 use miniserde::Serialize;
 
 const MS: u64 = 1_000;
@@ -52,7 +52,7 @@
 }
 
 fn plan(seed: u64, proxies: usize, whole: u64) -> Plan {
-    let terms = Terms { lease_us: 3 * SECOND, membership_us: 60 * SECOND, drift_ppm: 20_000 };
+    let terms = LeaseTerms { lease_us: 3 * SECOND, membership_us: 60 * SECOND, drift_ppm: 20_000 };
     Plan { whole, terms, use_every: 50 * MS, steady: true, ..Plan::small(seed, 3, proxies) }
 }
 
--- a/crates/lab/src/together.rs
+++ b/crates/lab/src/together.rs
@@ -8,7 +8,7 @@
 use linenhill_cluster::node::{self, Action, Event, KeeperError, Node, TICK_US};
 use linenhill_cluster::store::{self, Disk};
 use linenhill_cluster::wire::{Body, Envelope, Operate, ProxyAsk};
-use linenhill_decisions::roster::Terms;
+use linenhill_decisions::membership::LeaseTerms;
 use linenhill_decisions::shares::holder::{Holder, Leave};
 use linenhill_decisions::shares::seeking::Seeking;
 use linenhill_decisions::shares::{Budget, Budgets};
@@ -38,7 +38,7 @@
     /// Proxies.
     pub proxies: usize,
     /// How long things hold.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// Units of the whole fleet.
     pub whole: u64,
     /// What each proxy keeps.
@@ -56,7 +56,7 @@
 impl Plan {
     /// A small fleet under short terms.
     pub fn small(seed: u64, keepers: usize, proxies: usize) -> Plan {
-        let terms = Terms { lease_us: 1_000 * MS, membership_us: 4_000 * MS, drift_ppm: 50_000 };
+        let terms = LeaseTerms { lease_us: 1_000 * MS, membership_us: 4_000 * MS, drift_ppm: 50_000 };
         let (whole, floor, outlives) = (6, 1, 300 * MS);
         Plan {
             seed,
@@ -731,7 +731,7 @@
 }
 
 /// The operators' file of a fleet that bounds nothing but these budgets.
-pub fn operator(keepers: Vec<Keeper>, terms: Terms, budgets: Budgets) -> Operator {
+pub fn operator(keepers: Vec<Keeper>, terms: LeaseTerms, budgets: Budgets) -> Operator {
     Operator {
         cluster: "lab".into(),
         listen: None,
--- a/crates/lab/tests/bounds.rs
+++ b/crates/lab/tests/bounds.rs
@@ -4,7 +4,7 @@
 use linenhill_cluster::node::{Action, Event, Node, TICK_US, founded};
 use linenhill_cluster::store::{self, Disk};
 use linenhill_cluster::wire::{Body, Envelope, ProxyAsk};
-use linenhill_decisions::roster::{Roster, SEATS_MOST, Terms, Unseated};
+use linenhill_decisions::membership::{LeaseTerms, MAX_SESSIONS, Membership, SessionRejected};
 use linenhill_decisions::shares::{Ask, Budget, Need};
 use linenhill_lab::disk::Image;
 use linenhill_lab::together::operator;
@@ -19,7 +19,7 @@
 fn leader() -> (Node<usize>, u64) {
     let address = ([10, 0, 0, 1], 1).into();
     let budget = Budget { whole: 9, floor: 1, burst: 0, outlives_us: 1, each: false };
-    let terms = Terms { lease_us: 1_000_000, membership_us: 4_000_000, drift_ppm: 10_000 };
+    let terms = LeaseTerms { lease_us: 1_000_000, membership_us: 4_000_000, drift_ppm: 10_000 };
     let keepers = vec![Keeper { name: "k0".into(), address }];
     let operator = operator(keepers, terms, [("b".to_string(), budget)].into());
     let whose = store::Identity { id: 7, founding: 8, name: "k0".into(), cluster: "lab".into() };
@@ -65,19 +65,19 @@
         };
         granted += actions.iter().filter(grant).count();
     }
-    assert!(granted >= SEATS_MOST - 1, "{granted} were granted");
-    assert!(node.state().table.roster.seats.len() <= SEATS_MOST);
+    assert!(granted >= MAX_SESSIONS - 1, "{granted} were granted");
+    assert!(node.state().table.membership.sessions.len() <= MAX_SESSIONS);
 }
 
-// Guards against a roster without end, and against seats that are refused for ever once it was full.
+// Guards against a membership without end, and against seats that are refused for ever once it was full.
 #[test]
-fn a_full_roster_refuses_newcomers_until_somebody_leaves() {
-    let mut roster = Roster::default();
-    for i in 0..SEATS_MOST as u64 {
-        assert_eq!(roster.ask(&format!("p{i}"), i + 1, 1, None), Ok(true));
+fn a_full_membership_refuses_newcomers_until_somebody_leaves() {
+    let mut membership = Membership::default();
+    for i in 0..MAX_SESSIONS as u64 {
+        assert_eq!(membership.open_or_renew(&format!("p{i}"), i + 1, 1, None), Ok(true));
     }
-    assert_eq!(roster.ask("late", 1 << 40, 1, None), Err(Unseated::Full));
-    assert_eq!(roster.ask("p7", 1 << 41, 1, None), Ok(true), "a restart needs no new seat");
-    roster.seats.remove("p9");
-    assert_eq!(roster.ask("late", 1 << 40, 2, None), Ok(true));
+    assert_eq!(membership.open_or_renew("late", 1 << 40, 1, None), Err(SessionRejected::TableFull));
+    assert_eq!(membership.open_or_renew("p7", 1 << 41, 1, None), Ok(true), "a restart needs no new session");
+    membership.sessions.remove("p9");
+    assert_eq!(membership.open_or_renew("late", 1 << 40, 2, None), Ok(true));
 }
--- a/crates/lab/tests/together.rs
+++ b/crates/lab/tests/together.rs
@@ -2,7 +2,7 @@
 //! the processes do, the units in use never sum to more than the whole, and a fleet that is well again comes to rest.
 
 use linenhill_cluster::node::KeeperError;
-use linenhill_decisions::roster::Terms;
+use linenhill_decisions::membership::LeaseTerms;
 use linenhill_lab::disk::Wrong;
 use linenhill_lab::together::{Plan, World};
 
@@ -169,7 +169,7 @@
 // Guards against a store that can't be opened being taken for an empty one.
 #[test]
 fn a_keeper_of_another_state_does_not_start() {
-    let terms = Terms { lease_us: SECOND, membership_us: 4 * SECOND, drift_ppm: 50_000 };
+    let terms = LeaseTerms { lease_us: SECOND, membership_us: 4 * SECOND, drift_ppm: 50_000 };
     let plan = Plan { terms, ..Plan::small(1, 3, 1) };
     let made: Result<World, KeeperError> = World::new(plan);
     let mut world = made.expect("a world");
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operators' own file, in protobuf's text format: read whole, with every mistake named by line and field.
 
+use linenhill_decisions::membership::LeaseTerms;
 use linenhill_decisions::outages::{Cap, Limits};
-use linenhill_decisions::roster::Terms;
 use linenhill_decisions::shares::{BUDGETS_MOST, Budget, Budgets};
 use prost::Message;
 use prost_reflect::{DescriptorPool, DynamicMessage};
@@ -172,7 +172,7 @@
     /// The keepers.
     pub keepers: Vec<Keeper>,
     /// How long things hold.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// The budgets by name.
     pub budgets: Budgets,
     /// What they bound.
@@ -438,7 +438,7 @@
         zone: instance.zone,
         store: Some(instance.store).filter(|s| !s.is_empty()).map(PathBuf::from),
         keepers,
-        terms: Terms {
+        terms: LeaseTerms {
             lease_us: us(terms.lease_ms),
             membership_us: us(terms.membership_ms),
             drift_ppm: terms.drift_ppm,
--- a/src/main.rs
+++ b/src/main.rs
@@ -10,7 +10,7 @@
 use linenhill::takeover::inherit;
 use linenhill_cluster::keeper;
 use linenhill_cluster::member::Fleet;
-use linenhill_decisions::roster::NAME_MOST;
+use linenhill_decisions::membership::MAX_NAME_BYTES;
 use linenhill_settings::operator::Operator;
 use log::{error, info, warn};
 use std::net::SocketAddr;
@@ -134,9 +134,9 @@
     plant()?;
     let together = match operator {
         None => None,
-        Some(_) if config.name.is_empty() || config.name.len() > NAME_MOST => {
+        Some(_) if config.name.is_empty() || config.name.len() > MAX_NAME_BYTES => {
             return Err(format!(
-                "a proxy of a fleet needs a name of 1 to {NAME_MOST} bytes: 'name' or LB_NAME"
+                "a proxy of a fleet needs a name of 1 to {MAX_NAME_BYTES} bytes: 'name' or LB_NAME"
             ));
         }
         Some(operator) => {
