--- a/Makefile
+++ b/Makefile
@@ -27,7 +27,7 @@
 proof-budgets:
 	LINENHILL_HISTORIES=$${LINENHILL_HISTORIES:-10000} cargo test --locked --release -p linenhill-lab
 	cargo test --locked --release -p linenhill-lab --features planted-faults planted -- --nocapture
-	LINENHILL_LONG=1 cargo test --locked --release -p linenhill-decisions --features planted-faults --test shares
+	LINENHILL_LONG=1 cargo test --locked --release -p linenhill-decisions --features planted-faults --test quota
 	LINENHILL_SEQUENCES=$${LINENHILL_SEQUENCES:-200} cargo test --locked --release --test fleet members -- --nocapture
 	cargo test --locked --release --features planted-faults --test fleet planted
 
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -3,7 +3,7 @@
 //! ([`member`]).
 //!
 //! Carries out and decides nothing: what the log says and what may be used is decided by
-//! `linenhill_decisions::{membership, shares}`. Nothing here is reached unless the operator's file asks for it.
+//! `linenhill_decisions::{membership, quota}`. Nothing here is reached unless the operator's file asks for it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/cluster/src/member.rs
+++ b/crates/cluster/src/member.rs
@@ -1,6 +1,6 @@
 //! A proxy's side of the fleet: it finds the leader by itself, renews what it holds, and answers what may be used now.
 //!
-//! Nothing here holds up a request. What may be used is looked up in [`Holder`] with the clock read at that moment; the
+//! Nothing here holds up a request. What may be used is looked up in [`LeaseHolder`] with the clock read at that moment; the
 //! rest runs beside it, and while no keeper is there the proxy lives on what it has until that is over by the clock.
 
 use crate::clock;
@@ -10,8 +10,8 @@
 use futures_util::{SinkExt, StreamExt};
 use linenhill_decisions::outages::reporter::Reporter;
 use linenhill_decisions::outages::{Cause, Fence, Sight};
-use linenhill_decisions::shares::holder::{Holder, Leave};
-use linenhill_decisions::shares::seeking::Seeking;
+use linenhill_decisions::quota::leader_search::LeaderSearch;
+use linenhill_decisions::quota::lease_holder::{AcquireDecision, LeaseHolder};
 use linenhill_settings::operator::Operator;
 use log::{info, warn};
 use std::cell::{Cell, RefCell};
@@ -30,7 +30,7 @@
 
 /// A proxy's part in the fleet.
 pub struct Fleet {
-    holder: RefCell<Holder>,
+    holder: RefCell<LeaseHolder>,
     identity: RefCell<Rc<Identity>>,
     operator: Operator,
     version: String,
@@ -47,9 +47,9 @@
 impl Fleet {
     /// Of the instance `name`, in an incarnation that chance draws.
     pub fn new(operator: Operator, name: &str, version: &str) -> Rc<Fleet> {
-        let mut holder = Holder::new(operator.terms.lease_us);
-        for (budget, declared) in operator.budgets.iter().filter(|(_, b)| !b.each) {
-            holder.bind(budget, declared.is_rate());
+        let mut holder = LeaseHolder::new(operator.terms.lease_us);
+        for (budget, declared) in operator.budgets.iter().filter(|(_, b)| !b.per_key) {
+            holder.enforce(budget, declared.is_rate());
         }
         let incarnation = fastrand::Rng::new().u64(1..u64::MAX);
         let identity = Identity {
@@ -84,17 +84,17 @@
 
     /// Says that a budget of which there is one for each thing binds here for one more of them.
     pub fn bind(&self, line: &str) {
-        self.holder.borrow_mut().bind(line, false);
+        self.holder.borrow_mut().enforce(line, false);
     }
 
     /// A thing is gone; nothing of its budget may be in use.
     pub fn unbind(&self, line: &str) {
-        self.holder.borrow_mut().unbind(line);
+        self.holder.borrow_mut().stop_enforcing(line);
     }
 
     /// Takes a unit of a held budget, to be used at once.
-    pub fn take(&self, line: &str) -> Leave {
-        let leave = self.holder.borrow_mut().take(clock::now(), line);
+    pub fn take(&self, line: &str) -> AcquireDecision {
+        let leave = self.holder.borrow_mut().acquire(clock::now(), line);
         self.short(leave)
     }
 
@@ -105,17 +105,17 @@
 
     /// So many units could be used.
     pub fn want(&self, line: &str, units: u64) {
-        self.holder.borrow_mut().want(line, units);
+        self.holder.borrow_mut().request_units(line, units);
     }
 
     /// A unit has ended.
     pub fn give(&self, line: &str) {
-        self.holder.borrow_mut().give(line);
+        self.holder.borrow_mut().release(line);
     }
 
     /// Spends a unit of a rate.
-    pub fn spend(&self, line: &str) -> Leave {
-        let leave = self.holder.borrow_mut().spend(clock::now(), line);
+    pub fn spend(&self, line: &str) -> AcquireDecision {
+        let leave = self.holder.borrow_mut().spend_token(clock::now(), line);
         self.short(leave)
     }
 
@@ -129,8 +129,8 @@
         self.changed.notified().await;
     }
 
-    fn short(&self, leave: Leave) -> Leave {
-        if leave == Leave::No {
+    fn short(&self, leave: AcquireDecision) -> AcquireDecision {
+        if leave == AcquireDecision::Exhausted {
             self.wake.notify_one();
         }
         leave
@@ -138,57 +138,57 @@
 
     /// Renews what this proxy holds, for as long as the program runs.
     pub async fn run(self: Rc<Self>) {
-        let mut seeking = Seeking::new(self.operator.keepers.len(), self.operator.terms.lease_us);
+        let mut seeking = LeaderSearch::new(self.operator.keepers.len(), self.operator.terms.lease_us);
         let (mut link, mut held) = (None::<Link>, false);
         loop {
-            let holds = self.holder.borrow().holds(clock::now());
+            let holds = self.holder.borrow().has_lease(clock::now());
             if held != holds {
                 held = holds;
                 self.changed.notify_one();
                 let text = if holds { "holds its shares" } else { "has no lease and lives on its floors" };
                 info!("fleet: {} {text}", self.identity().name);
             }
-            let due = self.holder.borrow().due();
-            let (until, _) = self.holder.borrow().held_until();
+            let due = self.holder.borrow().next_request_at();
+            let until = self.holder.borrow().expiry().quotas;
             let Some(open) = &mut link else {
-                let Some(keeper) = self.operator.keepers.get(seeking.keeper()) else { return };
+                let Some(keeper) = self.operator.keepers.get(seeking.current_keeper()) else { return };
                 match link::connect(keeper.address).await {
                     Ok(opened) => {
                         link = Some(opened);
-                        self.holder.borrow_mut().hurry();
+                        self.holder.borrow_mut().request_at_once();
                     }
-                    Err(_) => sleep(Duration::from_micros(seeking.lost(fastrand::f64()))).await,
+                    Err(_) => sleep(Duration::from_micros(seeking.keeper_lost(fastrand::f64()))).await,
                 }
                 continue;
             };
-            let answer_by = seeking.answer_by();
+            let answer_by = seeking.answer_deadline();
             let mut pause = None;
             tokio::select! {
                 () = sleep(clock::until(due)) => {
-                    let ask = self.holder.borrow_mut().ask(clock::now());
-                    seeking.asked(clock::now());
+                    let ask = self.holder.borrow_mut().next_request(clock::now());
+                    seeking.request_sent(clock::now());
                     let (version, zone) = (self.version.clone(), self.operator.zone.clone());
                     let report = self.bounds_outages().then(|| self.reporter.borrow_mut().report(ask.seq));
                     let envelope = self.identity().say(0, Body::Ask(ProxyAsk { ask, version, zone, report }));
-                    let within = Duration::from_micros(seeking.patience());
+                    let within = Duration::from_micros(seeking.answer_timeout());
                     if !matches!(timeout(within, open.send(envelope)).await, Ok(Ok(()))) {
-                        pause = Some(seeking.lost(fastrand::f64()));
+                        pause = Some(seeking.keeper_lost(fastrand::f64()));
                     }
                 }
                 () = self.wake.notified() => {}
                 () = sleep(clock::until(until)), if held => {}
                 () = sleep(clock::until(answer_by.unwrap_or(0))), if answer_by.is_some() => {
-                    pause = Some(seeking.lost(fastrand::f64()));
+                    pause = Some(seeking.keeper_lost(fastrand::f64()));
                 }
                 came = open.next() => match came {
                     Some(Ok(envelope)) => match self.on_answer(envelope) {
-                        Answer::Granted => seeking.granted(),
+                        Answer::Granted => seeking.request_granted(),
                         Answer::Elsewhere(place) => {
-                            pause = Some(seeking.elsewhere(place, fastrand::f64()));
+                            pause = Some(seeking.redirected(place, fastrand::f64()));
                         }
                         Answer::Nothing => {}
                     },
-                    _ => pause = Some(seeking.lost(fastrand::f64())),
+                    _ => pause = Some(seeking.keeper_lost(fastrand::f64())),
                 },
             }
             if let Some(pause) = pause {
@@ -202,7 +202,7 @@
         match envelope.body {
             Some(Body::Granted(Granted { grant, fence })) => {
                 let seq = grant.seq;
-                if !self.holder.borrow_mut().granted(clock::now(), grant) {
+                if !self.holder.borrow_mut().apply_grant(clock::now(), grant) {
                     return Answer::Nothing;
                 }
                 if let Some(newer) = self.reporter.borrow_mut().granted(seq, fence) {
@@ -227,7 +227,7 @@
                     let incarnation = fastrand::Rng::new().u64(1..u64::MAX);
                     let next = Identity { incarnation, ..Identity::clone(&self.identity()) };
                     self.identity.replace(Rc::new(next));
-                    self.holder.borrow_mut().supersede(clock::now());
+                    self.holder.borrow_mut().handle_superseded(clock::now());
                     self.reporter.borrow_mut().begin_anew();
                     self.changed.notify_one();
                 }
@@ -260,7 +260,7 @@
     /// How this process is.
     pub fn own(&self, cause: Cause) {
         if self.reporter.borrow_mut().own(cause) {
-            self.holder.borrow_mut().hurry();
+            self.holder.borrow_mut().request_at_once();
             self.wake.notify_one();
         }
     }
@@ -268,7 +268,7 @@
     /// A grant that told of a newer fence makes no member before that fence is carried out.
     fn go_by_fence(&self) {
         if self.reporter.borrow().is_carried() {
-            self.fenced_until.set(self.holder.borrow().held_until().1);
+            self.fenced_until.set(self.holder.borrow().expiry().floors);
         }
     }
 
@@ -286,7 +286,7 @@
     pub fn carried(&self, edition: u64) {
         self.reporter.borrow_mut().carried(edition);
         self.go_by_fence();
-        self.holder.borrow_mut().hurry();
+        self.holder.borrow_mut().request_at_once();
         self.wake.notify_one();
     }
 
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -17,7 +17,7 @@
 use linenhill_decisions::membership::SessionRejected;
 use linenhill_decisions::outages::Cause;
 use linenhill_decisions::outages::table::{Permit, Seen};
-use linenhill_decisions::shares::table::Effect;
+use linenhill_decisions::quota::table::QuotaReply;
 use linenhill_settings::operator::Operator;
 use log::{error, info, warn};
 use prost::Message as _;
@@ -366,7 +366,7 @@
             let file = declaration(&self.operator);
             let (table, ours) = (&self.state.table, file.revision);
             let same = table.terms == file.terms && table.declared == file.budgets;
-            if table.takes(ours) {
+            if table.accepts_revision(ours) {
                 info!("fleet: budgets are declared as this file has them, revision {ours}");
                 self.commands.push_back(doc(Which::Declare(file)));
             } else if !same {
@@ -504,7 +504,8 @@
             return (false, format!("the leader is {}", self.leader()));
         }
         if let Some(file) = &operate.declare {
-            let (newer, agreed) = (self.state.table.takes(file.revision), self.state.table.revision);
+            let (newer, agreed) =
+                (self.state.table.accepts_revision(file.revision), self.state.table.revision);
             if !newer {
                 return (false, format!("revision {agreed} is agreed on: a change needs a higher one"));
             }
@@ -659,8 +660,8 @@
         Ok(())
     }
 
-    fn tell(&mut self, effect: Effect) {
-        let Effect { name, incarnation, answer } = effect;
+    fn tell(&mut self, effect: QuotaReply) {
+        let QuotaReply { name, incarnation, result: answer } = effect;
         let seq = answer.as_ref().map_or(0, |grant| grant.seq);
         let mine = |w: &Waiting<R>| w.incarnation == incarnation && (seq == 0 || w.seq == seq);
         let Some(place) = self.waiting.iter().position(mine) else { return };
@@ -716,12 +717,13 @@
             heard_ms: now.saturating_sub(s.last_request_at) / 1_000,
             holds: now <= s.last_request_at.saturating_add(lease),
         };
-        let budget = |(name, line): (&String, &linenhill_decisions::shares::table::Line)| BudgetStatus {
-            name: name.clone(),
-            whole: line.budget.as_ref().map_or(0, |b| b.whole),
-            counted: line.counted(now),
-            in_use: line.holdings.values().map(|h| h.in_use).sum(),
-        };
+        let budget =
+            |(name, line): (&String, &linenhill_decisions::quota::table::BudgetEntry)| BudgetStatus {
+                name: name.clone(),
+                whole: line.budget.as_ref().map_or(0, |b| b.total),
+                counted: line.committed(now),
+                in_use: line.allocations.values().map(|h| h.in_use).sum(),
+            };
         let outages = &self.state.outages;
         let out = |(thing, cause): (String, Cause)| {
             let permit = outages.things.get(&thing).and_then(|k| k.permit.clone()).unwrap_or_default();
@@ -736,7 +738,7 @@
             applied: self.applied,
             keepers: self.state.keepers.values().map(|k| (k.name.clone(), k.address.clone())).collect(),
             seats: table.membership.sessions.iter().map(seat).collect(),
-            budgets: table.lines.iter().map(budget).collect(),
+            budgets: table.entries.iter().map(budget).collect(),
             news_ms: self.now.saturating_sub(self.news) / 1_000,
             out,
         }
--- a/crates/cluster/src/state.rs
+++ b/crates/cluster/src/state.rs
@@ -4,8 +4,8 @@
 use linenhill_decisions::membership::LeaseTerms;
 use linenhill_decisions::outages::table::{Denied, Outages, Permit, Seen};
 use linenhill_decisions::outages::{Limits, Thing};
-use linenhill_decisions::shares::Budgets;
-use linenhill_decisions::shares::table::{Command, Effect, Table};
+use linenhill_decisions::quota::Budgets;
+use linenhill_decisions::quota::table::{QuotaCommand, QuotaReply, QuotaTable};
 use prost::Message;
 use std::collections::BTreeMap;
 
@@ -34,13 +34,13 @@
 /// The commands as they are written.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Which {
-    /// See [`Command::Declare`].
+    /// See [`QuotaCommand::Declare`].
     #[prost(message, tag = "1")]
     Declare(DeclareDoc),
-    /// See [`Command::Ask`].
+    /// See [`QuotaCommand::Request`].
     #[prost(message, tag = "2")]
     Ask(AskDoc),
-    /// See [`Command::Remove`].
+    /// See [`QuotaCommand::Remove`].
     #[prost(string, tag = "3")]
     Remove(String),
     /// Of what may be out.
@@ -97,7 +97,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// A request for shares.
-    Share(Effect),
+    Share(QuotaReply),
     /// A wish.
     Told(Told),
 }
@@ -149,7 +149,7 @@
 pub struct State {
     /// The shares.
     #[prost(message, required, tag = "1")]
-    pub table: Table,
+    pub table: QuotaTable,
     /// The keepers by number.
     #[prost(btree_map = "uint64, message", tag = "2")]
     pub keepers: BTreeMap<u64, KeeperSeat>,
@@ -166,19 +166,19 @@
         for doc in entry.commands {
             match doc.which {
                 Some(Which::Declare(DeclareDoc { terms, budgets, revision, outages })) => {
-                    if self.table.takes(revision) {
+                    if self.table.accepts_revision(revision) {
                         self.outages.limit(outages);
                     }
-                    commands.push(Command::Declare { terms, budgets, revision });
+                    commands.push(QuotaCommand::Declare { terms, budgets, revision });
                 }
                 Some(Which::Ask(AskDoc { name, incarnation, ask })) => {
                     let ProxyAsk { ask, version, zone, report } = ask;
                     reports.push((name.clone(), incarnation, zone.clone(), report));
-                    commands.push(Command::Ask { name, incarnation, version, zone, ask });
+                    commands.push(QuotaCommand::Request { name, incarnation, version, zone, request: ask });
                 }
                 Some(Which::Remove(name)) => {
                     self.outages.forget(&Thing::Proxy(name.clone()));
-                    commands.push(Command::Remove { name });
+                    commands.push(QuotaCommand::Remove { name });
                 }
                 Some(Which::Outage(wish)) => wishes.push((doc.ticket, wish)),
                 None => {}
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -3,7 +3,7 @@
 use crate::state::{DeclareDoc, OutageDoc};
 use bytes::{Buf, Bytes, BytesMut};
 use linenhill_decisions::outages::{Fence, Report};
-use linenhill_decisions::shares::{Ask, Grant};
+use linenhill_decisions::quota::{Grant, QuotaRequest};
 use prost::Message;
 use std::fmt;
 use std::io;
@@ -85,7 +85,7 @@
 pub struct ProxyAsk {
     /// The request.
     #[prost(message, required, tag = "1")]
-    pub ask: Ask,
+    pub ask: QuotaRequest,
     /// Its version.
     #[prost(string, tag = "2")]
     pub version: String,
--- a/crates/decisions/src/shares/seeking.rs
+++ b/crates/decisions/src/quota/leader_search.rs
@@ -11,58 +11,58 @@
 
 /// The way to the leader.
 #[derive(Clone, Debug)]
-pub struct Seeking {
+pub struct LeaderSearch {
     keepers: usize,
     at: usize,
     pause: u64,
-    patience: u64,
+    answer_timeout: u64,
     waits_since: Option<u64>,
 }
 
-impl Seeking {
+impl LeaderSearch {
     /// Among so many keepers, of whom none is known to lead; an answer is worth waiting for by the length of a lease.
-    pub fn new(keepers: usize, lease: u64) -> Seeking {
+    pub fn new(keepers: usize, lease: u64) -> LeaderSearch {
         let patience = (lease / ANSWER_PART).max(ANSWER_LEAST);
-        Seeking { keepers, at: 0, pause: PAUSE.0, patience, waits_since: None }
+        LeaderSearch { keepers, at: 0, pause: PAUSE.0, answer_timeout: patience, waits_since: None }
     }
 
     /// The place of the keeper to speak to, in the order of the file.
-    pub fn keeper(&self) -> usize {
+    pub fn current_keeper(&self) -> usize {
         self.at % self.keepers.max(1)
     }
 
     /// How long an answer is waited for.
-    pub fn patience(&self) -> u64 {
-        self.patience
+    pub fn answer_timeout(&self) -> u64 {
+        self.answer_timeout
     }
 
     /// A request went out.
-    pub fn asked(&mut self, now: u64) {
+    pub fn request_sent(&mut self, now: u64) {
         self.waits_since = self.waits_since.or(Some(now));
     }
 
     /// The request that was not answered first must be answered by then.
-    pub fn answer_by(&self) -> Option<u64> {
-        self.waits_since.map(|since| since.saturating_add(self.patience))
+    pub fn answer_deadline(&self) -> Option<u64> {
+        self.waits_since.map(|since| since.saturating_add(self.answer_timeout))
     }
 
     /// It was granted.
-    pub fn granted(&mut self) {
+    pub fn request_granted(&mut self) {
         (self.waits_since, self.pause) = (None, PAUSE.0);
     }
 
     /// The keeper can't be reached, is silent, or ended the connection: the next one, after the pause returned.
-    pub fn lost(&mut self, chance: f64) -> u64 {
+    pub fn keeper_lost(&mut self, chance: f64) -> u64 {
         self.go_on(None, chance)
     }
 
     /// The keeper says that another one leads, or that it knows of none.
-    pub fn elsewhere(&mut self, leader: Option<usize>, chance: f64) -> u64 {
+    pub fn redirected(&mut self, leader: Option<usize>, chance: f64) -> u64 {
         self.go_on(leader.filter(|place| *place < self.keepers), chance)
     }
 
     fn go_on(&mut self, to: Option<usize>, chance: f64) -> u64 {
-        self.at = to.unwrap_or(self.keeper() + 1);
+        self.at = to.unwrap_or(self.current_keeper() + 1);
         self.waits_since = None;
         let pause = (self.pause as f64 * (0.5 + chance.clamp(0.0, 1.0) / 2.0)) as u64;
         self.pause = (self.pause * 2).min(PAUSE.1);
--- a/crates/decisions/src/shares/holder.rs
+++ b/crates/decisions/src/quota/lease_holder.rs
@@ -4,7 +4,7 @@
 //! Nothing here rests on a message or a timer: a share ends by the clock, so that a process that was stopped finds its
 //! lease over when it goes on, before it uses anything.
 
-use super::{Ask, Grant, Need, Share};
+use super::{Grant, Quota, QuotaNeed, QuotaRequest};
 use crate::planted::{Fault, planted};
 use std::collections::BTreeMap;
 
@@ -21,8 +21,8 @@
 
 /// One budget here.
 #[derive(Clone, Debug, Default)]
-struct Line {
-    share: Share,
+struct LocalBudget {
+    share: Quota,
     in_use: u64,
     /// The most that was in use or wanted since the last request, and at the requests before.
     peak: u64,
@@ -41,7 +41,7 @@
 
 /// What one incarnation of a proxy holds.
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct LeaseHolder {
     seq: u64,
     acked: u64,
     /// When each request was sent whose answer may still come.
@@ -52,28 +52,37 @@
     floor_until: u64,
     lease: u64,
     drift_ppm: u64,
-    lines: BTreeMap<String, Line>,
+    lines: BTreeMap<String, LocalBudget>,
     /// A grant took something away that the granters should soon know of.
     gave_up: bool,
     /// Another process has its name: it waits until that one is silent.
     gives_way: bool,
 }
 
+/// When a grant ends, in microseconds on the holder's clock.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LeaseExpiry {
+    /// The quotas end.
+    pub quotas: u64,
+    /// The floors end, and with them the membership.
+    pub floors: u64,
+}
+
 /// Whether something may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leave {
+pub enum AcquireDecision {
     /// It may, and counts from now on.
-    Yes,
+    Acquired,
     /// There is no room in this proxy's share.
-    No,
+    Exhausted,
     /// No such budget was declared: nothing binds here.
-    Unbound,
+    Unlimited,
 }
 
-impl Holder {
+impl LeaseHolder {
     /// It holds nothing. `lease` is a first guess, for when to ask again.
-    pub fn new(lease: u64) -> Holder {
-        Holder {
+    pub fn new(lease: u64) -> LeaseHolder {
+        LeaseHolder {
             seq: 0,
             acked: 0,
             asked: BTreeMap::new(),
@@ -89,13 +98,13 @@
     }
 
     /// Says that a budget binds here, granted or not: until it is granted there is nothing of it.
-    pub fn bind(&mut self, budget: &str, rate: bool) {
+    pub fn enforce(&mut self, budget: &str, rate: bool) {
         let line = self.lines.entry(budget.to_string()).or_default();
-        (line.share.rate, line.unbound) = (rate, false);
+        (line.share.is_rate, line.unbound) = (rate, false);
     }
 
     /// Forgets a budget as soon as nothing of it is in use.
-    pub fn unbind(&mut self, budget: &str) {
+    pub fn stop_enforcing(&mut self, budget: &str) {
         self.lines.entry(budget.to_string()).and_modify(|l| l.unbound = true);
         self.forget(budget);
     }
@@ -107,7 +116,7 @@
     }
 
     /// When the next request is due.
-    pub fn due(&self) -> u64 {
+    pub fn next_request_at(&self) -> u64 {
         let Some(last) = self.last_asked else { return 0 };
         if self.gives_way && self.acked == 0 {
             return last.saturating_add(self.lease);
@@ -117,14 +126,14 @@
     }
 
     /// The next request is due at once: what was asked before went where nobody answers.
-    pub fn hurry(&mut self) {
+    pub fn request_at_once(&mut self) {
         if let Some(last) = self.last_asked.as_mut().filter(|_| !self.gives_way || self.acked > 0) {
             *last = last.saturating_sub(self.lease);
         }
     }
 
     /// The next request, to be sent now. What it counts from is this moment, not that of the answer.
-    pub fn ask(&mut self, now: u64) -> Ask {
+    pub fn next_request(&mut self, now: u64) -> QuotaRequest {
         self.seq += 1;
         self.asked.insert(self.seq, now);
         if self.asked.len() > ASKED_MOST {
@@ -137,16 +146,16 @@
             line.peaks.rotate_right(1);
             let per_second = u128::from(line.peak) * 1_000_000 / u128::from(span);
             line.peaks[0] =
-                if line.share.rate { u64::try_from(per_second).unwrap_or(u64::MAX) } else { line.peak };
+                if line.share.is_rate { u64::try_from(per_second).unwrap_or(u64::MAX) } else { line.peak };
             let demand = line.peaks.iter().copied().max().unwrap_or(0);
             (line.peak, line.short, line.refused) = (line.in_use, false, 0);
-            needs.insert(name.clone(), Need { in_use: line.in_use, demand });
+            needs.insert(name.clone(), QuotaNeed { in_use: line.in_use, demand });
         }
-        Ask { seq: self.seq, acked: self.acked, needs, gives_way: self.gives_way }
+        QuotaRequest { seq: self.seq, acked: self.acked, needs, yields_name: self.gives_way }
     }
 
     /// An answer came. Late, doubled and out of order ones change nothing; true if this one is gone by now.
-    pub fn granted(&mut self, now: u64, grant: Grant) -> bool {
+    pub fn apply_grant(&mut self, now: u64, grant: Grant) -> bool {
         let Some(asked) = self.asked.get(&grant.seq).copied().filter(|_| grant.seq > self.acked) else {
             return false;
         };
@@ -158,19 +167,22 @@
         self.floor_until = asked.saturating_add(grant.membership_us);
         (self.lease, self.drift_ppm) = (grant.lease_us, grant.drift_ppm);
         for (name, line) in &mut self.lines {
-            if !grant.shares.contains_key(name) {
+            if !grant.quotas.contains_key(name) {
                 // Declared no more: nothing of it is left here.
                 self.gave_up |= line.share.units > 0;
-                line.share = Share { rate: line.share.rate, ..Share::default() };
+                line.share = Quota { is_rate: line.share.is_rate, ..Quota::default() };
             }
         }
-        for (name, share) in grant.shares {
+        for (name, share) in grant.quotas {
             // Of things that are gone here a late answer may still tell.
             if name.contains('/') && !self.lines.contains_key(&name) {
                 continue;
             }
-            let line = self.lines.entry(name).or_insert_with(|| Line { filled: now, ..Line::default() });
-            if share.rate != line.share.rate {
+            let line = self
+                .lines
+                .entry(name)
+                .or_insert_with(|| LocalBudget { filled: now, ..LocalBudget::default() });
+            if share.is_rate != line.share.is_rate {
                 (line.level, line.rest, line.filled) = (0, 0, now);
             }
             self.gave_up |= share.units < line.share.units;
@@ -183,24 +195,24 @@
 
     /// Another incarnation of this name holds the seat, or operators took this one off: it holds nothing any more, and asks
     /// on as a new incarnation that gives way to whoever has the seat. What is in use is still in use.
-    pub fn supersede(&mut self, now: u64) {
+    pub fn handle_superseded(&mut self, now: u64) {
         self.settle(now);
         (self.until, self.floor_until, self.acked, self.gives_way) = (0, 0, 0, true);
         self.asked.clear();
         self.last_asked = Some(now);
         for line in self.lines.values_mut() {
-            line.share = Share { rate: line.share.rate, ..Share::default() };
+            line.share = Quota { is_rate: line.share.is_rate, ..Quota::default() };
         }
         self.settle(now);
     }
 
-    /// Until when the shares hold, and the floors.
-    pub fn held_until(&self) -> (u64, u64) {
-        (self.until, self.floor_until)
+    /// When the last applied grant ends.
+    pub fn expiry(&self) -> LeaseExpiry {
+        LeaseExpiry { quotas: self.until, floors: self.floor_until }
     }
 
     /// Whether the shares hold now; else there are floors at most.
-    pub fn holds(&self, now: u64) -> bool {
+    pub fn has_lease(&self, now: u64) -> bool {
         now < self.until
     }
 
@@ -211,12 +223,12 @@
 
     /// Units of a held budget that are in use beyond what may be: idle ones are to be ended.
     pub fn excess(&self, now: u64, budget: &str) -> u64 {
-        let over = |line: &Line| line.in_use.saturating_sub(self.bound(now, line).0);
-        self.lines.get(budget).filter(|l| !l.share.rate).map_or(0, over)
+        let over = |line: &LocalBudget| line.in_use.saturating_sub(self.bound(now, line).0);
+        self.lines.get(budget).filter(|l| !l.share.is_rate).map_or(0, over)
     }
 
     /// Units and, for a rate, the size of its bucket.
-    fn bound(&self, now: u64, line: &Line) -> (u64, u64) {
+    fn bound(&self, now: u64, line: &LocalBudget) -> (u64, u64) {
         if now < self.until {
             (line.share.units, line.share.burst)
         } else if now < self.floor_until {
@@ -227,24 +239,24 @@
     }
 
     /// Takes a unit of a held budget, to be used at once: `now` is read just before.
-    pub fn take(&mut self, now: u64, budget: &str) -> Leave {
-        let Some(limit) = self.limit(now, budget) else { return Leave::Unbound };
-        let Some(line) = self.lines.get_mut(budget) else { return Leave::Unbound };
+    pub fn acquire(&mut self, now: u64, budget: &str) -> AcquireDecision {
+        let Some(limit) = self.limit(now, budget) else { return AcquireDecision::Unlimited };
+        let Some(line) = self.lines.get_mut(budget) else { return AcquireDecision::Unlimited };
         if line.in_use < limit {
             line.in_use += 1;
             line.peak = line.peak.max(line.in_use);
-            return Leave::Yes;
+            return AcquireDecision::Acquired;
         }
         // Whatever is refused is wanted; who asks again and again says no more than that it wants twice as much.
         line.refused = (line.refused + 1).min(line.in_use + REFUSED_MOST);
         line.peak = line.peak.max(line.in_use + line.refused);
         line.short = true;
-        Leave::No
+        AcquireDecision::Exhausted
     }
 
     /// Says that so many units of a held budget could be used from now on, without taking any; it is asked for at once
     /// where there is no more than the floor.
-    pub fn want(&mut self, budget: &str, units: u64) {
+    pub fn request_units(&mut self, budget: &str, units: u64) {
         if let Some(line) = self.lines.get_mut(budget) {
             line.peak = line.peak.max(units);
             line.short |= line.share.units <= line.share.floor;
@@ -252,7 +264,7 @@
     }
 
     /// A unit of a held budget has ended.
-    pub fn give(&mut self, budget: &str) {
+    pub fn release(&mut self, budget: &str) {
         if let Some(line) = self.lines.get_mut(budget) {
             line.in_use = line.in_use.saturating_sub(1);
         }
@@ -260,21 +272,21 @@
     }
 
     /// Spends a unit of a rate, at once.
-    pub fn spend(&mut self, now: u64, budget: &str) -> Leave {
+    pub fn spend_token(&mut self, now: u64, budget: &str) -> AcquireDecision {
         self.settle_one(now, budget);
-        let Some(line) = self.lines.get_mut(budget) else { return Leave::Unbound };
+        let Some(line) = self.lines.get_mut(budget) else { return AcquireDecision::Unlimited };
         line.peak = line.peak.saturating_add(1_000);
         if line.level >= 1_000 {
             line.level -= 1_000;
-            return Leave::Yes;
+            return AcquireDecision::Acquired;
         }
         line.short = true;
-        Leave::No
+        AcquireDecision::Exhausted
     }
 
     fn settle(&mut self, now: u64) {
         let names: Vec<String> =
-            self.lines.iter().filter(|(_, l)| l.share.rate).map(|(n, _)| n.clone()).collect();
+            self.lines.iter().filter(|(_, l)| l.share.is_rate).map(|(n, _)| n.clone()).collect();
         names.iter().for_each(|name| self.settle_one(now, name));
     }
 
@@ -282,7 +294,7 @@
     /// bucket that holds now bears.
     fn settle_one(&mut self, now: u64, budget: &str) {
         let (until, floor_until, drift) = (self.until, self.floor_until, self.drift_ppm);
-        let Some(line) = self.lines.get_mut(budget).filter(|l| l.share.rate) else { return };
+        let Some(line) = self.lines.get_mut(budget).filter(|l| l.share.is_rate) else { return };
         let from = line.filled;
         line.filled = from.max(now);
         let span = |from: u64, to: u64| u128::from(to.min(now).saturating_sub(from));
--- a/crates/decisions/src/shares/mod.rs
+++ b/crates/decisions/src/quota/mod.rs
@@ -10,30 +10,30 @@
 //! - what is in use counts beyond the lease, for as long as a unit can outlive it;
 //! - a floor is set aside before it is told, and counts for as long as its own, longer lease.
 
-pub mod divide;
-pub mod holder;
-pub mod seeking;
+pub mod leader_search;
+pub mod lease_holder;
+pub mod max_min_fair;
 pub mod table;
 
 use std::collections::BTreeMap;
 
 /// Most budgets that can be declared.
-pub const BUDGETS_MOST: usize = 64;
+pub const MAX_BUDGETS: usize = 64;
 /// Most lines of the table: budgets, and those of which there is one for each of many things.
-pub const LINES_MOST: usize = 4_096;
+pub const MAX_BUDGET_ENTRIES: usize = 4_096;
 /// Most that is kept of holders and lines together: what a snapshot must bear.
-pub const HOLDINGS_MOST: usize = 131_072;
+pub const MAX_ALLOCATIONS: usize = 131_072;
 /// Most units that a holder can say it needs or uses: more is taken for this, so that sums stay sums.
-pub const UNITS_MOST: u64 = 1 << 40;
+pub const MAX_UNITS: u64 = 1 << 40;
 /// Longest name of a line, in bytes.
-pub const LINE_NAME_MOST: usize = 160;
+pub const MAX_ENTRY_NAME_BYTES: usize = 160;
 
 /// A budget: how much the whole fleet may use.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Budget {
     /// Units at once; for a rate thousandths of a unit a second.
     #[prost(uint64, tag = "1")]
-    pub whole: u64,
+    pub total: u64,
     /// What each proxy keeps without being granted it, out of the whole.
     #[prost(uint64, tag = "2")]
     pub floor: u64,
@@ -45,7 +45,7 @@
     pub outlives_us: u64,
     /// There is one of it for each of many things, which holders name behind a slash: `links/m-1`.
     #[prost(bool, tag = "5")]
-    pub each: bool,
+    pub per_key: bool,
 }
 
 impl Budget {
@@ -60,7 +60,7 @@
 
 /// What a holder says of one budget.
 #[derive(Clone, PartialEq, Eq, ::prost::Message)]
-pub struct Need {
+pub struct QuotaNeed {
     /// Units in use now; 0 for a rate.
     #[prost(uint64, tag = "1")]
     pub in_use: u64,
@@ -71,7 +71,7 @@
 
 /// A holder's request: renews its seat and its shares, and says what it needs.
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct Ask {
+pub struct QuotaRequest {
     /// Its number, from 1 on.
     #[prost(uint64, tag = "1")]
     pub seq: u64,
@@ -80,15 +80,15 @@
     pub acked: u64,
     /// Its needs by budget.
     #[prost(btree_map = "string, message", tag = "3")]
-    pub needs: BTreeMap<String, Need>,
+    pub needs: BTreeMap<String, QuotaNeed>,
     /// Another process had its name: it wants the seat only if whoever has it is silent.
     #[prost(bool, tag = "4")]
-    pub gives_way: bool,
+    pub yields_name: bool,
 }
 
 /// A share of one budget.
 #[derive(Clone, PartialEq, Eq, ::prost::Message)]
-pub struct Share {
+pub struct Quota {
     /// Units until the lease is over.
     #[prost(uint64, tag = "1")]
     pub units: u64,
@@ -103,7 +103,7 @@
     pub floor_burst: u64,
     /// Whether it is a rate.
     #[prost(bool, tag = "5")]
-    pub rate: bool,
+    pub is_rate: bool,
 }
 
 /// The answer to a request.
@@ -123,5 +123,5 @@
     pub drift_ppm: u64,
     /// The shares by budget; of others it has none.
     #[prost(btree_map = "string, message", tag = "5")]
-    pub shares: BTreeMap<String, Share>,
+    pub quotas: BTreeMap<String, Quota>,
 }
--- a/crates/decisions/tests/shares.rs
+++ b/crates/decisions/tests/quota.rs
@@ -4,10 +4,10 @@
 
 use linenhill_decisions::membership::{LeaseTerms, SessionRejected};
 use linenhill_decisions::planted::Fault;
-use linenhill_decisions::shares::divide::{Claim, divide};
-use linenhill_decisions::shares::holder::{Holder, Leave};
-use linenhill_decisions::shares::table::{Command, Effect, Table};
-use linenhill_decisions::shares::{Ask, Budget, Budgets, Grant};
+use linenhill_decisions::quota::lease_holder::{AcquireDecision, LeaseExpiry, LeaseHolder};
+use linenhill_decisions::quota::max_min_fair::{Claim, max_min_fair};
+use linenhill_decisions::quota::table::{QuotaCommand, QuotaReply, QuotaTable};
+use linenhill_decisions::quota::{Budget, Budgets, Grant, QuotaRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: u64 = 1_000;
@@ -15,28 +15,28 @@
 const OUTLIVES: u64 = 400 * MS;
 
 fn held(whole: u64, floor: u64) -> Budget {
-    Budget { whole, floor, burst: 0, outlives_us: OUTLIVES, each: false }
+    Budget { total: whole, floor, burst: 0, outlives_us: OUTLIVES, per_key: false }
 }
 
 /// Each declaration is a later edition than all before it.
-fn declared(terms: LeaseTerms, budgets: Budgets) -> Command {
+fn declared(terms: LeaseTerms, budgets: Budgets) -> QuotaCommand {
     thread_local! {
         static LAST: std::cell::Cell<u64> = const { std::cell::Cell::new(0) };
     }
     let revision = LAST.get() + 1;
     LAST.set(revision);
-    Command::Declare { terms, budgets, revision }
+    QuotaCommand::Declare { terms, budgets, revision }
 }
 
 fn budgets(whole: u64, floor: u64) -> Budgets {
-    let rate = Budget { whole: 40_000, floor: 1_000, burst: 8, outlives_us: 0, each: false };
+    let rate = Budget { total: 40_000, floor: 1_000, burst: 8, outlives_us: 0, per_key: false };
     [("links".to_string(), held(whole, floor)), ("probes".to_string(), rate)].into()
 }
 
 struct Process {
     name: String,
     incarnation: u64,
-    holder: Holder,
+    holder: LeaseHolder,
     /// Its clock at real time 0, and its rate in millionths.
     clock: (u64, u64),
     alive: bool,
@@ -58,14 +58,14 @@
 }
 
 enum Sent {
-    Ask(String, u64, Ask),
+    Ask(String, u64, QuotaRequest),
     Grant(u64, Result<Grant, SessionRejected>),
 }
 
 struct World {
     rng: fastrand::Rng,
     real: u64,
-    table: Table,
+    table: QuotaTable,
     /// The leader's rate, and the real time up to which it has counted; none while nobody leads.
     leader: Option<(u64, u64)>,
     processes: Vec<Process>,
@@ -82,7 +82,7 @@
         let mut world = World {
             rng: fastrand::Rng::with_seed(seed),
             real: 0,
-            table: Table::default(),
+            table: QuotaTable::default(),
             leader: None,
             processes: Vec::new(),
             net: Vec::new(),
@@ -112,7 +112,7 @@
         self.processes.push(Process {
             name: name.to_string(),
             incarnation: self.rng.u64(1..),
-            holder: Holder::new(TERMS.lease_us),
+            holder: LeaseHolder::new(TERMS.lease_us),
             clock: (clock, rate),
             alive: true,
             stopped: false,
@@ -121,11 +121,11 @@
         });
     }
 
-    fn commit(&mut self, commands: Vec<Command>) {
+    fn commit(&mut self, commands: Vec<QuotaCommand>) {
         let Some((rate, counted)) = self.leader else { return };
         let elapsed = (u128::from(self.real - counted) * u128::from(rate) / 1_000_000) as u64;
         self.leader = Some((rate, self.real));
-        for Effect { incarnation, answer, .. } in self.table.apply(elapsed, commands) {
+        for QuotaReply { incarnation, result: answer, .. } in self.table.apply(elapsed, commands) {
             self.net.push(Sent::Grant(incarnation, answer));
         }
     }
@@ -143,7 +143,7 @@
         match sent {
             Sent::Ask(name, incarnation, ask) => {
                 let (version, zone) = (String::new(), String::new());
-                self.commit(vec![Command::Ask { name, incarnation, version, zone, ask }]);
+                self.commit(vec![QuotaCommand::Request { name, incarnation, version, zone, request: ask }]);
             }
             Sent::Grant(incarnation, answer) => {
                 let real = self.real;
@@ -153,10 +153,10 @@
                 let Some(p) = to else { return };
                 let now = p.now(real);
                 match answer {
-                    Ok(grant) => _ = p.holder.granted(now, grant),
+                    Ok(grant) => _ = p.holder.apply_grant(now, grant),
                     Err(SessionRejected::Superseded) => {
                         p.incarnation = next;
-                        p.holder.supersede(now);
+                        p.holder.handle_superseded(now);
                     }
                     Err(_) => {}
                 }
@@ -177,22 +177,22 @@
         match turn {
             0 => p.wants = self.rng.u64(0..12),
             1 | 2 if p.units.len() as u64 <= p.wants => {
-                if p.holder.take(now, "links") == Leave::Yes {
+                if p.holder.acquire(now, "links") == AcquireDecision::Acquired {
                     p.units.push(u64::MAX);
                 }
             }
             1..=4 if p.units.len() as u64 > p.wants || p.holder.excess(now, "links") > 0 => {
                 p.units.pop();
-                p.holder.give("links");
+                p.holder.release("links");
             }
             5 => {
-                if p.holder.spend(now, "probes") == Leave::Yes {
+                if p.holder.spend_token(now, "probes") == AcquireDecision::Acquired {
                     self.spent += 1;
                     self.bucket.0 = self.bucket.0.checked_sub(1_000_000_000).unwrap_or(u128::MAX);
                 }
             }
-            _ if p.holder.due() <= now => {
-                let ask = p.holder.ask(now);
+            _ if p.holder.next_request_at() <= now => {
+                let ask = p.holder.next_request(now);
                 self.net.push(Sent::Ask(p.name.clone(), p.incarnation, ask));
             }
             _ => {}
@@ -206,7 +206,7 @@
         let real = self.real;
         for p in &mut self.processes {
             // Units beyond what may be end at most so long after the lease under which they were begun.
-            let (until, floor_until) = p.holder.held_until();
+            let LeaseExpiry { quotas: until, floors: floor_until } = p.holder.expiry();
             let floor = p.holder.limit(until, "links").unwrap_or(0);
             let lapsed = p.real(until).saturating_add(OUTLIVES);
             let over = p.real(floor_until).saturating_add(OUTLIVES);
@@ -219,7 +219,7 @@
             };
             while p.units.len() as u64 > keep {
                 p.units.pop();
-                p.holder.give("links");
+                p.holder.release("links");
             }
             if !p.alive {
                 p.units.retain(|by| real < *by);
@@ -347,12 +347,12 @@
 /// message that was ever sent and not lost, which may come at any time and any number of times.
 #[derive(Clone)]
 struct Small {
-    table: Table,
-    holders: [Holder; 2],
+    table: QuotaTable,
+    holders: [LeaseHolder; 2],
     clocks: [u64; 2],
     /// The leader's clock since it last counted.
     uncounted: u64,
-    asks: Vec<(usize, Ask)>,
+    asks: Vec<(usize, QuotaRequest)>,
     grants: Vec<(usize, Grant)>,
     asked: usize,
     asks_most: usize,
@@ -402,8 +402,8 @@
             if self.asked < self.asks_most {
                 let mut s = self.clone();
                 s.asked += 1;
-                s.holders[i].take(s.clocks[i], "b");
-                let ask = s.holders[i].ask(s.clocks[i]);
+                s.holders[i].acquire(s.clocks[i], "b");
+                let ask = s.holders[i].next_request(s.clocks[i]);
                 s.asks.push((i, ask));
                 next.push(s);
             }
@@ -411,17 +411,17 @@
         for n in 0..self.asks.len() {
             let mut s = self.clone();
             let (i, ask) = s.asks[n].clone();
-            let command = Command::Ask {
+            let command = QuotaCommand::Request {
                 name: format!("p{i}"),
                 incarnation: 1 + i as u64,
                 version: String::new(),
                 zone: String::new(),
-                ask,
+                request: ask,
             };
             let elapsed = std::mem::take(&mut s.uncounted);
             let mut news = false;
             for effect in s.table.apply(elapsed, vec![command]) {
-                if let Ok(grant) = effect.answer {
+                if let Ok(grant) = effect.result {
                     s.grants.push((i, grant));
                     news = true;
                 }
@@ -434,7 +434,7 @@
         for n in 0..self.grants.len() {
             let mut s = self.clone();
             let (i, grant) = s.grants[n].clone();
-            if s.holders[i].granted(s.clocks[i], grant) {
+            if s.holders[i].apply_grant(s.clocks[i], grant) {
                 next.push(s);
             }
         }
@@ -455,8 +455,8 @@
 /// Every state that can be reached, and the worst sum in any.
 fn search(whole: u64, floor: u64) -> (usize, u64) {
     let mut first = Small {
-        table: Table::default(),
-        holders: [Holder::new(3), Holder::new(3)],
+        table: QuotaTable::default(),
+        holders: [LeaseHolder::new(3), LeaseHolder::new(3)],
         clocks: [100, 200],
         uncounted: 0,
         asks: vec![],
@@ -468,9 +468,9 @@
         led: 0,
         rates: [0; 3],
     };
-    let budget = Budget { whole, floor, burst: 0, outlives_us: 0, each: false };
+    let budget = Budget { total: whole, floor, burst: 0, outlives_us: 0, per_key: false };
     first.table.apply(0, vec![declared(SMALL, [("b".to_string(), budget)].into())]);
-    first.holders.iter_mut().for_each(|h| h.bind("b", false));
+    first.holders.iter_mut().for_each(|h| h.enforce("b", false));
     // The holders' clocks at both edges, before a leader's that is fast: the edge that ends things too early.
     let rates = (0..4).map(|n: usize| [RATES[n & 1], RATES[n >> 1], RATES[1]]);
     let mut open: Vec<Small> = rates.map(|rates| Small { rates, ..first.clone() }).collect();
@@ -520,9 +520,10 @@
     let mut rng = fastrand::Rng::with_seed(1);
     for _ in 0..2_000 {
         let whole = rng.u64(0..60);
-        let claims: Vec<Claim> =
-            (0..rng.usize(0..12)).map(|_| Claim { demand: rng.u64(0..20), turn: rng.u64(0..4) }).collect();
-        let given = divide(whole, &claims);
+        let claims: Vec<Claim> = (0..rng.usize(0..12))
+            .map(|_| Claim { demand: rng.u64(0..20), priority: rng.u64(0..4) })
+            .collect();
+        let given = max_min_fair(whole, &claims);
         let wanted: u64 = claims.iter().map(|c| c.demand).sum();
         assert_eq!(given.iter().sum::<u64>(), whole.min(wanted), "{claims:?}");
         assert!(given.iter().zip(&claims).all(|(g, c)| *g <= c.demand));
@@ -531,24 +532,24 @@
             assert!(given.iter().all(|other| *other <= g + 1), "{claims:?} {given:?} {c:?}");
         }
     }
-    let turns = [3, 1, 2].map(|turn| Claim { demand: 5, turn });
-    assert_eq!(divide(2, &turns), [0, 1, 1], "the lowest turns first");
+    let turns = [3, 1, 2].map(|turn| Claim { demand: 5, priority: turn });
+    assert_eq!(max_min_fair(2, &turns), [0, 1, 1], "the lowest turns first");
 }
 
 /// Proxies that ask in turn every 300 ms, over a network without faults: their shares after each round.
 struct Calm {
-    table: Table,
-    holders: BTreeMap<u64, Holder>,
+    table: QuotaTable,
+    holders: BTreeMap<u64, LeaseHolder>,
     now: u64,
 }
 
 impl Calm {
     fn new(budget: Budget, proxies: u64) -> Calm {
-        let mut table = Table::default();
+        let mut table = QuotaTable::default();
         table.apply(0, vec![declared(TERMS, [("b".to_string(), budget)].into())]);
         Calm {
             table,
-            holders: (1..=proxies).map(|i| (i, Holder::new(TERMS.lease_us))).collect(),
+            holders: (1..=proxies).map(|i| (i, LeaseHolder::new(TERMS.lease_us))).collect(),
             now: 1 << 30,
         }
     }
@@ -557,21 +558,21 @@
         let now = self.now;
         for (i, holder) in &mut self.holders {
             for _ in holder.in_use("b")..wants(*i) {
-                holder.take(now, "b");
+                holder.acquire(now, "b");
             }
             for _ in wants(*i)..holder.in_use("b") {
-                holder.give("b");
+                holder.release("b");
             }
             for _ in 0..holder.excess(now, "b") {
-                holder.give("b");
+                holder.release("b");
             }
             // What it lacks shows in more than one unit at once.
-            let ask = holder.ask(now);
+            let ask = holder.next_request(now);
             let (version, zone) = (String::new(), String::new());
             let name = format!("p{i}");
-            let command = Command::Ask { name, incarnation: *i, version, zone, ask };
+            let command = QuotaCommand::Request { name, incarnation: *i, version, zone, request: ask };
             for effect in self.table.apply(0, vec![command]) {
-                holder.granted(now, effect.answer.expect("a grant"));
+                holder.apply_grant(now, effect.result.expect("a grant"));
             }
         }
         self.now += 300 * MS;
@@ -611,7 +612,7 @@
     (0..10).for_each(|_| _ = fleet.round(|_| 20));
     assert_eq!(fleet.round(|_| 20), [5, 5]);
     let gone = fleet.holders.remove(&2).expect("one");
-    let (until, floor_until) = gone.held_until();
+    let LeaseExpiry { quotas: until, floors: floor_until } = gone.expiry();
     let (mut back, mut whole) = (0, 0);
     for _ in 0..60 {
         let mine = fleet.round(|_| 20)[0];
@@ -634,31 +635,31 @@
     (0..10).for_each(|_| _ = fleet.round(|_| 20));
     let declare = |whole| declared(TERMS, [("b".to_string(), held(whole, 0))].into());
     fleet.table.apply(0, vec![declared(TERMS, Budgets::new()), declare(4)]);
-    assert_eq!(fleet.table.over(), [("b", 10, 4)], "it says that it doesn't hold yet");
+    assert_eq!(fleet.table.overcommitted(), [("b", 10, 4)], "it says that it doesn't hold yet");
     (0..10).for_each(|_| _ = fleet.round(|_| 20));
-    assert!(fleet.table.over().is_empty());
+    assert!(fleet.table.overcommitted().is_empty());
     assert_eq!(fleet.round(|_| 20).iter().sum::<u64>(), 4);
-    let ask = |incarnation, seq| Command::Ask {
+    let ask = |incarnation, seq| QuotaCommand::Request {
         name: "p1".to_string(),
         incarnation,
         version: String::new(),
         zone: String::new(),
-        ask: Ask {
+        request: QuotaRequest {
             seq,
             acked: 0,
-            needs: [("b".to_string(), linenhill_decisions::shares::Need { in_use: 0, demand: 9 })].into(),
-            gives_way: false,
+            needs: [("b".to_string(), linenhill_decisions::quota::QuotaNeed { in_use: 0, demand: 9 })].into(),
+            yields_name: false,
         },
     };
-    let granted = |effects: Vec<Effect>| effects[0].answer.clone().map(|g| g.shares["b"].units);
+    let granted = |effects: Vec<QuotaReply>| effects[0].result.clone().map(|g| g.quotas["b"].units);
     assert_eq!(granted(fleet.table.apply(0, vec![ask(77, 1)])), Ok(0), "the old one's part counts");
-    let old = fleet.holders.get_mut(&1).expect("the old one").ask(fleet.now);
-    let late = Command::Ask {
+    let old = fleet.holders.get_mut(&1).expect("the old one").next_request(fleet.now);
+    let late = QuotaCommand::Request {
         name: "p1".into(),
         incarnation: 1,
         version: String::new(),
         zone: String::new(),
-        ask: old,
+        request: old,
     };
     assert_eq!(granted(fleet.table.apply(0, vec![late])), Err(SessionRejected::Superseded));
     let after = TERMS.with_drift_margin(TERMS.lease_us + OUTLIVES);
@@ -669,18 +670,21 @@
 // Guards against state that grows with time, restarts and lost answers.
 #[test]
 fn what_is_kept_of_a_flapping_fleet_is_bounded() {
-    let mut table = Table::default();
+    let mut table = QuotaTable::default();
     table.apply(0, vec![declared(TERMS, budgets(50, 1))]);
     let mut rng = fastrand::Rng::with_seed(9);
     let mut sizes = Vec::new();
     for round in 0..4_000u64 {
         let needs = [("links".to_string(), Default::default())].into();
-        let ask = Ask { seq: 1, needs, ..Ask::default() };
+        let ask = QuotaRequest { seq: 1, needs, ..QuotaRequest::default() };
         let (version, zone) = (String::new(), String::new());
         let name = format!("p{}", rng.u8(0..20));
-        table.apply(100 * MS, vec![Command::Ask { name, incarnation: 1_000 + round, version, zone, ask }]);
+        table.apply(
+            100 * MS,
+            vec![QuotaCommand::Request { name, incarnation: 1_000 + round, version, zone, request: ask }],
+        );
         if round % 1_000 == 999 {
-            let holdings: usize = table.lines.values().map(|l| l.holdings.len()).sum();
+            let holdings: usize = table.entries.values().map(|l| l.allocations.len()).sum();
             sizes.push((table.membership.sessions.len(), holdings));
         }
     }
@@ -695,7 +699,7 @@
     let sum = |shares: Vec<u64>| shares.iter().sum::<u64>();
     (0..10).for_each(|_| assert!(sum(fleet.round(|_| 5)) <= 300));
     assert_eq!(fleet.round(|_| 5), vec![3; 100]);
-    let gone: Vec<Holder> = (11..=100).filter_map(|i| fleet.holders.remove(&i)).collect();
+    let gone: Vec<LeaseHolder> = (11..=100).filter_map(|i| fleet.holders.remove(&i)).collect();
     for _ in 0..60 {
         let (now, mine) = (fleet.now, sum(fleet.round(|_| 30)));
         let theirs: u64 = gone.iter().map(|h| h.limit(now, "b").unwrap_or(0)).sum();
@@ -708,36 +712,41 @@
 // can hold, and against lines that nobody declared.
 #[test]
 fn what_is_named_no_more_ends_and_absurd_needs_are_bounded() {
-    let mut table = Table::default();
-    let budget = Budget { each: true, ..held(10, 1) };
+    let mut table = QuotaTable::default();
+    let budget = Budget { per_key: true, ..held(10, 1) };
     table.apply(0, vec![declared(TERMS, [("links".to_string(), budget)].into())]);
-    let mut holder = Holder::new(TERMS.lease_us);
-    (0..5).for_each(|n| holder.bind(&format!("links/m{n}"), false));
+    let mut holder = LeaseHolder::new(TERMS.lease_us);
+    (0..5).for_each(|n| holder.enforce(&format!("links/m{n}"), false));
     let mut now = 1 << 30;
     let mut lines = Vec::new();
     for round in 0..40 {
         if round == 5 {
-            (1..5).for_each(|n| holder.unbind(&format!("links/m{n}")));
+            (1..5).for_each(|n| holder.stop_enforcing(&format!("links/m{n}")));
         }
-        let mut ask = holder.ask(now);
-        let absurd = linenhill_decisions::shares::Need { in_use: u64::MAX, demand: u64::MAX };
+        let mut ask = holder.next_request(now);
+        let absurd = linenhill_decisions::quota::QuotaNeed { in_use: u64::MAX, demand: u64::MAX };
         ask.needs.insert("other/m1".into(), absurd.clone());
         ask.needs.insert("x".repeat(9_999), absurd);
         let (version, zone) = (String::new(), String::new());
-        let command = Command::Ask { name: "p".into(), incarnation: 1, version, zone, ask };
+        let command = QuotaCommand::Request { name: "p".into(), incarnation: 1, version, zone, request: ask };
         for effect in table.apply(300 * MS, vec![command]) {
-            holder.granted(now, effect.answer.expect("a grant"));
+            holder.apply_grant(now, effect.result.expect("a grant"));
         }
         now += 300 * MS;
-        lines.push((table.lines.len(), holder.budgets().count()));
+        lines.push((table.entries.len(), holder.budgets().count()));
     }
     assert_eq!((lines[4], lines[39]), ((5, 5), (1, 1)), "{lines:?}");
     for n in 0..3 {
-        let most = linenhill_decisions::shares::Need { in_use: u64::MAX, demand: u64::MAX };
-        let ask = Ask { seq: 1, needs: [("links/m0".to_string(), most)].into(), ..Ask::default() };
+        let most = linenhill_decisions::quota::QuotaNeed { in_use: u64::MAX, demand: u64::MAX };
+        let ask = QuotaRequest {
+            seq: 1,
+            needs: [("links/m0".to_string(), most)].into(),
+            ..QuotaRequest::default()
+        };
         let (version, zone) = (String::new(), String::new());
-        let command = Command::Ask { name: format!("q{n}"), incarnation: 7 + n, version, zone, ask };
-        let shares = table.apply(0, vec![command])[0].answer.clone().expect("a grant").shares;
+        let command =
+            QuotaCommand::Request { name: format!("q{n}"), incarnation: 7 + n, version, zone, request: ask };
+        let shares = table.apply(0, vec![command])[0].result.clone().expect("a grant").quotas;
         assert!(shares["links/m0"].units <= 9);
     }
 }
--- a/crates/lab/src/together.rs
+++ b/crates/lab/src/together.rs
@@ -9,9 +9,9 @@
 use linenhill_cluster::store::{self, Disk};
 use linenhill_cluster::wire::{Body, Envelope, Operate, ProxyAsk};
 use linenhill_decisions::membership::LeaseTerms;
-use linenhill_decisions::shares::holder::{Holder, Leave};
-use linenhill_decisions::shares::seeking::Seeking;
-use linenhill_decisions::shares::{Budget, Budgets};
+use linenhill_decisions::quota::leader_search::LeaderSearch;
+use linenhill_decisions::quota::lease_holder::{AcquireDecision, LeaseHolder};
+use linenhill_decisions::quota::{Budget, Budgets};
 use linenhill_settings::operator::{Keeper, Operator};
 use prost::Message;
 use std::cmp::Reverse;
@@ -135,8 +135,8 @@
 
 struct ProxyPart {
     identity: Identity,
-    holder: Holder,
-    seeking: Seeking,
+    holder: LeaseHolder,
+    seeking: LeaderSearch,
     clock: Clock,
     life: u64,
     alive: bool,
@@ -187,7 +187,7 @@
         let address = |i: usize| SocketAddr::from(([10, 0, 0, 1], 1_000 + i as u16));
         let named = (0..plan.keepers).map(|i| Keeper { name: format!("k{i}"), address: address(i) });
         let Plan { whole, floor, outlives: outlives_us, .. } = plan;
-        let budget = Budget { whole, floor, burst: 0, outlives_us, each: false };
+        let budget = Budget { total: whole, floor, burst: 0, outlives_us, per_key: false };
         let operator = operator(named.collect(), plan.terms, [(BUDGET.to_string(), budget)].into());
         let clock = |rng: &mut fastrand::Rng| {
             let drift = if plan.drift { u64::from(plan.terms.drift_ppm as u32) } else { 0 };
@@ -213,8 +213,8 @@
         let proxies = (0..plan.proxies)
             .map(|i| ProxyPart {
                 identity: identity(&operator, &format!("p{i}"), 0),
-                holder: Holder::new(plan.terms.lease_us),
-                seeking: Seeking::new(plan.keepers, plan.terms.lease_us),
+                holder: LeaseHolder::new(plan.terms.lease_us),
+                seeking: LeaderSearch::new(plan.keepers, plan.terms.lease_us),
                 clock: clock(&mut rng),
                 life: 0,
                 alive: false,
@@ -309,9 +309,9 @@
         let proxy = &mut self.proxies[i];
         proxy.life += 1;
         proxy.identity.incarnation = incarnation;
-        proxy.holder = Holder::new(self.plan.terms.lease_us);
-        proxy.holder.bind(BUDGET, false);
-        proxy.seeking = Seeking::new(self.plan.keepers, self.plan.terms.lease_us);
+        proxy.holder = LeaseHolder::new(self.plan.terms.lease_us);
+        proxy.holder.enforce(BUDGET, false);
+        proxy.seeking = LeaderSearch::new(self.plan.keepers, self.plan.terms.lease_us);
         (proxy.alive, proxy.stopped, proxy.paused, proxy.in_use) = (true, false, 0, 0);
         proxy.held.clear();
         let life = proxy.life;
@@ -346,7 +346,7 @@
 
     /// Whether every proxy that lives holds a lease.
     pub fn settled(&self) -> bool {
-        let holds = |p: &ProxyPart| !p.alive || p.holder.holds(p.clock.shows(self.now));
+        let holds = |p: &ProxyPart| !p.alive || p.holder.has_lease(p.clock.shows(self.now));
         self.proxies.iter().all(holds)
     }
 
@@ -445,7 +445,7 @@
                 self.in_use -= 1;
                 if self.proxies[*i].life == *of {
                     self.proxies[*i].in_use -= 1;
-                    self.proxies[*i].holder.give(BUDGET);
+                    self.proxies[*i].holder.release(BUDGET);
                 }
                 return;
             }
@@ -562,22 +562,22 @@
         if !proxy.alive {
             return;
         }
-        let due = proxy.holder.due();
-        if proxy.seeking.answer_by().is_some_and(|by| now >= by) {
-            proxy.paused = now + proxy.seeking.lost(self.rng.f64());
-            proxy.holder.hurry();
+        let due = proxy.holder.next_request_at();
+        if proxy.seeking.answer_deadline().is_some_and(|by| now >= by) {
+            proxy.paused = now + proxy.seeking.keeper_lost(self.rng.f64());
+            proxy.holder.request_at_once();
         }
         let proxy = &mut self.proxies[i];
         if now >= due && now >= proxy.paused {
-            let ask = proxy.holder.ask(now);
-            proxy.seeking.asked(now);
+            let ask = proxy.holder.next_request(now);
+            proxy.seeking.request_sent(now);
             let body = Body::Ask(ProxyAsk { ask, version: String::new(), zone: String::new(), report: None });
-            let (say, to) = (proxy.identity.say(0, body), At::Keeper(proxy.seeking.keeper()));
+            let (say, to) = (proxy.identity.say(0, body), At::Keeper(proxy.seeking.current_keeper()));
             self.send(At::Proxy(i), to, say);
         }
         let proxy = &self.proxies[i];
-        let due = proxy.holder.due().max(proxy.paused);
-        let next = proxy.seeking.answer_by().map_or(due, |by| by.min(due)).max(now + MS);
+        let due = proxy.holder.next_request_at().max(proxy.paused);
+        let next = proxy.seeking.answer_deadline().map_or(due, |by| by.min(due)).max(now + MS);
         let span = proxy.clock.real(next - now);
         self.wake_in(i, span);
     }
@@ -594,19 +594,19 @@
         let now = proxy.clock.shows(self.now);
         match say.body {
             Some(Body::Granted(granted)) => {
-                let news = proxy.holder.granted(now, granted.grant);
-                news.then(|| proxy.seeking.granted());
+                let news = proxy.holder.apply_grant(now, granted.grant);
+                news.then(|| proxy.seeking.request_granted());
             }
             Some(Body::Elsewhere(elsewhere)) => {
                 let leader = self.operator.keepers.iter().position(|k| k.name == elsewhere.leader);
-                proxy.paused = now + proxy.seeking.elsewhere(leader, self.rng.f64());
-                proxy.holder.hurry();
+                proxy.paused = now + proxy.seeking.redirected(leader, self.rng.f64());
+                proxy.holder.request_at_once();
             }
             Some(Body::Refused(refused))
                 if refused.superseded && refused.incarnation == proxy.identity.incarnation =>
             {
                 proxy.identity.incarnation = self.rng.u64(1..u64::MAX);
-                proxy.holder.supersede(now);
+                proxy.holder.handle_superseded(now);
             }
             _ => {}
         }
@@ -617,18 +617,18 @@
         let now = proxy.clock.shows(self.now);
         if self.plan.steady {
             let over = proxy.in_use.saturating_sub(proxy.wants).max(proxy.holder.excess(now, BUDGET));
-            (0..over).for_each(|_| proxy.holder.give(BUDGET));
+            (0..over).for_each(|_| proxy.holder.release(BUDGET));
             (proxy.in_use, self.in_use) = (proxy.in_use - over, self.in_use - over);
         }
         let (life, before) = (proxy.life, proxy.in_use);
         let mut short = false;
         for _ in before..proxy.wants {
-            let took = proxy.holder.take(now, BUDGET) == Leave::Yes;
+            let took = proxy.holder.acquire(now, BUDGET) == AcquireDecision::Acquired;
             proxy.in_use += u64::from(took);
             short |= !took;
         }
         let begun = proxy.in_use - before;
-        let due = proxy.holder.due().max(proxy.paused).saturating_sub(now);
+        let due = proxy.holder.next_request_at().max(proxy.paused).saturating_sub(now);
         let (span, wakes) = (proxy.clock.real(due.min(1 << 40)), proxy.wakes);
         if short && self.now + span < wakes {
             self.wake_in(i, span);
@@ -720,7 +720,7 @@
     /// Another whole is declared, by the file of a newer revision; what was granted of a larger one counts until it is over.
     pub fn declare(&mut self, whole: u64) {
         self.operator.revision += 1;
-        self.operator.budgets.values_mut().for_each(|b| b.whole = whole);
+        self.operator.budgets.values_mut().for_each(|b| b.total = whole);
         self.bound = self.bound.max(whole);
         let Some(leader) = self.leader() else { return };
         let declare = Some(node::declaration(&self.operator));
--- a/crates/lab/tests/bounds.rs
+++ b/crates/lab/tests/bounds.rs
@@ -5,7 +5,7 @@
 use linenhill_cluster::store::{self, Disk};
 use linenhill_cluster::wire::{Body, Envelope, ProxyAsk};
 use linenhill_decisions::membership::{LeaseTerms, MAX_SESSIONS, Membership, SessionRejected};
-use linenhill_decisions::shares::{Ask, Budget, Need};
+use linenhill_decisions::quota::{Budget, QuotaNeed, QuotaRequest};
 use linenhill_lab::disk::Image;
 use linenhill_lab::together::operator;
 use linenhill_settings::operator::Keeper;
@@ -18,7 +18,7 @@
 /// A keeper that leads by itself, and its clock.
 fn leader() -> (Node<usize>, u64) {
     let address = ([10, 0, 0, 1], 1).into();
-    let budget = Budget { whole: 9, floor: 1, burst: 0, outlives_us: 1, each: false };
+    let budget = Budget { total: 9, floor: 1, burst: 0, outlives_us: 1, per_key: false };
     let terms = LeaseTerms { lease_us: 1_000_000, membership_us: 4_000_000, drift_ppm: 10_000 };
     let keepers = vec![Keeper { name: "k0".into(), address }];
     let operator = operator(keepers, terms, [("b".to_string(), budget)].into());
@@ -26,7 +26,7 @@
     let disk = Disk::create_on(Image::default(), whose, Some(founded(7, "k0", address))).expect("a store");
     let mut node = Node::start(operator, Rc::new(identity("k0".into(), 7)), disk, 0, 1).expect("a node");
     let mut now = 0;
-    while node.leader_term().is_none() || node.state().table.lines.is_empty() {
+    while node.leader_term().is_none() || node.state().table.entries.is_empty() {
         now += TICK_US;
         node.handle(now, [Event::Tick]).expect("a tick");
     }
@@ -34,8 +34,8 @@
 }
 
 fn asks(i: usize, bytes: usize) -> Envelope {
-    let need = Need { in_use: 0, demand: 1 };
-    let ask = Ask { seq: 1, needs: [("b".to_string(), need)].into(), ..Ask::default() };
+    let need = QuotaNeed { in_use: 0, demand: 1 };
+    let ask = QuotaRequest { seq: 1, needs: [("b".to_string(), need)].into(), ..QuotaRequest::default() };
     let body = ProxyAsk { ask, version: "v".repeat(bytes), zone: String::new(), report: None };
     identity(format!("p{i}"), 1_000 + i as u64).say(0, Body::Ask(body))
 }
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -2,7 +2,7 @@
 
 use linenhill_decisions::membership::LeaseTerms;
 use linenhill_decisions::outages::{Cap, Limits};
-use linenhill_decisions::shares::{BUDGETS_MOST, Budget, Budgets};
+use linenhill_decisions::quota::{Budget, Budgets, MAX_BUDGETS};
 use prost::Message;
 use prost_reflect::{DescriptorPool, DynamicMessage};
 use std::collections::BTreeSet;
@@ -345,8 +345,8 @@
         wrong(at, "terms.drift_ppm".into(), "1 to 200000 is expected");
     }
     let (mut budgets, mut bindings) = (Budgets::new(), Vec::new());
-    if doc.budget.len() > BUDGETS_MOST {
-        wrong(find(text, "budget", BUDGETS_MOST), "budget".into(), "64 budgets at most are expected");
+    if doc.budget.len() > MAX_BUDGETS {
+        wrong(find(text, "budget", MAX_BUDGETS), "budget".into(), "64 budgets at most are expected");
     }
     for (i, b) in doc.budget.iter().enumerate() {
         let (line, field) = (find(text, "budget", i), |name: &str| format!("budget[{i}].{name}"));
@@ -390,7 +390,7 @@
                     wrong(line, field("floor"), "at least 1 is expected for LOAD");
                 }
                 let each = what != What::Load;
-                Budget { whole: held.units, floor: b.floor, burst: 0, outlives_us, each }
+                Budget { total: held.units, floor: b.floor, burst: 0, outlives_us, per_key: each }
             }
             (None, Some(rate), true) => {
                 if rate.per_second == 0 || rate.per_second > 1 << 32 {
@@ -401,7 +401,7 @@
                 }
                 let milli = |units: u64| units.saturating_mul(1_000);
                 let (whole, floor) = (milli(rate.per_second), milli(b.floor));
-                Budget { whole, floor, burst: rate.burst, outlives_us: 0, each: false }
+                Budget { total: whole, floor, burst: rate.burst, outlives_us: 0, per_key: false }
             }
             _ => {
                 let expected =
@@ -410,7 +410,7 @@
                 continue;
             }
         };
-        if budget.floor > budget.whole {
+        if budget.floor > budget.total {
             wrong(line, field("floor"), "no more than the whole is expected");
         }
         budgets.insert(b.name.clone(), budget);
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::api::ClassId;
 use linenhill_cluster::member::Fleet;
-use linenhill_decisions::shares::holder::Leave;
+use linenhill_decisions::quota::lease_holder::AcquireDecision;
 use linenhill_settings::operator::What;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -54,7 +54,7 @@
         let (connections, attempts) = (named(What::Connections), named(What::Attempts));
         let (repeats, probes) = (named(What::Repeats), named(What::Probes));
         let load = named(What::Load).into_iter().next().and_then(|name| {
-            let whole = fleet.operator().budgets.get(&name)?.whole;
+            let whole = fleet.operator().budgets.get(&name)?.total;
             Some((name, whole))
         });
         Ok(Shares(Some(Rc::new(Bound { fleet, connections, attempts, repeats, probes, admissions, load }))))
@@ -82,9 +82,11 @@
         for budget in budgets(bound) {
             let line = line(budget, member);
             match bound.fleet.take(&line) {
-                Leave::Yes => unit.0.iter_mut().for_each(|(_, lines)| lines.push(line.clone())),
-                Leave::Unbound => {}
-                Leave::No => return None,
+                AcquireDecision::Acquired => {
+                    unit.0.iter_mut().for_each(|(_, lines)| lines.push(line.clone()))
+                }
+                AcquireDecision::Unlimited => {}
+                AcquireDecision::Exhausted => return None,
             }
         }
         Some(unit)
@@ -108,7 +110,7 @@
 
     fn spent(&self, budgets: impl Fn(&Bound) -> &[String]) -> bool {
         let Some(bound) = &self.0 else { return true };
-        budgets(bound).iter().all(|budget| bound.fleet.spend(budget) != Leave::No)
+        budgets(bound).iter().all(|budget| bound.fleet.spend(budget) != AcquireDecision::Exhausted)
     }
 
     /// A second or later attempt.
