--- a/crates/cluster/src/member.rs
+++ b/crates/cluster/src/member.rs
@@ -8,8 +8,8 @@
 use crate::state::OutageDoc;
 use crate::wire::{Body, BudgetStatus, Done, Envelope, EnvelopeCodec, Granted, Operate, ProxyAsk, Status};
 use futures_util::{SinkExt, StreamExt};
-use linenhill_decisions::outages::reporter::Reporter;
-use linenhill_decisions::outages::{Cause, Fence, Sight};
+use linenhill_decisions::disruption::reporter::HealthReporter;
+use linenhill_decisions::disruption::{Availability, HealthObservation, Quarantine};
 use linenhill_decisions::quota::leader_search::LeaderSearch;
 use linenhill_decisions::quota::lease_holder::{AcquireDecision, LeaseHolder};
 use linenhill_settings::operator::Operator;
@@ -38,8 +38,8 @@
     answered: Cell<u64>,
     wake: Notify,
     changed: Notify,
-    reporter: RefCell<Reporter>,
-    fence: watch::Sender<Fence>,
+    reporter: RefCell<HealthReporter>,
+    fence: watch::Sender<Quarantine>,
     /// Until when it is a member whose fence is carried out.
     fenced_until: Cell<u64>,
 }
@@ -68,7 +68,7 @@
             wake: Notify::new(),
             changed: Notify::new(),
             reporter: RefCell::default(),
-            fence: watch::channel(Fence::default()).0,
+            fence: watch::channel(Quarantine::default()).0,
             fenced_until: Cell::new(0),
         })
     }
@@ -168,7 +168,7 @@
                     let ask = self.holder.borrow_mut().next_request(clock::now());
                     seeking.request_sent(clock::now());
                     let (version, zone) = (self.version.clone(), self.operator.zone.clone());
-                    let report = self.bounds_outages().then(|| self.reporter.borrow_mut().report(ask.seq));
+                    let report = self.bounds_outages().then(|| self.reporter.borrow_mut().next_report(ask.seq));
                     let envelope = self.identity().say(0, Body::Ask(ProxyAsk { ask, version, zone, report }));
                     let within = Duration::from_micros(seeking.answer_timeout());
                     if !matches!(timeout(within, open.send(envelope)).await, Ok(Ok(()))) {
@@ -205,7 +205,7 @@
                 if !self.holder.borrow_mut().apply_grant(clock::now(), grant) {
                     return Answer::Nothing;
                 }
-                if let Some(newer) = self.reporter.borrow_mut().granted(seq, fence) {
+                if let Some(newer) = self.reporter.borrow_mut().handle_grant(seq, fence) {
                     self.fence.send_replace(newer);
                 }
                 self.go_by_fence();
@@ -228,7 +228,7 @@
                     let next = Identity { incarnation, ..Identity::clone(&self.identity()) };
                     self.identity.replace(Rc::new(next));
                     self.holder.borrow_mut().handle_superseded(clock::now());
-                    self.reporter.borrow_mut().begin_anew();
+                    self.reporter.borrow_mut().reset();
                     self.changed.notify_one();
                 }
                 Answer::Nothing
@@ -258,8 +258,8 @@
     }
 
     /// How this process is.
-    pub fn own(&self, cause: Cause) {
-        if self.reporter.borrow_mut().own(cause) {
+    pub fn own(&self, cause: Availability) {
+        if self.reporter.borrow_mut().set_own_availability(cause) {
             self.holder.borrow_mut().request_at_once();
             self.wake.notify_one();
         }
@@ -267,24 +267,24 @@
 
     /// A grant that told of a newer fence makes no member before that fence is carried out.
     fn go_by_fence(&self) {
-        if self.reporter.borrow().is_carried() {
+        if self.reporter.borrow().is_quarantine_applied() {
             self.fenced_until.set(self.holder.borrow().expiry().floors);
         }
     }
 
     /// How members are seen.
-    pub fn see(&self, sights: BTreeMap<String, Sight>) {
-        self.reporter.borrow_mut().see(sights);
+    pub fn see(&self, sights: BTreeMap<String, HealthObservation>) {
+        self.reporter.borrow_mut().observe(sights);
     }
 
     /// To whom nothing new may be sent, now and from then on.
-    pub fn fences(&self) -> watch::Receiver<Fence> {
+    pub fn fences(&self) -> watch::Receiver<Quarantine> {
         self.fence.subscribe()
     }
 
     /// That edition of the fence is carried out.
     pub fn carried(&self, edition: u64) {
-        self.reporter.borrow_mut().carried(edition);
+        self.reporter.borrow_mut().quarantine_applied(edition);
         self.go_by_fence();
         self.holder.borrow_mut().request_at_once();
         self.wake.notify_one();
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -14,9 +14,9 @@
     Body, BudgetStatus, Done, Elsewhere, Envelope, Granted, Join, Operate, OutStatus, ProxyAsk, Refused,
     SeatStatus, Status,
 };
+use linenhill_decisions::disruption::Availability;
+use linenhill_decisions::disruption::table::{LivenessView, Permit};
 use linenhill_decisions::membership::SessionRejected;
-use linenhill_decisions::outages::Cause;
-use linenhill_decisions::outages::table::{Permit, Seen};
 use linenhill_decisions::quota::table::QuotaReply;
 use linenhill_settings::operator::Operator;
 use log::{error, info, warn};
@@ -452,7 +452,7 @@
             self.answer(reply, 0, Body::Refused(refused));
             return;
         }
-        let fenced = ask.report.as_ref().map_or(0, |r| r.fenced);
+        let fenced = ask.report.as_ref().map_or(0, |r| r.quarantine_edition);
         self.waiting.push_back(Waiting { incarnation, seq, since: self.now, fenced, reply });
         self.commands.push_back(doc(Which::Ask(AskDoc { name, incarnation, ask })));
     }
@@ -668,7 +668,7 @@
         let Some(waiting) = self.waiting.remove(place) else { return };
         let body = match answer {
             Ok(grant) => {
-                let fence = self.state.outages.fence();
+                let fence = self.state.outages.quarantine();
                 let fence = Some(fence).filter(|f| f.edition > waiting.fenced);
                 Body::Granted(Granted { grant, fence })
             }
@@ -725,12 +725,16 @@
                 in_use: line.allocations.values().map(|h| h.in_use).sum(),
             };
         let outages = &self.state.outages;
-        let out = |(thing, cause): (String, Cause)| {
-            let permit = outages.things.get(&thing).and_then(|k| k.permit.clone()).unwrap_or_default();
-            let Permit { number, by, reason, forced, .. } = permit;
-            OutStatus { thing, cause: cause.word().to_string(), permit: number, by, reason, forced }
+        let out = |(thing, cause): (String, Availability)| {
+            let permit = outages.subjects.get(&thing).and_then(|k| k.permit.clone()).unwrap_or_default();
+            let Permit { number, requested_by: by, reason, forced, .. } = permit;
+            OutStatus { thing, cause: cause.label().to_string(), permit: number, by, reason, forced }
         };
-        let out = outages.out(&Seen::new(&table.membership, &table.terms)).into_iter().map(out).collect();
+        let out = outages
+            .unavailable(&LivenessView::new(&table.membership, &table.terms))
+            .into_iter()
+            .map(out)
+            .collect();
         Status {
             role: role.to_string(),
             leader: self.leader(),
--- a/crates/cluster/src/state.rs
+++ b/crates/cluster/src/state.rs
@@ -1,9 +1,9 @@
 //! What the entries of the agreed log make of the state: the table of shares, who is out, and who the keepers are.
 
 use crate::wire::ProxyAsk;
+use linenhill_decisions::disruption::table::{DisruptionTable, LivenessView, Permit, PermitDenied};
+use linenhill_decisions::disruption::{DisruptionPolicy, Subject};
 use linenhill_decisions::membership::LeaseTerms;
-use linenhill_decisions::outages::table::{Denied, Outages, Permit, Seen};
-use linenhill_decisions::outages::{Limits, Thing};
 use linenhill_decisions::quota::Budgets;
 use linenhill_decisions::quota::table::{QuotaCommand, QuotaReply, QuotaTable};
 use prost::Message;
@@ -116,7 +116,7 @@
     pub revision: u64,
     /// What may be out at once, if that is bounded.
     #[prost(message, optional, tag = "4")]
-    pub outages: Option<Limits>,
+    pub outages: Option<DisruptionPolicy>,
 }
 
 /// A request.
@@ -155,7 +155,7 @@
     pub keepers: BTreeMap<u64, KeeperSeat>,
     /// Who is out.
     #[prost(message, required, tag = "3")]
-    pub outages: Outages,
+    pub outages: DisruptionTable,
 }
 
 impl State {
@@ -167,7 +167,7 @@
             match doc.which {
                 Some(Which::Declare(DeclareDoc { terms, budgets, revision, outages })) => {
                     if self.table.accepts_revision(revision) {
-                        self.outages.limit(outages);
+                        self.outages.set_policy(outages);
                     }
                     commands.push(QuotaCommand::Declare { terms, budgets, revision });
                 }
@@ -177,7 +177,7 @@
                     commands.push(QuotaCommand::Request { name, incarnation, version, zone, request: ask });
                 }
                 Some(Which::Remove(name)) => {
-                    self.outages.forget(&Thing::Proxy(name.clone()));
+                    self.outages.forget(&Subject::Proxy(name.clone()));
                     commands.push(QuotaCommand::Remove { name });
                 }
                 Some(Which::Outage(wish)) => wishes.push((doc.ticket, wish)),
@@ -185,15 +185,15 @@
             }
         }
         let effects = self.table.apply(entry.elapsed_us, commands);
-        let seen = Seen::new(&self.table.membership, &self.table.terms);
+        let seen = LivenessView::new(&self.table.membership, &self.table.terms);
         for (name, incarnation, zone, report) in reports {
             let seated =
                 self.table.membership.sessions.get(&name).is_some_and(|s| s.incarnation == incarnation);
             if let Some(report) = report.filter(|_| seated) {
-                self.outages.heard(&seen, &name, incarnation, &zone, &report);
+                self.outages.record_report(&seen, &name, incarnation, &zone, &report);
             }
         }
-        self.outages.tidy(&seen);
+        self.outages.expire(&seen);
         let outages = &mut self.outages;
         let told = wishes.into_iter().map(|(ticket, wish)| wished(outages, &seen, ticket, &wish));
         let told: Vec<Outcome> = told.map(Outcome::Told).collect();
@@ -206,24 +206,26 @@
     }
 }
 
-fn wished(outages: &mut Outages, seen: &Seen, ticket: u64, wish: &OutageDoc) -> Told {
+fn wished(outages: &mut DisruptionTable, seen: &LivenessView, ticket: u64, wish: &OutageDoc) -> Told {
     let no = |text: String| Told { ticket, ok: false, unconfirmed: Vec::new(), text };
     let done = |ok, text: &str| Told { ticket, ok, unconfirmed: Vec::new(), text: text.to_string() };
-    if outages.limits.is_none() {
+    if outages.policy.is_none() {
         return no("the agreed file bounds no outages".into());
     }
-    let Some(thing) = Thing::of(&wish.thing) else {
+    let Some(thing) = Subject::from_key(&wish.thing) else {
         return no(format!("'{}' is neither proxy/NAME nor member/ID", wish.thing));
     };
     match Wish::try_from(wish.wish) {
-        Ok(Wish::Permit) => match outages.permit(seen, &thing, &wish.by, &wish.reason, wish.force) {
+        Ok(Wish::Permit) => match outages.request_permit(seen, &thing, &wish.by, &wish.reason, wish.force) {
             Ok(Permit { number, unconfirmed, .. }) => {
                 let text = format!("permit {number} for {}", wish.thing);
                 Told { ticket, ok: true, unconfirmed, text }
             }
             Err(denied) => no(denial(&wish.thing, &denied)),
         },
-        Ok(Wish::Back) if outages.back(&thing) => done(true, "its permit ends once it is seen in service"),
+        Ok(Wish::Back) if outages.request_return(&thing) => {
+            done(true, "its permit ends once it is seen in service")
+        }
         Ok(Wish::Back) => done(true, "it has no permit"),
         Ok(Wish::Forget) if outages.forget(&thing) => done(true, "nothing is known of it any more"),
         Ok(Wish::Forget) => done(false, "nothing was known of it"),
@@ -231,14 +233,15 @@
     }
 }
 
-fn denial(thing: &str, denied: &Denied) -> String {
+fn denial(thing: &str, denied: &PermitDenied) -> String {
     match denied {
-        Denied::Unknown => format!("no proxy has spoken of {thing}"),
-        Denied::Held { by } => format!("{by} has leave for {thing} already"),
-        Denied::Primary => format!("{thing} is its group's primary: it hands over first"),
-        Denied::PrimaryUnknown => format!("the primary of the group of {thing} is not known yet"),
-        Denied::Limit { what, out } => {
-            let who: Vec<String> = out.iter().map(|(key, cause)| format!("{key} {}", cause.word())).collect();
+        PermitDenied::UnknownSubject => format!("no proxy has spoken of {thing}"),
+        PermitDenied::HeldByOther { by } => format!("{by} has leave for {thing} already"),
+        PermitDenied::IsPrimary => format!("{thing} is its group's primary: it hands over first"),
+        PermitDenied::PrimaryUnknown => format!("the primary of the group of {thing} is not known yet"),
+        PermitDenied::LimitReached { what, out } => {
+            let who: Vec<String> =
+                out.iter().map(|(key, cause)| format!("{key} {}", cause.label())).collect();
             let who = if who.is_empty() { "nobody is out".to_string() } else { who.join(", ") };
             format!("no more {what}: {who}")
         }
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::state::{DeclareDoc, OutageDoc};
 use bytes::{Buf, Bytes, BytesMut};
-use linenhill_decisions::outages::{Fence, Report};
+use linenhill_decisions::disruption::{HealthReport, Quarantine};
 use linenhill_decisions::quota::{Grant, QuotaRequest};
 use prost::Message;
 use std::fmt;
@@ -94,7 +94,7 @@
     pub zone: String,
     /// How it is, and how it sees members.
     #[prost(message, optional, tag = "4")]
-    pub report: Option<Report>,
+    pub report: Option<HealthReport>,
 }
 
 /// What a proxy is granted, and what binds all of them.
@@ -105,7 +105,7 @@
     pub grant: Grant,
     /// Members to which nothing new may be sent, if the proxy goes by an older edition.
     #[prost(message, optional, tag = "2")]
-    pub fence: Option<Fence>,
+    pub fence: Option<Quarantine>,
 }
 
 /// Why an instance is not let in.
--- a/crates/decisions/src/outages/mod.rs
+++ b/crates/decisions/src/disruption/mod.rs
@@ -9,13 +9,13 @@
 pub mod table;
 
 /// Most things that are known: proxies and members.
-pub const THINGS_MOST: usize = 8_192;
+pub const MAX_SUBJECTS: usize = 8_192;
 /// Longest name of a thing and longest reason, in bytes.
-pub const WORDS_MOST: usize = 160;
+pub const MAX_TEXT_BYTES: usize = 160;
 
 /// The most that may be out of something; the smaller one where both are told, and no bound where neither is.
 #[derive(Clone, Copy, PartialEq, Eq, ::prost::Message)]
-pub struct Cap {
+pub struct DisruptionLimit {
     /// So many.
     #[prost(uint64, optional, tag = "1")]
     pub count: Option<u64>,
@@ -24,9 +24,9 @@
     pub percent: Option<u64>,
 }
 
-impl Cap {
+impl DisruptionLimit {
     /// The most of `all`.
-    pub fn of(&self, all: u64) -> u64 {
+    pub fn max_out_of(&self, all: u64) -> u64 {
         let share = self.percent.map_or(u64::MAX, |p| all.saturating_mul(p.min(100)) / 100);
         self.count.unwrap_or(u64::MAX).min(share)
     }
@@ -34,28 +34,28 @@
 
 /// What operators allow.
 #[derive(Clone, Copy, PartialEq, Eq, ::prost::Message)]
-pub struct Limits {
+pub struct DisruptionPolicy {
     /// Proxies out at once, of the whole fleet.
     #[prost(message, required, tag = "1")]
-    pub fleet: Cap,
+    pub fleet: DisruptionLimit,
     /// Proxies out at once, in each zone.
     #[prost(message, required, tag = "2")]
-    pub zone: Cap,
+    pub zone: DisruptionLimit,
     /// Proxies that stay in service at least.
     #[prost(uint64, tag = "3")]
-    pub least: u64,
+    pub min_in_service: u64,
     /// Members out at once, in each group.
     #[prost(message, required, tag = "4")]
-    pub group: Cap,
+    pub group: DisruptionLimit,
     /// Members of a group that stay in service at least.
     #[prost(uint64, tag = "5")]
-    pub group_least: u64,
+    pub group_min_in_service: u64,
 }
 
 /// Why something is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
-pub enum Cause {
+pub enum Availability {
     /// It is not.
     InService = 0,
     /// A proxy drains or stands by.
@@ -63,65 +63,71 @@
     /// A proxy stops.
     Stopping = 2,
     /// A proxy is not heard of.
-    Silent = 3,
+    NoHeartbeat = 3,
     /// Discovery says that a member drains or is gone.
-    Listed = 4,
+    Delisted = 4,
     /// Operators took a member out by hand.
-    Banned = 5,
+    OperatorBan = 5,
     /// A member does not answer.
-    Ill = 6,
+    Unresponsive = 6,
     /// A member was started lately.
-    Cold = 7,
+    WarmingUp = 7,
     /// No list has named a member for so long that it is no more.
-    Gone = 8,
+    Removed = 8,
 }
 
-impl Cause {
+impl Availability {
     /// In the operators' words.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
-            Cause::InService => "in service",
-            Cause::Standby => "standing by",
-            Cause::Stopping => "stopping",
-            Cause::Silent => "not heard of",
-            Cause::Listed => "drained by discovery",
-            Cause::Banned => "taken out by hand",
-            Cause::Ill => "not answering",
-            Cause::Cold => "cold",
-            Cause::Gone => "gone",
+            Availability::InService => "in service",
+            Availability::Standby => "standing by",
+            Availability::Stopping => "stopping",
+            Availability::NoHeartbeat => "not heard of",
+            Availability::Delisted => "drained by discovery",
+            Availability::OperatorBan => "taken out by hand",
+            Availability::Unresponsive => "not answering",
+            Availability::WarmingUp => "cold",
+            Availability::Removed => "gone",
         }
     }
 
     /// What one proxy says is so, whoever else sees it; an illness that only a few see is theirs.
     fn is_fact(self) -> bool {
-        matches!(self, Cause::Listed | Cause::Banned | Cause::Cold | Cause::Gone)
+        matches!(
+            self,
+            Availability::Delisted
+                | Availability::OperatorBan
+                | Availability::WarmingUp
+                | Availability::Removed
+        )
     }
 }
 
 /// What can be out.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Thing {
+pub enum Subject {
     /// A proxy by name.
     Proxy(String),
     /// A member by its id in the list.
     Member(String),
 }
 
-impl Thing {
+impl Subject {
     /// Its key in the table.
     pub fn key(&self) -> String {
         match self {
-            Thing::Proxy(name) => format!("proxy/{name}"),
-            Thing::Member(name) => format!("member/{name}"),
+            Subject::Proxy(name) => format!("proxy/{name}"),
+            Subject::Member(name) => format!("member/{name}"),
         }
     }
 
     /// The thing of a key.
-    pub fn of(key: &str) -> Option<Thing> {
+    pub fn from_key(key: &str) -> Option<Subject> {
         let (kind, name) = key.split_once('/')?;
         match kind {
-            "proxy" => Some(Thing::Proxy(name.to_string())),
-            "member" => Some(Thing::Member(name.to_string())),
+            "proxy" => Some(Subject::Proxy(name.to_string())),
+            "member" => Some(Subject::Member(name.to_string())),
             _ => None,
         }
     }
@@ -129,35 +135,35 @@
 
 /// How a proxy sees a member.
 #[derive(Clone, PartialEq, Eq, ::prost::Message)]
-pub struct Sight {
+pub struct HealthObservation {
     /// Its group.
     #[prost(uint64, tag = "1")]
     pub group: u64,
-    /// [`Cause`].
-    #[prost(enumeration = "Cause", tag = "2")]
-    pub cause: i32,
+    /// [`Availability`].
+    #[prost(enumeration = "Availability", tag = "2")]
+    pub availability: i32,
     /// It is its group's primary, as far as is known.
     #[prost(bool, tag = "3")]
-    pub primary: bool,
+    pub is_primary: bool,
 }
 
 /// What a proxy says with each request to the keepers.
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct Report {
-    /// How it is itself: [`Cause`].
-    #[prost(enumeration = "Cause", tag = "1")]
-    pub own: i32,
+pub struct HealthReport {
+    /// How it is itself: [`Availability`].
+    #[prost(enumeration = "Availability", tag = "1")]
+    pub own_availability: i32,
     /// Members that it sees otherwise than it said last, by id.
     #[prost(btree_map = "string, message", tag = "2")]
-    pub sights: std::collections::BTreeMap<String, Sight>,
+    pub observations: std::collections::BTreeMap<String, HealthObservation>,
     /// The edition of what is fenced off that it goes by.
     #[prost(uint64, tag = "3")]
-    pub fenced: u64,
+    pub quarantine_edition: u64,
 }
 
 /// Members to which nothing new may be sent, by any proxy.
 #[derive(Clone, PartialEq, Eq, ::prost::Message)]
-pub struct Fence {
+pub struct Quarantine {
     /// Its edition.
     #[prost(uint64, tag = "1")]
     pub edition: u64,
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -2,7 +2,7 @@
 //! have gone silent ([`outage`]), how the ill are tried ([`recovery`]), who of the clients' connections is let in
 //! ([`door`]), when discovery is asked ([`asking`]) or watched ([`watching`]), and how old its news is ([`freshness`]),
 //! how long clients have waited already ([`patience`]), what the site's goal makes of a request ([`goals`]), and what tenants may ask for ([`allowance`]);
-//! and what instances agree on: who they are ([`membership`]), what each may use ([`quota`]), who is out ([`outages`]).
+//! and what instances agree on: who they are ([`membership`]), what each may use ([`quota`]), who is out ([`disruption`]).
 //! State machines that are told what happened and when, and push what is to be done; no I/O, no clock, no async,
 //! nothing of linenhill's other packages.
 #![forbid(unsafe_code)]
@@ -11,6 +11,7 @@
 pub mod allowance;
 pub mod api;
 pub mod asking;
+pub mod disruption;
 pub mod door;
 pub mod freshness;
 pub mod goals;
@@ -18,7 +19,6 @@
 pub mod maintenance;
 pub mod membership;
 pub mod outage;
-pub mod outages;
 pub mod patience;
 pub mod planted;
 pub mod policy;
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -3,9 +3,9 @@
 use crate::allowance::Allowance;
 use crate::api::*;
 use crate::asking::Asking;
+use crate::disruption::Availability;
 use crate::goals::Goals;
 use crate::outage::{Out, Outages};
-use crate::outages::Cause;
 use crate::patience::Waits;
 pub(crate) use crate::recovery::Ill;
 use std::cell::RefCell;
@@ -179,14 +179,14 @@
     }
 
     /// How a member is seen: why it is out, if it is, and whether it is its group's primary.
-    pub fn sight(&self, member: MemberId) -> (Cause, bool) {
-        let Some(m) = self.members.get(&member) else { return (Cause::Listed, false) };
+    pub fn sight(&self, member: MemberId) -> (Availability, bool) {
+        let Some(m) = self.members.get(&member) else { return (Availability::Delisted, false) };
         let cold = m.cold_since.is_some_and(|since| self.now < since + self.set.rules.cold.0);
         let cause = match () {
-            () if m.state != MemberState::InService => Cause::Listed,
-            () if m.ill.is_some() => Cause::Ill,
-            () if cold => Cause::Cold,
-            () => Cause::InService,
+            () if m.state != MemberState::InService => Availability::Delisted,
+            () if m.ill.is_some() => Availability::Unresponsive,
+            () if cold => Availability::WarmingUp,
+            () => Availability::InService,
         };
         (cause, m.primary_at > m.replica_at)
     }
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operators' own file, in protobuf's text format: read whole, with every mistake named by line and field.
 
+use linenhill_decisions::disruption::{DisruptionLimit, DisruptionPolicy};
 use linenhill_decisions::membership::LeaseTerms;
-use linenhill_decisions::outages::{Cap, Limits};
 use linenhill_decisions::quota::{Budget, Budgets, MAX_BUDGETS};
 use prost::Message;
 use prost_reflect::{DescriptorPool, DynamicMessage};
@@ -180,7 +180,7 @@
     /// Which edition of terms and budgets it is: one that is not higher than that agreed on changes nothing.
     pub revision: u64,
     /// What may be out at once, if that is bounded.
-    pub outages: Option<Limits>,
+    pub outages: Option<DisruptionPolicy>,
 }
 
 /// One mistake in the file.
@@ -424,11 +424,17 @@
             if percent.is_some_and(|p| p > 100) {
                 wrong(at, format!("outages.{name}.percent"), "0 to 100 is expected");
             }
-            Cap { count, percent }
+            DisruptionLimit { count, percent }
         };
         let (fleet, zone) = (cap(o.proxies, "proxies"), cap(o.zone, "zone"));
         let group = cap(o.members, "members");
-        Limits { fleet, zone, least: o.least, group, group_least: o.members_least }
+        DisruptionPolicy {
+            fleet,
+            zone,
+            min_in_service: o.least,
+            group,
+            group_min_in_service: o.members_least,
+        }
     });
     let us = |ms: u64| ms.saturating_mul(1_000);
     Operator {
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -18,7 +18,7 @@
 use call::{Call, CallCodec, CallError};
 use futures_util::StreamExt;
 use linenhill_cluster::member::Fleet;
-use linenhill_decisions::outages::Thing;
+use linenhill_decisions::disruption::Subject;
 use log::{info, warn};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -107,7 +107,7 @@
         match call {
             Call::Status if self.course.serves() => said(200, "serving"),
             Call::Status => said(503, "not serving"),
-            Call::Standby(force) => match self.permit(Thing::Proxy, force).await {
+            Call::Standby(force) => match self.permit(Subject::Proxy, force).await {
                 Ok(()) => self.tell(Event::Standby, "draining"),
                 Err(no) => no,
             },
@@ -119,13 +119,13 @@
                 }
                 answer
             }
-            Call::Enter(id, force) => match self.permit(|_| Thing::Member(id.clone()), force).await {
+            Call::Enter(id, force) => match self.permit(|_| Subject::Member(id.clone()), force).await {
                 Ok(()) if self.bounded() => said(200, format!("{id} is out")),
                 Ok(()) => self.say(&id, true),
                 Err(no) => no,
             },
             Call::Exit(id) => match self.fleet.as_ref().filter(|_| self.bounded()) {
-                Some(fleet) => match outages::back(fleet, &Thing::Member(id.clone())).await {
+                Some(fleet) => match outages::back(fleet, &Subject::Member(id.clone())).await {
                     Ok(_) => self.say(&id, false),
                     Err(no) => refused(no),
                 },
@@ -140,7 +140,7 @@
     }
 
     /// Leave of the fleet, where it bounds what is out; it must be had before anything is drained.
-    async fn permit(&self, thing: impl FnOnce(String) -> Thing, force: bool) -> Result<(), Answer> {
+    async fn permit(&self, thing: impl FnOnce(String) -> Subject, force: bool) -> Result<(), Answer> {
         let Some(fleet) = self.fleet.as_ref().filter(|_| self.bounded()) else { return Ok(()) };
         let thing = thing(fleet.name());
         match outages::permit(fleet, &thing, "operators' call", force).await {
--- a/src/fleet/outages.rs
+++ b/src/fleet/outages.rs
@@ -6,7 +6,7 @@
 use linenhill_cluster::member::Fleet;
 use linenhill_cluster::state::{OutageDoc, Wish};
 use linenhill_cluster::wire::Done;
-use linenhill_decisions::outages::{Cause, Thing};
+use linenhill_decisions::disruption::{Availability, Subject};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -62,7 +62,7 @@
 }
 
 /// Asks for leave for a thing to be out, and for a member waits until no proxy sends to it any more.
-pub async fn permit(fleet: &Fleet, thing: &Thing, reason: &str, force: bool) -> Result<String, No> {
+pub async fn permit(fleet: &Fleet, thing: &Subject, reason: &str, force: bool) -> Result<String, No> {
     let by = fleet.name();
     let wish =
         OutageDoc { thing: thing.key(), wish: Wish::Permit as i32, by, reason: reason.to_string(), force };
@@ -91,7 +91,7 @@
 /// answers, the permit ends once the proxy was seen out and back, or operators say so.
 pub async fn come_back(fleet: &Fleet) {
     for _ in 0..BACK_TRIES {
-        match back(fleet, &Thing::Proxy(fleet.name())).await {
+        match back(fleet, &Subject::Proxy(fleet.name())).await {
             Err(No::Unasked(_)) => sleep(fleet.renews_every()).await,
             _ => return,
         }
@@ -99,7 +99,7 @@
 }
 
 /// A thing is to come back.
-pub async fn back(fleet: &Fleet, thing: &Thing) -> Result<String, No> {
+pub async fn back(fleet: &Fleet, thing: &Subject) -> Result<String, No> {
     let wish = OutageDoc { thing: thing.key(), wish: Wish::Back as i32, ..OutageDoc::default() };
     let done = fleet.wish(wish).await.map_err(No::Unasked)?;
     if done.ok { Ok(done.text) } else { Err(No::Denied(done.text)) }
@@ -107,11 +107,11 @@
 
 impl Course {
     /// How this process is, in the fleet's words.
-    pub fn cause(&self) -> Cause {
+    pub fn cause(&self) -> Availability {
         match (self.serves(), self.stops()) {
-            (true, _) => Cause::InService,
-            (false, false) => Cause::Standby,
-            (false, true) => Cause::Stopping,
+            (true, _) => Availability::InService,
+            (false, false) => Availability::Standby,
+            (false, true) => Availability::Stopping,
         }
     }
 }
--- a/src/stages/mod.rs
+++ b/src/stages/mod.rs
@@ -12,7 +12,7 @@
 use crate::discovery::list::News;
 use crate::request::Payload;
 use bytes::Bytes;
-use linenhill_decisions::outages::Sight;
+use linenhill_decisions::disruption::HealthObservation;
 use std::collections::BTreeMap;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -89,7 +89,7 @@
     /// Operators have said something new on the member with this name.
     Word(String),
     /// The fleet asks how members are seen.
-    Sights(oneshot::Sender<BTreeMap<String, Sight>>),
+    Sights(oneshot::Sender<BTreeMap<String, HealthObservation>>),
     /// The fleet says to whom nothing new may be sent; answered once that is so.
     Fence(Vec<String>, oneshot::Sender<()>),
 }
--- a/src/stages/route.rs
+++ b/src/stages/route.rs
@@ -13,7 +13,7 @@
 use crate::maintenance::{Maintenance, Shown};
 use crate::members::pool::Pool;
 use crate::policy::Router;
-use linenhill_decisions::outages::{Cause, Sight};
+use linenhill_decisions::disruption::{Availability, HealthObservation};
 use log::{error, info};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -185,13 +185,20 @@
     }
 
     /// How members are seen: those that lists name, and those that they named of late.
-    fn sights(&self) -> BTreeMap<String, Sight> {
+    fn sights(&self) -> BTreeMap<String, HealthObservation> {
         let maintenance = self.maintenance.borrow();
         let sight = |(id, group, _): (&str, GroupId, bool)| {
             let listed = self.listed.get(id).map(|(_, member)| self.router.sight(*member));
-            let (cause, primary) = listed.unwrap_or((Cause::Listed, false));
-            let cause = if maintenance.is_out(id) { Cause::Banned } else { cause };
-            (id.to_string(), Sight { group: u64::from(group.0), cause: cause as i32, primary })
+            let (cause, primary) = listed.unwrap_or((Availability::Delisted, false));
+            let cause = if maintenance.is_out(id) { Availability::OperatorBan } else { cause };
+            (
+                id.to_string(),
+                HealthObservation {
+                    group: u64::from(group.0),
+                    availability: cause as i32,
+                    is_primary: primary,
+                },
+            )
         };
         maintenance.known().map(sight).collect()
     }
