--- a/Makefile
+++ b/Makefile
@@ -26,10 +26,10 @@
 # every planted fault. LINENHILL_SEED, LINENHILL_SEQUENCES and LINENHILL_HISTORIES choose.
 proof-budgets:
 	LINENHILL_HISTORIES=$${LINENHILL_HISTORIES:-10000} cargo test --locked --release -p linenhill-lab
-	cargo test --locked --release -p linenhill-lab --features planted-faults planted -- --nocapture
-	LINENHILL_LONG=1 cargo test --locked --release -p linenhill-decisions --features planted-faults --test quota
+	cargo test --locked --release -p linenhill-lab --features fault-injection planted -- --nocapture
+	LINENHILL_LONG=1 cargo test --locked --release -p linenhill-decisions --features fault-injection --test quota
 	LINENHILL_SEQUENCES=$${LINENHILL_SEQUENCES:-200} cargo test --locked --release --test fleet members -- --nocapture
-	cargo test --locked --release --features planted-faults --test fleet planted
+	cargo test --locked --release --features fault-injection --test fleet planted
 
 # What budgets give and cost, under virtual time: the same figures every time, but for the real time they take.
 measure-budgets:
--- a/crates/cluster/src/clock.rs
+++ b/crates/cluster/src/clock.rs
@@ -17,7 +17,7 @@
 
 /// A clock that runs too fast or too slow, for tests of the bound on drift: `LINENHILL_CLOCK_PPM` is its rate, in
 /// millionths of the true one.
-#[cfg(feature = "planted-faults")]
+#[cfg(feature = "fault-injection")]
 mod rate {
     use std::sync::OnceLock;
 
@@ -38,7 +38,7 @@
     }
 }
 
-#[cfg(not(feature = "planted-faults"))]
+#[cfg(not(feature = "fault-injection"))]
 mod rate {
     pub(super) const fn shown(real: u64) -> u64 {
         real
--- a/crates/decisions/src/disruption/table.rs
+++ b/crates/decisions/src/disruption/table.rs
@@ -4,8 +4,8 @@
 use super::{
     Availability, DisruptionPolicy, HealthReport, MAX_SUBJECTS, MAX_TEXT_BYTES, Quarantine, Subject,
 };
+use crate::fault_injection::{Fault, is_injected};
 use crate::membership::{LeaseTerms, Membership};
-use crate::planted::{Fault, planted};
 use std::collections::BTreeMap;
 
 /// Leave to be out.
@@ -227,7 +227,7 @@
         let Some(known) = self.subjects.get(key) else { return Availability::InService };
         if let Some(name) = key.strip_prefix("proxy/") {
             if !seen.membership.is_live_within(name, seen.lease) {
-                return if planted(Fault::DeadUncounted) {
+                return if is_injected(Fault::DeadUncounted) {
                     Availability::InService
                 } else {
                     Availability::NoHeartbeat
@@ -250,7 +250,7 @@
             counted.all += 1;
             let cause = self.availability(key, seen);
             let forced = known.permit.as_ref().is_some_and(|p| p.forced);
-            if forced && planted(Fault::ForceUncounted) {
+            if forced && is_injected(Fault::ForceUncounted) {
                 continue;
             }
             let leave = known.permit.is_some();
@@ -287,7 +287,7 @@
             self.quarantine_edition += 1;
         }
         let seats = || seen.membership.sessions.values().map(|s| s.incarnation).collect();
-        let acknowledged_early = planted(Fault::FenceUnconfirmed);
+        let acknowledged_early = is_injected(Fault::FenceUnconfirmed);
         let permit = Permit {
             number: self.permits_granted,
             requested_by: by.chars().take(MAX_TEXT_BYTES / 4).collect(),
--- a/crates/decisions/src/planted.rs
+++ b/crates/decisions/src/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Faults planted on purpose, to show that the checkers of the agreed state catch them. Without the feature
-//! `planted-faults` none can be chosen and none is compiled in.
+//! Faults injected on purpose, to show that the checkers of the agreed state catch them. Without the feature
+//! `fault-injection` none can be chosen and none is compiled in.
 
 /// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,8 +25,8 @@
 }
 
 impl Fault {
-    /// Those of shares, with the names by which they are chosen.
-    pub const SHARES: [(Fault, &str); 6] = [
+    /// Those of shares, with the names by which they are selected.
+    pub const QUOTA: [(Fault, &str); 6] = [
         (Fault::NoDriftMargin, "no-drift-margin"),
         (Fault::LeaseFromReceipt, "lease-from-receipt"),
         (Fault::RoundingUp, "rounding-up"),
@@ -36,44 +36,44 @@
     ];
 
     /// Those of permits to be out.
-    pub const OUTAGES: [(Fault, &str); 3] = [
+    pub const DISRUPTION: [(Fault, &str); 3] = [
         (Fault::DeadUncounted, "dead-uncounted"),
         (Fault::ForceUncounted, "force-uncounted"),
         (Fault::FenceUnconfirmed, "fence-unconfirmed"),
     ];
 
     /// The fault of a name.
-    pub fn named(name: &str) -> Option<Fault> {
-        let all = Fault::SHARES.iter().chain(&Fault::OUTAGES);
+    pub fn from_name(name: &str) -> Option<Fault> {
+        let all = Fault::QUOTA.iter().chain(&Fault::DISRUPTION);
         all.copied().find(|(_, known)| *known == name).map(|(fault, _)| fault)
     }
 }
 
-#[cfg(feature = "planted-faults")]
-mod chosen {
+#[cfg(feature = "fault-injection")]
+mod selected {
     use super::Fault;
     use std::cell::Cell;
 
     thread_local! {
-        static CHOSEN: Cell<Option<Fault>> = const { Cell::new(None) };
+        static INJECTED: Cell<Option<Fault>> = const { Cell::new(None) };
     }
 
     /// Plants a fault in this thread, or none.
-    pub fn plant(fault: Option<Fault>) {
-        CHOSEN.set(fault);
+    pub fn inject(fault: Option<Fault>) {
+        INJECTED.set(fault);
     }
 
-    pub(crate) fn planted(fault: Fault) -> bool {
-        CHOSEN.get() == Some(fault)
+    pub(crate) fn is_injected(fault: Fault) -> bool {
+        INJECTED.get() == Some(fault)
     }
 }
 
-#[cfg(feature = "planted-faults")]
-pub use chosen::plant;
-#[cfg(feature = "planted-faults")]
-pub(crate) use chosen::planted;
+#[cfg(feature = "fault-injection")]
+pub use selected::inject;
+#[cfg(feature = "fault-injection")]
+pub(crate) use selected::is_injected;
 
-#[cfg(not(feature = "planted-faults"))]
-pub(crate) const fn planted(_: Fault) -> bool {
+#[cfg(not(feature = "fault-injection"))]
+pub(crate) const fn is_injected(_: Fault) -> bool {
     false
 }
--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -5,7 +5,7 @@
 //! drift, and stands still while nobody leads. A seat is held by an incarnation, not by a name: whoever starts again is
 //! somebody else, and what the one before held counts as held until it must have ended.
 
-use crate::planted::{Fault, planted};
+use crate::fault_injection::{Fault, is_injected};
 use std::collections::BTreeMap;
 
 /// Longest name of an instance, in bytes.
@@ -30,7 +30,7 @@
 impl LeaseTerms {
     /// What a span on one clock may take at most on another, both within the bound on drift: rounded up.
     pub fn with_drift_margin(&self, span: u64) -> u64 {
-        if planted(Fault::NoDriftMargin) {
+        if is_injected(Fault::NoDriftMargin) {
             return span;
         }
         let drift = u128::from(self.drift_ppm.min(500_000));
--- a/crates/decisions/src/quota/lease_holder.rs
+++ b/crates/decisions/src/quota/lease_holder.rs
@@ -5,7 +5,7 @@
 //! lease over when it goes on, before it uses anything.
 
 use super::{Grant, Quota, QuotaNeed, QuotaRequest};
-use crate::planted::{Fault, planted};
+use crate::fault_injection::{Fault, is_injected};
 use std::collections::BTreeMap;
 
 /// Requests whose answers may still come.
@@ -162,7 +162,7 @@
         self.settle(now);
         self.acked = grant.seq;
         self.asked.retain(|seq, _| *seq > grant.seq);
-        let asked = if planted(Fault::LeaseFromReceipt) { now } else { asked };
+        let asked = if is_injected(Fault::LeaseFromReceipt) { now } else { asked };
         self.until = asked.saturating_add(grant.lease_us);
         self.floor_until = asked.saturating_add(grant.membership_us);
         (self.lease, self.drift_ppm) = (grant.lease_us, grant.drift_ppm);
--- a/crates/decisions/src/quota/table.rs
+++ b/crates/decisions/src/quota/table.rs
@@ -6,8 +6,8 @@
     Budget, Budgets, Grant, MAX_ALLOCATIONS, MAX_BUDGET_ENTRIES, MAX_BUDGETS, MAX_ENTRY_NAME_BYTES,
     MAX_UNITS, Quota, QuotaNeed, QuotaRequest,
 };
+use crate::fault_injection::{Fault, is_injected};
 use crate::membership::{LeaseTerms, Membership, SessionRejected};
-use crate::planted::{Fault, planted};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Grants of one holder that are counted apart; beyond that the two oldest count as one that is as large as the larger
@@ -219,7 +219,7 @@
                             effects.push(QuotaReply { name, incarnation, result: Err(problem) });
                         }
                         Ok(new) => {
-                            if new && planted(Fault::OldIncarnation) {
+                            if new && is_injected(Fault::OldIncarnation) {
                                 self.take_over(&name, incarnation);
                             }
                             if let Some(seat) = self.membership.sessions.get_mut(&name).filter(|_| new) {
@@ -331,7 +331,7 @@
             (holding.in_use, holding.demand, holding.reported_at) = (in_use, demand.max(in_use), now);
             holding.in_use_expires_at = match in_use {
                 0 => 0,
-                _ if planted(Fault::FreedEarly) => 0,
+                _ if is_injected(Fault::FreedEarly) => 0,
                 _ => now.saturating_add(terms.with_drift_margin(terms.lease_us.saturating_add(outlives))),
             };
         }
@@ -390,7 +390,7 @@
             let room = budget.total.saturating_sub(counted - mine);
             let target = targets.get(incarnation).copied().unwrap_or(0);
             let (mut units, floor) = (target.min(room), budget.floor.min(room));
-            if planted(Fault::RoundingUp) && holding.demand > 0 {
+            if is_injected(Fault::RoundingUp) && holding.demand > 0 {
                 units = units.max(1);
             }
             let served = units > base;
@@ -407,7 +407,7 @@
                 units,
                 expires_at: until(terms.lease_us),
                 floor,
-                floor_expires_at: until(if planted(Fault::FloorTwice) {
+                floor_expires_at: until(if is_injected(Fault::FloorTwice) {
                     terms.lease_us
                 } else {
                     terms.membership_us
--- a/crates/decisions/tests/disruption.rs
+++ b/crates/decisions/tests/disruption.rs
@@ -253,23 +253,23 @@
 }
 
 // Guards against checks that can't fail.
-#[cfg(feature = "planted-faults")]
+#[cfg(feature = "fault-injection")]
 #[test]
 fn planted_faults_are_caught() {
-    use linenhill_decisions::planted::{Fault, plant};
+    use linenhill_decisions::fault_injection::{Fault, inject};
     for fault in [Fault::DeadUncounted, Fault::ForceUncounted] {
-        plant(Some(fault));
+        inject(Some(fault));
         let found = (0..200).find_map(|seed| history(seed).err());
-        plant(None);
+        inject(None);
         assert!(found.is_some(), "{fault:?} was not caught");
     }
-    plant(Some(Fault::FenceUnconfirmed));
+    inject(Some(Fault::FenceUnconfirmed));
     let mut fleet = Fleet::new(2, limits(1, 1));
     let well =
         [("m0", Availability::InService), ("m1", Availability::InService), ("m2", Availability::InService)];
     fleet.speaks(0, Availability::InService, &well);
     let early = fleet.permit("member/m1", "p0", false).expect("leave").unconfirmed.is_empty();
-    plant(None);
+    inject(None);
     assert!(early);
 }
 
--- a/crates/decisions/tests/quota.rs
+++ b/crates/decisions/tests/quota.rs
@@ -2,8 +2,8 @@
 //! go on and die: by seed, over a network that loses, doubles, delays and reorders, with clocks at the edge of the bound.
 //! The checker knows the wholes and looks at what is in use; it knows nothing of shares.
 
+use linenhill_decisions::fault_injection::Fault;
 use linenhill_decisions::membership::{LeaseTerms, SessionRejected};
-use linenhill_decisions::planted::Fault;
 use linenhill_decisions::quota::lease_holder::{AcquireDecision, LeaseExpiry, LeaseHolder};
 use linenhill_decisions::quota::max_min_fair::{Claim, max_min_fair};
 use linenhill_decisions::quota::table::{QuotaCommand, QuotaReply, QuotaTable};
@@ -326,13 +326,13 @@
 }
 
 // Guards against a checker that can't fail: each planted fault is found.
-#[cfg(feature = "planted-faults")]
+#[cfg(feature = "fault-injection")]
 #[test]
 fn every_planted_fault_is_caught() {
-    for (fault, name) in Fault::SHARES {
-        linenhill_decisions::planted::plant(Some(fault));
+    for (fault, name) in Fault::QUOTA {
+        linenhill_decisions::fault_injection::inject(Some(fault));
         let found = histories(0..400, 1_500);
-        linenhill_decisions::planted::plant(None);
+        linenhill_decisions::fault_injection::inject(None);
         assert!(found.is_err(), "{name} was not caught");
     }
     assert!(histories(0..20, 500).is_ok());
@@ -340,7 +340,7 @@
 
 #[test]
 fn faults_have_names() {
-    assert!(Fault::SHARES.iter().all(|(_, name)| !name.is_empty()));
+    assert!(Fault::QUOTA.iter().all(|(_, name)| !name.is_empty()));
 }
 
 /// One state of the small world that is searched whole: two proxies, one granter that may be replaced, and every
@@ -503,13 +503,13 @@
     assert!(states > 10_000, "{states}");
 }
 
-#[cfg(feature = "planted-faults")]
+#[cfg(feature = "fault-injection")]
 #[test]
 fn the_search_finds_planted_faults() {
     for fault in [Fault::NoDriftMargin, Fault::LeaseFromReceipt] {
-        linenhill_decisions::planted::plant(Some(fault));
+        linenhill_decisions::fault_injection::inject(Some(fault));
         let (states, worst) = search(1, 0);
-        linenhill_decisions::planted::plant(None);
+        linenhill_decisions::fault_injection::inject(None);
         assert!(worst > 1, "{fault:?} was not found in {states} states");
     }
 }
--- a/crates/lab/tests/together.rs
+++ b/crates/lab/tests/together.rs
@@ -61,22 +61,22 @@
 }
 
 // Guards against a checker that can't fail.
-#[cfg(feature = "planted-faults")]
+#[cfg(feature = "fault-injection")]
 #[test]
 fn each_planted_fault_is_caught() {
-    use linenhill_decisions::planted::{Fault, plant};
+    use linenhill_decisions::fault_injection::{Fault, inject};
     // Clocks far apart, and units that end soon: an overlap of leases shows. The sound program bears it.
     let harsh = |mut plan: Plan| {
         (plan.terms.drift_ppm, plan.outlives) = (200_000, 50_000);
         plan
     };
-    for (fault, name) in Fault::SHARES {
-        plant(Some(fault));
+    for (fault, name) in Fault::QUOTA {
+        inject(Some(fault));
         let broken = |e: &String| e.contains(" in use at ");
         let seeds = || 1..400;
         let found = seeds().find_map(|seed| history(seed, 12).err().filter(broken));
         let found = found.or_else(|| seeds().find_map(|seed| played(seed, 12, harsh).err().filter(broken)));
-        plant(None);
+        inject(None);
         println!("{name}: {}", found.as_deref().unwrap_or("not caught").lines().next().unwrap_or_default());
         assert!(found.is_some(), "{name} was not caught");
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -100,7 +100,7 @@
 /// Keeps what a fleet agrees on, until told to stop or the disk fails.
 fn keep(operator: &Path, name: &str, found: bool) -> Result<(), String> {
     let operator = tools::read(operator)?;
-    plant()?;
+    inject_fault()?;
     let disk = keeper::open(&operator, name, found).map_err(|e| e.to_string())?;
     let listen = operator.listen.ok_or("the operator's file lacks instance.listen")?;
     let name = name.to_string();
@@ -119,19 +119,19 @@
     }))
 }
 
-/// Plants the fault that tests choose, in a build made for them.
-fn plant() -> Result<(), String> {
-    #[cfg(feature = "planted-faults")]
+/// Injects the fault that tests choose, in a build made for them.
+fn inject_fault() -> Result<(), String> {
+    #[cfg(feature = "fault-injection")]
     if let Ok(name) = std::env::var("LINENHILL_PLANTED") {
-        use linenhill_decisions::planted::{Fault, plant};
-        let fault = Fault::named(&name).ok_or("no such fault")?;
-        plant(Some(fault));
+        use linenhill_decisions::fault_injection::{Fault, inject};
+        let fault = Fault::from_name(&name).ok_or("no such fault")?;
+        inject(Some(fault));
     }
     Ok(())
 }
 
 async fn serve(config: Config, operator: Option<Operator>, signals: Signals) -> Result<(), String> {
-    plant()?;
+    inject_fault()?;
     let together = match operator {
         None => None,
         Some(_) if config.name.is_empty() || config.name.len() > MAX_NAME_BYTES => {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -7,7 +7,7 @@
 mod together;
 
 use harness::file;
-use linenhill_decisions::planted::Fault;
+use linenhill_decisions::fault_injection::Fault;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use together::{Bounds, KEEPERS, LONG, RATE, RULES, Rules, TIGHT, WHOLE, World, binary, operator, play};
@@ -72,11 +72,11 @@
 }
 
 // Guards against a checker that can't fail: a faulty division is seen at the members.
-#[cfg(feature = "planted-faults")]
+#[cfg(feature = "fault-injection")]
 #[test]
 fn a_planted_fault_is_seen_at_the_members() {
     let chosen = std::env::var("LINENHILL_FAULT").unwrap_or_default();
-    for (fault, name) in Fault::SHARES.into_iter().filter(|(_, name)| chosen.is_empty() || *name == chosen) {
+    for (fault, name) in Fault::QUOTA.into_iter().filter(|(_, name)| chosen.is_empty() || *name == chosen) {
         play(made_for(fault, None)).unwrap_or_else(|e| panic!("{name}, not planted: {e}"));
         let found = play(made_for(fault, Some(name))).err();
         println!("{name}, in the history made for it: {found:?}");
@@ -216,8 +216,8 @@
 
 #[test]
 fn planted_faults_have_distinct_names() {
-    let names: std::collections::BTreeSet<&str> = Fault::SHARES.iter().map(|(_, n)| *n).collect();
-    assert_eq!(names.len(), Fault::SHARES.len());
+    let names: std::collections::BTreeSet<&str> = Fault::QUOTA.iter().map(|(_, n)| *n).collect();
+    assert_eq!(names.len(), Fault::QUOTA.len());
 }
 
 // Guards against a busy proxy that no keeper reaches and that uses its connections on and on, while what it held is
