--- a/crates/decisions/src/fault_injection.rs
+++ b/crates/decisions/src/fault_injection.rs
@@ -1,31 +1,32 @@
-//! Faults injected on purpose, to show that the checkers of the agreed state catch them. Without the feature
-//! `fault-injection` none can be chosen and none is compiled in.
+//! Faults that tests inject into the agreed state, to show that its checkers catch them.
+//!
+//! Only builds with the cargo feature `fault-injection` contain them; a build that serves must never have it.
 
-/// A fault.
+/// A deliberate fault in the machines of the agreed state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Leases count at the granter without the bound on drift.
+    /// The granter counts leases without the margin for clock drift.
     NoDriftMargin,
-    /// Leases count at the holder from when the grant came.
+    /// The holder counts its lease from the arrival of the grant, not from its request.
     LeaseFromReceipt,
-    /// Nobody who wants something gets nothing.
+    /// Every proxy with a demand is granted at least one unit.
     RoundingUp,
-    /// A new incarnation takes over what the old one held.
+    /// A new incarnation releases what the previous one still holds.
     OldIncarnation,
-    /// What is in use counts no more once the share is smaller.
+    /// Units in use stop counting as soon as the quota shrinks.
     FreedEarly,
-    /// A floor counts no longer than a share.
+    /// The granter counts a floor for a lease only, and not for the membership.
     FloorTwice,
-    /// Whoever is not heard of does not count as out.
+    /// A proxy that no longer sends requests does not count as unavailable.
     DeadUncounted,
-    /// What is out by force does not count.
+    /// A subject with a forced permit does not count as unavailable.
     ForceUncounted,
-    /// A member's exclusion is confirmed before every proxy has.
+    /// A member's permit is confirmed before every proxy has applied the quarantine.
     FenceUnconfirmed,
 }
 
 impl Fault {
-    /// Those of shares, with the names by which they are selected.
+    /// The faults of quotas, with the names by which tests choose them.
     pub const QUOTA: [(Fault, &str); 6] = [
         (Fault::NoDriftMargin, "no-drift-margin"),
         (Fault::LeaseFromReceipt, "lease-from-receipt"),
@@ -35,14 +36,14 @@
         (Fault::FloorTwice, "floor-twice"),
     ];
 
-    /// Those of permits to be out.
+    /// The faults of disruption permits, with the names by which tests choose them.
     pub const DISRUPTION: [(Fault, &str); 3] = [
         (Fault::DeadUncounted, "dead-uncounted"),
         (Fault::ForceUncounted, "force-uncounted"),
         (Fault::FenceUnconfirmed, "fence-unconfirmed"),
     ];
 
-    /// The fault of a name.
+    /// The fault that is called `name`, if there is one.
     pub fn from_name(name: &str) -> Option<Fault> {
         let all = Fault::QUOTA.iter().chain(&Fault::DISRUPTION);
         all.copied().find(|(_, known)| *known == name).map(|(fault, _)| fault)
@@ -50,7 +51,7 @@
 }
 
 #[cfg(feature = "fault-injection")]
-mod selected {
+mod injected {
     use super::Fault;
     use std::cell::Cell;
 
@@ -58,7 +59,7 @@
         static INJECTED: Cell<Option<Fault>> = const { Cell::new(None) };
     }
 
-    /// Plants a fault in this thread, or none.
+    /// Injects a fault into this thread in the place of any injected before; `None` removes it.
     pub fn inject(fault: Option<Fault>) {
         INJECTED.set(fault);
     }
@@ -69,9 +70,9 @@
 }
 
 #[cfg(feature = "fault-injection")]
-pub use selected::inject;
+pub use injected::inject;
 #[cfg(feature = "fault-injection")]
-pub(crate) use selected::is_injected;
+pub(crate) use injected::is_injected;
 
 #[cfg(not(feature = "fault-injection"))]
 pub(crate) const fn is_injected(_: Fault) -> bool {
--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -1,87 +1,111 @@
-//! Who belongs to the fleet: the same table at every keeper, changed only by the entries of the agreed log.
+//! Who belongs to the fleet: a table that is the same at every keeper and changes only by entries of the agreed log.
 //!
-//! Deterministic: no clock, no chance. Time comes in with each entry as what the leader's own clock counted since the
-//! entry before, or since it became leader, so that log time never runs ahead of any clock by more than the bound on
-//! drift, and stands still while nobody leads. A seat is held by an incarnation, not by a name: whoever starts again is
-//! somebody else, and what the one before held counts as held until it must have ended.
+//! It must stay deterministic: it reads no clock and draws no random number. Time arrives with each entry, as the time
+//! that the leader measured since its previous entry or since it became leader. Log time therefore never runs ahead of
+//! any clock by more than the bound on drift, and it stands still while there is no leader.
+//!
+//! A session belongs to an incarnation (one start of a process), not to a name. A restarted process is a new
+//! incarnation, and what the previous one was granted stays committed until it must have expired.
 
 use crate::fault_injection::{Fault, is_injected};
 use std::collections::BTreeMap;
+use std::fmt;
 
 /// Longest name of an instance, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Most seats: what the log and its snapshot must bear.
+/// Most sessions at once, and most retired incarnations that are remembered. It bounds the snapshot of the log.
 pub const MAX_SESSIONS: usize = 4_096;
 
-/// How long what was agreed holds, all in microseconds.
+/// One million, the denominator of [`LeaseTerms::drift_ppm`].
+pub(crate) const PARTS_PER_MILLION: u128 = 1_000_000;
+/// Largest drift that is calculated with. Beyond it the stretched span would grow without useful limit.
+const MAX_DRIFT_PPM: u64 = 500_000;
+
+/// How long grants and sessions last.
 #[derive(Clone, Copy, PartialEq, Eq, ::prost::Message)]
 pub struct LeaseTerms {
-    /// A share may be used for so long after its holder asked for it, by the holder's clock.
+    /// A quota may be used for this long after its holder sent the request. Microseconds on the holder's clock.
     #[prost(uint64, tag = "1")]
     pub lease_us: u64,
-    /// A floor may be used, and a seat is kept, for so long after its holder last asked.
+    /// A floor may be used, and a session is kept, for this long after the holder's last request. Microseconds.
     #[prost(uint64, tag = "2")]
     pub membership_us: u64,
-    /// Any two clocks run at rates that differ from the true one by at most this, in millionths.
+    /// The rate of every clock differs from true time by at most this many millionths.
     #[prost(uint64, tag = "3")]
     pub drift_ppm: u64,
 }
 
 impl LeaseTerms {
-    /// What a span on one clock may take at most on another, both within the bound on drift: rounded up.
+    /// The longest time that a span measured on one clock can take on another, when both keep the bound on drift.
+    /// Microseconds, rounded up.
     pub fn with_drift_margin(&self, span: u64) -> u64 {
         if is_injected(Fault::NoDriftMargin) {
             return span;
         }
-        let drift = u128::from(self.drift_ppm.min(500_000));
-        let (num, den) = (1_000_000 + drift, 1_000_000 - drift);
-        u64::try_from((u128::from(span) * num).div_ceil(den)).unwrap_or(u64::MAX)
+        let drift = u128::from(self.drift_ppm.min(MAX_DRIFT_PPM));
+        let stretched = u128::from(span) * (PARTS_PER_MILLION + drift);
+        u64::try_from(stretched.div_ceil(PARTS_PER_MILLION - drift)).unwrap_or(u64::MAX)
     }
 }
 
-/// One instance in the table.
+/// The membership of one instance.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Session {
-    /// Which start of the instance holds it.
+    /// The incarnation that holds the session.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
-    /// Since when, in log time.
+    /// When this incarnation joined. Microseconds of log time.
     #[prost(uint64, tag = "2")]
     pub joined_at: u64,
-    /// When it last asked, in log time.
+    /// When its last request was accepted. Microseconds of log time.
     #[prost(uint64, tag = "3")]
     pub last_request_at: u64,
-    /// The number of its last request that was taken.
+    /// Sequence number of its last accepted request.
     #[prost(uint64, tag = "4")]
     pub seq: u64,
-    /// Its version, as it says.
+    /// The version that it reported when it joined.
     #[prost(string, tag = "5")]
     pub version: String,
-    /// Its zone, as it says.
+    /// The zone that it reported when it joined.
     #[prost(string, tag = "6")]
     pub zone: String,
 }
 
-/// Why an instance was not let in.
+impl Session {
+    fn opened(incarnation: u64, seq: u64, now: u64) -> Session {
+        Session { incarnation, joined_at: now, last_request_at: now, seq, ..Session::default() }
+    }
+}
+
+/// What an accepted request did to the session.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SessionUpdate {
+    /// A new incarnation joined, under a new name or in the place of the previous incarnation.
+    Opened,
+    /// The incarnation that holds the session renewed it.
+    Renewed,
+}
+
+/// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionRejected {
-    /// The name is empty or too long.
+    /// The name is empty or longer than [`MAX_NAME_BYTES`].
     InvalidName,
-    /// A later start of the same name holds the seat.
+    /// A later incarnation of the same name holds the session, or operators removed this one.
     Superseded,
-    /// Somebody of the same name holds the seat, and whoever asks gives way to it.
+    /// Another incarnation of the same name is live, and the request yields to it.
     NameInUse,
-    /// Another name has this incarnation.
+    /// The incarnation already holds a session under another name.
     DuplicateIncarnation,
-    /// The request is not newer than one already taken.
+    /// The sequence number is not higher than that of the last accepted request.
     StaleRequest,
-    /// There are as many seats as may be.
+    /// There are [`MAX_SESSIONS`] sessions.
     TableFull,
 }
 
 impl SessionRejected {
-    /// The reason as keepers write it to proxies and into their log. Proxies of other versions read these words, so they
-    /// keep their form whatever the variants are called.
+    /// The reason as keepers send it to proxies and log it. Proxies of other versions read these words, so they keep
+    /// their form whatever the variants are called.
     pub fn wire_reason(self) -> &'static str {
         match self {
             SessionRejected::InvalidName => "Name",
@@ -94,88 +118,115 @@
     }
 }
 
-/// The table.
+impl fmt::Display for SessionRejected {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            SessionRejected::InvalidName => "the name is empty or too long",
+            SessionRejected::Superseded => "a later incarnation replaced this one, or operators removed it",
+            SessionRejected::NameInUse => "another incarnation of this name is live",
+            SessionRejected::DuplicateIncarnation => "the incarnation holds a session under another name",
+            SessionRejected::StaleRequest => "a request of the same or a higher number was accepted before",
+            SessionRejected::TableFull => "there are as many sessions as the keepers can hold",
+        })
+    }
+}
+
+impl std::error::Error for SessionRejected {}
+
+/// All sessions of the fleet, and log time.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Membership {
     /// Log time, in microseconds.
     #[prost(uint64, tag = "1")]
     pub now: u64,
-    /// The seats by name.
+    /// Sessions by the name of the instance.
     #[prost(btree_map = "string, message", tag = "2")]
     pub sessions: BTreeMap<String, Session>,
-    /// Incarnations that were followed by another of their name or taken off, with their order. A process that was
-    /// stopped and goes on after hours still speaks for one of them.
+    /// Incarnations that were replaced or removed, with the order in which that happened. They are rejected for good,
+    /// since a process that was suspended for hours resumes as one of them. At most [`MAX_SESSIONS`], newest kept.
     #[prost(btree_map = "uint64, uint64", tag = "3")]
     pub retired: BTreeMap<u64, u64>,
-    /// The order of the next one.
+    /// The order that the next retired incarnation gets.
     #[prost(uint64, tag = "4")]
     pub next_retirement: u64,
 }
 
 impl Membership {
-    /// Time went on by `elapsed` on the leader's clock.
+    /// Advances log time by `elapsed` microseconds of the leader's clock.
     pub fn advance(&mut self, elapsed: u64) {
         self.now = self.now.saturating_add(elapsed);
     }
 
-    /// This incarnation holds a seat no more, and never will again.
+    /// Bars an incarnation from ever holding a session again.
     pub fn retire(&mut self, incarnation: u64) {
         self.retired.insert(incarnation, self.next_retirement);
         self.next_retirement += 1;
         while self.retired.len() > MAX_SESSIONS {
-            let Some(first) = self.retired.iter().min_by_key(|(_, order)| **order).map(|(i, _)| *i) else {
-                return;
-            };
-            self.retired.remove(&first);
+            let oldest = self.retired.iter().min_by_key(|(_, order)| **order).map(|(i, _)| *i);
+            let Some(oldest) = oldest else { return };
+            self.retired.remove(&oldest);
         }
     }
 
-    /// An instance asks for the `seq`-th time. True if it is a new incarnation; one that gives way takes a seat only from
-    /// whoever was silent for that span.
+    /// Opens or renews the session of `name` for a request numbered `seq`.
+    ///
+    /// With `takeover_after` the request yields to another live incarnation of the name: it replaces that one only when
+    /// its last request is older than this many microseconds of log time. Without it, a new incarnation replaces the
+    /// previous one at once.
+    ///
+    /// # Errors
+    ///
+    /// [`SessionRejected`] says why the request is not accepted. Nothing has changed then.
     pub fn open_or_renew(
-        &mut self, name: &str, incarnation: u64, seq: u64, silent: Option<u64>,
-    ) -> Result<bool, SessionRejected> {
+        &mut self, name: &str, incarnation: u64, seq: u64, takeover_after: Option<u64>,
+    ) -> Result<SessionUpdate, SessionRejected> {
         if name.is_empty() || name.len() > MAX_NAME_BYTES {
             return Err(SessionRejected::InvalidName);
         }
         if self.retired.contains_key(&incarnation) {
             return Err(SessionRejected::Superseded);
         }
-        let (now, room) = (self.now, self.sessions.len() < MAX_SESSIONS);
-        let held = self.sessions.iter().find(|(other, s)| s.incarnation == incarnation && *other != name);
-        if held.is_some() {
+        if self.sessions.iter().any(|(other, s)| s.incarnation == incarnation && other != name) {
             return Err(SessionRejected::DuplicateIncarnation);
         }
-        match self.sessions.get_mut(name) {
-            Some(seat) if seat.incarnation == incarnation => {
-                if seq <= seat.seq {
-                    return Err(SessionRejected::StaleRequest);
-                }
-                (seat.seq, seat.last_request_at) = (seq, now);
-                Ok(false)
-            }
-            Some(seat) if silent.is_some_and(|span| now <= seat.last_request_at.saturating_add(span)) => {
-                Err(SessionRejected::NameInUse)
+        let now = self.now;
+        let is_full = self.sessions.len() >= MAX_SESSIONS;
+        let Some(session) = self.sessions.get_mut(name) else {
+            if is_full {
+                return Err(SessionRejected::TableFull);
             }
-            Some(seat) => {
-                let before = seat.incarnation;
-                *seat =
-                    Session { incarnation, joined_at: now, last_request_at: now, seq, ..Session::default() };
-                self.retire(before);
-                Ok(true)
+            self.sessions.insert(name.to_string(), Session::opened(incarnation, seq, now));
+            return Ok(SessionUpdate::Opened);
+        };
+        if session.incarnation == incarnation {
+            if seq <= session.seq {
+                return Err(SessionRejected::StaleRequest);
             }
-            None if room => {
-                let seat =
-                    Session { incarnation, joined_at: now, last_request_at: now, seq, ..Session::default() };
-                self.sessions.insert(name.to_string(), seat);
-                Ok(true)
-            }
-            None => Err(SessionRejected::TableFull),
+            session.seq = seq;
+            session.last_request_at = now;
+            return Ok(SessionUpdate::Renewed);
+        }
+        if takeover_after.is_some_and(|span| now <= session.last_request_at.saturating_add(span)) {
+            return Err(SessionRejected::NameInUse);
         }
+        let predecessor = session.incarnation;
+        *session = Session::opened(incarnation, seq, now);
+        self.retire(predecessor);
+        Ok(SessionUpdate::Opened)
     }
 
-    /// Whether an instance was heard of within `span`.
+    /// Whether the instance `name` has a session whose last request is at most `span` microseconds old.
     pub fn is_live_within(&self, name: &str, span: u64) -> bool {
         self.sessions.get(name).is_some_and(|s| self.now <= s.last_request_at.saturating_add(span))
     }
+
+    /// The incarnations that hold a session, in the order of their names.
+    pub fn incarnations(&self) -> impl Iterator<Item = u64> {
+        self.sessions.values().map(|session| session.incarnation)
+    }
+
+    /// Whether `incarnation` holds the session of `name`.
+    pub fn is_held_by(&self, name: &str, incarnation: u64) -> bool {
+        self.sessions.get(name).is_some_and(|session| session.incarnation == incarnation)
+    }
 }
--- a/crates/decisions/src/quota/max_min_fair.rs
+++ b/crates/decisions/src/quota/max_min_fair.rs
@@ -1,32 +1,46 @@
-//! Who should have how much: max-min fair by demand, in whole units, with nothing lost to rounding. Pure.
+//! Max-min fair division of whole units by demand. Pure arithmetic: nothing is lost to rounding.
 
-/// One who wants something.
+/// One participant in a division.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// What it could use.
+    /// Units that it could use.
     pub demand: u64,
-    /// Of units that don't go round, who is first: the lowest turn.
+    /// Order in which units that cannot be divided evenly are handed out: the lowest value comes first.
     pub priority: u64,
 }
 
-/// Divides `whole` among the claims: nobody gets more than its demand, and nobody could get more without somebody who
-/// has no more than it getting less. Units that are left over by rounding go one each by turn.
-pub fn max_min_fair(whole: u64, claims: &[Claim]) -> Vec<u64> {
-    let mut order: Vec<usize> = (0..claims.len()).collect();
-    order.sort_unstable_by_key(|i| (claims[*i].demand, *i));
-    let (mut left, mut given) = (whole, vec![0; claims.len()]);
-    for (done, i) in order.iter().enumerate() {
-        let fair = left / (order.len() - done) as u64;
-        if claims[*i].demand > fair {
-            // All that follow want more than that, too.
-            let mut rest: Vec<usize> = order[done..].to_vec();
-            rest.sort_unstable_by_key(|i| (claims[*i].priority, *i));
-            let over = (left - fair * rest.len() as u64) as usize;
-            rest.iter().enumerate().for_each(|(n, i)| given[*i] = fair + u64::from(n < over));
+/// Divides `total` units among the claims and returns the units of each, in the order of `claims`.
+///
+/// Nobody gets more than its demand, and nobody could get more unless somebody who has no more than it got less. Units
+/// left over by rounding go one each in the order of priority.
+pub fn max_min_fair(total: u64, claims: &[Claim]) -> Vec<u64> {
+    let mut by_demand: Vec<usize> = (0..claims.len()).collect();
+    by_demand.sort_unstable_by_key(|index| (claims[*index].demand, *index));
+    let mut remaining = total;
+    let mut units = vec![0; claims.len()];
+    for (served, index) in by_demand.iter().enumerate() {
+        let unserved = &by_demand[served..];
+        let fair_part = remaining / unserved.len() as u64;
+        let demand = claims[*index].demand;
+        if demand > fair_part {
+            // Every claim that follows demands more than this part as well.
+            divide_evenly(remaining, unserved, claims, &mut units);
             break;
         }
-        given[*i] = claims[*i].demand;
-        left -= given[*i];
+        units[*index] = demand;
+        remaining -= demand;
+    }
+    units
+}
+
+/// Divides `remaining` evenly among `unserved`, which are indices of `claims`, and writes the parts to `units`.
+fn divide_evenly(remaining: u64, unserved: &[usize], claims: &[Claim], units: &mut [u64]) {
+    let mut by_priority = unserved.to_vec();
+    by_priority.sort_unstable_by_key(|index| (claims[*index].priority, *index));
+    let count = by_priority.len() as u64;
+    let fair_part = remaining / count;
+    let left_over = remaining % count;
+    for (position, index) in (0..count).zip(by_priority) {
+        units[index] = fair_part + u64::from(position < left_over);
     }
-    given
 }
--- a/crates/decisions/src/quota/table.rs
+++ b/crates/decisions/src/quota/table.rs
@@ -1,139 +1,34 @@
-//! The granters' half: what each proxy may use, and for how long that must be counted. The same at every keeper, changed
-//! only by the entries of the agreed log; see [`crate::membership`] for what time is here.
+//! The granter's half of the fleet's quotas: what each proxy may use, and for how long that counts. The same at every
+//! keeper, and changed only by entries of the agreed log; see [`crate::membership`] for what time means here.
+//!
+//! It must stay deterministic: no clock, no random numbers, and no order but that of keys and commands.
 
-use super::max_min_fair::{Claim, max_min_fair};
+pub use super::allocation::{ActiveGrant, Allocation, BudgetEntry};
+
+use super::division::{Division, DivisionContext};
 use super::{
     Budget, Budgets, Grant, MAX_ALLOCATIONS, MAX_BUDGET_ENTRIES, MAX_BUDGETS, MAX_ENTRY_NAME_BYTES,
     MAX_UNITS, Quota, QuotaNeed, QuotaRequest,
 };
 use crate::fault_injection::{Fault, is_injected};
-use crate::membership::{LeaseTerms, Membership, SessionRejected};
+use crate::membership::{LeaseTerms, Membership, SessionRejected, SessionUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Grants of one holder that are counted apart; beyond that the two oldest count as one that is as large as the larger
-/// and lasts as long as the longer.
-const GRANTS_MOST: usize = 8;
-/// Who has more than others of units that don't go round passes it on after so many leases.
-const TURN_LEASES: u64 = 3;
-
-/// A grant that its holder may still go by.
-#[derive(Clone, PartialEq, ::prost::Message)]
-pub struct ActiveGrant {
-    /// The number of the request that it answers.
-    #[prost(uint64, tag = "1")]
-    pub seq: u64,
-    /// Units.
-    #[prost(uint64, tag = "2")]
-    pub units: u64,
-    /// They count until then, in log time.
-    #[prost(uint64, tag = "3")]
-    pub expires_at: u64,
-    /// The floor.
-    #[prost(uint64, tag = "4")]
-    pub floor: u64,
-    /// It counts until then.
-    #[prost(uint64, tag = "5")]
-    pub floor_expires_at: u64,
-}
-
-/// What one incarnation holds of one budget.
-#[derive(Clone, PartialEq, ::prost::Message)]
-pub struct Allocation {
-    /// Grants that it may still go by, oldest first.
-    #[prost(message, repeated, tag = "1")]
-    pub grants: Vec<ActiveGrant>,
-    /// What it said it had in use.
-    #[prost(uint64, tag = "2")]
-    pub in_use: u64,
-    /// That counts until then.
-    #[prost(uint64, tag = "3")]
-    pub in_use_expires_at: u64,
-    /// What it said it could use.
-    #[prost(uint64, tag = "4")]
-    pub demand: u64,
-    /// When it last said so.
-    #[prost(uint64, tag = "5")]
-    pub reported_at: u64,
-    /// Since when it has had its part of units that don't go round, or when it last had one.
-    #[prost(uint64, tag = "6")]
-    pub turn_started_at: u64,
-    /// Whether it has one.
-    #[prost(bool, tag = "7")]
-    pub has_turn: bool,
-}
-
-impl Allocation {
-    /// The most that it can have in use at `now`.
-    pub fn committed(&self, now: u64) -> u64 {
-        let live = |g: &ActiveGrant| {
-            let units = if now < g.expires_at { g.units } else { 0 };
-            units.max(if now < g.floor_expires_at { g.floor } else { 0 })
-        };
-        let granted = self.grants.iter().map(live).max().unwrap_or(0);
-        granted.max(if now < self.in_use_expires_at { self.in_use } else { 0 })
-    }
-
-    fn add(&mut self, grant: ActiveGrant) {
-        // What is no larger and no longer than the new one counts within it.
-        let within = |g: &ActiveGrant| {
-            (g.units <= grant.units && g.expires_at <= grant.expires_at || g.units == 0)
-                && (g.floor <= grant.floor && g.floor_expires_at <= grant.floor_expires_at || g.floor == 0)
-        };
-        self.grants.retain(|g| !within(g));
-        self.grants.push(grant);
-        if self.grants.len() > GRANTS_MOST {
-            let oldest = self.grants.remove(0);
-            let next = &mut self.grants[0];
-            next.seq = next.seq.max(oldest.seq);
-            (next.units, next.expires_at) =
-                (next.units.max(oldest.units), next.expires_at.max(oldest.expires_at));
-            next.floor = next.floor.max(oldest.floor);
-            next.floor_expires_at = next.floor_expires_at.max(oldest.floor_expires_at);
-        }
-    }
-
-    fn expire(&mut self, now: u64) {
-        self.grants.retain(|g| now < g.expires_at || now < g.floor_expires_at);
-    }
-
-    fn is_over(&self, now: u64) -> bool {
-        self.grants.is_empty() && now >= self.in_use_expires_at
-    }
-}
-
-/// One budget with all that is held of it.
-#[derive(Clone, PartialEq, ::prost::Message)]
-pub struct BudgetEntry {
-    /// The budget; none once it is declared no more, until all is given back.
-    #[prost(message, optional, tag = "1")]
-    pub budget: Option<Budget>,
-    /// By incarnation.
-    #[prost(btree_map = "uint64, message", tag = "2")]
-    pub allocations: BTreeMap<u64, Allocation>,
-}
-
-impl BudgetEntry {
-    /// The most that can be in use at `now`, by all together.
-    pub fn committed(&self, now: u64) -> u64 {
-        self.allocations.values().map(|h| h.committed(now)).fold(0, u64::saturating_add)
-    }
-}
-
-/// What the agreed log may say of budgets.
+/// A command of the agreed log about quotas.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QuotaCommand {
-    /// These budgets, in the place of all before, under these terms.
+    /// Declares all budgets, in the place of those declared before.
     Declare {
-        /// How long things hold.
+        /// How long grants and sessions last.
         terms: LeaseTerms,
         /// The budgets.
         budgets: Budgets,
-        /// Which edition of them: one that is not higher than what was agreed on before changes nothing.
+        /// Revision of the declaration. One that is not higher than the agreed one changes nothing.
         revision: u64,
     },
-    /// An instance asks.
+    /// An instance requests its quotas.
     Request {
-        /// Its name.
+        /// Name of the instance.
         name: String,
         /// Its incarnation.
         incarnation: u64,
@@ -144,17 +39,17 @@
         /// The request.
         request: QuotaRequest,
     },
-    /// Operators say that an instance is gone for good: what it holds ends by itself, and it gets nothing more.
+    /// Operators declare an instance gone for good. What it holds expires by itself, and it is granted nothing more.
     Remove {
-        /// Its name.
+        /// Name of the instance.
         name: String,
     },
 }
 
-/// What becomes of a request.
+/// The answer to one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaReply {
-    /// Who asked.
+    /// Name of the instance that sent the request.
     pub name: String,
     /// Its incarnation.
     pub incarnation: u64,
@@ -162,279 +57,233 @@
     pub result: Result<Grant, SessionRejected>,
 }
 
-/// The table.
+/// The membership of the fleet, its budgets, and what is granted of them.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct QuotaTable {
-    /// Who is there.
+    /// Who belongs to the fleet.
     #[prost(message, required, tag = "1")]
     pub membership: Membership,
-    /// How long things hold.
+    /// How long grants and sessions last.
     #[prost(message, required, tag = "2")]
     pub terms: LeaseTerms,
-    /// The budgets by name.
+    /// Entries by name. The entries of a budget that exists per key are named as in `links/m-1`.
     #[prost(btree_map = "string, message", tag = "3")]
     pub entries: BTreeMap<String, BudgetEntry>,
-    /// The budgets as they were declared.
+    /// The budgets as declared.
     #[prost(btree_map = "string, message", tag = "4")]
     pub declared: Budgets,
-    /// Which edition of them it is.
+    /// Revision of the declaration.
     #[prost(uint64, tag = "5")]
     pub revision: u64,
 }
 
-/// The budget of a line: its own, or that of which there is one for each.
-fn budget(declared: &Budgets, line: &str) -> Option<Budget> {
-    match line.split_once('/') {
-        None => declared.get(line).filter(|b| !b.per_key).cloned(),
-        Some((name, _)) => declared.get(name).filter(|b| b.per_key).cloned(),
-    }
-}
-
-/// One entry's request, let in.
-struct Seated {
+/// A request whose session was opened or renewed.
+struct AcceptedRequest {
     name: String,
     incarnation: u64,
-    ask: QuotaRequest,
+    request: QuotaRequest,
 }
 
 impl QuotaTable {
-    /// Takes an entry of the log in: `elapsed` microseconds went by on its leader's clock since the entry before of that
-    /// leader's, or since it became leader; then the commands, in their order.
+    /// Applies an entry of the log: first `elapsed` microseconds of its leader's clock, counted from the same leader's
+    /// previous entry or from when it became leader; then the commands in their order.
+    ///
+    /// Returns an answer to each request: the rejected ones first, then the grants, each in the order of the commands.
     pub fn apply(&mut self, elapsed: u64, commands: Vec<QuotaCommand>) -> Vec<QuotaReply> {
         self.membership.advance(elapsed);
         self.expire();
-        let (mut effects, mut seated) = (Vec::new(), Vec::new());
+        let mut replies = Vec::new();
+        let mut accepted = Vec::new();
         for command in commands {
             match command {
-                QuotaCommand::Declare { terms, budgets, revision } if self.accepts_revision(revision) => {
-                    self.revision = revision;
-                    self.declare(terms, budgets);
-                }
-                QuotaCommand::Declare { .. } => {}
+                QuotaCommand::Declare { terms, budgets, revision } => self.declare(terms, budgets, revision),
                 QuotaCommand::Remove { name } => self.remove(&name),
-                QuotaCommand::Request { name, incarnation, version, zone, request: ask } => {
-                    let silent = ask.yields_name.then(|| self.terms.with_drift_margin(self.terms.lease_us));
-                    match self.membership.open_or_renew(&name, incarnation, ask.seq, silent) {
-                        Err(problem) => {
-                            effects.push(QuotaReply { name, incarnation, result: Err(problem) });
-                        }
-                        Ok(new) => {
-                            if new && is_injected(Fault::OldIncarnation) {
-                                self.take_over(&name, incarnation);
-                            }
-                            if let Some(seat) = self.membership.sessions.get_mut(&name).filter(|_| new) {
-                                (seat.version, seat.zone) = (version, zone);
-                            }
-                            self.note(incarnation, &ask);
-                            seated.push(Seated { name, incarnation, ask });
-                        }
+                QuotaCommand::Request { name, incarnation, version, zone, request } => {
+                    let result = self.accept(&name, incarnation, &request, version, zone);
+                    if let Err(rejected) = result {
+                        replies.push(QuotaReply { name, incarnation, result: Err(rejected) });
+                    } else {
+                        accepted.push(AcceptedRequest { name, incarnation, request });
                     }
                 }
             }
         }
-        let mut grants: Vec<BTreeMap<String, Quota>> = vec![BTreeMap::new(); seated.len()];
-        let names: Vec<String> = self.entries.keys().cloned().collect();
-        for budget in names {
-            for (share, grant) in self.share(&budget, &seated).into_iter().zip(&mut grants) {
-                share.into_iter().for_each(|share| _ = grant.insert(budget.clone(), share));
-            }
-        }
-        let LeaseTerms { lease_us, membership_us, drift_ppm } = self.terms;
-        for (Seated { name, incarnation, ask }, shares) in seated.into_iter().zip(grants) {
-            let grant = Grant { seq: ask.seq, lease_us, membership_us, drift_ppm, quotas: shares };
-            effects.push(QuotaReply { name, incarnation, result: Ok(grant) });
-        }
-        effects
+        replies.extend(self.grant_all(accepted));
+        replies
     }
 
-    /// Whether budgets of this revision would be taken: an older file at a new leader changes nothing.
+    /// Whether a declaration of this revision would be applied: an older file at a new leader changes nothing.
     pub fn accepts_revision(&self, revision: u64) -> bool {
         revision > self.revision || self.terms == LeaseTerms::default()
     }
 
-    /// Only planted: what all others held counts no more.
-    fn take_over(&mut self, name: &str, incarnation: u64) {
-        let seats: BTreeSet<u64> = self.membership.sessions.values().map(|s| s.incarnation).collect();
-        debug_assert!(self.membership.sessions.get(name).is_some_and(|s| s.incarnation == incarnation));
-        self.entries.values_mut().for_each(|l| l.allocations.retain(|i, _| seats.contains(i)));
+    /// Entries whose budget was lowered below what can be in use: name, committed units and total.
+    pub fn overcommitted(&self) -> Vec<(&str, u64, u64)> {
+        let now = self.membership.now;
+        let entries = self.entries.iter().map(|(name, entry)| {
+            let total = entry.budget.as_ref().map_or(0, |budget| budget.total);
+            (name.as_str(), entry.committed(now), total)
+        });
+        entries.filter(|(_, committed, total)| committed > total).collect()
+    }
+
+    /// Drops what is over by log time: grants, entries without any, and sessions.
+    fn expire(&mut self) {
+        let now = self.membership.now;
+        let kept_for = self.session_span();
+        self.entries.values_mut().for_each(|entry| entry.expire(now));
+        self.entries.retain(|_, entry| entry.is_permanent() || !entry.allocations.is_empty());
+        self.membership.sessions.retain(|_, s| now < s.last_request_at.saturating_add(kept_for));
     }
 
-    /// How long a seat is kept after its holder last asked: until nothing of its can count any more.
-    fn seat_kept(&self) -> u64 {
-        let outlives = self.entries.values().filter_map(|l| l.budget.as_ref()).map(|b| b.outlives_us);
+    /// How long a session is kept after its last request, in microseconds: until nothing of it can count any more.
+    fn session_span(&self) -> u64 {
+        let outlives_us = self.entries.values().map(BudgetEntry::outlives_us).max().unwrap_or(0);
         let longest = self.terms.membership_us.max(self.terms.lease_us);
-        self.terms.with_drift_margin(longest.saturating_add(outlives.max().unwrap_or(0)))
+        self.terms.with_drift_margin(longest.saturating_add(outlives_us))
     }
 
-    fn expire(&mut self) {
-        let (now, kept) = (self.membership.now, self.seat_kept());
-        for line in self.entries.values_mut() {
-            line.allocations.values_mut().for_each(|h| h.expire(now));
-            line.allocations.retain(|_, h| !h.is_over(now));
+    /// Replaces the declaration by one of a newer revision. Allocations stay, also those of budgets that are no longer
+    /// declared: a budget that comes back smaller starts with what is still out.
+    fn declare(&mut self, terms: LeaseTerms, budgets: Budgets, revision: u64) {
+        if !self.accepts_revision(revision) {
+            return;
         }
-        let stays = |line: &BudgetEntry| {
-            line.budget.as_ref().is_some_and(|b| !b.per_key) || !line.allocations.is_empty()
-        };
-        self.entries.retain(|_, line| stays(line));
-        self.membership.sessions.retain(|_, seat| now < seat.last_request_at.saturating_add(kept));
-    }
-
-    /// New budgets in the place of all before. What is held counts on, also of what is declared no more: a budget that
-    /// comes back smaller begins with what is still out.
-    fn declare(&mut self, terms: LeaseTerms, budgets: Budgets) {
+        self.revision = revision;
         self.terms = terms;
         self.declared = budgets.into_iter().take(MAX_BUDGETS).collect();
-        let declared = &self.declared;
-        self.entries.iter_mut().for_each(|(name, line)| line.budget = budget(declared, name));
-        for (name, budget) in self.declared.iter().filter(|(_, b)| !b.per_key) {
+        for (name, entry) in &mut self.entries {
+            entry.budget = budget_of(&self.declared, name);
+        }
+        for (name, budget) in self.declared.iter().filter(|(_, budget)| !budget.per_key) {
             self.entries.entry(name.clone()).or_default().budget = Some(budget.clone());
         }
     }
 
     fn remove(&mut self, name: &str) {
-        if let Some(seat) = self.membership.sessions.remove(name) {
-            self.membership.retire(seat.incarnation);
+        if let Some(session) = self.membership.sessions.remove(name) {
+            self.membership.retire(session.incarnation);
         }
     }
 
-    /// What a holder says of itself: the grants before the one it goes by are over, and what it has in use counts until
-    /// it says otherwise or it must have ended.
-    fn note(&mut self, incarnation: u64, ask: &QuotaRequest) {
-        let (now, terms) = (self.membership.now, self.terms);
-        for name in ask.needs.keys().filter(|name| name.len() <= MAX_ENTRY_NAME_BYTES) {
-            let new = !self.entries.contains_key(name) && self.entries.len() < MAX_BUDGET_ENTRIES;
-            if let Some(budget) = budget(&self.declared, name).filter(|_| new) {
-                self.entries
-                    .insert(name.clone(), BudgetEntry { budget: Some(budget), allocations: BTreeMap::new() });
+    /// Opens or renews the session of a request and records what it reports.
+    fn accept(
+        &mut self, name: &str, incarnation: u64, request: &QuotaRequest, version: String, zone: String,
+    ) -> Result<(), SessionRejected> {
+        let lease = self.terms.with_drift_margin(self.terms.lease_us);
+        let takeover_after = request.yields_name.then_some(lease);
+        let update = self.membership.open_or_renew(name, incarnation, request.seq, takeover_after)?;
+        if update == SessionUpdate::Opened {
+            if is_injected(Fault::OldIncarnation) {
+                self.release_predecessors();
             }
-        }
-        let mut holdings: usize = self.entries.values().map(|l| l.allocations.len()).sum();
-        for (name, line) in &mut self.entries {
-            let outlives = line.budget.as_ref().map_or(0, |b| b.outlives_us);
-            let need = ask.needs.get(name).cloned().unwrap_or_default();
-            let QuotaNeed { in_use, demand } = need;
-            let (in_use, demand) = (in_use.min(MAX_UNITS), demand.min(MAX_UNITS));
-            // Of what it doesn't name, and has nothing of, it holds nothing.
-            let named = ask.needs.contains_key(name) || line.budget.as_ref().is_some_and(|b| !b.per_key);
-            let begins = named && line.budget.is_some() && holdings < MAX_ALLOCATIONS;
-            if !line.allocations.contains_key(&incarnation) {
-                if !begins {
-                    continue;
-                }
-                holdings += 1;
+            if let Some(session) = self.membership.sessions.get_mut(name) {
+                session.version = version;
+                session.zone = zone;
             }
-            let holding = line
-                .allocations
-                .entry(incarnation)
-                .or_insert_with(|| Allocation { turn_started_at: now, ..Allocation::default() });
-            holding.grants.retain(|g| g.seq >= ask.acked);
-            (holding.in_use, holding.demand, holding.reported_at) = (in_use, demand.max(in_use), now);
-            holding.in_use_expires_at = match in_use {
-                0 => 0,
-                _ if is_injected(Fault::FreedEarly) => 0,
-                _ => now.saturating_add(terms.with_drift_margin(terms.lease_us.saturating_add(outlives))),
-            };
         }
+        self.open_keyed_entries(request);
+        self.record_needs(incarnation, request);
+        Ok(())
     }
 
-    /// The shares of one budget for those who ask in this entry, in their order.
-    fn share(&mut self, name: &str, seated: &[Seated]) -> Vec<Option<Quota>> {
-        let (now, terms) = (self.membership.now, self.terms);
-        let Some(line) = self.entries.get_mut(name) else { return vec![None; seated.len()] };
-        let Some(budget) = line.budget.clone() else { return vec![None; seated.len()] };
-        let lease = terms.with_drift_margin(terms.lease_us);
-        // Whoever is silent for a lease wants nothing, but its floor stays set aside while it has a seat.
-        let seats: BTreeSet<u64> = self.membership.sessions.values().map(|s| s.incarnation).collect();
-        let base = budget.floor.min(budget.total / seats.len().max(1) as u64);
-        let rest = budget.total - base * seats.len() as u64;
-        let active: Vec<u64> =
-            line.allocations.iter().filter(|(i, _)| seats.contains(*i)).map(|(i, _)| *i).collect();
-        let turn = lease.saturating_mul(TURN_LEASES);
-        let claim = |i: &u64| {
-            let h = &line.allocations[i];
-            let demand =
-                if now < h.reported_at.saturating_add(lease) { h.demand.saturating_sub(base) } else { 0 };
-            // First whoever has a part and has not had it for long, then whoever has waited longest, then the others.
-            let order = match (h.has_turn, now < h.turn_started_at.saturating_add(turn)) {
-                (true, true) => 0,
-                (false, _) => 1 + h.turn_started_at,
-                (true, false) => u64::MAX,
-            };
-            Claim { demand, priority: order }
-        };
-        let claims: Vec<Claim> = active.iter().map(claim).collect();
-        let scarce = claims.iter().map(|c| c.demand).fold(0, u64::saturating_add) > rest;
-        // Only of what nobody needs: a fifth more, so that what grows a little need not wait; and a little more than is
-        // needed is left where it is, so that steady needs get steady shares.
-        let needed = max_min_fair(rest, &claims);
-        let spare = |(i, claim): (&u64, &Claim)| {
-            let had = line.allocations[i].grants.last().map_or(0, |g| g.units.saturating_sub(base));
-            let steady = claim.demand <= had && had <= claim.demand + claim.demand / 4 + 1;
-            let extra = if steady { had - claim.demand } else { claim.demand / 5 };
-            Claim { demand: extra, priority: claim.priority }
-        };
-        let spares: Vec<Claim> = active.iter().zip(&claims).map(spare).collect();
-        let spares = max_min_fair(rest - needed.iter().sum::<u64>(), &spares);
-        let all = needed.into_iter().zip(spares).map(|(needed, spare)| base + needed + spare);
-        let targets: BTreeMap<u64, u64> = active.iter().copied().zip(all).collect();
-        let mut counted: u64 = line.committed(now);
-        let mut shares = Vec::with_capacity(seated.len());
-        for Seated { incarnation, ask, .. } in seated {
-            // What a holder names no more ends by itself: granted on, it would be asked for and granted for ever.
-            let named = !budget.per_key || ask.needs.contains_key(name);
-            let Some(holding) = line.allocations.get_mut(incarnation).filter(|_| named) else {
-                shares.push(None);
+    /// For [`Fault::OldIncarnation`] only: drops the allocations of every incarnation without a session.
+    fn release_predecessors(&mut self) {
+        let incarnations: BTreeSet<u64> = self.membership.incarnations().collect();
+        let entries = self.entries.values_mut();
+        entries.for_each(|entry| entry.allocations.retain(|i, _| incarnations.contains(i)));
+    }
+
+    /// Adds the entries that a request names of budgets that exist per key.
+    fn open_keyed_entries(&mut self, request: &QuotaRequest) {
+        for name in request.needs.keys().filter(|name| name.len() <= MAX_ENTRY_NAME_BYTES) {
+            if self.entries.contains_key(name) || self.entries.len() >= MAX_BUDGET_ENTRIES {
                 continue;
-            };
-            let mine = holding.committed(now);
-            let room = budget.total.saturating_sub(counted - mine);
-            let target = targets.get(incarnation).copied().unwrap_or(0);
-            let (mut units, floor) = (target.min(room), budget.floor.min(room));
-            if is_injected(Fault::RoundingUp) && holding.demand > 0 {
-                units = units.max(1);
             }
-            let served = units > base;
-            if served != holding.has_turn {
-                (holding.has_turn, holding.turn_started_at) = (served, now);
-            } else if served && scarce && now >= holding.turn_started_at.saturating_add(turn) {
-                holding.turn_started_at = now;
+            if let Some(budget) = budget_of(&self.declared, name) {
+                let entry = BudgetEntry { budget: Some(budget), allocations: BTreeMap::new() };
+                self.entries.insert(name.clone(), entry);
             }
-            let outlives = if budget.is_rate() { 0 } else { budget.outlives_us };
-            let until =
-                |span: u64| now.saturating_add(terms.with_drift_margin(span.saturating_add(outlives)));
-            holding.add(ActiveGrant {
-                seq: ask.seq,
-                units,
-                expires_at: until(terms.lease_us),
-                floor,
-                floor_expires_at: until(if is_injected(Fault::FloorTwice) {
-                    terms.lease_us
-                } else {
-                    terms.membership_us
-                }),
-            });
-            counted = counted - mine + holding.committed(now);
-            let part = |units: u64| {
-                let milli =
-                    u128::from(budget.burst) * 1_000 * u128::from(units) / u128::from(budget.total.max(1));
-                u64::try_from(milli).unwrap_or(u64::MAX)
-            };
-            let (burst, floor_burst) = (part(units), part(floor));
-            shares.push(Some(Quota { units, floor, burst, floor_burst, is_rate: budget.is_rate() }));
         }
-        shares
     }
 
-    /// Budgets of which more can be in use than the whole, since it was lowered: with what is counted.
-    pub fn overcommitted(&self) -> Vec<(&str, u64, u64)> {
+    /// Records what an incarnation reports. Its grants before the acknowledged one are over; units in use count until it
+    /// reports otherwise or they must have ended.
+    fn record_needs(&mut self, incarnation: u64, request: &QuotaRequest) {
         let now = self.membership.now;
-        self.entries
-            .iter()
-            .map(|(name, line)| {
-                let whole = line.budget.as_ref().map_or(0, |b| b.total);
-                (name.as_str(), line.committed(now), whole)
-            })
-            .filter(|(_, counted, whole)| counted > whole)
-            .collect()
+        let terms = self.terms;
+        let mut allocation_count: usize = self.entries.values().map(|entry| entry.allocations.len()).sum();
+        for (name, entry) in &mut self.entries {
+            let reported = request.needs.get(name);
+            if !entry.allocations.contains_key(&incarnation) {
+                // It gets no allocation of a key that it does not name.
+                let is_wanted = entry.is_permanent() || (entry.budget.is_some() && reported.is_some());
+                if !is_wanted || allocation_count >= MAX_ALLOCATIONS {
+                    continue;
+                }
+                allocation_count += 1;
+            }
+            let need = reported.map(bounded_need).unwrap_or_default();
+            let in_use_span = terms.with_drift_margin(terms.lease_us.saturating_add(entry.outlives_us()));
+            let in_use_expires_at =
+                if is_injected(Fault::FreedEarly) { 0 } else { now.saturating_add(in_use_span) };
+            let allocation = entry.allocations.entry(incarnation);
+            let allocation = allocation.or_insert_with(|| Allocation::waiting_since(now));
+            allocation.record_need(&need, request.acked, now, in_use_expires_at);
+        }
+    }
+
+    /// Divides every budget among the requests of one entry of the log.
+    fn grant_all(&mut self, accepted: Vec<AcceptedRequest>) -> Vec<QuotaReply> {
+        let context = DivisionContext {
+            now: self.membership.now,
+            terms: self.terms,
+            incarnations: self.membership.incarnations().collect(),
+        };
+        let mut quotas: Vec<BTreeMap<String, Quota>> = vec![BTreeMap::new(); accepted.len()];
+        for (name, entry) in &mut self.entries {
+            grant_entry(name, entry, &context, &accepted, &mut quotas);
+        }
+        let LeaseTerms { lease_us, membership_us, drift_ppm } = self.terms;
+        let reply = |(accepted, quotas): (AcceptedRequest, BTreeMap<String, Quota>)| {
+            let AcceptedRequest { name, incarnation, request } = accepted;
+            let grant = Grant { seq: request.seq, lease_us, membership_us, drift_ppm, quotas };
+            QuotaReply { name, incarnation, result: Ok(grant) }
+        };
+        accepted.into_iter().zip(quotas).map(reply).collect()
     }
 }
+
+/// Divides one entry among the requests, and adds each quota to the map that belongs to its request.
+fn grant_entry(
+    name: &str, entry: &mut BudgetEntry, context: &DivisionContext, accepted: &[AcceptedRequest],
+    quotas: &mut [BTreeMap<String, Quota>],
+) {
+    let Some(budget) = &entry.budget else { return };
+    let is_per_key = budget.per_key;
+    let division = Division::of(entry, budget, context);
+    let mut committed = entry.committed(context.now);
+    for (AcceptedRequest { incarnation, request, .. }, quotas) in accepted.iter().zip(quotas) {
+        // A key that a holder no longer names ends by itself. Granted again, it would be named and granted for ever.
+        if is_per_key && !request.needs.contains_key(name) {
+            continue;
+        }
+        if let Some(quota) = division.grant(entry, &mut committed, context, *incarnation, request.seq) {
+            quotas.insert(name.to_string(), quota);
+        }
+    }
+}
+
+/// The declared budget of an entry: the one of that name, or the one that exists per key and has the name before the
+/// slash.
+fn budget_of(declared: &Budgets, entry: &str) -> Option<Budget> {
+    let (name, is_keyed) = match entry.split_once('/') {
+        Some((name, _)) => (name, true),
+        None => (entry, false),
+    };
+    declared.get(name).filter(|budget| budget.per_key == is_keyed).cloned()
+}
+
+fn bounded_need(need: &QuotaNeed) -> QuotaNeed {
+    QuotaNeed { in_use: need.in_use.min(MAX_UNITS), demand: need.demand.min(MAX_UNITS) }
+}
--- a/crates/decisions/tests/quota.rs
+++ b/crates/decisions/tests/quota.rs
@@ -4,7 +4,8 @@
 
 use linenhill_decisions::fault_injection::Fault;
 use linenhill_decisions::membership::{LeaseTerms, SessionRejected};
-use linenhill_decisions::quota::lease_holder::{AcquireDecision, LeaseExpiry, LeaseHolder};
+use linenhill_decisions::quota::expiry::LeaseExpiry;
+use linenhill_decisions::quota::lease_holder::{AcquireDecision, LeaseHolder};
 use linenhill_decisions::quota::max_min_fair::{Claim, max_min_fair};
 use linenhill_decisions::quota::table::{QuotaCommand, QuotaReply, QuotaTable};
 use linenhill_decisions::quota::{Budget, Budgets, Grant, QuotaRequest};
--- a/crates/lab/tests/bounds.rs
+++ b/crates/lab/tests/bounds.rs
@@ -4,7 +4,7 @@
 use linenhill_cluster::node::{Action, Event, Node, TICK_US, founded};
 use linenhill_cluster::store::{self, Disk};
 use linenhill_cluster::wire::{Body, Envelope, ProxyAsk};
-use linenhill_decisions::membership::{LeaseTerms, MAX_SESSIONS, Membership, SessionRejected};
+use linenhill_decisions::membership::{LeaseTerms, MAX_SESSIONS, Membership, SessionRejected, SessionUpdate};
 use linenhill_decisions::quota::{Budget, QuotaNeed, QuotaRequest};
 use linenhill_lab::disk::Image;
 use linenhill_lab::together::operator;
@@ -74,10 +74,14 @@
 fn a_full_membership_refuses_newcomers_until_somebody_leaves() {
     let mut membership = Membership::default();
     for i in 0..MAX_SESSIONS as u64 {
-        assert_eq!(membership.open_or_renew(&format!("p{i}"), i + 1, 1, None), Ok(true));
+        assert_eq!(membership.open_or_renew(&format!("p{i}"), i + 1, 1, None), Ok(SessionUpdate::Opened));
     }
     assert_eq!(membership.open_or_renew("late", 1 << 40, 1, None), Err(SessionRejected::TableFull));
-    assert_eq!(membership.open_or_renew("p7", 1 << 41, 1, None), Ok(true), "a restart needs no new session");
+    assert_eq!(
+        membership.open_or_renew("p7", 1 << 41, 1, None),
+        Ok(SessionUpdate::Opened),
+        "a restart needs no new session"
+    );
     membership.sessions.remove("p9");
-    assert_eq!(membership.open_or_renew("late", 1 << 40, 2, None), Ok(true));
+    assert_eq!(membership.open_or_renew("late", 1 << 40, 2, None), Ok(SessionUpdate::Opened));
 }
