--- a/crates/decisions/src/disruption/reporter.rs
+++ b/crates/decisions/src/disruption/reporter.rs
@@ -1,90 +1,103 @@
-//! What a proxy has to tell of itself and of members, and what it was told in turn. Pure.
+//! What a proxy reports of itself and of members, and the quarantine that it received in turn. Pure.
 //!
-//! Only what changed is told; it counts as told once an answer to that request came, since requests are lost.
+//! Only changes are reported. Requests are lost, so a change counts as reported once its request was answered.
 
 use super::{Availability, HealthObservation, HealthReport, Quarantine};
 use std::collections::BTreeMap;
 
-/// The members that are spoken of at most.
+/// Most members that are reported.
 const MAX_OBSERVATIONS: usize = 4_096;
-/// And in one request, which keepers refuse when it is too long; the others go with the next ones.
+/// Most members in one report, since keepers reject requests that are too long. The others go with the next requests.
 const MAX_OBSERVATIONS_PER_REPORT: usize = 512;
 
-/// One incarnation of a proxy.
+/// A report whose answer is awaited.
+#[derive(Clone, Debug)]
+struct PendingReport {
+    /// Number of the request that carried it.
+    seq: u64,
+    observations: BTreeMap<String, HealthObservation>,
+}
+
+/// The reports of one incarnation of a proxy.
 #[derive(Clone, Debug, Default)]
 pub struct HealthReporter {
     own_availability: i32,
-    sights: BTreeMap<String, HealthObservation>,
-    told: BTreeMap<String, HealthObservation>,
-    /// The last request with what it told.
-    pending: Option<(u64, BTreeMap<String, HealthObservation>)>,
-    fence: Quarantine,
-    /// The edition that is carried out here.
+    /// What is observed of members now.
+    observations: BTreeMap<String, HealthObservation>,
+    /// What the keepers have acknowledged.
+    acknowledged: BTreeMap<String, HealthObservation>,
+    /// The last report.
+    pending: Option<PendingReport>,
+    /// The newest quarantine that was received.
+    quarantine: Quarantine,
+    /// Edition of the newest quarantine that is applied here.
     applied_edition: u64,
 }
 
 impl HealthReporter {
-    /// How this proxy is now; whether that is news.
-    pub fn set_own_availability(&mut self, cause: Availability) -> bool {
-        let news = self.own_availability != cause as i32;
-        self.own_availability = cause as i32;
-        news
+    /// Sets the proxy's own availability. Returns whether it changed.
+    pub fn set_own_availability(&mut self, availability: Availability) -> bool {
+        let has_changed = self.own_availability != availability as i32;
+        self.own_availability = availability as i32;
+        has_changed
     }
 
-    /// How members are seen now, all of them; whether that is news.
-    pub fn observe(&mut self, sights: BTreeMap<String, HealthObservation>) -> bool {
-        self.sights = sights.into_iter().take(MAX_OBSERVATIONS).collect();
-        // Whoever is not seen any more is not forgotten: the keepers would take it for well.
-        for (member, sight) in &self.told {
-            if !self.sights.contains_key(member) && self.sights.len() < MAX_OBSERVATIONS {
-                let gone = HealthObservation { availability: Availability::Removed as i32, ..sight.clone() };
-                self.sights.insert(member.clone(), gone);
+    /// Replaces the observations of all members. Returns whether something is to be reported.
+    pub fn observe(&mut self, observations: BTreeMap<String, HealthObservation>) -> bool {
+        self.observations = observations.into_iter().take(MAX_OBSERVATIONS).collect();
+        // A member that is no longer observed is reported as removed: the keepers would take it for healthy.
+        for (member, last) in &self.acknowledged {
+            if !self.observations.contains_key(member) && self.observations.len() < MAX_OBSERVATIONS {
+                let removed =
+                    HealthObservation { availability: Availability::Removed as i32, ..last.clone() };
+                self.observations.insert(member.clone(), removed);
             }
         }
-        self.sights != self.told
+        self.observations != self.acknowledged
     }
 
-    /// The report that goes with a request of that number.
+    /// The report that goes with request number `seq`.
     pub fn next_report(&mut self, seq: u64) -> HealthReport {
-        let news = |(member, sight): &(&String, &HealthObservation)| self.told.get(*member) != Some(sight);
-        let sights: BTreeMap<String, HealthObservation> = self
-            .sights
+        let observations: BTreeMap<String, HealthObservation> = self
+            .observations
             .iter()
-            .filter(news)
+            .filter(|(member, observed)| self.acknowledged.get(*member) != Some(*observed))
             .take(MAX_OBSERVATIONS_PER_REPORT)
-            .map(|(m, s)| (m.clone(), s.clone()))
+            .map(|(member, observed)| (member.clone(), observed.clone()))
             .collect();
-        self.pending = Some((seq, sights.clone()));
+        self.pending = Some(PendingReport { seq, observations: observations.clone() });
         HealthReport {
             own_availability: self.own_availability,
-            observations: sights,
+            observations,
             quarantine_edition: self.applied_edition,
         }
     }
 
-    /// That request was granted; with it may have come a newer fence, which is returned to be carried out.
-    pub fn handle_grant(&mut self, seq: u64, fence: Option<Quarantine>) -> Option<Quarantine> {
-        if let Some((_, sights)) = self.pending.take_if(|(asked, _)| *asked == seq) {
-            self.told.extend(sights);
-            self.told.retain(|_, sight| sight.availability != Availability::Removed as i32);
+    /// Handles the grant that answers request number `seq`. Returns the quarantine that came with it if it is newer than
+    /// the last one; the caller applies it and calls [`HealthReporter::quarantine_applied`].
+    pub fn handle_grant(&mut self, seq: u64, quarantine: Option<Quarantine>) -> Option<Quarantine> {
+        if let Some(answered) = self.pending.take_if(|pending| pending.seq == seq) {
+            self.acknowledged.extend(answered.observations);
+            self.acknowledged.retain(|_, observed| observed.availability != Availability::Removed as i32);
         }
-        let newer = fence.filter(|f| f.edition > self.fence.edition)?;
-        self.fence = newer.clone();
+        let newer = quarantine.filter(|received| received.edition > self.quarantine.edition)?;
+        self.quarantine = newer.clone();
         Some(newer)
     }
 
-    /// Nothing new goes to whoever is fenced by that edition.
+    /// Notes that nothing new is sent to the members quarantined by that edition.
     pub fn quarantine_applied(&mut self, edition: u64) {
         self.applied_edition = self.applied_edition.max(edition);
     }
 
-    /// Whether the newest fence that was told is carried out.
+    /// Whether the newest quarantine that was received is applied.
     pub fn is_quarantine_applied(&self) -> bool {
-        self.applied_edition >= self.fence.edition
+        self.applied_edition >= self.quarantine.edition
     }
 
-    /// Another incarnation begins: all is told anew.
+    /// Starts as another incarnation: everything is reported anew.
     pub fn reset(&mut self) {
-        (self.told, self.pending) = (BTreeMap::new(), None);
+        self.acknowledged.clear();
+        self.pending = None;
     }
 }
