--- /dev/null
+++ b/crates/decisions/tests/quota/steady.rs
@@ -0,0 +1,148 @@
+//! Proxies that send their requests in turn every 300 ms, over a network without faults.
+
+use crate::fixtures::{MS, OUTLIVES_US, TERMS, declare, held_budget, request_command};
+use linenhill_decisions::membership::SessionRejected;
+use linenhill_decisions::quota::expiry::LeaseExpiry;
+use linenhill_decisions::quota::lease_holder::LeaseHolder;
+use linenhill_decisions::quota::table::{QuotaCommand, QuotaReply, QuotaTable};
+use linenhill_decisions::quota::{Budget, Budgets, QuotaNeed, QuotaRequest};
+use std::collections::BTreeMap;
+
+const ROUND_US: u64 = 300 * MS;
+
+/// A fleet without faults and a budget `b`.
+struct SteadyFleet {
+    table: QuotaTable,
+    /// By incarnation, which counts from 1.
+    holders: BTreeMap<u64, LeaseHolder>,
+    now: u64,
+}
+
+impl SteadyFleet {
+    fn new(budget: Budget, proxies: u64) -> SteadyFleet {
+        let mut table = QuotaTable::default();
+        table.apply(0, vec![declare(TERMS, [("b".to_string(), budget)].into())]);
+        let holders = (1..=proxies).map(|i| (i, LeaseHolder::new(TERMS.lease_us))).collect();
+        SteadyFleet { table, holders, now: 1 << 30 }
+    }
+
+    /// One request of each proxy, which has `wanted` units in use if its quota allows. Returns their limits after it.
+    fn round(&mut self, wanted: impl Fn(u64) -> u64) -> Vec<u64> {
+        let now = self.now;
+        for (i, holder) in &mut self.holders {
+            for _ in holder.in_use("b")..wanted(*i) {
+                holder.acquire(now, "b");
+            }
+            for _ in wanted(*i)..holder.in_use("b") {
+                holder.release("b");
+            }
+            for _ in 0..holder.excess(now, "b") {
+                holder.release("b");
+            }
+            let request = holder.next_request(now);
+            for reply in self.table.apply(0, vec![request_command(&format!("p{i}"), *i, request)]) {
+                holder.apply_grant(now, reply.result.expect("a grant"));
+            }
+        }
+        self.now += ROUND_US;
+        self.table.apply(ROUND_US, vec![]);
+        let now = self.now;
+        self.holders.values().map(|holder| holder.limit(now, "b").unwrap_or(0)).collect()
+    }
+}
+
+/// Guards against quotas that stay where nobody needs them, that change under steady needs, or that starve somebody
+/// where units cannot be divided evenly.
+#[test]
+fn quotas_follow_needs_and_rotate_when_scarce() {
+    let mut one_busy = SteadyFleet::new(held_budget(100, 0), 8);
+    let mut last = Vec::new();
+    for _ in 0..60 {
+        last = one_busy.round(|i| if i == 3 { 200 } else { 0 });
+    }
+    assert!(last[2] >= 90, "all demand is with one: {last:?}");
+    let mut all_busy = SteadyFleet::new(held_budget(80, 0), 8);
+    (0..60).for_each(|_| _ = all_busy.round(|_| 30));
+    let steady: Vec<Vec<u64>> = (0..10).map(|_| all_busy.round(|_| 30)).collect();
+    assert!(steady.iter().all(|limits| *limits == vec![10; 8]), "{steady:?}");
+    let mut scarce = SteadyFleet::new(held_budget(2, 0), 6);
+    let mut rounds_with_unit = [0; 6];
+    for _ in 0..300 {
+        scarce.round(|_| 1).iter().zip(&mut rounds_with_unit).for_each(|(limit, rounds)| *rounds += limit);
+    }
+    assert!(
+        rounds_with_unit.iter().all(|rounds| *rounds >= 40),
+        "each of six has its turn at two units: {rounds_with_unit:?}"
+    );
+}
+
+/// Guards against a floor that a newcomer is granted before it is free, against one that is lost with the leader, and
+/// against a death that gives a part back too early or never.
+#[test]
+fn dead_proxys_part_returns_after_lease_and_floor() {
+    let mut fleet = SteadyFleet::new(held_budget(10, 2), 2);
+    (0..10).for_each(|_| _ = fleet.round(|_| 20));
+    assert_eq!(fleet.round(|_| 20), [5, 5]);
+    let dead = fleet.holders.remove(&2).expect("one");
+    let LeaseExpiry { quotas: lease_end, floors: floor_end } = dead.expiry();
+    let mut most_returned_at = 0;
+    let mut all_returned_at = 0;
+    for _ in 0..60 {
+        let limit = fleet.round(|_| 20)[0];
+        let now = fleet.now;
+        assert!(limit + dead.limit(now, "b").expect("enforced") <= 10);
+        most_returned_at = if limit >= 8 && most_returned_at == 0 { now } else { most_returned_at };
+        all_returned_at = if limit == 10 && all_returned_at == 0 { now } else { all_returned_at };
+    }
+    let after_lease = most_returned_at as i64 - lease_end as i64;
+    assert!(after_lease > 0 && after_lease <= 2_000 * MS as i64, "{after_lease} us after its lease");
+    assert!(all_returned_at > floor_end && all_returned_at <= floor_end + 3_000 * MS);
+    assert_eq!(dead.limit(floor_end - 1, "b"), Some(2));
+    assert_eq!(dead.limit(floor_end, "b"), Some(0), "cut off for good it stops");
+}
+
+/// Guards against a budget that is declared anew smaller and granted while the larger one is still in use.
+/// Guards also against an incarnation that takes over from the one before.
+#[test]
+fn what_is_still_out_counts_after_redeclaration_and_restart() {
+    let mut fleet = SteadyFleet::new(held_budget(10, 0), 2);
+    (0..10).for_each(|_| _ = fleet.round(|_| 20));
+    let declare_total = |total| declare(TERMS, [("b".to_string(), held_budget(total, 0))].into());
+    fleet.table.apply(0, vec![declare(TERMS, Budgets::new()), declare_total(4)]);
+    assert_eq!(fleet.table.overcommitted(), [("b", 10, 4)], "it reports that it does not hold yet");
+    (0..10).for_each(|_| _ = fleet.round(|_| 20));
+    assert!(fleet.table.overcommitted().is_empty());
+    assert_eq!(fleet.round(|_| 20).iter().sum::<u64>(), 4);
+    let restarted = |seq| {
+        let needs = [("b".to_string(), QuotaNeed { in_use: 0, demand: 9 })].into();
+        request_command("p1", 77, QuotaRequest { seq, acked: 0, needs, yields_name: false })
+    };
+    let mut apply = |elapsed: u64, command: QuotaCommand| {
+        let replies: Vec<QuotaReply> = fleet.table.apply(elapsed, vec![command]);
+        replies[0].result.clone().map(|grant| grant.quotas["b"].units)
+    };
+    assert_eq!(apply(0, restarted(1)), Ok(0), "the previous incarnation's part counts");
+    let late_request = fleet.holders.get_mut(&1).expect("the previous one").next_request(fleet.now);
+    assert_eq!(apply(0, request_command("p1", 1, late_request)), Err(SessionRejected::Superseded));
+    let must_have_ended = TERMS.with_drift_margin(TERMS.lease_us + OUTLIVES_US);
+    assert_eq!(apply(must_have_ended, restarted(2)), Ok(4));
+    assert_eq!(apply(0, restarted(2)), Err(SessionRejected::StaleRequest));
+}
+
+/// Guards against a hundred newcomers that are granted more than there is, or nothing for long; and against nine in ten
+/// that die at once and take their part with them.
+#[test]
+fn hundred_join_at_once_and_ninety_die() {
+    let mut fleet = SteadyFleet::new(held_budget(300, 1), 100);
+    let sum = |limits: Vec<u64>| limits.iter().sum::<u64>();
+    (0..10).for_each(|_| assert!(sum(fleet.round(|_| 5)) <= 300));
+    assert_eq!(fleet.round(|_| 5), vec![3; 100]);
+    let dead: Vec<LeaseHolder> = (11..=100).filter_map(|i| fleet.holders.remove(&i)).collect();
+    for _ in 0..60 {
+        let now = fleet.now;
+        let living_units = sum(fleet.round(|_| 30));
+        let dead_units: u64 = dead.iter().map(|holder| holder.limit(now, "b").unwrap_or(0)).sum();
+        assert!(living_units + dead_units <= 300, "{living_units} and {dead_units}");
+    }
+    assert_eq!(fleet.round(|_| 30), vec![30; 10]);
+}
