--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -2,7 +2,9 @@
 //! have gone silent ([`outage`]), how the ill are tried ([`recovery`]), who of the clients' connections is let in
 //! ([`door`]), when discovery is asked ([`asking`]) or watched ([`watching`]), and how old its news is ([`freshness`]),
 //! how long clients have waited already ([`patience`]), what the site's goal makes of a request ([`goals`]), and what tenants may ask for ([`allowance`]);
-//! and what instances agree on: who they are ([`membership`]), what each may use ([`quota`]), who is out ([`disruption`]).
+//! and what instances agree on: who belongs to the fleet ([`membership`]), what each proxy may use of the fleet's budgets
+//! ([`quota`]), and which proxies and members may be out of service ([`disruption`]). [`fault_injection`] breaks these
+//! three on purpose, in builds made for tests.
 //! State machines that are told what happened and when, and push what is to be done; no I/O, no clock, no async,
 //! nothing of linenhill's other packages.
 #![forbid(unsafe_code)]
