--- a/Makefile
+++ b/Makefile
@@ -23,7 +23,7 @@
 	cargo run --release --locked --example fleet
 
 # Longer than every landing's tests: more sequences of faults over more processes, all orders of three requests, and
-# every planted fault. LINENHILL_SEED, LINENHILL_SEQUENCES and LINENHILL_HISTORIES choose.
+# every injected fault. LINENHILL_SEED, LINENHILL_SEQUENCES and LINENHILL_HISTORIES choose.
 proof-budgets:
 	LINENHILL_HISTORIES=$${LINENHILL_HISTORIES:-10000} cargo test --locked --release -p linenhill-lab
 	cargo test --locked --release -p linenhill-lab --features fault-injection planted -- --nocapture
--- a/crates/decisions/src/quota/allocation.rs
+++ b/crates/decisions/src/quota/allocation.rs
@@ -93,14 +93,14 @@
         granted.max(in_use)
     }
 
-    /// Records what the incarnation reports. Grants before number `acked` are over; units in use count until
+    /// Records what the incarnation reports. Grants before number `acked` are over; the reported units in use count until
     /// `in_use_expires_at` unless it reports otherwise before.
     pub(super) fn record_need(&mut self, need: &QuotaNeed, acked: u64, now: u64, in_use_expires_at: u64) {
         self.grants.retain(|grant| grant.seq >= acked);
         self.in_use = need.in_use;
         self.demand = need.demand.max(need.in_use);
         self.reported_at = now;
-        self.in_use_expires_at = if need.in_use == 0 { 0 } else { in_use_expires_at };
+        self.in_use_expires_at = in_use_expires_at;
     }
 
     /// Adds a grant. Grants that it covers count no longer on their own.
--- a/crates/decisions/src/quota/division.rs
+++ b/crates/decisions/src/quota/division.rs
@@ -8,7 +8,7 @@
 use super::max_min_fair::{Claim, max_min_fair};
 use super::{Budget, Quota};
 use crate::fault_injection::{Fault, is_injected};
-use crate::membership::LeaseTerms;
+use crate::membership::{LeaseTerms, Membership};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A turn lasts this many leases: then whoever has more than others of units that cannot be divided evenly passes it on.
@@ -26,18 +26,24 @@
 pub(super) struct DivisionContext {
     /// Log time.
     pub(super) now: u64,
-    pub(super) terms: LeaseTerms,
+    terms: LeaseTerms,
     /// Incarnations that hold a session.
-    pub(super) incarnations: BTreeSet<u64>,
+    incarnations: BTreeSet<u64>,
+    /// Length of a lease and of a turn in log time, in microseconds.
+    lease: u64,
+    turn: u64,
 }
 
 impl DivisionContext {
-    fn lease(&self) -> u64 {
-        self.terms.with_drift_margin(self.terms.lease_us)
-    }
-
-    fn turn(&self) -> u64 {
-        self.lease().saturating_mul(TURN_LEASES)
+    pub(super) fn new(membership: &Membership, terms: LeaseTerms) -> DivisionContext {
+        let lease = terms.with_drift_margin(terms.lease_us);
+        DivisionContext {
+            now: membership.now,
+            terms,
+            incarnations: membership.incarnations().collect(),
+            lease,
+            turn: lease.saturating_mul(TURN_LEASES),
+        }
     }
 }
 
@@ -104,7 +110,7 @@
     fn update_turn(&self, allocation: &mut Allocation, units: u64, context: &DivisionContext) {
         let has_turn = units > self.base;
         let has_changed = has_turn != allocation.has_turn;
-        let is_over = context.now >= allocation.turn_changed_at.saturating_add(context.turn());
+        let is_over = context.now >= allocation.turn_changed_at.saturating_add(context.turn);
         allocation.has_turn = has_turn;
         if has_changed || (has_turn && self.is_scarce && is_over) {
             allocation.turn_changed_at = context.now;
@@ -115,9 +121,9 @@
 /// What an incarnation claims beyond the base.
 fn claim(allocation: &Allocation, base: u64, context: &DivisionContext) -> Claim {
     // An incarnation that was silent for a lease wants nothing.
-    let is_live = context.now < allocation.reported_at.saturating_add(context.lease());
+    let is_live = context.now < allocation.reported_at.saturating_add(context.lease);
     let demand = if is_live { allocation.demand.saturating_sub(base) } else { 0 };
-    let turn_lasts = context.now < allocation.turn_changed_at.saturating_add(context.turn());
+    let turn_lasts = context.now < allocation.turn_changed_at.saturating_add(context.turn);
     // First whoever has a turn that lasts, then whoever has waited longest, then those whose turn is over.
     let priority = match (allocation.has_turn, turn_lasts) {
         (true, true) => 0,
--- a/crates/decisions/src/quota/table.rs
+++ b/crates/decisions/src/quota/table.rs
@@ -57,6 +57,17 @@
     pub result: Result<Grant, SessionRejected>,
 }
 
+/// An entry of which more can be in use than its total.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Overcommitment<'a> {
+    /// Name of the entry.
+    pub entry: &'a str,
+    /// Units that can be in use.
+    pub committed: u64,
+    /// Units that may be.
+    pub total: u64,
+}
+
 /// The membership of the fleet, its budgets, and what is granted of them.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct QuotaTable {
@@ -117,14 +128,14 @@
         revision > self.revision || self.terms == LeaseTerms::default()
     }
 
-    /// Entries whose budget was lowered below what can be in use: name, committed units and total.
-    pub fn overcommitted(&self) -> Vec<(&str, u64, u64)> {
+    /// Entries of which more can be in use than their total, since the budget was lowered.
+    pub fn overcommitted(&self) -> Vec<Overcommitment<'_>> {
         let now = self.membership.now;
         let entries = self.entries.iter().map(|(name, entry)| {
             let total = entry.budget.as_ref().map_or(0, |budget| budget.total);
-            (name.as_str(), entry.committed(now), total)
+            Overcommitment { entry: name, committed: entry.committed(now), total }
         });
-        entries.filter(|(_, committed, total)| committed > total).collect()
+        entries.filter(|entry| entry.committed > entry.total).collect()
     }
 
     /// Drops what is over by log time: grants, entries without any, and sessions.
@@ -224,9 +235,12 @@
                 allocation_count += 1;
             }
             let need = reported.map(bounded_need).unwrap_or_default();
-            let in_use_span = terms.with_drift_margin(terms.lease_us.saturating_add(entry.outlives_us()));
-            let in_use_expires_at =
-                if is_injected(Fault::FreedEarly) { 0 } else { now.saturating_add(in_use_span) };
+            let in_use_expires_at = if need.in_use == 0 || is_injected(Fault::FreedEarly) {
+                0
+            } else {
+                let longest = terms.lease_us.saturating_add(entry.outlives_us());
+                now.saturating_add(terms.with_drift_margin(longest))
+            };
             let allocation = entry.allocations.entry(incarnation);
             let allocation = allocation.or_insert_with(|| Allocation::waiting_since(now));
             allocation.record_need(&need, request.acked, now, in_use_expires_at);
@@ -235,11 +249,7 @@
 
     /// Divides every budget among the requests of one entry of the log.
     fn grant_all(&mut self, accepted: Vec<AcceptedRequest>) -> Vec<QuotaReply> {
-        let context = DivisionContext {
-            now: self.membership.now,
-            terms: self.terms,
-            incarnations: self.membership.incarnations().collect(),
-        };
+        let context = DivisionContext::new(&self.membership, self.terms);
         let mut quotas: Vec<BTreeMap<String, Quota>> = vec![BTreeMap::new(); accepted.len()];
         for (name, entry) in &mut self.entries {
             grant_entry(name, entry, &context, &accepted, &mut quotas);
--- a/crates/decisions/tests/quota/steady.rs
+++ b/crates/decisions/tests/quota/steady.rs
@@ -4,7 +4,7 @@
 use linenhill_decisions::membership::SessionRejected;
 use linenhill_decisions::quota::expiry::LeaseExpiry;
 use linenhill_decisions::quota::lease_holder::LeaseHolder;
-use linenhill_decisions::quota::table::{QuotaCommand, QuotaReply, QuotaTable};
+use linenhill_decisions::quota::table::{Overcommitment, QuotaCommand, QuotaReply, QuotaTable};
 use linenhill_decisions::quota::{Budget, Budgets, QuotaNeed, QuotaRequest};
 use std::collections::BTreeMap;
 
@@ -109,7 +109,8 @@
     (0..10).for_each(|_| _ = fleet.round(|_| 20));
     let declare_total = |total| declare(TERMS, [("b".to_string(), held_budget(total, 0))].into());
     fleet.table.apply(0, vec![declare(TERMS, Budgets::new()), declare_total(4)]);
-    assert_eq!(fleet.table.overcommitted(), [("b", 10, 4)], "it reports that it does not hold yet");
+    let lowered = Overcommitment { entry: "b", committed: 10, total: 4 };
+    assert_eq!(fleet.table.overcommitted(), [lowered], "it reports that it does not hold yet");
     (0..10).for_each(|_| _ = fleet.round(|_| 20));
     assert!(fleet.table.overcommitted().is_empty());
     assert_eq!(fleet.round(|_| 20).iter().sum::<u64>(), 4);
