--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -14,10 +14,10 @@
     Body, BudgetStatus, Done, Elsewhere, Envelope, Granted, Join, Operate, OutStatus, ProxyAsk, Refused,
     SeatStatus, Status,
 };
-use linenhill_decisions::outages::Cause;
-use linenhill_decisions::outages::table::{Permit, Seen};
-use linenhill_decisions::roster::Unseated;
-use linenhill_decisions::shares::table::Effect;
+use linenhill_decisions::disruption::Availability;
+use linenhill_decisions::disruption::table::{LivenessView, Permit};
+use linenhill_decisions::membership::SessionRejected;
+use linenhill_decisions::quota::table::QuotaReply;
 use linenhill_settings::operator::Operator;
 use log::{error, info, warn};
 use prost::Message as _;
@@ -366,7 +366,7 @@
             let file = declaration(&self.operator);
             let (table, ours) = (&self.state.table, file.revision);
             let same = table.terms == file.terms && table.declared == file.budgets;
-            if table.takes(ours) {
+            if table.accepts_revision(ours) {
                 info!("fleet: budgets are declared as this file has them, revision {ours}");
                 self.commands.push_back(doc(Which::Declare(file)));
             } else if !same {
@@ -452,7 +452,7 @@
             self.answer(reply, 0, Body::Refused(refused));
             return;
         }
-        let fenced = ask.report.as_ref().map_or(0, |r| r.fenced);
+        let fenced = ask.report.as_ref().map_or(0, |r| r.quarantine_edition);
         self.waiting.push_back(Waiting { incarnation, seq, since: self.now, fenced, reply });
         self.commands.push_back(doc(Which::Ask(AskDoc { name, incarnation, ask })));
     }
@@ -504,7 +504,8 @@
             return (false, format!("the leader is {}", self.leader()));
         }
         if let Some(file) = &operate.declare {
-            let (newer, agreed) = (self.state.table.takes(file.revision), self.state.table.revision);
+            let (newer, agreed) =
+                (self.state.table.accepts_revision(file.revision), self.state.table.revision);
             if !newer {
                 return (false, format!("revision {agreed} is agreed on: a change needs a higher one"));
             }
@@ -659,24 +660,24 @@
         Ok(())
     }
 
-    fn tell(&mut self, effect: Effect) {
-        let Effect { name, incarnation, answer } = effect;
+    fn tell(&mut self, effect: QuotaReply) {
+        let QuotaReply { name, incarnation, result: answer } = effect;
         let seq = answer.as_ref().map_or(0, |grant| grant.seq);
         let mine = |w: &Waiting<R>| w.incarnation == incarnation && (seq == 0 || w.seq == seq);
         let Some(place) = self.waiting.iter().position(mine) else { return };
         let Some(waiting) = self.waiting.remove(place) else { return };
         let body = match answer {
             Ok(grant) => {
-                let fence = self.state.outages.fence();
+                let fence = self.state.outages.quarantine();
                 let fence = Some(fence).filter(|f| f.edition > waiting.fenced);
                 Body::Granted(Granted { grant, fence })
             }
             Err(problem) => {
-                let superseded = matches!(problem, Unseated::Superseded);
-                if !matches!(problem, Unseated::Old | Unseated::Taken) {
-                    info!("fleet: {name} is not let in: {problem:?}");
+                let superseded = matches!(problem, SessionRejected::Superseded);
+                if !matches!(problem, SessionRejected::StaleRequest | SessionRejected::NameInUse) {
+                    info!("fleet: {name} is not let in: {}", problem.wire_reason());
                 }
-                let reason = format!("{problem:?}");
+                let reason = problem.wire_reason().to_string();
                 Body::Refused(Refused { seq: waiting.seq, superseded, reason, incarnation })
             }
         };
@@ -688,7 +689,7 @@
         let Some(waiting) = self.waiting.iter().position(mine).and_then(|at| self.waiting.remove(at)) else {
             return;
         };
-        let seats = &self.state.table.roster.seats;
+        let seats = &self.state.table.membership.sessions;
         let name = |i: &u64| seats.iter().find(|(_, s)| s.incarnation == *i).map(|(name, _)| name.clone());
         let unconfirmed = told.unconfirmed.iter().filter_map(name).collect();
         self.answer(
@@ -706,37 +707,42 @@
             StateRole::Candidate | StateRole::PreCandidate => "candidate",
         };
         let table = &self.state.table;
-        let now = table.roster.now;
-        let lease = table.terms.stretched(table.terms.lease_us);
-        let seat = |(name, s): (&String, &linenhill_decisions::roster::Seat)| SeatStatus {
+        let now = table.membership.now;
+        let lease = table.terms.with_drift_margin(table.terms.lease_us);
+        let seat = |(name, s): (&String, &linenhill_decisions::membership::Session)| SeatStatus {
             name: name.clone(),
             incarnation: s.incarnation,
             version: s.version.clone(),
             zone: s.zone.clone(),
-            heard_ms: now.saturating_sub(s.heard) / 1_000,
-            holds: now <= s.heard.saturating_add(lease),
-        };
-        let budget = |(name, line): (&String, &linenhill_decisions::shares::table::Line)| BudgetStatus {
-            name: name.clone(),
-            whole: line.budget.as_ref().map_or(0, |b| b.whole),
-            counted: line.counted(now),
-            in_use: line.holdings.values().map(|h| h.in_use).sum(),
+            heard_ms: now.saturating_sub(s.last_request_at) / 1_000,
+            holds: now <= s.last_request_at.saturating_add(lease),
         };
+        let budget =
+            |(name, line): (&String, &linenhill_decisions::quota::table::BudgetEntry)| BudgetStatus {
+                name: name.clone(),
+                whole: line.budget.as_ref().map_or(0, |b| b.total),
+                counted: line.committed(now),
+                in_use: line.allocations.values().map(|h| h.in_use).sum(),
+            };
         let outages = &self.state.outages;
-        let out = |(thing, cause): (String, Cause)| {
-            let permit = outages.things.get(&thing).and_then(|k| k.permit.clone()).unwrap_or_default();
-            let Permit { number, by, reason, forced, .. } = permit;
-            OutStatus { thing, cause: cause.word().to_string(), permit: number, by, reason, forced }
+        let out = |(thing, cause): (String, Availability)| {
+            let permit = outages.subjects.get(&thing).and_then(|k| k.permit.clone()).unwrap_or_default();
+            let Permit { number, requested_by: by, reason, forced, .. } = permit;
+            OutStatus { thing, cause: cause.label().to_string(), permit: number, by, reason, forced }
         };
-        let out = outages.out(&Seen::new(&table.roster, &table.terms)).into_iter().map(out).collect();
+        let out = outages
+            .unavailable(&LivenessView::new(&table.membership, &table.terms))
+            .into_iter()
+            .map(out)
+            .collect();
         Status {
             role: role.to_string(),
             leader: self.leader(),
             term: self.engine.raft.term,
             applied: self.applied,
             keepers: self.state.keepers.values().map(|k| (k.name.clone(), k.address.clone())).collect(),
-            seats: table.roster.seats.iter().map(seat).collect(),
-            budgets: table.lines.iter().map(budget).collect(),
+            seats: table.membership.sessions.iter().map(seat).collect(),
+            budgets: table.entries.iter().map(budget).collect(),
             news_ms: self.now.saturating_sub(self.news) / 1_000,
             out,
         }
--- a/crates/cluster/src/state.rs
+++ b/crates/cluster/src/state.rs
@@ -1,11 +1,11 @@
 //! What the entries of the agreed log make of the state: the table of shares, who is out, and who the keepers are.
 
 use crate::wire::ProxyAsk;
-use linenhill_decisions::outages::table::{Denied, Outages, Permit, Seen};
-use linenhill_decisions::outages::{Limits, Thing};
-use linenhill_decisions::roster::Terms;
-use linenhill_decisions::shares::Budgets;
-use linenhill_decisions::shares::table::{Command, Effect, Table};
+use linenhill_decisions::disruption::table::{DisruptionTable, LivenessView, Permit, PermitDenied};
+use linenhill_decisions::disruption::{DisruptionPolicy, Subject};
+use linenhill_decisions::membership::LeaseTerms;
+use linenhill_decisions::quota::Budgets;
+use linenhill_decisions::quota::table::{QuotaCommand, QuotaReply, QuotaTable};
 use prost::Message;
 use std::collections::BTreeMap;
 
@@ -34,13 +34,13 @@
 /// The commands as they are written.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Which {
-    /// See [`Command::Declare`].
+    /// See [`QuotaCommand::Declare`].
     #[prost(message, tag = "1")]
     Declare(DeclareDoc),
-    /// See [`Command::Ask`].
+    /// See [`QuotaCommand::Request`].
     #[prost(message, tag = "2")]
     Ask(AskDoc),
-    /// See [`Command::Remove`].
+    /// See [`QuotaCommand::Remove`].
     #[prost(string, tag = "3")]
     Remove(String),
     /// Of what may be out.
@@ -97,7 +97,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// A request for shares.
-    Share(Effect),
+    Share(QuotaReply),
     /// A wish.
     Told(Told),
 }
@@ -107,7 +107,7 @@
 pub struct DeclareDoc {
     /// The terms.
     #[prost(message, required, tag = "1")]
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// The budgets.
     #[prost(btree_map = "string, message", tag = "2")]
     pub budgets: Budgets,
@@ -116,7 +116,7 @@
     pub revision: u64,
     /// What may be out at once, if that is bounded.
     #[prost(message, optional, tag = "4")]
-    pub outages: Option<Limits>,
+    pub outages: Option<DisruptionPolicy>,
 }
 
 /// A request.
@@ -149,13 +149,13 @@
 pub struct State {
     /// The shares.
     #[prost(message, required, tag = "1")]
-    pub table: Table,
+    pub table: QuotaTable,
     /// The keepers by number.
     #[prost(btree_map = "uint64, message", tag = "2")]
     pub keepers: BTreeMap<u64, KeeperSeat>,
     /// Who is out.
     #[prost(message, required, tag = "3")]
-    pub outages: Outages,
+    pub outages: DisruptionTable,
 }
 
 impl State {
@@ -166,33 +166,34 @@
         for doc in entry.commands {
             match doc.which {
                 Some(Which::Declare(DeclareDoc { terms, budgets, revision, outages })) => {
-                    if self.table.takes(revision) {
-                        self.outages.limit(outages);
+                    if self.table.accepts_revision(revision) {
+                        self.outages.set_policy(outages);
                     }
-                    commands.push(Command::Declare { terms, budgets, revision });
+                    commands.push(QuotaCommand::Declare { terms, budgets, revision });
                 }
                 Some(Which::Ask(AskDoc { name, incarnation, ask })) => {
                     let ProxyAsk { ask, version, zone, report } = ask;
                     reports.push((name.clone(), incarnation, zone.clone(), report));
-                    commands.push(Command::Ask { name, incarnation, version, zone, ask });
+                    commands.push(QuotaCommand::Request { name, incarnation, version, zone, request: ask });
                 }
                 Some(Which::Remove(name)) => {
-                    self.outages.forget(&Thing::Proxy(name.clone()));
-                    commands.push(Command::Remove { name });
+                    self.outages.forget(&Subject::Proxy(name.clone()));
+                    commands.push(QuotaCommand::Remove { name });
                 }
                 Some(Which::Outage(wish)) => wishes.push((doc.ticket, wish)),
                 None => {}
             }
         }
         let effects = self.table.apply(entry.elapsed_us, commands);
-        let seen = Seen::new(&self.table.roster, &self.table.terms);
+        let seen = LivenessView::new(&self.table.membership, &self.table.terms);
         for (name, incarnation, zone, report) in reports {
-            let seated = self.table.roster.seats.get(&name).is_some_and(|s| s.incarnation == incarnation);
+            let seated =
+                self.table.membership.sessions.get(&name).is_some_and(|s| s.incarnation == incarnation);
             if let Some(report) = report.filter(|_| seated) {
-                self.outages.heard(&seen, &name, incarnation, &zone, &report);
+                self.outages.record_report(&seen, &name, incarnation, &zone, &report);
             }
         }
-        self.outages.tidy(&seen);
+        self.outages.expire(&seen);
         let outages = &mut self.outages;
         let told = wishes.into_iter().map(|(ticket, wish)| wished(outages, &seen, ticket, &wish));
         let told: Vec<Outcome> = told.map(Outcome::Told).collect();
@@ -205,24 +206,26 @@
     }
 }
 
-fn wished(outages: &mut Outages, seen: &Seen, ticket: u64, wish: &OutageDoc) -> Told {
+fn wished(outages: &mut DisruptionTable, seen: &LivenessView, ticket: u64, wish: &OutageDoc) -> Told {
     let no = |text: String| Told { ticket, ok: false, unconfirmed: Vec::new(), text };
     let done = |ok, text: &str| Told { ticket, ok, unconfirmed: Vec::new(), text: text.to_string() };
-    if outages.limits.is_none() {
+    if outages.policy.is_none() {
         return no("the agreed file bounds no outages".into());
     }
-    let Some(thing) = Thing::of(&wish.thing) else {
+    let Some(thing) = Subject::from_key(&wish.thing) else {
         return no(format!("'{}' is neither proxy/NAME nor member/ID", wish.thing));
     };
     match Wish::try_from(wish.wish) {
-        Ok(Wish::Permit) => match outages.permit(seen, &thing, &wish.by, &wish.reason, wish.force) {
+        Ok(Wish::Permit) => match outages.request_permit(seen, &thing, &wish.by, &wish.reason, wish.force) {
             Ok(Permit { number, unconfirmed, .. }) => {
                 let text = format!("permit {number} for {}", wish.thing);
                 Told { ticket, ok: true, unconfirmed, text }
             }
             Err(denied) => no(denial(&wish.thing, &denied)),
         },
-        Ok(Wish::Back) if outages.back(&thing) => done(true, "its permit ends once it is seen in service"),
+        Ok(Wish::Back) if outages.request_return(&thing) => {
+            done(true, "its permit ends once it is seen in service")
+        }
         Ok(Wish::Back) => done(true, "it has no permit"),
         Ok(Wish::Forget) if outages.forget(&thing) => done(true, "nothing is known of it any more"),
         Ok(Wish::Forget) => done(false, "nothing was known of it"),
@@ -230,14 +233,15 @@
     }
 }
 
-fn denial(thing: &str, denied: &Denied) -> String {
+fn denial(thing: &str, denied: &PermitDenied) -> String {
     match denied {
-        Denied::Unknown => format!("no proxy has spoken of {thing}"),
-        Denied::Held { by } => format!("{by} has leave for {thing} already"),
-        Denied::Primary => format!("{thing} is its group's primary: it hands over first"),
-        Denied::PrimaryUnknown => format!("the primary of the group of {thing} is not known yet"),
-        Denied::Limit { what, out } => {
-            let who: Vec<String> = out.iter().map(|(key, cause)| format!("{key} {}", cause.word())).collect();
+        PermitDenied::UnknownSubject => format!("no proxy has spoken of {thing}"),
+        PermitDenied::HeldByOther { by } => format!("{by} has leave for {thing} already"),
+        PermitDenied::IsPrimary => format!("{thing} is its group's primary: it hands over first"),
+        PermitDenied::PrimaryUnknown => format!("the primary of the group of {thing} is not known yet"),
+        PermitDenied::LimitReached { what, out } => {
+            let who: Vec<String> =
+                out.iter().map(|(key, cause)| format!("{key} {}", cause.label())).collect();
             let who = if who.is_empty() { "nobody is out".to_string() } else { who.join(", ") };
             format!("no more {what}: {who}")
         }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -8,23 +8,25 @@
 //! - [`poll_schedule`], [`watch_schedule`], [`staleness`]: when discovery is polled or watched, how old its
 //!   news is;
 //! - [`lifecycle`], [`maintenance`]: whether this process serves, which members are out by order of operators;
-//! - [`roster`], [`shares`], [`outages`]: what instances agree on: who they are, what each may use, who is out.
+//! - [`membership`], [`quota`], [`disruption`]: what instances agree on: who belongs to the fleet, what each proxy
+//!   may use of the fleet's budgets, which proxies and members may be out of service;
+//! - [`fault_injection`]: breaks these three on purpose, in builds made for tests.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod api;
 pub mod client_retry;
 pub mod connection_admission;
+pub mod disruption;
+pub mod fault_injection;
 pub mod lifecycle;
 pub mod maintenance;
-pub mod outages;
+pub mod membership;
 pub mod outlier_recovery;
-pub mod planted;
 pub mod policy;
 pub mod poll_schedule;
-pub mod roster;
+pub mod quota;
 pub mod service_objective;
-pub mod shares;
 pub mod staleness;
 mod state;
 pub mod tenant_rate_limit;
--- /dev/null
+++ b/crates/decisions/src/quota/max_min_fair.rs
@@ -0,0 +1,46 @@
+//! Max-min fair division of whole units by demand. Pure arithmetic: nothing is lost to rounding.
+
+/// One participant in a division.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Claim {
+    /// Units that it could use.
+    pub demand: u64,
+    /// Order in which units that cannot be divided evenly are handed out: the lowest value comes first.
+    pub priority: u64,
+}
+
+/// Divides `total` units among the claims and returns the units of each, in the order of `claims`.
+///
+/// Nobody gets more than its demand, and nobody could get more unless somebody who has no more than it got less. Units
+/// left over by rounding go one each in the order of priority.
+pub fn max_min_fair(total: u64, claims: &[Claim]) -> Vec<u64> {
+    let mut by_demand: Vec<usize> = (0..claims.len()).collect();
+    by_demand.sort_unstable_by_key(|index| (claims[*index].demand, *index));
+    let mut remaining = total;
+    let mut units = vec![0; claims.len()];
+    for (served, index) in by_demand.iter().enumerate() {
+        let unserved = &by_demand[served..];
+        let fair_part = remaining / unserved.len() as u64;
+        let demand = claims[*index].demand;
+        if demand > fair_part {
+            // Every claim that follows demands more than this part as well.
+            divide_evenly(remaining, unserved, claims, &mut units);
+            break;
+        }
+        units[*index] = demand;
+        remaining -= demand;
+    }
+    units
+}
+
+/// Divides `remaining` evenly among `unserved`, which are indices of `claims`, and writes the parts to `units`.
+fn divide_evenly(remaining: u64, unserved: &[usize], claims: &[Claim], units: &mut [u64]) {
+    let mut by_priority = unserved.to_vec();
+    by_priority.sort_unstable_by_key(|index| (claims[*index].priority, *index));
+    let count = by_priority.len() as u64;
+    let fair_part = remaining / count;
+    let left_over = remaining % count;
+    for (position, index) in (0..count).zip(by_priority) {
+        units[index] = fair_part + u64::from(position < left_over);
+    }
+}
--- a/crates/lab/tests/bounds.rs
+++ b/crates/lab/tests/bounds.rs
@@ -4,8 +4,8 @@
 use linenhill_cluster::node::{Action, Event, Node, TICK_US, founded};
 use linenhill_cluster::store::{self, Disk};
 use linenhill_cluster::wire::{Body, Envelope, ProxyAsk};
-use linenhill_decisions::roster::{Roster, SEATS_MOST, Terms, Unseated};
-use linenhill_decisions::shares::{Ask, Budget, Need};
+use linenhill_decisions::membership::{LeaseTerms, MAX_SESSIONS, Membership, SessionRejected, SessionUpdate};
+use linenhill_decisions::quota::{Budget, QuotaNeed, QuotaRequest};
 use linenhill_lab::disk::Image;
 use linenhill_lab::together::operator;
 use linenhill_settings::operator::Keeper;
@@ -18,15 +18,15 @@
 /// A keeper that leads by itself, and its clock.
 fn leader() -> (Node<usize>, u64) {
     let address = ([10, 0, 0, 1], 1).into();
-    let budget = Budget { whole: 9, floor: 1, burst: 0, outlives_us: 1, each: false };
-    let terms = Terms { lease_us: 1_000_000, membership_us: 4_000_000, drift_ppm: 10_000 };
+    let budget = Budget { total: 9, floor: 1, burst: 0, outlives_us: 1, per_key: false };
+    let terms = LeaseTerms { lease_us: 1_000_000, membership_us: 4_000_000, drift_ppm: 10_000 };
     let keepers = vec![Keeper { name: "k0".into(), address }];
     let operator = operator(keepers, terms, [("b".to_string(), budget)].into());
     let whose = store::Identity { id: 7, founding: 8, name: "k0".into(), cluster: "lab".into() };
     let disk = Disk::create_on(Image::default(), whose, Some(founded(7, "k0", address))).expect("a store");
     let mut node = Node::start(operator, Rc::new(identity("k0".into(), 7)), disk, 0, 1).expect("a node");
     let mut now = 0;
-    while node.leader_term().is_none() || node.state().table.lines.is_empty() {
+    while node.leader_term().is_none() || node.state().table.entries.is_empty() {
         now += TICK_US;
         node.handle(now, [Event::Tick]).expect("a tick");
     }
@@ -34,8 +34,8 @@
 }
 
 fn asks(i: usize, bytes: usize) -> Envelope {
-    let need = Need { in_use: 0, demand: 1 };
-    let ask = Ask { seq: 1, needs: [("b".to_string(), need)].into(), ..Ask::default() };
+    let need = QuotaNeed { in_use: 0, demand: 1 };
+    let ask = QuotaRequest { seq: 1, needs: [("b".to_string(), need)].into(), ..QuotaRequest::default() };
     let body = ProxyAsk { ask, version: "v".repeat(bytes), zone: String::new(), report: None };
     identity(format!("p{i}"), 1_000 + i as u64).say(0, Body::Ask(body))
 }
@@ -65,19 +65,23 @@
         };
         granted += actions.iter().filter(grant).count();
     }
-    assert!(granted >= SEATS_MOST - 1, "{granted} were granted");
-    assert!(node.state().table.roster.seats.len() <= SEATS_MOST);
+    assert!(granted >= MAX_SESSIONS - 1, "{granted} were granted");
+    assert!(node.state().table.membership.sessions.len() <= MAX_SESSIONS);
 }
 
-// Guards against a roster without end, and against seats that are refused for ever once it was full.
+// Guards against a membership without end, and against seats that are refused for ever once it was full.
 #[test]
-fn a_full_roster_refuses_newcomers_until_somebody_leaves() {
-    let mut roster = Roster::default();
-    for i in 0..SEATS_MOST as u64 {
-        assert_eq!(roster.ask(&format!("p{i}"), i + 1, 1, None), Ok(true));
+fn a_full_membership_refuses_newcomers_until_somebody_leaves() {
+    let mut membership = Membership::default();
+    for i in 0..MAX_SESSIONS as u64 {
+        assert_eq!(membership.open_or_renew(&format!("p{i}"), i + 1, 1, None), Ok(SessionUpdate::Opened));
     }
-    assert_eq!(roster.ask("late", 1 << 40, 1, None), Err(Unseated::Full));
-    assert_eq!(roster.ask("p7", 1 << 41, 1, None), Ok(true), "a restart needs no new seat");
-    roster.seats.remove("p9");
-    assert_eq!(roster.ask("late", 1 << 40, 2, None), Ok(true));
+    assert_eq!(membership.open_or_renew("late", 1 << 40, 1, None), Err(SessionRejected::TableFull));
+    assert_eq!(
+        membership.open_or_renew("p7", 1 << 41, 1, None),
+        Ok(SessionUpdate::Opened),
+        "a restart needs no new session"
+    );
+    membership.sessions.remove("p9");
+    assert_eq!(membership.open_or_renew("late", 1 << 40, 2, None), Ok(SessionUpdate::Opened));
 }
--- a/crates/lab/tests/together.rs
+++ b/crates/lab/tests/together.rs
@@ -2,7 +2,7 @@
 //! the processes do, the units in use never sum to more than the whole, and a fleet that is well again comes to rest.
 
 use linenhill_cluster::node::KeeperError;
-use linenhill_decisions::roster::Terms;
+use linenhill_decisions::membership::LeaseTerms;
 use linenhill_lab::disk::Wrong;
 use linenhill_lab::together::{Plan, World};
 
@@ -61,22 +61,22 @@
 }
 
 // Guards against a checker that can't fail.
-#[cfg(feature = "planted-faults")]
+#[cfg(feature = "fault-injection")]
 #[test]
 fn each_planted_fault_is_caught() {
-    use linenhill_decisions::planted::{Fault, plant};
+    use linenhill_decisions::fault_injection::{Fault, inject};
     // Clocks far apart, and units that end soon: an overlap of leases shows. The sound program bears it.
     let harsh = |mut plan: Plan| {
         (plan.terms.drift_ppm, plan.outlives) = (200_000, 50_000);
         plan
     };
-    for (fault, name) in Fault::SHARES {
-        plant(Some(fault));
+    for (fault, name) in Fault::QUOTA {
+        inject(Some(fault));
         let broken = |e: &String| e.contains(" in use at ");
         let seeds = || 1..400;
         let found = seeds().find_map(|seed| history(seed, 12).err().filter(broken));
         let found = found.or_else(|| seeds().find_map(|seed| played(seed, 12, harsh).err().filter(broken)));
-        plant(None);
+        inject(None);
         println!("{name}: {}", found.as_deref().unwrap_or("not caught").lines().next().unwrap_or_default());
         assert!(found.is_some(), "{name} was not caught");
     }
@@ -169,7 +169,7 @@
 // Guards against a store that can't be opened being taken for an empty one.
 #[test]
 fn a_keeper_of_another_state_does_not_start() {
-    let terms = Terms { lease_us: SECOND, membership_us: 4 * SECOND, drift_ppm: 50_000 };
+    let terms = LeaseTerms { lease_us: SECOND, membership_us: 4 * SECOND, drift_ppm: 50_000 };
     let plan = Plan { terms, ..Plan::small(1, 3, 1) };
     let made: Result<World, KeeperError> = World::new(plan);
     let mut world = made.expect("a world");
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,8 +1,8 @@
 //! The operators' own file, in protobuf's text format: read whole, with every mistake named by line and field.
 
-use linenhill_decisions::outages::{Cap, Limits};
-use linenhill_decisions::roster::Terms;
-use linenhill_decisions::shares::{BUDGETS_MOST, Budget, Budgets};
+use linenhill_decisions::disruption::{DisruptionLimit, DisruptionPolicy};
+use linenhill_decisions::membership::LeaseTerms;
+use linenhill_decisions::quota::{Budget, Budgets, MAX_BUDGETS};
 use prost::Message;
 use prost_reflect::{DescriptorPool, DynamicMessage};
 use std::collections::BTreeSet;
@@ -172,7 +172,7 @@
     /// The keepers.
     pub keepers: Vec<Keeper>,
     /// How long things hold.
-    pub terms: Terms,
+    pub terms: LeaseTerms,
     /// The budgets by name.
     pub budgets: Budgets,
     /// What they bound.
@@ -180,7 +180,7 @@
     /// Which edition of terms and budgets it is: one that is not higher than that agreed on changes nothing.
     pub revision: u64,
     /// What may be out at once, if that is bounded.
-    pub outages: Option<Limits>,
+    pub outages: Option<DisruptionPolicy>,
 }
 
 /// One mistake in the file.
@@ -345,8 +345,8 @@
         wrong(at, "terms.drift_ppm".into(), "1 to 200000 is expected");
     }
     let (mut budgets, mut bindings) = (Budgets::new(), Vec::new());
-    if doc.budget.len() > BUDGETS_MOST {
-        wrong(find(text, "budget", BUDGETS_MOST), "budget".into(), "64 budgets at most are expected");
+    if doc.budget.len() > MAX_BUDGETS {
+        wrong(find(text, "budget", MAX_BUDGETS), "budget".into(), "64 budgets at most are expected");
     }
     for (i, b) in doc.budget.iter().enumerate() {
         let (line, field) = (find(text, "budget", i), |name: &str| format!("budget[{i}].{name}"));
@@ -390,7 +390,7 @@
                     wrong(line, field("floor"), "at least 1 is expected for LOAD");
                 }
                 let each = what != What::Load;
-                Budget { whole: held.units, floor: b.floor, burst: 0, outlives_us, each }
+                Budget { total: held.units, floor: b.floor, burst: 0, outlives_us, per_key: each }
             }
             (None, Some(rate), true) => {
                 if rate.per_second == 0 || rate.per_second > 1 << 32 {
@@ -401,7 +401,7 @@
                 }
                 let milli = |units: u64| units.saturating_mul(1_000);
                 let (whole, floor) = (milli(rate.per_second), milli(b.floor));
-                Budget { whole, floor, burst: rate.burst, outlives_us: 0, each: false }
+                Budget { total: whole, floor, burst: rate.burst, outlives_us: 0, per_key: false }
             }
             _ => {
                 let expected =
@@ -410,7 +410,7 @@
                 continue;
             }
         };
-        if budget.floor > budget.whole {
+        if budget.floor > budget.total {
             wrong(line, field("floor"), "no more than the whole is expected");
         }
         budgets.insert(b.name.clone(), budget);
@@ -424,11 +424,17 @@
             if percent.is_some_and(|p| p > 100) {
                 wrong(at, format!("outages.{name}.percent"), "0 to 100 is expected");
             }
-            Cap { count, percent }
+            DisruptionLimit { count, percent }
         };
         let (fleet, zone) = (cap(o.proxies, "proxies"), cap(o.zone, "zone"));
         let group = cap(o.members, "members");
-        Limits { fleet, zone, least: o.least, group, group_least: o.members_least }
+        DisruptionPolicy {
+            fleet,
+            zone,
+            min_in_service: o.least,
+            group,
+            group_min_in_service: o.members_least,
+        }
     });
     let us = |ms: u64| ms.saturating_mul(1_000);
     Operator {
@@ -438,7 +444,7 @@
         zone: instance.zone,
         store: Some(instance.store).filter(|s| !s.is_empty()).map(PathBuf::from),
         keepers,
-        terms: Terms {
+        terms: LeaseTerms {
             lease_us: us(terms.lease_ms),
             membership_us: us(terms.membership_ms),
             drift_ppm: terms.drift_ppm,
