--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # Build, test, lint and run. `make run` needs the toy of `make toy` in another terminal.
-.PHONY: build test lint run toy toy-fleet proof-budgets measure-budgets
+.PHONY: build test lint doc run toy toy-fleet proof-budgets measure-budgets
 
 build:
 	cargo build --release --locked
@@ -11,6 +11,9 @@
 	cargo fmt --all --check
 	cargo clippy --locked --workspace --all-targets -- -D warnings
 
+doc:
+	RUSTDOCFLAGS="-D warnings" cargo doc --no-deps --workspace --locked
+
 run: build
 	LB_CONFIG=examples/config.json target/release/linenhill
 
