--- a/Makefile
+++ b/Makefile
@@ -4,8 +4,9 @@
 build:
 	cargo build --release --locked
 
+# TEST_ARGS chooses, as in `make test TEST_ARGS="--test proxy"`; .ci/known-red does so.
 test:
-	cargo test --locked --workspace
+	cargo test --locked --workspace $(TEST_ARGS)
 
 lint:
 	cargo fmt --all --check
