--- a/src/lib.rs
+++ b/src/lib.rs
@@ -29,7 +29,7 @@
 pub mod stages;
 pub mod takeover;
 
-/// README's example is compiled with the tests.
+/// The example of docs/ARCHITECTURE.md is compiled with the tests.
 #[cfg(doctest)]
-#[doc = include_str!("../README.md")]
-struct Readme;
+#[doc = include_str!("../docs/ARCHITECTURE.md")]
+struct Architecture;
