--- a/src/clients/desk.rs
+++ b/src/clients/desk.rs
@@ -126,11 +126,15 @@
         Ok(Claim { incoming, class, writes, id, ticket })
     }
 
-    /// Refuses a request that came when the process had no time left to serve it.
-    pub fn too_late(&self, claim: Claim) -> Answer {
+    /// Rejects a request before the decisions see it; the answer tells its client when to retry.
+    pub fn reject(&self, claim: Claim, edge: Edge) -> Answer {
+        self.reject_ticket(claim.ticket, edge)
+    }
+
+    fn reject_ticket(&self, ticket: Ticket, edge: Edge) -> Answer {
         let answer = Answer::Refused { retry_after: Some(COME_BACK) };
-        self.book.refused_at(Edge::Stopping);
-        claim.ticket.end(&answer);
+        self.book.refused_at(edge);
+        ticket.end(&answer);
         answer
     }
 
@@ -141,12 +145,7 @@
         let request = self.intake.take(&incoming, class);
         let place = match self.admit.request() {
             Ok(place) => place,
-            Err(edge) => {
-                let answer = Answer::Refused { retry_after: Some(COME_BACK) };
-                self.book.refused_at(edge);
-                ticket.end(&answer);
-                return Err(answer);
-            }
+            Err(edge) => return Err(self.reject_ticket(ticket, edge)),
         };
         let (reply, answer) = oneshot::channel();
         let deadline = Instant::now() + Duration::from_micros(request.left.0);
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -4,4 +4,5 @@
 pub mod doorway;
 pub mod listener;
 pub mod phase;
+pub mod pipeline;
 pub mod session;
--- a/src/clients/session.rs
+++ b/src/clients/session.rs
@@ -2,8 +2,7 @@
 
 use super::desk::{COME_BACK, Claim, Desk, Pending};
 use super::doorway::{Manner, Seated};
-use crate::api::Span;
-use crate::budget::Place;
+use super::pipeline::{ClientMessage, Pipeline, PipelinedRequest, RequestOrder, RequestState};
 use crate::close_reason::CloseReason;
 use crate::lifecycle::View;
 use crate::peek::{Unread, unread};
@@ -16,14 +15,13 @@
 use crate::stages::{Answer, Flow, Passed};
 use bytes::{Bytes, BytesMut};
 use futures_util::{FutureExt, SinkExt, StreamExt};
-use std::collections::VecDeque;
 use std::future::poll_fn;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, DuplexStream, Interest, ReadBuf};
 use tokio::net::TcpStream;
-use tokio::sync::{OwnedSemaphorePermit, watch};
+use tokio::sync::watch;
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tokio_util::codec::Framed;
@@ -46,8 +44,6 @@
 const MESSAGE_WITHIN: Duration = Duration::from_millis(3_500);
 /// How often a message that has begun is looked at.
 const LOOK_EVERY: Duration = Duration::from_millis(500);
-/// Commands that one connection may have waiting; with one more it ends.
-const PIPELINE_MOST: usize = 16;
 /// So many malformed statements in a row end a connection.
 const MALFORMED_MOST: u32 = 8;
 /// A client takes the next part of a long answer within this long, or is let go: peers take seconds.
@@ -63,53 +59,12 @@
 /// A buffer that grew past this is given back after the answer.
 const BUFFER_KEPT: usize = 32 * 1024;
 
-/// A message, taken apart when it came.
-enum Came {
-    /// A request.
-    Request(Box<Ask>),
-    /// A statement that is no request, with its error.
-    Malformed(Wire),
-    /// A request on a connection that is refused, with the time to come back, and its class.
-    Refused(Span, Option<String>),
-    /// An empty query.
-    Empty,
-    /// The extended protocol, which is not spoken here.
-    Extended,
-    /// The end of a batch of extended messages.
-    Synced,
-    /// Goodbye.
-    Terminate,
-    /// Nothing to answer.
-    Passed,
-}
-
-/// A request: its id is open, and it holds the memory of its message.
-struct Ask {
-    order: Order,
-    progress: Progress,
-    _memory: Option<Place>,
-    _long: Option<OwnedSemaphorePermit>,
-}
-
-/// What a request's order on its connection hangs on: its key, and whether it writes.
-#[derive(Default)]
-struct Order {
-    key: Option<String>,
-    writes: bool,
-}
-
-impl Order {
-    /// Whether it must not run beside `other`, which came before it: a write, and what is on its key.
-    fn follows(&self, other: &Order) -> bool {
-        self.key.is_some() && self.key == other.key && (self.writes || other.writes)
-    }
-}
-
-enum Progress {
-    /// Handed in, or answered instead.
-    HandedIn(Result<Pending, Answer>),
-    /// It waits since then for those that it follows.
-    Later(Claim, Instant),
+/// Why no more of a client's input is decoded: what was accepted before is answered, then the connection ends.
+enum InputEnd {
+    /// The input breaks the protocol, or there was no memory for it.
+    Violation(PgError),
+    /// Too many malformed statements in a row.
+    Malformed,
 }
 
 /// A client's connection.
@@ -143,20 +98,21 @@
     framed: Framed<S, FrontendCodec>,
     desk: Rc<Desk>,
     seated: Seated,
-    /// What came while an earlier query was being answered; requests run meanwhile, answers keep the order.
-    waiting: VecDeque<Came>,
-    /// The order of the request that is answered next.
-    next: Order,
+    /// What came while an earlier request was being answered; requests run meanwhile, answers keep the order.
+    pipeline: Pipeline,
+    /// Since when input may lie unread because the pipeline was full. What is read from there on may have come as
+    /// early as that, and its client has waited since.
+    unread_since: Option<Instant>,
     /// A long message has begun behind the request that is answered now: it is read after that.
     announced: Option<usize>,
-    /// The input is broken: what was taken is answered, then the connection ends.
-    broken: Option<PgError>,
+    /// Set once no more input is decoded.
+    input_end: Option<InputEnd>,
     /// An extended message came: all up to the next Sync is passed over.
     skipping: bool,
     /// How clients are treated now.
     view: watch::Receiver<View>,
-    /// Malformed statements in a row.
-    malformed: u32,
+    /// Malformed statements since the last request.
+    malformed_in_row: u32,
     /// When it was accepted, and whether it has asked anything since.
     since: Instant,
     heard: bool,
@@ -170,19 +126,18 @@
     stream: S, desk: Rc<Desk>, seated: Seated, mut view: watch::Receiver<View>,
 ) -> CloseReason {
     let framed = Framed::new(stream, FrontendCodec::new(desk.memory()));
-    let (waiting, next, broken) = (VecDeque::new(), Order::default(), None);
     let (since, heard, started, told) = (Instant::now(), false, false, false);
-    let (skipping, malformed, announced) = (false, 0, None);
+    let (skipping, announced) = (false, None);
     let mut s = Session {
         framed,
         desk,
         seated,
-        waiting,
-        next,
+        pipeline: Pipeline::default(),
+        unread_since: None,
         announced,
-        broken,
+        input_end: None,
         skipping,
-        malformed,
+        malformed_in_row: 0,
         since,
         heard,
         started,
@@ -193,7 +148,7 @@
         Ok(()) => CloseReason::Terminated,
         Err(reason) => reason,
     };
-    if matches!(reason, CloseReason::Protocol | CloseReason::PipelineFull | CloseReason::EdgeFull) {
+    if matches!(reason, CloseReason::Protocol | CloseReason::EdgeFull) {
         // What lingers counts on nothing but its last answer being read.
         s.seated.started();
         s.linger().await;
@@ -243,111 +198,116 @@
     async fn serve(&mut self, view: &mut watch::Receiver<View>) -> Result<(), CloseReason> {
         self.start(view).await?;
         loop {
-            let came = match self.waiting.pop_front() {
-                Some(next) => next,
+            let message = match self.pipeline.pop() {
+                Some(message) => message,
                 None => match self.next(view).await? {
-                    Some(message) => self.came(message),
+                    Some(message) => self.accept(message),
                     None => return Err(CloseReason::PeerClosed),
                 },
             };
-            match came {
-                Came::Terminate => return Ok(()),
-                Came::Passed => {}
-                Came::Synced => self.reply([Wire::Ready]).await?,
-                Came::Empty if !view.borrow().yes => {
+            match message {
+                ClientMessage::Terminate => return Ok(()),
+                ClientMessage::Ignored => {}
+                ClientMessage::Sync => self.reply([Wire::Ready]).await?,
+                ClientMessage::Empty if !view.borrow().yes => {
                     self.reply([error("57P03", "standing by"), Wire::Ready]).await?;
                 }
-                Came::Empty => self.reply([Wire::Empty, Wire::Ready]).await?,
-                Came::Extended => {
+                ClientMessage::Empty => self.reply([Wire::Empty, Wire::Ready]).await?,
+                ClientMessage::Extended => {
                     self.reply([error("0A000", "the extended query protocol is not supported")]).await?;
                 }
-                Came::Refused(after, class) => {
+                ClientMessage::ConnectionRefused(after, class) => {
                     let refused = self.desk.refuse(Edge::Door, after, class.as_deref());
                     self.reply([wire(refused, true)]).await?;
                     return Err(CloseReason::EdgeFull);
                 }
-                Came::Request(ask) => {
-                    self.malformed = 0;
+                ClientMessage::Request(request) => {
                     self.seated.busy();
-                    let answered = self.query(ask).await;
+                    let answered = self.query(request).await;
                     self.seated.idle();
                     answered?;
                 }
-                Came::Malformed(error) => {
-                    self.malformed += 1;
-                    self.reply([error, Wire::Ready]).await?;
-                    if self.malformed >= MALFORMED_MOST {
-                        return Err(CloseReason::Protocol);
-                    }
-                }
+                ClientMessage::Malformed(error) => self.reply([error, Wire::Ready]).await?,
             }
         }
     }
 
-    /// Takes a message apart when it comes. A request is handed in at once, also behind others, unless one of
-    /// them writes to its key, or it writes to theirs.
-    fn came(&mut self, message: Frontend) -> Came {
-        let (memory, long) = (self.framed.codec_mut().share(), self.framed.codec_mut().share_long());
+    /// Decodes a message when it comes. A request is submitted at once, also behind others, unless it depends on one
+    /// of them.
+    fn accept(&mut self, message: Frontend) -> ClientMessage {
+        let memory = self.framed.codec_mut().share();
+        let long_memory = self.framed.codec_mut().share_long();
         self.heard = true;
         let statement = match message {
             Frontend::Sync => {
                 self.skipping = false;
-                return Came::Synced;
+                return ClientMessage::Sync;
             }
-            Frontend::Terminate => return Came::Terminate,
-            _ if self.skipping => return Came::Passed,
+            Frontend::Terminate => return ClientMessage::Terminate,
+            _ if self.skipping => return ClientMessage::Ignored,
             Frontend::Extended(_) => {
                 self.skipping = true;
-                return Came::Extended;
+                return ClientMessage::Extended;
             }
             Frontend::Encryption
             | Frontend::Cancel
             | Frontend::Startup
             | Frontend::Idle
             | Frontend::Announced(_) => {
-                return Came::Passed;
+                return ClientMessage::Ignored;
             }
-            Frontend::Query(statement) if statement::is_empty(&statement) => return Came::Empty,
-            Frontend::Query(statement) => match self.seated.manner() {
-                Manner::Serve => statement,
-                Manner::Refuse(after) => {
-                    let class = statement::parse(&statement).ok().map(|s| s.class);
-                    return Came::Refused(after, class);
-                }
-            },
+            Frontend::Query(statement) if statement::is_empty(&statement) => return ClientMessage::Empty,
+            Frontend::Query(statement) => statement,
         };
+        if let Manner::Refuse(after) = self.seated.manner() {
+            let class = statement::parse(&statement).ok().map(|s| s.class);
+            return ClientMessage::ConnectionRefused(after, class);
+        }
         let incoming = match statement::parse(&statement) {
             Ok(statement) => incoming(statement),
             Err(problem) => {
                 let wrong = matches!(problem, StatementError::Wrong(_));
-                return self.unread(if wrong { "22023" } else { "42601" }, problem, None);
+                return self.malformed(if wrong { "22023" } else { "42601" }, problem, None);
             }
         };
-        let (key, class) = (incoming.key.clone(), incoming.class.clone());
+        let key = incoming.key.clone();
+        let class = incoming.class.clone();
         let claim = match self.desk.claim(incoming) {
             Ok(claim) => claim,
             Err(problem) => {
                 let in_use = problem == IntakeError::IdInUse;
-                return self.unread(if in_use { "42710" } else { "22023" }, problem, Some(&class));
+                return self.malformed(if in_use { "42710" } else { "22023" }, problem, Some(&class));
             }
         };
-        let order = Order { key, writes: claim.writes() };
+        self.malformed_in_row = 0;
+        let order = RequestOrder { key, writes: claim.writes() };
+        let state = self.submit(claim, &order);
+        ClientMessage::Request(Box::new(PipelinedRequest { order, state, memory, long_memory }))
+    }
+
+    /// Submits a request, unless it depends on an earlier one of its connection.
+    fn submit(&self, claim: Claim, order: &RequestOrder) -> RequestState {
         if self.view.borrow().refuses {
-            let progress = Progress::HandedIn(Err(self.desk.too_late(claim)));
-            return Came::Request(Box::new(Ask { order, progress, _memory: memory, _long: long }));
+            return RequestState::Submitted(Err(self.desk.reject(claim, Edge::Stopping)));
         }
-        let before = |came: &Came| matches!(came, Came::Request(ask) if order.follows(&ask.order));
-        let progress = if order.follows(&self.next) || self.waiting.iter().any(before) {
-            Progress::Later(claim, Instant::now())
-        } else {
-            Progress::HandedIn(self.desk.hand_in(claim, Duration::ZERO))
-        };
-        Came::Request(Box::new(Ask { order, progress, _memory: memory, _long: long }))
+        let arrived = self.unread_since.unwrap_or_else(Instant::now);
+        if self.pipeline.blocks(order) {
+            return RequestState::Blocked(claim, arrived);
+        }
+        RequestState::Submitted(self.desk.hand_in(claim, arrived.elapsed()))
     }
 
-    fn unread(&self, code: &'static str, problem: impl ToString, class: Option<&str>) -> Came {
+    /// Counts a statement that is no request. After too many in a row nothing more is read: what was accepted is
+    /// answered, and the connection ends with the answer to the last one.
+    fn malformed(
+        &mut self, code: &'static str, problem: impl ToString, class: Option<&str>,
+    ) -> ClientMessage {
         self.desk.malformed(class);
-        Came::Malformed(error(code, problem))
+        self.malformed_in_row += 1;
+        if self.malformed_in_row >= MALFORMED_MOST {
+            self.input_end = Some(InputEnd::Malformed);
+        }
+        ClientMessage::Malformed(error(code, problem))
     }
 
     /// Everything up to the first query.
@@ -371,8 +331,10 @@
     /// The next message between requests. A drain or a stop ends the connection here, but a newcomer is heard first:
     /// whoever has just connected has a request on the way.
     async fn next(&mut self, view: &mut watch::Receiver<View>) -> Result<Option<Frontend>, CloseReason> {
-        if let Some(problem) = self.broken.take() {
-            return Err(self.violation(problem).await);
+        match self.input_end.take() {
+            Some(InputEnd::Violation(problem)) => return Err(self.violation(problem).await),
+            Some(InputEnd::Malformed) => return Err(CloseReason::Protocol),
+            None => {}
         }
         if let Some(length) = self.announced.take() {
             self.reserve(length).await?;
@@ -394,7 +356,7 @@
             };
             tokio::select! {
                 biased;
-                next = self.framed.next() => return match next {
+                next = next_message(&mut self.framed, &mut self.unread_since) => return match next {
                     None => Ok(None),
                     Some(Ok(Frontend::Announced(length))) => {
                         self.reserve(length).await?;
@@ -458,25 +420,26 @@
     }
 
     /// One request, to its answer. Meanwhile the client may send more, or leave.
-    async fn query(&mut self, ask: Box<Ask>) -> Result<(), CloseReason> {
-        let Ask { order, progress, _memory, _long } = *ask;
-        self.next = order;
-        let handed_in = match progress {
-            Progress::HandedIn(handed_in) => handed_in,
-            Progress::Later(claim, since) => self.desk.hand_in(claim, since.elapsed()),
+    async fn query(&mut self, request: Box<PipelinedRequest>) -> Result<(), CloseReason> {
+        // The memory of its message is held up to the end of its answer.
+        let PipelinedRequest { order, state, memory: _memory, long_memory: _long_memory } = *request;
+        self.pipeline.begin(order);
+        let submitted = match state {
+            RequestState::Submitted(submitted) => submitted,
+            RequestState::Blocked(claim, since) => self.desk.hand_in(claim, since.elapsed()),
         };
-        let answer = match handed_in {
+        let answer = match submitted {
             Ok(mut pending) => match self.answer(&mut pending).await? {
                 Answer::Passing(flow) => {
                     self.pass(flow, &mut pending).await?;
-                    self.next = Order::default();
+                    self.pipeline.finish();
                     return Ok(());
                 }
                 answer => answer,
             },
             Err(answer) => answer,
         };
-        self.next = Order::default();
+        self.pipeline.finish();
         self.reply([wire(answer, false), Wire::Ready]).await?;
         self.slim();
         Ok(())
@@ -532,9 +495,10 @@
         CloseReason::Protocol
     }
 
+    /// Waits for an answer. Meanwhile messages are read ahead, or the client's end is looked for.
     async fn answer(&mut self, pending: &mut Pending) -> Result<Answer, CloseReason> {
         loop {
-            if self.broken.is_some() {
+            if self.input_end.is_some() {
                 // What follows is of no use, but for the end behind it.
                 let stream = self.framed.get_mut();
                 return tokio::select! {
@@ -543,7 +507,12 @@
                     () = async { while away(stream).await {} } => Err(CloseReason::ClientGone),
                 };
             }
-            if self.announced.is_some() {
+            let full = self.pipeline.is_full();
+            if full {
+                // What has come may lie unread from here on.
+                self.unread_since.get_or_insert_with(Instant::now);
+            }
+            if full || self.announced.is_some() {
                 return tokio::select! {
                     biased;
                     answer = pending.answer() => Ok(answer),
@@ -553,32 +522,31 @@
             tokio::select! {
                 biased;
                 answer = pending.answer() => return Ok(answer),
-                next = self.framed.next() => match next {
-                    None | Some(Err(PgError::Io(_))) => return Err(CloseReason::ClientGone),
-                    // Read on where memory is free: a client's end shows behind what it sent. Else only where that fits
-                    // into the machine's buffers.
-                    Some(Ok(Frontend::Announced(length))) => match self.desk.long_memory(length) {
-                        Some((memory, bytes)) if let Ok(granted) = memory.clone().try_acquire_many_owned(bytes) => {
-                            self.framed.codec_mut().grant(granted);
-                        }
-                        _ => self.announced = Some(length),
-                    },
-                    Some(Ok(Frontend::Terminate)) if self.waiting.is_empty() => {
-                        return Err(CloseReason::ClientGone);
-                    }
-                    Some(Ok(_)) if self.waiting.len() >= PIPELINE_MOST => {
-                        // Who sends so much at once reads no order of answers: all of it is given up.
-                        let _ = self.reply([fatal("54000", "too many commands at once")]).await;
-                        return Err(CloseReason::PipelineFull);
-                    }
-                    Some(Ok(message)) => {
-                        let came = self.came(message);
-                        self.waiting.push_back(came);
-                    }
-                    Some(Err(problem)) => self.broken = Some(problem),
-                },
+                next = next_message(&mut self.framed, &mut self.unread_since) => self.read_ahead(next)?,
+            }
+        }
+    }
+
+    /// Takes in what came behind the request that is being answered.
+    fn read_ahead(&mut self, next: Option<Result<Frontend, PgError>>) -> Result<(), CloseReason> {
+        match next {
+            None | Some(Err(PgError::Io(_))) => return Err(CloseReason::ClientGone),
+            // Read on where memory is free: a client's end shows behind what it sent. Else only where that fits into
+            // the machine's buffers.
+            Some(Ok(Frontend::Announced(length))) => match self.desk.long_memory(length) {
+                Some((memory, bytes)) if let Ok(granted) = memory.clone().try_acquire_many_owned(bytes) => {
+                    self.framed.codec_mut().grant(granted);
+                }
+                _ => self.announced = Some(length),
+            },
+            Some(Ok(Frontend::Terminate)) if self.pipeline.is_empty() => return Err(CloseReason::ClientGone),
+            Some(Ok(message)) => {
+                let message = self.accept(message);
+                self.pipeline.push(message);
             }
+            Some(Err(problem)) => self.input_end = Some(InputEnd::Violation(problem)),
         }
+        Ok(())
     }
 
     /// Writes whole answers.
@@ -617,6 +585,20 @@
     }
 }
 
+/// The next message of the input. `unread_since` is cleared once all that has come is read.
+async fn next_message<S: Client>(
+    framed: &mut Framed<S, FrontendCodec>, unread_since: &mut Option<Instant>,
+) -> Option<Result<Frontend, PgError>> {
+    poll_fn(|context| {
+        let polled = framed.poll_next_unpin(context);
+        if polled.is_pending() {
+            *unread_since = None;
+        }
+        polled
+    })
+    .await
+}
+
 /// Returns once the client has left a connection of which nothing is read.
 async fn left(stream: &impl Client) {
     while !stream.ended() {
--- a/src/close_reason.rs
+++ b/src/close_reason.rs
@@ -46,8 +46,6 @@
     ClientGone = "client-gone",
     /// The peer broke the protocol.
     Protocol = "protocol",
-    /// The client sent too many commands at once.
-    PipelineFull = "pipeline-full",
     /// No startup message came in time.
     StartupTimeout = "startup-timeout",
     /// A cancel request: there is nothing to cancel that way.
