--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -4,4 +4,5 @@
 pub mod desk;
 pub mod lifecycle_driver;
 pub mod listener;
+pub mod pipeline;
 pub mod session;
