--- a/src/clients/listener.rs
+++ b/src/clients/listener.rs
@@ -1,7 +1,7 @@
-//! Accepts clients, within the budget of descriptors.
+//! Accepts connections of clients, within the limit on descriptors, and runs a session for each.
 
 use super::connection_gate::ConnectionGate;
-use super::desk::Desk;
+use super::request_gateway::RequestGateway;
 use super::session;
 use crate::close_reason::{CloseReason, Side, log_close};
 use crate::counters::Counters;
@@ -17,23 +17,25 @@
 /// A pause after an accept that failed: descriptors come back as connections end.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Accepts and serves until newcomers are accepted no more, then waits for the sessions to end.
+/// Accepts connections and serves each, until no more are accepted; then waits for the sessions to end.
 pub async fn run(
-    listener: TcpListener, desk: Rc<Desk>, connection_gate: Rc<ConnectionGate>,
+    listener: TcpListener, gateway: Rc<RequestGateway>, connection_gate: Rc<ConnectionGate>,
     mut serving_state: watch::Receiver<ServingState>, counters: Rc<Counters>,
 ) {
-    let (mut sessions, mut looked) = (JoinSet::new(), false);
+    let mut sessions = JoinSet::new();
+    let mut has_looked_again = false;
     loop {
         let accepted = tokio::select! {
             biased;
-            // What the machine has accepted may hold requests: it comes before the end.
+            // Connections that wait to be accepted may hold requests: they come before the end.
             accepted = listener.accept() => accepted,
             Some(_) = sessions.join_next() => continue,
-            _ = serving_state.wait_for(|v| !v.accepts_connections) => {
-                // Who has come since the runtime last waited is there, but not told of yet: one more look.
-                if std::mem::replace(&mut looked, true) {
+            _ = serving_state.wait_for(|state| !state.accepts_connections) => {
+                if has_looked_again {
                     break;
                 }
+                // The runtime does not know yet of connections that arrived since it last waited: one more look.
+                has_looked_again = true;
                 tokio::task::yield_now().await;
                 continue;
             }
@@ -47,29 +49,32 @@
             }
         };
         counters.clients.add();
-        let entered = connection_gate.admit();
+        let admitted = connection_gate.admit();
         if connection_gate.has_closing() {
-            // Whoever was told to leave gives its descriptor back when its task runs.
+            // A connection that was asked to close gives its descriptor back when its task runs.
             tokio::task::yield_now().await;
         }
-        let Some(seated) = entered else {
-            // Nothing is written: a word whose end the client's unread request cuts off would make that request
-            // lost, while a connection that ends in silence lets the client send it anew.
-            ended(&counters, peer, CloseReason::EdgeFull);
+        let Some(connection) = admitted else {
+            // Nothing is written: a reply that the client's unread request cuts off would make that request lost, while
+            // a connection that ends in silence lets the client send it anew.
+            record_end(&counters, peer, CloseReason::EdgeFull);
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let (desk, serving_state, counters) = (desk.clone(), serving_state.clone(), counters.clone());
+        let gateway = gateway.clone();
+        let serving_state = serving_state.clone();
+        let counters = counters.clone();
         sessions.spawn_local(async move {
-            let reason = session::run(stream, desk, seated, serving_state).await;
-            ended(&counters, peer, reason);
+            let reason = session::run(stream, gateway, connection, serving_state).await;
+            record_end(&counters, peer, reason);
         });
     }
     drop(listener);
     while sessions.join_next().await.is_some() {}
 }
 
-fn ended(counters: &Counters, peer: SocketAddr, reason: CloseReason) {
+/// Counts and logs the end of a connection.
+fn record_end(counters: &Counters, peer: SocketAddr, reason: CloseReason) {
     counters.ended.add(reason);
     log_close(Side::Client, peer, reason);
 }
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -1,8 +1,8 @@
-//! The clients' side: the listener, and a session for each connection.
+//! The downstream side: connections of clients, from accepting them to their last answer.
 
 pub mod connection_gate;
-pub mod desk;
 pub mod lifecycle_driver;
 pub mod listener;
 pub mod pipeline;
+pub mod request_gateway;
 pub mod session;
--- a/src/clients/pipeline.rs
+++ b/src/clients/pipeline.rs
@@ -1,7 +1,7 @@
 //! What one client has sent ahead of the answer it is waiting for: requests that run side by side, and the order in
 //! which they are answered. Bounded; reads and writes nothing itself.
 
-use super::desk::{Claim, Pending};
+use super::request_gateway::{OpenRequest, PendingRequest};
 use crate::api::Span;
 use crate::budget::Place;
 use crate::pg::frontend::Answer as Reply;
@@ -49,9 +49,9 @@
 /// How far a request has come.
 pub enum RequestState {
     /// Submitted, or answered at the edge.
-    Submitted(Result<Pending, Answer>),
+    Submitted(Result<PendingRequest, Answer>),
     /// It waits for the requests that it must not run beside, since the given moment.
-    Blocked(Claim, Instant),
+    Blocked(OpenRequest, Instant),
 }
 
 /// What decides the order of a request on its connection: its key, and whether it writes.
--- /dev/null
+++ b/src/clients/session/mod.rs
@@ -0,0 +1,167 @@
+//! One client connection: statements in, answers out in the order of the statements.
+//!
+//! - `stream`: what a session needs of its connection beyond reading and writing;
+//! - `input`: reads messages, within limits of time and memory;
+//! - `accept`: decodes messages when they come, and submits their requests;
+//! - `respond`: waits for answers and writes them.
+//!
+//! A session never drops a request that it has accepted: each gets its answer, unless its client has left.
+
+mod accept;
+mod input;
+mod replies;
+mod respond;
+mod stream;
+
+pub use stream::ClientStream;
+
+use super::connection_gate::AdmittedConnection;
+use super::pipeline::{ClientMessage, Pipeline};
+use super::request_gateway::RequestGateway;
+use crate::close_reason::CloseReason;
+use crate::lifecycle::ServingState;
+use crate::pg::PgError;
+use crate::pg::frontend::{Answer as Reply, Frontend, FrontendCodec};
+use crate::stages::admit::Edge;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::watch;
+use tokio::time::{Instant, timeout_at};
+use tokio_util::codec::Framed;
+
+/// A client that has not sent its startup message by then is disconnected.
+const STARTUP_TIMEOUT: Duration = Duration::from_millis(3_500);
+
+/// Why no more of a client's input is decoded: what was accepted before is answered, then the connection ends.
+enum InputEnd {
+    /// The input breaks the protocol, or there was no memory for it.
+    Violation(PgError),
+    /// Too many malformed statements in a row.
+    Malformed,
+}
+
+struct Session<S> {
+    framed: Framed<S, FrontendCodec>,
+    gateway: Rc<RequestGateway>,
+    connection: AdmittedConnection,
+    /// Whether the process serves, drains or stops.
+    serving_state: watch::Receiver<ServingState>,
+    /// What came while an earlier request was being answered; requests run meanwhile, answers keep the order.
+    pipeline: Pipeline,
+    /// Since when input may lie unread because the pipeline was full. What is read from there on may have come as
+    /// early as that, and its client has waited since.
+    unread_since: Option<Instant>,
+    /// Length of a long message that has begun behind the request that is being answered. It is read after that.
+    announced_length: Option<usize>,
+    /// Set once no more input is decoded.
+    input_end: Option<InputEnd>,
+    /// An extended message came: everything up to the next Sync is ignored.
+    skips_to_sync: bool,
+    /// Malformed statements since the last request.
+    malformed_in_row: u32,
+    accepted_at: Instant,
+    /// Whether anything came after the startup message.
+    has_sent_message: bool,
+    /// Whether the startup message was answered.
+    is_started: bool,
+    /// Whether the connection was asked to close, to make room.
+    close_requested: bool,
+}
+
+/// Serves a connection to its end, and returns why it ended.
+pub async fn run<S: ClientStream>(
+    stream: S, gateway: Rc<RequestGateway>, connection: AdmittedConnection,
+    serving_state: watch::Receiver<ServingState>,
+) -> CloseReason {
+    let codec = FrontendCodec::new(gateway.message_memory());
+    let mut session = Session {
+        framed: Framed::new(stream, codec),
+        gateway,
+        connection,
+        serving_state,
+        pipeline: Pipeline::default(),
+        unread_since: None,
+        announced_length: None,
+        input_end: None,
+        skips_to_sync: false,
+        malformed_in_row: 0,
+        accepted_at: Instant::now(),
+        has_sent_message: false,
+        is_started: false,
+        close_requested: false,
+    };
+    let reason = match session.serve().await {
+        Ok(()) => CloseReason::Terminated,
+        Err(reason) => reason,
+    };
+    if matches!(reason, CloseReason::Protocol | CloseReason::EdgeFull) {
+        // From now on it counts as a connection without requests: it only waits for its last answer to be read.
+        session.connection.mark_started();
+        session.linger().await;
+    }
+    reason
+}
+
+impl<S: ClientStream> Session<S> {
+    async fn serve(&mut self) -> Result<(), CloseReason> {
+        self.start().await?;
+        loop {
+            let message = match self.pipeline.pop() {
+                Some(message) => message,
+                None => match self.read_message().await? {
+                    Some(message) => self.accept(message),
+                    None => return Err(CloseReason::PeerClosed),
+                },
+            };
+            if let ClientMessage::Terminate = message {
+                return Ok(());
+            }
+            self.respond(message).await?;
+        }
+    }
+
+    /// Reads and answers everything up to the startup message.
+    async fn start(&mut self) -> Result<(), CloseReason> {
+        let deadline = Instant::now() + STARTUP_TIMEOUT;
+        loop {
+            let message = timeout_at(deadline, self.read_message()).await;
+            match message.map_err(|_| CloseReason::StartupTimeout)?? {
+                None => return Err(CloseReason::PeerClosed),
+                Some(Frontend::Encryption) => self.send([Reply::NoEncryption]).await?,
+                Some(Frontend::Cancel) => return Err(CloseReason::CancelRequest),
+                Some(_) => {
+                    self.is_started = true;
+                    self.connection.mark_started();
+                    return self.send([Reply::Welcome, Reply::Ready]).await;
+                }
+            }
+        }
+    }
+
+    /// Answers the message whose turn it is.
+    async fn respond(&mut self, message: ClientMessage) -> Result<(), CloseReason> {
+        match message {
+            ClientMessage::Terminate | ClientMessage::Ignored => Ok(()),
+            ClientMessage::Sync => self.send([Reply::Ready]).await,
+            ClientMessage::Empty if !self.serving_state.borrow().reports_ready => {
+                self.send([replies::error("57P03", "standing by"), Reply::Ready]).await
+            }
+            ClientMessage::Empty => self.send([Reply::Empty, Reply::Ready]).await,
+            ClientMessage::Extended => {
+                self.send([replies::error("0A000", "the extended query protocol is not supported")]).await
+            }
+            ClientMessage::ConnectionRefused(retry_after, class) => {
+                let rejected = self.gateway.reject_unopened(Edge::Door, retry_after, class.as_deref());
+                self.send([replies::final_answer(rejected, true)]).await?;
+                Err(CloseReason::EdgeFull)
+            }
+            ClientMessage::Request(request) => {
+                self.connection.mark_busy();
+                let answered = self.answer_request(request).await;
+                self.connection.mark_idle();
+                answered
+            }
+            ClientMessage::Malformed(error) => self.send([error, Reply::Ready]).await,
+        }
+    }
+}
--- /dev/null
+++ b/src/clients/session/replies.rs
@@ -0,0 +1,40 @@
+//! Final answers and errors in the terms of PostgreSQL's protocol.
+
+use crate::close_reason::CloseReason;
+use crate::pg::PgError;
+use crate::pg::frontend::Answer as Reply;
+use crate::stages::Answer;
+
+/// An error after which the connection goes on. `code` is its SQLSTATE.
+pub(super) fn error(code: &'static str, message: impl ToString) -> Reply {
+    Reply::Error { fatal: false, code, message: message.to_string(), detail: None }
+}
+
+/// An error with which the connection ends. `code` is its SQLSTATE.
+pub(super) fn fatal(code: &'static str, message: impl ToString) -> Reply {
+    Reply::Error { fatal: true, code, message: message.to_string(), detail: None }
+}
+
+/// A final answer. Only a rejection uses SQLSTATE 53300; its detail is the time after which to retry, in milliseconds.
+pub(super) fn final_answer(answer: Answer, fatal: bool) -> Reply {
+    match answer {
+        Answer::Served(raw) => Reply::Raw(raw),
+        // The rest is streamed by whoever holds it.
+        Answer::Passing(flow) => Reply::Raw(flow.first),
+        Answer::Refused { retry_after } => Reply::Error {
+            fatal,
+            code: "53300",
+            message: "refused, try again".into(),
+            detail: retry_after.map(|span| span.0.div_ceil(1_000).to_string()),
+        },
+        Answer::Failed => error("08007", "failed, the outcome is not known"),
+    }
+}
+
+/// Why a connection ends that failed with `problem`.
+pub(super) fn close_reason(problem: &PgError) -> CloseReason {
+    match problem {
+        PgError::Io(_) => CloseReason::Io,
+        _ => CloseReason::Protocol,
+    }
+}
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -3,9 +3,9 @@
 use crate::admin::{self, Controls, OPERATORS};
 use crate::api;
 use crate::clients::connection_gate::ConnectionGate;
-use crate::clients::desk::Desk;
 use crate::clients::lifecycle_driver::LifecycleDriver;
 use crate::clients::listener;
+use crate::clients::request_gateway::RequestGateway;
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::connection_admission::AdmissionLimits;
@@ -121,7 +121,7 @@
     let intake = Intake::new(&site, clock);
     let admit =
         Admit::new(site.max_open, config.memory / MESSAGES_PART, (config.memory as f64 * LONG_PART) as usize);
-    let desk = Rc::new(Desk::new(intake, admit, book.clone(), inbox.clone()));
+    let gateway = Rc::new(RequestGateway::new(intake, admit, book.clone(), inbox.clone()));
     let subscribe = Rc::new(Notify::new());
     let version = known.as_ref().map_or(0, |k| k.version);
     let within = discovery::answer_within(site.settings.discovery);
@@ -169,7 +169,7 @@
     spawn_local(lifecycle.clone().run());
     let view = lifecycle.subscribe();
     let mut serving =
-        spawn_local(listener::run(listeners.clients, desk.clone(), connection_gate, view, counters));
+        spawn_local(listener::run(listeners.clients, gateway.clone(), connection_gate, view, counters));
     spawn_local(maintenance_log.clone().follow_file());
     if let Some(operators) = listeners.operators {
         spawn_local(admin::run(
@@ -190,7 +190,7 @@
     }
     let _ = lifecycle.handle(Event::Stop { handed_over: false });
     // Said once it holds: whoever reads it may count on it.
-    info!("stopping, {} requests held", desk.held());
+    info!("stopping, {} requests held", gateway.held_requests());
     let over = timeout(longest + PAST_LONGEST, &mut serving).await.is_ok();
     info!("stopped, {}", if over { "all answered" } else { "some still held" });
     Ok(())
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -9,8 +9,8 @@
 use linenhill::api::{Discovery, GroupId, MemberId, MemberState, Outcome, RequestId, Span, Time};
 use linenhill::budget::Budget;
 use linenhill::clients::connection_gate::{AdmittedConnection, ConnectionGate};
-use linenhill::clients::desk::Desk;
 use linenhill::clients::listener;
+use linenhill::clients::request_gateway::RequestGateway;
 use linenhill::clients::session;
 use linenhill::clock::Clock;
 use linenhill::close_reason::CloseReason;
@@ -125,15 +125,15 @@
 
 type Events = mpsc::UnboundedReceiver<Input>;
 
-/// A desk whose events are at hand.
-fn desk() -> (Rc<Desk>, Events) {
+/// A gateway whose events are at hand.
+fn gateway() -> (Rc<RequestGateway>, Events) {
     let text = include_str!("../examples/config.json");
     let config = Config::parse(text, Path::new("config.json"), Variables::default(), Reading::Start)
         .expect("a configuration");
     let (inbox, events) = mpsc::unbounded_channel();
     let intake = Intake::new(&config.site, Clock::start());
     let book = Book::new(Rc::new(Counters::default()), figures());
-    (Rc::new(Desk::new(intake, Admit::new(9, 256 * 1024, 1 << 20), book, inbox)), events)
+    (Rc::new(RequestGateway::new(intake, Admit::new(9, 256 * 1024, 1 << 20), book, inbox)), events)
 }
 
 fn figures() -> Rc<Figures> {
@@ -154,18 +154,18 @@
     ConnectionGate::new(admission_limits(max_served), Clock::start())
 }
 
-/// A session on one end of a stream, before this desk.
+/// A session on one end of a stream, before this gateway.
 fn before(
-    desk: &Rc<Desk>, seated: AdmittedConnection,
+    gateway: &Rc<RequestGateway>, connection: AdmittedConnection,
 ) -> (DuplexStream, impl Future<Output = CloseReason> + use<>, watch::Sender<ServingState>) {
     let (near, far) = duplex(4096);
     let (tell, serving_state) = watch::channel(SERVING);
-    (near, session::run(far, desk.clone(), seated, serving_state), tell)
+    (near, session::run(far, gateway.clone(), connection, serving_state), tell)
 }
 
 fn session() -> (DuplexStream, Events, impl Future<Output = CloseReason>, watch::Sender<ServingState>) {
-    let (desk, events) = desk();
-    let (near, session, tell) = before(&desk, connection_gate(9).admit().expect("a place"));
+    let (gateway, events) = gateway();
+    let (near, session, tell) = before(&gateway, connection_gate(9).admit().expect("a place"));
     (near, events, session, tell)
 }
 
@@ -218,10 +218,10 @@
 // Guards against a second request under the id of an open one, and against the first one's coming to harm.
 #[tokio::test(start_paused = true)]
 async fn the_id_of_an_open_request_is_taken() {
-    let (desk, mut events) = desk();
+    let (gateway, mut events) = gateway();
     let (connection_gate, ask) = (connection_gate(9), [STARTUP, &query("7", "list")].concat());
-    let (mut first, serve_first, _tell) = before(&desk, connection_gate.admit().expect("a place"));
-    let (mut second, serve_second, _tell2) = before(&desk, connection_gate.admit().expect("a place"));
+    let (mut first, serve_first, _tell) = before(&gateway, connection_gate.admit().expect("a place"));
+    let (mut second, serve_second, _tell2) = before(&gateway, connection_gate.admit().expect("a place"));
     let play = async {
         first.write_all(&ask).await.expect("written");
         let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
@@ -285,11 +285,11 @@
 // Guards against messages that together take more memory than there is.
 #[tokio::test(start_paused = true)]
 async fn without_memory_for_its_message_a_client_is_refused() {
-    let (desk, _events) = desk();
+    let (gateway, _events) = gateway();
     let connection_gate = connection_gate(9);
     let large = [STARTUP, b"Q", &(150u32 << 10).to_be_bytes(), b"/* "].concat();
-    let (mut first, serve_first, _tell) = before(&desk, connection_gate.admit().expect("a place"));
-    let (mut second, serve_second, _tell2) = before(&desk, connection_gate.admit().expect("a place"));
+    let (mut first, serve_first, _tell) = before(&gateway, connection_gate.admit().expect("a place"));
+    let (mut second, serve_second, _tell2) = before(&gateway, connection_gate.admit().expect("a place"));
     let play = async {
         first.write_all(&large).await.expect("written");
         sleep(Duration::from_millis(10)).await;
@@ -301,7 +301,7 @@
         drop(first);
     };
     tokio::join!(serve_first, serve_second, play);
-    assert!(desk.memory().enter_by(256 * 1024).is_some(), "all of it is given back");
+    assert!(gateway.message_memory().enter_by(256 * 1024).is_some(), "all of it is given back");
 }
 
 // Guards against connections that cost a descriptor for ever and never say a word.
@@ -344,7 +344,7 @@
 /// request on each and hold it, send nothing more once all 8 are held, unless some are closed.
 #[tokio::test]
 async fn clients_that_hold_connections_are_still_served() {
-    let (desk, mut events) = desk();
+    let (gateway, mut events) = gateway();
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
     let limits = AdmissionLimits { max_request_connections: 8, ..admission_limits(40) };
@@ -376,7 +376,7 @@
     let local = LocalSet::new();
     local.spawn_local(listener::run(
         listener,
-        desk,
+        gateway,
         connection_gate.clone(),
         serving_state,
         counters.clone(),
@@ -394,8 +394,8 @@
 #[tokio::test(start_paused = true)]
 async fn who_is_told_to_leave_leaves_between_requests() {
     let connection_gate = connection_gate(1);
-    let (desk, mut events) = desk();
-    let (mut near, session, _tell) = before(&desk, connection_gate.admit().expect("a place"));
+    let (gateway, mut events) = gateway();
+    let (mut near, session, _tell) = before(&gateway, connection_gate.admit().expect("a place"));
     let client = async {
         near.write_all(b"\0\0\0\x08\0\x03\0\0").await.expect("written");
         let query = b"Q\0\0\0\x2f/* id=1,c=list,d=900,cluster=1 */ SELECT 1\0";
@@ -417,8 +417,8 @@
 async fn who_is_told_to_leave_amid_a_message_is_waited_for_a_moment() {
     for (ends, spoken) in [(true, true), (false, true), (false, false)] {
         let connection_gate = connection_gate(1);
-        let (desk, mut events) = desk();
-        let (mut near, session, _tell) = before(&desk, connection_gate.admit().expect("a place"));
+        let (gateway, mut events) = gateway();
+        let (mut near, session, _tell) = before(&gateway, connection_gate.admit().expect("a place"));
         let client = async {
             let whole = if spoken { [STARTUP, &query("1", "list")].concat() } else { STARTUP.to_vec() };
             let cut = if spoken { STARTUP.len() + 9 } else { 3 };
