--- a/src/lib.rs
+++ b/src/lib.rs
@@ -23,13 +23,13 @@
 pub mod discovery;
 pub mod figures;
 pub mod fleet;
-pub mod members;
 pub mod peek;
 pub mod pg;
 pub mod proxy;
 pub mod request;
 pub mod stages;
 pub mod takeover;
+pub mod upstream;
 
 /// README's example is compiled with the tests.
 #[cfg(doctest)]
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -17,7 +17,6 @@
 use crate::fleet::Shares;
 use crate::fleet::outages;
 use crate::lifecycle::Event;
-use crate::members::pool::Pool;
 use crate::policy::Router;
 use crate::stages::Input;
 use crate::stages::admit::Admit;
@@ -27,6 +26,7 @@
 use crate::stages::route::Route;
 use crate::stages::send::Sender;
 use crate::takeover::maintenance_log::{self, MaintenanceLog};
+use crate::upstream::pool::Pool;
 use crate::watch_schedule::WatchSchedule;
 use linenhill_cluster::member::Fleet;
 use log::info;
@@ -104,7 +104,7 @@
     let idle_close = Duration::from_micros(limits.idle_close.0);
     let connect = Duration::from_micros(limits.connect_timeout.0).max(Duration::from_millis(1));
     let shares = listeners.together.as_ref().map(|(shares, ..)| shares.clone()).unwrap_or_default();
-    let pool = Pool::bound(share(MEMBERS_PART), idle_close, connect, counters.clone(), shares.clone());
+    let pool = Pool::with_quota(share(MEMBERS_PART), idle_close, connect, counters.clone(), shares.clone());
     let (inbox, events) = mpsc::unbounded_channel();
     let figures = Rc::new(Figures::new(site.class_names()));
     let book = Book::new(counters.clone(), figures.clone());
@@ -152,8 +152,8 @@
     spawn_local(discovery::run(discovery, trigger, kept, inbox, calls, within, chance));
     let kept = status.clone();
     spawn_local(async move { kept.log_silence().await });
-    spawn_local(pool.clone().follow_shares());
-    spawn_local(pool.look_after());
+    spawn_local(pool.clone().run_quota_enforcement());
+    spawn_local(pool.run_sweeper());
     let lifecycle = LifecycleDriver::new(clock);
     let together = listeners.together.as_ref().map(|(_, fleet, _)| fleet.clone());
     if let Some((_, fleet, reached)) = listeners.together {
--- a/src/stages/route.rs
+++ b/src/stages/route.rs
@@ -11,8 +11,8 @@
 use crate::discovery::list::{Listing, Names, News, Server};
 use crate::fleet::Shares;
 use crate::maintenance::{EffectiveState, ListedMember, Maintenance};
-use crate::members::pool::Pool;
 use crate::policy::Router;
+use crate::upstream::pool::Pool;
 use linenhill_decisions::outages::{Cause, Sight};
 use log::{error, info};
 use std::cell::RefCell;
@@ -213,7 +213,7 @@
         let router = &self.router;
         self.names.retain(|member| router.knows(member));
         self.pool.retain(|member| router.knows(member));
-        self.pool.admit(|member| router.takes_new(member));
+        self.pool.set_accepting(|member| router.takes_new(member));
     }
 
     fn entries(&mut self, listing: Listing) -> Arc<Vec<ListEntry>> {
@@ -237,8 +237,8 @@
         } else {
             self.listed.insert(name.clone(), (server, entry.member));
         }
-        self.pool.locate(entry.member, addr);
-        self.pool.name(entry.member, &name);
+        self.pool.set_address(entry.member, addr);
+        self.pool.set_name(entry.member, &name);
         let now = self.clock.now();
         let listed =
             ListedMember { id: &name, group: entry.group, state: entry.state, started: entry.started };
--- a/src/stages/send.rs
+++ b/src/stages/send.rs
@@ -3,9 +3,9 @@
 use super::Input;
 use super::book::Book;
 use crate::api::{Ended, LoadReport, MemberId, Outcome, RequestId, Span};
-use crate::members::attempt::{self, Ending, Errand};
-use crate::members::pool::Pool;
 use crate::request::Payload;
+use crate::upstream::attempt::{self, AttemptOutcome, AttemptRequest};
+use crate::upstream::pool::Pool;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -48,28 +48,36 @@
         let (inbox, started) = (self.inbox.clone(), Instant::now());
         let Some(job) = self.jobs.get_mut(&id) else {
             // Not one of ours, or long over: it was never sent.
-            let _ = inbox.send(ended(id, 0, member, started, Ending::of(Outcome::Ignored)));
+            let _ =
+                inbox.send(ended(id, 0, member, started, AttemptOutcome::without_response(Outcome::Ignored)));
             return;
         };
         let number = job.sent;
         job.sent += 1;
         if job.over.get() || number >= self.most || started >= job.deadline {
-            let _ = inbox.send(ended(id, number, member, started, Ending::of(Outcome::Ignored)));
+            let _ = inbox.send(ended(
+                id,
+                number,
+                member,
+                started,
+                AttemptOutcome::without_response(Outcome::Ignored),
+            ));
             return;
         }
         let (call_off, called_off) = oneshot::channel();
         job.out.insert(number, call_off);
-        let until = match timeout.filter(|t| t.0 > 0) {
+        let deadline = match timeout.filter(|t| t.0 > 0) {
             Some(t) => job.deadline.min(started + Duration::from_micros(t.0)),
             None => job.deadline,
         };
-        let (payload, over) = (job.payload.clone(), job.over.clone());
-        let errand = Errand { member, payload, until, repeat: number > 0, over };
+        let (payload, is_request_over) = (job.payload.clone(), job.over.clone());
+        let attempt_request =
+            AttemptRequest { member, payload, deadline, is_retry: number > 0, is_request_over };
         let (pool, book) = (self.pool.clone(), self.book.clone());
         let counted = book.clone();
         book.sent();
         tokio::task::spawn_local(async move {
-            let ending = attempt::run(pool, errand, called_off, || counted.written()).await;
+            let ending = attempt::run(pool, attempt_request, called_off, || counted.written()).await;
             book.ended(ending.outcome);
             let _ = inbox.send(ended(id, number, member, started, ending));
         });
@@ -120,8 +128,8 @@
     }
 }
 
-fn ended(id: RequestId, attempt: u32, member: MemberId, started: Instant, ending: Ending) -> Input {
-    let Ending { outcome, value, position, role, report } = ending;
+fn ended(id: RequestId, attempt: u32, member: MemberId, started: Instant, ending: AttemptOutcome) -> Input {
+    let AttemptOutcome { outcome, value, position, role, report } = ending;
     let latency = Span(started.elapsed().as_micros() as u64);
     let closed = false;
     let end = Ended { id, attempt, member, outcome, latency, closed, position, role, report };
--- a/src/members/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -3,11 +3,11 @@
 use crate::api::{LoadReport, MemberId, Outcome, Role, Time};
 use crate::close_reason::CloseReason;
 use crate::fleet::Unit;
-use crate::members::link::{Link, Reply, Rest};
-use crate::members::pool::Pool;
-use crate::members::report;
 use crate::request::Payload;
 use crate::stages::{Flow, Passed, Value};
+use crate::upstream::connection::{MemberConnection, StatementReply, StreamEvent};
+use crate::upstream::pool::Pool;
+use crate::upstream::report;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -16,27 +16,27 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 /// Parts of a long answer that may wait for the client to take them.
-const WINDOW: usize = 4;
+const STREAM_WINDOW: usize = 4;
 
 /// A long answer has passed by then, however slowly it is given or taken: its connection is not held for ever.
-const PASSED_WITHIN: Duration = Duration::from_secs(60);
+const STREAM_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// What is to be done.
-pub struct Errand {
+pub struct AttemptRequest {
     /// Where.
     pub member: MemberId,
     /// What is sent.
     pub payload: Payload,
     /// When waiting ends.
-    pub until: Instant,
+    pub deadline: Instant,
     /// It is not the request's first attempt.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// The request is over: answered, or its client has left. What is not written by then is not written any more.
-    pub over: Rc<Cell<bool>>,
+    pub is_request_over: Rc<Cell<bool>>,
 }
 
 /// How it ended.
-pub struct Ending {
+pub struct AttemptOutcome {
     /// The outcome.
     pub outcome: Outcome,
     /// The answer to relay, when served.
@@ -49,10 +49,10 @@
     pub report: LoadReport,
 }
 
-impl Ending {
+impl AttemptOutcome {
     /// An ending that tells nothing more.
-    pub fn of(outcome: Outcome) -> Ending {
-        Ending { outcome, value: None, position: None, role: None, report: LoadReport::default() }
+    pub fn without_response(outcome: Outcome) -> AttemptOutcome {
+        AttemptOutcome { outcome, value: None, position: None, role: None, report: LoadReport::default() }
     }
 }
 
@@ -72,54 +72,55 @@
 }
 
 /// A connection: an idle one, or a new one.
-async fn link(pool: &Pool, member: MemberId) -> Result<Link, Outcome> {
-    if let Some(link) = pool.take(member) {
+async fn open_or_reuse(pool: &Pool, member: MemberId) -> Result<MemberConnection, Outcome> {
+    if let Some(link) = pool.checkout(member) {
         return Ok(link);
     }
-    let addr = pool.addr(member).ok_or(Outcome::ConnectError)?;
+    let addr = pool.address(member).ok_or(Outcome::ConnectError)?;
     // Without a descriptor left nothing is known against the member.
-    let place = pool.place().ok_or(Outcome::Ignored)?;
-    let unit = pool.connection(member).ok_or(Outcome::Ignored)?;
-    let mut link = Link::open(addr, place, pool.connect_timeout()).await?;
+    let place = pool.reserve_descriptor().ok_or(Outcome::Ignored)?;
+    let unit = pool.connection_permit(member).ok_or(Outcome::Ignored)?;
+    let mut link = MemberConnection::open(addr, place, pool.connect_timeout()).await?;
     // Whatever a member says before it was asked would be taken for the answer.
-    if let Some(reason) = link.unfit_now() {
-        link.reason().set(reason);
+    if let Some(reason) = link.unusable_now() {
+        link.close_reason().set(reason);
         return Err(Outcome::ConnectError);
     }
-    link.hold(unit);
+    link.hold_permit(unit);
     Ok(link)
 }
 
 async fn exchange(
-    pool: &Pool, member: MemberId, over: &Cell<bool>, statement: impl FnOnce() -> (Bytes, Bytes),
+    pool: &Pool, member: MemberId, is_request_over: &Cell<bool>, statement: impl FnOnce() -> (Bytes, Bytes),
     progress: &Progress, unit: impl FnOnce() -> Option<Unit>, written: impl FnOnce(),
-) -> Result<(Reply, Option<Link>), Outcome> {
+) -> Result<(StatementReply, Option<MemberConnection>), Outcome> {
     // The list may tell of a drain while a connection comes up: what was decided before it is not sent after it. Nor is
     // what nobody waits for any more: that takes no leave to call off work at a member, where there is none yet.
-    let open = || if pool.admits(member) && !over.get() { Ok(()) } else { Err(Outcome::Ignored) };
+    let open =
+        || if pool.is_accepting(member) && !is_request_over.get() { Ok(()) } else { Err(Outcome::Ignored) };
     open()?;
-    let mut link = link(pool, member).await?;
-    if over.get() && pool.admits(member) {
-        pool.give(member, link);
+    let mut link = open_or_reuse(pool, member).await?;
+    if is_request_over.get() && pool.is_accepting(member) {
+        pool.put_back(member, link);
         return Err(Outcome::Ignored);
     }
     open()?;
-    *progress.reason.borrow_mut() = Some(link.reason());
+    *progress.reason.borrow_mut() = Some(link.close_reason());
     // The shares are asked at the moment of use: a process that was stopped finds its lease over here.
     let Some(_unit) = unit() else {
-        pool.give(member, link);
+        pool.put_back(member, link);
         return Err(Outcome::Ignored);
     };
     let (head, tail) = statement();
-    link.write(head, tail).await?;
+    link.write_statement(head, tail).await?;
     progress.written.set(true);
     written();
-    let reply = link.read().await;
-    if reply.passing {
+    let reply = link.read_reply().await;
+    if reply.is_streaming {
         return Ok((reply, Some(link)));
     }
-    if reply.reusable {
-        pool.give(member, link);
+    if reply.is_reusable {
+        pool.put_back(member, link);
     }
     Ok((reply, None))
 }
@@ -127,61 +128,61 @@
 /// Runs an attempt until it is answered, called off or out of time. Its connection is closed, or back in the
 /// pool, before this returns: nothing of a request is out once its ending is known. `written` is told once its last byte is.
 pub async fn run(
-    pool: Pool, errand: Errand, called_off: oneshot::Receiver<()>, written: impl FnOnce(),
-) -> Ending {
-    let Errand { member, payload, until, repeat, over } = errand;
+    pool: Pool, attempt_request: AttemptRequest, called_off: oneshot::Receiver<()>, written: impl FnOnce(),
+) -> AttemptOutcome {
+    let AttemptRequest { member, payload, deadline, is_retry, is_request_over } = attempt_request;
     let progress = Progress::default();
     let statement = || {
-        let left = until.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         payload.pieces((left.as_millis() as u64).max(1))
     };
-    let unit = || if repeat && !pool.shares().repeat() { None } else { pool.attempt(member) };
-    let work = exchange(&pool, member, &over, statement, &progress, unit, written);
+    let unit = || if is_retry && !pool.shares().repeat() { None } else { pool.attempt_permit(member) };
+    let work = exchange(&pool, member, &is_request_over, statement, &progress, unit, written);
     tokio::pin!(work);
     tokio::select! {
         biased;
         done = &mut work => match done {
-            Ok((Reply { outcome, raw, position, role, report, .. }, link)) => {
+            Ok((StatementReply { outcome, raw, position, role, report, .. }, link)) => {
                 let value = (outcome == Outcome::Ok).then(|| match link {
                     None => Value::Whole(raw),
                     Some(link) => {
-                        let (give, rest) = mpsc::channel(WINDOW);
+                        let (give, rest) = mpsc::channel(STREAM_WINDOW);
                         tokio::task::spawn_local(pass(pool.clone(), member, link, give));
                         Value::Passing(Flow { first: raw, rest })
                     }
                 });
-                Ending { outcome, value, position, role, report }
+                AttemptOutcome { outcome, value, position, role, report }
             }
-            Err(outcome) => Ending::of(outcome),
+            Err(outcome) => AttemptOutcome::without_response(outcome),
         },
         _ = called_off => {
             progress.explain(CloseReason::Cancelled);
-            Ending::of(Outcome::Cancelled)
+            AttemptOutcome::without_response(Outcome::Cancelled)
         }
-        () = sleep_until(until) => {
+        () = sleep_until(deadline) => {
             progress.explain(CloseReason::TimedOut);
             // What was never written whole can't have run.
-            Ending::of(if progress.written.get() { Outcome::TimedOut } else { Outcome::Ignored })
+            AttemptOutcome::without_response(if progress.written.get() { Outcome::TimedOut } else { Outcome::Ignored })
         }
     }
 }
 
 /// Passes the rest of a long answer on as it comes and as it is taken. The request has its answer already: what
 /// breaks here is for the client to see.
-async fn pass(pool: Pool, member: MemberId, mut link: Link, give: mpsc::Sender<Passed>) {
-    let by = Instant::now() + PASSED_WITHIN;
+async fn pass(pool: Pool, member: MemberId, mut link: MemberConnection, give: mpsc::Sender<Passed>) {
+    let by = Instant::now() + STREAM_TIMEOUT;
     loop {
-        let passed = match link.rest().await {
-            Rest::Part(part) => Passed::Part(part),
-            Rest::Whole(end) => Passed::Whole(end),
-            Rest::Ready => return pool.give(member, link),
-            Rest::Broken => return,
+        let passed = match link.next_chunk().await {
+            StreamEvent::Chunk(part) => Passed::Part(part),
+            StreamEvent::End(end) => Passed::Whole(end),
+            StreamEvent::Ready => return pool.put_back(member, link),
+            StreamEvent::Broken => return,
         };
         let whole = matches!(passed, Passed::Whole(_));
         let given = timeout_at(by, give.send(passed)).await;
         let late = given.is_err() || Instant::now() >= by;
         if (late || !matches!(given, Ok(Ok(())))) && !whole {
-            link.reason().set(if late { CloseReason::TimedOut } else { CloseReason::Cancelled });
+            link.close_reason().set(if late { CloseReason::TimedOut } else { CloseReason::Cancelled });
             return;
         }
     }
@@ -199,8 +200,8 @@
     };
     match done {
         // No report is that long.
-        Ok((Reply { passing: true, .. }, _)) => (Outcome::Garbled, LoadReport::default()),
-        Ok((Reply { outcome, column, report: told, .. }, _)) => {
+        Ok((StatementReply { is_streaming: true, .. }, _)) => (Outcome::Garbled, LoadReport::default()),
+        Ok((StatementReply { outcome, column, report: told, .. }, _)) => {
             let column = column.and_then(|c| String::from_utf8(c.to_vec()).ok());
             (outcome, column.map_or(told, |text| report::parse(&text)))
         }
--- a/src/members/link.rs
+++ b/src/upstream/connection.rs
@@ -4,10 +4,10 @@
 use crate::budget::Place;
 use crate::close_reason::{CloseReason, Side, log_close};
 use crate::fleet::Unit;
-use crate::members::report;
 use crate::peek::{Unread, unread};
 use crate::pg::PgError;
 use crate::pg::backend::{Backend, BackendCodec, Command};
+use crate::upstream::report;
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
 use std::cell::Cell;
@@ -22,27 +22,27 @@
 /// An answer that has begun says more within this long, or its rest will never come.
 const ANSWER_GAP: Duration = Duration::from_millis(250);
 /// Of a long answer that is passed on, more comes within this long, or nothing more will: peers take seconds.
-const PART_WITHIN: Duration = Duration::from_secs(10);
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(10);
 /// A buffer that grew past this is given back after the answer.
-const BUFFER_KEPT: usize = 32 * 1024;
+const MAX_KEPT_BUFFER: usize = 32 * 1024;
 
 /// An open connection; its end is logged when it is dropped.
-pub struct Link {
+pub struct MemberConnection {
     framed: Framed<TcpStream, BackendCodec>,
     addr: SocketAddr,
     reason: Rc<Cell<CloseReason>>,
-    _place: Place,
-    _unit: Unit,
+    _descriptor: Place,
+    _quota: Unit,
 }
 
-impl Drop for Link {
+impl Drop for MemberConnection {
     fn drop(&mut self) {
         log_close(Side::Member, self.addr, self.reason.get());
     }
 }
 
 /// What came back for one statement.
-pub struct Reply {
+pub struct StatementReply {
     /// How it ended.
     pub outcome: Outcome,
     /// Description, row and completion, as they came.
@@ -56,17 +56,17 @@
     /// Its report.
     pub report: LoadReport,
     /// The connection can carry the next statement.
-    pub reusable: bool,
+    pub is_reusable: bool,
     /// Only the beginning is there: the rest is to be passed on.
-    pub passing: bool,
+    pub is_streaming: bool,
 }
 
 /// What comes of the rest of a long answer.
-pub enum Rest {
+pub enum StreamEvent {
     /// More of it.
-    Part(Bytes),
+    Chunk(Bytes),
     /// Its end, as it came.
-    Whole(Bytes),
+    End(Bytes),
     /// The connection can carry the next statement.
     Ready,
     /// Nothing more comes.
@@ -75,16 +75,16 @@
 
 /// How far an answer has come.
 #[derive(Clone, Copy)]
-enum Stage {
-    Begin,
-    Described,
-    Rowed,
-    Over(Outcome),
+enum ReplyStage {
+    AwaitingDescription,
+    AwaitingRow,
+    AwaitingCompletion,
+    AwaitingReady(Outcome),
 }
 
-impl Reply {
+impl StatementReply {
     /// Notes what a parameter tells; one that can't be read tells nothing.
-    fn note(&mut self, name: &[u8], value: &[u8]) {
+    fn record_parameter(&mut self, name: &[u8], value: &[u8]) {
         let text = std::str::from_utf8(value).unwrap_or("");
         match name {
             b"lsn_ms" => {
@@ -108,9 +108,9 @@
     }
 }
 
-impl Link {
+impl MemberConnection {
     /// Opens a connection and waits until the member is ready on it, `within` so long in all.
-    pub async fn open(addr: SocketAddr, place: Place, within: Duration) -> Result<Link, Outcome> {
+    pub async fn open(addr: SocketAddr, place: Place, within: Duration) -> Result<MemberConnection, Outcome> {
         let by = Instant::now() + within;
         let stream = match timeout_at(by, TcpStream::connect(addr)).await {
             Ok(Ok(stream)) => stream,
@@ -123,14 +123,14 @@
         };
         let _ = stream.set_nodelay(true);
         let reason = Rc::new(Cell::new(CloseReason::ConnectTimeout));
-        let mut link = Link {
+        let mut link = MemberConnection {
             framed: Framed::new(stream, BackendCodec::default()),
             addr,
             reason,
-            _place: place,
-            _unit: Unit::default(),
+            _descriptor: place,
+            _quota: Unit::default(),
         };
-        match timeout_at(by, link.greet()).await {
+        match timeout_at(by, link.start_session()).await {
             Ok(Ok(())) => {
                 link.reason.set(CloseReason::Cancelled);
                 Ok(link)
@@ -143,7 +143,7 @@
         }
     }
 
-    async fn greet(&mut self) -> Result<(), (Outcome, CloseReason)> {
+    async fn start_session(&mut self) -> Result<(), (Outcome, CloseReason)> {
         let broken = (Outcome::ConnectError, CloseReason::Reset);
         self.framed.send(Command::Startup).await.map_err(|_| broken)?;
         loop {
@@ -161,8 +161,8 @@
     }
 
     /// It counts as a unit of a budget until it is closed.
-    pub fn hold(&mut self, unit: Unit) {
-        self._unit = unit;
+    pub fn hold_permit(&mut self, unit: Unit) {
+        self._quota = unit;
     }
 
     /// Where it leads.
@@ -171,12 +171,12 @@
     }
 
     /// The reason that will be logged, for whoever ends the connection.
-    pub fn reason(&self) -> Rc<Cell<CloseReason>> {
+    pub fn close_reason(&self) -> Rc<Cell<CloseReason>> {
         self.reason.clone()
     }
 
     /// Why it can't carry a statement, if so: an idle connection is open and silent.
-    pub fn unfit(&self) -> Option<CloseReason> {
+    pub fn unusable(&self) -> Option<CloseReason> {
         let mut byte = [0u8; 1];
         match self.framed.get_ref().try_read(&mut byte) {
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
@@ -189,8 +189,8 @@
 
     /// The same by the machine's word, not the runtime's: what came since the runtime last looked counts. Asked right
     /// before a statement is written.
-    pub fn unfit_now(&self) -> Option<CloseReason> {
-        self.unfit().or_else(|| match unread(self.framed.get_ref()) {
+    pub fn unusable_now(&self) -> Option<CloseReason> {
+        self.unusable().or_else(|| match unread(self.framed.get_ref()) {
             Unread::Nothing => None,
             Unread::Bytes => Some(CloseReason::Protocol),
             Unread::End => Some(CloseReason::PeerClosed),
@@ -198,7 +198,7 @@
     }
 
     /// Writes a statement whole; it has not run if this fails.
-    pub async fn write(&mut self, head: Bytes, tail: Bytes) -> Result<(), Outcome> {
+    pub async fn write_statement(&mut self, head: Bytes, tail: Bytes) -> Result<(), Outcome> {
         let sent = if tail.is_empty() {
             self.framed.send(Command::Query(head)).await
         } else {
@@ -220,13 +220,13 @@
     }
 
     /// The rest of a long answer, as it comes.
-    pub async fn rest(&mut self) -> Rest {
+    pub async fn next_chunk(&mut self) -> StreamEvent {
         loop {
-            let problem = match timeout(PART_WITHIN, self.framed.next()).await {
-                Ok(Some(Ok(Backend::Part(part)))) => return Rest::Part(part),
-                Ok(Some(Ok(Backend::Complete(end)))) => return Rest::Whole(end),
-                Ok(Some(Ok(Backend::Ready))) => match self.unfit() {
-                    None => return Rest::Ready,
+            let problem = match timeout(CHUNK_TIMEOUT, self.framed.next()).await {
+                Ok(Some(Ok(Backend::Part(part)))) => return StreamEvent::Chunk(part),
+                Ok(Some(Ok(Backend::Complete(end)))) => return StreamEvent::End(end),
+                Ok(Some(Ok(Backend::Ready))) => match self.unusable() {
+                    None => return StreamEvent::Ready,
                     Some(reason) => reason,
                 },
                 Ok(Some(Ok(Backend::Parameter { .. } | Backend::Other))) => continue,
@@ -237,12 +237,12 @@
                 Err(_) => CloseReason::TimedOut,
             };
             self.reason.set(problem);
-            return Rest::Broken;
+            return StreamEvent::Broken;
         }
     }
 
     /// The next message of an answer. It may take any time to begin, but not to go on once it has begun.
-    async fn next(&mut self, begun: bool) -> Option<Result<Backend, PgError>> {
+    async fn next_message(&mut self, begun: bool) -> Option<Result<Backend, PgError>> {
         let mut there = self.framed.read_buffer().len();
         loop {
             if let Ok(next) = timeout(ANSWER_GAP, self.framed.next()).await {
@@ -257,48 +257,52 @@
 
     /// Reads the answer to the statement written: a description, a row and a completion, or an error, and
     /// then ready. Anything else is garbled: it may have run, and the connection is of no further use.
-    pub async fn read(&mut self) -> Reply {
+    pub async fn read_reply(&mut self) -> StatementReply {
         let mut raw = BytesMut::new();
-        let mut reply = Reply {
+        let mut reply = StatementReply {
             outcome: Outcome::Reset,
             raw: Bytes::new(),
             column: None,
             position: None,
             role: None,
             report: LoadReport::default(),
-            reusable: false,
-            passing: false,
+            is_reusable: false,
+            is_streaming: false,
         };
-        let mut stage = Stage::Begin;
+        let mut stage = ReplyStage::AwaitingDescription;
         let broken = loop {
-            let begun = !matches!(stage, Stage::Begin);
-            match (stage, self.next(begun).await) {
-                (Stage::Begin, Some(Ok(Backend::Description(part)))) => {
-                    stage = Stage::Described;
+            let begun = !matches!(stage, ReplyStage::AwaitingDescription);
+            match (stage, self.next_message(begun).await) {
+                (ReplyStage::AwaitingDescription, Some(Ok(Backend::Description(part)))) => {
+                    stage = ReplyStage::AwaitingRow;
                     raw.extend_from_slice(&part);
                 }
-                (Stage::Described, Some(Ok(Backend::Row { raw: part, value }))) => {
-                    stage = Stage::Rowed;
+                (ReplyStage::AwaitingRow, Some(Ok(Backend::Row { raw: part, value }))) => {
+                    stage = ReplyStage::AwaitingCompletion;
                     reply.column = Some(value);
                     raw.extend_from_slice(&part);
                 }
-                (Stage::Described, Some(Ok(Backend::RowBegins(part)))) => {
+                (ReplyStage::AwaitingRow, Some(Ok(Backend::RowBegins(part)))) => {
                     raw.extend_from_slice(&part);
-                    (reply.outcome, reply.raw, reply.passing) = (Outcome::Ok, raw.freeze(), true);
+                    (reply.outcome, reply.raw, reply.is_streaming) = (Outcome::Ok, raw.freeze(), true);
                     return reply;
                 }
-                (Stage::Rowed, Some(Ok(Backend::Complete(part)))) => {
-                    stage = Stage::Over(Outcome::Ok);
+                (ReplyStage::AwaitingCompletion, Some(Ok(Backend::Complete(part)))) => {
+                    stage = ReplyStage::AwaitingReady(Outcome::Ok);
                     raw.extend_from_slice(&part);
                 }
                 // A command that returns nothing has run, but leaves nothing to pass on.
-                (Stage::Begin, Some(Ok(Backend::Complete(_)))) => stage = Stage::Over(Outcome::Failed),
-                (Stage::Begin, Some(Ok(Backend::Error(code)))) => stage = Stage::Over(outcome(&code)),
-                (Stage::Over(outcome), Some(Ok(Backend::Ready))) => {
+                (ReplyStage::AwaitingDescription, Some(Ok(Backend::Complete(_)))) => {
+                    stage = ReplyStage::AwaitingReady(Outcome::Failed)
+                }
+                (ReplyStage::AwaitingDescription, Some(Ok(Backend::Error(code)))) => {
+                    stage = ReplyStage::AwaitingReady(outcome(&code))
+                }
+                (ReplyStage::AwaitingReady(outcome), Some(Ok(Backend::Ready))) => {
                     reply.outcome = outcome;
                     break None;
                 }
-                (_, Some(Ok(Backend::Parameter { name, value }))) => reply.note(&name, &value),
+                (_, Some(Ok(Backend::Parameter { name, value }))) => reply.record_parameter(&name, &value),
                 (_, Some(Ok(Backend::Other))) => {}
                 (_, None | Some(Err(PgError::Io(_)))) => break Some((Outcome::Reset, CloseReason::Reset)),
                 _ => break Some((Outcome::Garbled, CloseReason::Protocol)),
@@ -310,18 +314,18 @@
                 reply.outcome = outcome;
             }
             // More than the answer is served, but what comes next on this connection is not to be trusted.
-            None => match self.unfit() {
+            None => match self.unusable() {
                 Some(reason) => self.reason.set(reason),
-                None => reply.reusable = true,
+                None => reply.is_reusable = true,
             },
         }
         if reply.outcome == Outcome::Ok {
             reply.raw = raw.freeze();
         }
-        if self.framed.read_buffer().capacity() > BUFFER_KEPT && self.framed.read_buffer().is_empty() {
+        if self.framed.read_buffer().capacity() > MAX_KEPT_BUFFER && self.framed.read_buffer().is_empty() {
             *self.framed.read_buffer_mut() = BytesMut::with_capacity(8 * 1024);
         }
-        if self.framed.write_buffer().capacity() > BUFFER_KEPT && self.framed.write_buffer().is_empty() {
+        if self.framed.write_buffer().capacity() > MAX_KEPT_BUFFER && self.framed.write_buffer().is_empty() {
             *self.framed.write_buffer_mut() = BytesMut::with_capacity(8 * 1024);
         }
         reply
--- a/src/members/pool.rs
+++ b/src/upstream/pool.rs
@@ -6,7 +6,7 @@
 use crate::close_reason::CloseReason;
 use crate::counters::Counters;
 use crate::fleet::{Shares, Unit};
-use crate::members::link::Link;
+use crate::upstream::connection::MemberConnection;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 #[derive(Default)]
 struct Slot {
     addr: Option<SocketAddr>,
-    idle: Vec<(Link, Instant)>,
+    idle: Vec<(MemberConnection, Instant)>,
     /// Nothing new may reach the member: it drains or is gone.
     closed: bool,
     name: String,
@@ -46,11 +46,11 @@
 impl Pool {
     /// Holds at most `most` connections; members close idle ones after `idle_close`.
     pub fn new(most: usize, idle_close: Duration, connect: Duration, counters: Rc<Counters>) -> Pool {
-        Pool::bound(most, idle_close, connect, counters, Shares::default())
+        Pool::with_quota(most, idle_close, connect, counters, Shares::default())
     }
 
     /// The same, within this proxy's shares of the fleet's budgets.
-    pub fn bound(
+    pub fn with_quota(
         most: usize, idle_close: Duration, connect: Duration, counters: Rc<Counters>, shares: Shares,
     ) -> Pool {
         let retire = idle_close.mul_f64(RETIRE_PART);
@@ -59,7 +59,7 @@
     }
 
     /// Says where a member listens; connections to where it listened before are given back.
-    pub fn locate(&self, member: MemberId, addr: SocketAddr) {
+    pub fn set_address(&self, member: MemberId, addr: SocketAddr) {
         let moved = {
             let mut slots = self.0.slots.borrow_mut();
             let slot = slots.entry(member).or_default();
@@ -69,7 +69,7 @@
     }
 
     /// Says a member's name, by which the fleet knows it.
-    pub fn name(&self, member: MemberId, name: &str) {
+    pub fn set_name(&self, member: MemberId, name: &str) {
         let mut slots = self.0.slots.borrow_mut();
         let slot = slots.entry(member).or_default();
         if slot.name.is_empty() {
@@ -83,12 +83,12 @@
     }
 
     /// Room for a connection to a member, and for an attempt there, in this proxy's shares; taken at once.
-    pub fn connection(&self, member: MemberId) -> Option<Unit> {
+    pub fn connection_permit(&self, member: MemberId) -> Option<Unit> {
         self.named(member, |shares, name| shares.connection(name))
     }
 
     /// Room for an attempt at a member.
-    pub fn attempt(&self, member: MemberId) -> Option<Unit> {
+    pub fn attempt_permit(&self, member: MemberId) -> Option<Unit> {
         self.named(member, |shares, name| shares.attempt(name))
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Ends idle connections beyond what the shares allow, as they shrink or run out.
-    pub async fn follow_shares(self) {
+    pub async fn run_quota_enforcement(self) {
         loop {
             self.0.shares.changed().await;
             let mut over = Vec::new();
@@ -127,17 +127,17 @@
     }
 
     /// Says which members take anything new. What was decided before and is not on its way yet stays here.
-    pub fn admit(&self, takes_new: impl Fn(MemberId) -> bool) {
+    pub fn set_accepting(&self, takes_new: impl Fn(MemberId) -> bool) {
         self.0.slots.borrow_mut().iter_mut().for_each(|(member, slot)| slot.closed = !takes_new(*member));
     }
 
     /// Whether anything new may reach a member.
-    pub fn admits(&self, member: MemberId) -> bool {
+    pub fn is_accepting(&self, member: MemberId) -> bool {
         self.0.slots.borrow().get(&member).is_some_and(|slot| !slot.closed)
     }
 
     /// Where a member listens.
-    pub fn addr(&self, member: MemberId) -> Option<SocketAddr> {
+    pub fn address(&self, member: MemberId) -> Option<SocketAddr> {
         self.0.slots.borrow().get(&member)?.addr
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// The idle connection that was used last, if one is still good and has rested.
-    pub fn take(&self, member: MemberId) -> Option<Link> {
+    pub fn checkout(&self, member: MemberId) -> Option<MemberConnection> {
         loop {
             let (link, since) = {
                 let mut slots = self.0.slots.borrow_mut();
@@ -155,43 +155,43 @@
                 let rested = idle.iter().rposition(|(_, since)| since.elapsed() >= REST)?;
                 idle.remove(rested)
             };
-            if self.over(member) {
+            if self.is_over_quota(member) {
                 // The share has shrunk or run out, perhaps while this process was stopped: it is not used again.
-                link.reason().set(CloseReason::GivenBack);
+                link.close_reason().set(CloseReason::GivenBack);
             } else if since.elapsed() >= self.0.retire {
-                link.reason().set(CloseReason::Retired);
-            } else if let Some(reason) = link.unfit_now() {
-                link.reason().set(reason);
+                link.close_reason().set(CloseReason::Retired);
+            } else if let Some(reason) = link.unusable_now() {
+                link.close_reason().set(reason);
             } else {
-                link.reason().set(CloseReason::Cancelled);
+                link.close_reason().set(CloseReason::Cancelled);
                 return Some(link);
             }
         }
     }
 
     /// Whether more connections to a member are open than this proxy's shares allow.
-    fn over(&self, member: MemberId) -> bool {
+    fn is_over_quota(&self, member: MemberId) -> bool {
         self.named(member, |shares, name| Some(shares.excess(name) > 0)).unwrap_or(false)
     }
 
     /// Keeps a connection for the next use, unless it is one more than the shares allow: used on and on, it would
     /// outlive its lease for ever.
-    pub fn give(&self, member: MemberId, link: Link) {
-        if self.over(member) {
-            return link.reason().set(CloseReason::GivenBack);
+    pub fn put_back(&self, member: MemberId, link: MemberConnection) {
+        if self.is_over_quota(member) {
+            return link.close_reason().set(CloseReason::GivenBack);
         }
         let mut slots = self.0.slots.borrow_mut();
         match slots.get_mut(&member).filter(|s| s.addr == Some(link.addr())) {
             Some(slot) => {
-                link.reason().set(CloseReason::GivenBack);
+                link.close_reason().set(CloseReason::GivenBack);
                 slot.idle.push((link, Instant::now()));
             }
-            None => link.reason().set(CloseReason::GivenBack),
+            None => link.close_reason().set(CloseReason::GivenBack),
         }
     }
 
     /// Room for one more connection, made if need be by ending the one that was idle longest.
-    pub fn place(&self) -> Option<Place> {
+    pub fn reserve_descriptor(&self) -> Option<Place> {
         if let Some(place) = self.0.budget.enter() {
             self.0.counters.links.add();
             return Some(place);
@@ -219,9 +219,9 @@
         for slot in self.0.slots.borrow_mut().values_mut() {
             for (link, since) in std::mem::take(&mut slot.idle) {
                 let old = (since.elapsed() >= self.0.retire).then_some(CloseReason::Retired);
-                match old.or_else(|| link.unfit()) {
+                match old.or_else(|| link.unusable()) {
                     Some(reason) => {
-                        link.reason().set(reason);
+                        link.close_reason().set(reason);
                         ended.push(link);
                     }
                     None => slot.idle.push((link, since)),
@@ -231,7 +231,7 @@
     }
 
     /// Sweeps for as long as the program runs.
-    pub async fn look_after(self) {
+    pub async fn run_sweeper(self) {
         loop {
             tokio::time::sleep(SWEEP_EVERY).await;
             self.sweep();
@@ -239,6 +239,6 @@
     }
 }
 
-fn end(links: impl IntoIterator<Item = (Link, Instant)>, reason: CloseReason) {
-    links.into_iter().for_each(|(link, _)| link.reason().set(reason));
+fn end(links: impl IntoIterator<Item = (MemberConnection, Instant)>, reason: CloseReason) {
+    links.into_iter().for_each(|(link, _)| link.close_reason().set(reason));
 }
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -21,9 +21,6 @@
 use linenhill::figures::Figures;
 use linenhill::lifecycle::ServingState;
 use linenhill::maintenance::{ListedMember, Maintenance};
-use linenhill::members::attempt::{self, Errand};
-use linenhill::members::link::Link;
-use linenhill::members::pool::Pool;
 use linenhill::policy::Router;
 use linenhill::request::Payload;
 use linenhill::stages::admit::Admit;
@@ -34,6 +31,9 @@
 use linenhill::stages::send::Sender;
 use linenhill::stages::{Answer, Input};
 use linenhill::takeover::{maintenance_log::MaintenanceLog, saved};
+use linenhill::upstream::attempt::{self, AttemptRequest};
+use linenhill::upstream::connection::MemberConnection;
+use linenhill::upstream::pool::Pool;
 use std::cell::RefCell;
 use std::io::{Read, Write};
 use std::path::Path;
@@ -533,17 +533,17 @@
         for (idle_close, kept) in [(Duration::ZERO, false), (Duration::from_secs(3_600), true)] {
             let (m, long) = (MemberId(1), Duration::from_secs(60));
             let pool = Pool::new(1, idle_close, long, Rc::new(Counters::default()));
-            pool.locate(m, at);
-            let place = pool.place().expect("a place");
-            let Ok(link) = Link::open(at, place, long).await else { panic!("no link") };
-            assert!(pool.place().is_none(), "the one place is in use");
+            pool.set_address(m, at);
+            let place = pool.reserve_descriptor().expect("a place");
+            let Ok(link) = MemberConnection::open(at, place, long).await else { panic!("no link") };
+            assert!(pool.reserve_descriptor().is_none(), "the one place is in use");
             tokio::time::pause();
-            pool.give(m, link);
-            assert!(pool.take(m).is_none(), "more than the answer may still be on the way");
+            pool.put_back(m, link);
+            assert!(pool.checkout(m).is_none(), "more than the answer may still be on the way");
             tokio::time::advance(Duration::from_millis(3)).await;
-            assert_eq!(pool.take(m).map(|l| pool.give(m, l)).is_some(), kept);
-            assert!(pool.place().is_some(), "an idle link makes room");
-            assert!(pool.take(m).is_none());
+            assert_eq!(pool.checkout(m).map(|l| pool.put_back(m, l)).is_some(), kept);
+            assert!(pool.reserve_descriptor().is_some(), "an idle link makes room");
+            assert!(pool.checkout(m).is_none());
             tokio::time::resume();
         }
     };
@@ -568,14 +568,14 @@
         });
         let (m, long) = (MemberId(1), Duration::from_secs(60));
         let pool = Pool::new(1, Duration::from_secs(3_600), long, Rc::new(Counters::default()));
-        pool.locate(m, at);
-        let place = pool.place().expect("a place");
-        let Ok(link) = Link::open(at, place, long).await else { panic!("no link") };
+        pool.set_address(m, at);
+        let place = pool.reserve_descriptor().expect("a place");
+        let Ok(link) = MemberConnection::open(at, place, long).await else { panic!("no link") };
         let mut far = greeted.join().expect("a member");
-        pool.give(m, link);
+        pool.put_back(m, link);
         // Longer than it rests.
         std::thread::sleep(Duration::from_millis(5));
-        assert!(pool.take(m).map(|link| pool.give(m, link)).is_some(), "nothing came");
+        assert!(pool.checkout(m).map(|link| pool.put_back(m, link)).is_some(), "nothing came");
         if how == "resets" {
             socket2::SockRef::from(&far).set_linger(Some(Duration::ZERO)).expect("set");
         }
@@ -589,7 +589,7 @@
         // Written is not arrived, on a busy machine.
         let used = |_: &u32| {
             std::thread::sleep(Duration::from_millis(5));
-            pool.take(m).map(|link| pool.give(m, link)).is_some()
+            pool.checkout(m).map(|link| pool.put_back(m, link)).is_some()
         };
         assert!((0..1_000).take_while(used).count() < 1_000, "{how}: it is used on and on");
         drop(kept);
@@ -604,22 +604,23 @@
         let (m, long) = (MemberId(1), Duration::from_secs(60));
         let pool = Pool::new(2, long, long, Rc::new(Counters::default()));
         for drains in [true, false] {
-            pool.locate(m, listener.local_addr().expect("an address"));
-            pool.admit(|_| true);
+            pool.set_address(m, listener.local_addr().expect("an address"));
+            pool.set_accepting(|_| true);
             let payload = Payload::cut(&Bytes::from_static(b"/* d=9 */ SELECT 1"), 5..6);
-            let errand = Errand {
+            let attempt_request = AttemptRequest {
                 member: m,
                 payload,
-                until: tokio::time::Instant::now() + long,
-                repeat: false,
-                over: Rc::default(),
+                deadline: tokio::time::Instant::now() + long,
+                is_retry: false,
+                is_request_over: Rc::default(),
             };
             let (_call_off, called_off) = tokio::sync::oneshot::channel();
-            let run = tokio::task::spawn_local(attempt::run(pool.clone(), errand, called_off, || ()));
+            let run =
+                tokio::task::spawn_local(attempt::run(pool.clone(), attempt_request, called_off, || ()));
             let (mut far, _) = listener.accept().await.expect("a connection");
             let length = far.read_u32().await.expect("a length") as usize;
             far.read_exact(&mut vec![0; length - 4]).await.expect("a startup message");
-            pool.admit(|_| !drains);
+            pool.set_accepting(|_| !drains);
             far.write_all(&[typed(b'R', &[0; 4]), typed(b'Z', b"I")].concat()).await.expect("written");
             let first = far.read_u8().await.ok();
             assert_eq!(first, (!drains).then_some(b'Q'), "drains: {drains}");
@@ -651,10 +652,10 @@
     let proxy = async {
         let long = Duration::from_secs(60);
         let place = Budget::new(1).enter().expect("a place");
-        let Ok(mut link) = Link::open(at, place, long).await else { panic!("no link") };
-        link.write(b"SELECT 1".as_slice().into(), Bytes::new()).await.expect("written");
-        let reply = link.read().await;
-        (reply.outcome, reply.report.position, reply.reusable)
+        let Ok(mut link) = MemberConnection::open(at, place, long).await else { panic!("no link") };
+        link.write_statement(b"SELECT 1".as_slice().into(), Bytes::new()).await.expect("written");
+        let reply = link.read_reply().await;
+        (reply.outcome, reply.report.position, reply.is_reusable)
     };
     let (reply, ()) = tokio::join!(proxy, member);
     reply
@@ -735,14 +736,14 @@
             list(version, id);
             sleep(second).await;
         }
-        assert!(pool.addr(MemberId(0)).is_some(), "it may come back");
+        assert!(pool.address(MemberId(0)).is_some(), "it may come back");
         sleep(60 * second).await;
         list(3, "new");
         sleep(second).await;
-        assert!(pool.addr(MemberId(0)).is_none() && pool.addr(MemberId(1)).is_some());
+        assert!(pool.address(MemberId(0)).is_none() && pool.address(MemberId(1)).is_some());
         list(4, "newest");
         sleep(second).await;
-        assert!(pool.addr(MemberId(0)).is_none() && pool.addr(MemberId(2)).is_some());
+        assert!(pool.address(MemberId(0)).is_none() && pool.address(MemberId(2)).is_some());
     };
     let run = async {
         tokio::select! {
