--- a/src/stages/send.rs
+++ b/src/stages/send.rs
@@ -129,9 +129,9 @@
 }
 
 fn ended(id: RequestId, attempt: u32, member: MemberId, started: Instant, ending: AttemptOutcome) -> Input {
-    let AttemptOutcome { outcome, value, position, role, report } = ending;
+    let AttemptOutcome { outcome, response, position, role, report } = ending;
     let latency = Span(started.elapsed().as_micros() as u64);
     let closed = false;
     let end = Ended { id, attempt, member, outcome, latency, closed, position, role, report };
-    Input::Ended(end, value)
+    Input::Ended(end, response)
 }
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -1,12 +1,18 @@
-//! The life of one attempt: a connection, the statement, the answer; or its end before that.
+//! One attempt at a member: obtain a connection, write the statement, read the reply.
+//!
+//! An attempt ends when it is answered, cancelled or past its deadline, and yields exactly one [`AttemptOutcome`].
+//! It must never write a statement whose request is over, whose member accepts nothing new, or for which this proxy
+//! holds no quota; and it must never leave a connection open that still owes an answer, except to the task that
+//! forwards the rest of a long one.
 
 use crate::api::{LoadReport, MemberId, Outcome, Role, Time};
 use crate::close_reason::CloseReason;
 use crate::fleet::Unit;
 use crate::request::Payload;
 use crate::stages::{Flow, Passed, Value};
-use crate::upstream::connection::{MemberConnection, StatementReply, StreamEvent};
+use crate::upstream::connection::{MemberConnection, StreamEvent};
 use crate::upstream::pool::Pool;
+use crate::upstream::reply::StatementReply;
 use crate::upstream::report;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
@@ -15,196 +21,250 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Parts of a long answer that may wait for the client to take them.
+/// Chunks of a long answer that may wait for the client to take them.
 const STREAM_WINDOW: usize = 4;
 
-/// A long answer has passed by then, however slowly it is given or taken: its connection is not held for ever.
+/// Time in which a long answer is forwarded, however slow the member or the client: it must not occupy its connection
+/// for ever.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What is to be done.
+/// The statement that asks a member for its load report.
+const HEALTH_STATEMENT: &[u8] = b"SHOW health";
+
+/// The attempt to make.
 pub struct AttemptRequest {
-    /// Where.
+    /// The member to send to.
     pub member: MemberId,
-    /// What is sent.
+    /// The request to send.
     pub payload: Payload,
-    /// When waiting ends.
+    /// When the attempt times out.
     pub deadline: Instant,
-    /// It is not the request's first attempt.
+    /// Whether the request had an attempt before this one.
     pub is_retry: bool,
-    /// The request is over: answered, or its client has left. What is not written by then is not written any more.
+    /// Set once the request is answered or its client has left. A statement not yet written then is never written.
     pub is_request_over: Rc<Cell<bool>>,
 }
 
-/// How it ended.
+/// How an attempt ended.
 pub struct AttemptOutcome {
     /// The outcome.
     pub outcome: Outcome,
-    /// The answer to relay, when served.
-    pub value: Option<Value>,
-    /// The member's position, or a write's commit.
+    /// The response to relay; set when `outcome` is [`Outcome::Ok`].
+    pub response: Option<Value>,
+    /// The member's replication position, or the commit position of a write.
     pub position: Option<Time>,
-    /// Its role.
+    /// The member's role.
     pub role: Option<Role>,
-    /// Its report.
+    /// The member's load report.
     pub report: LoadReport,
 }
 
 impl AttemptOutcome {
-    /// An ending that tells nothing more.
+    /// An outcome about which the member said nothing.
     pub fn without_response(outcome: Outcome) -> AttemptOutcome {
-        AttemptOutcome { outcome, value: None, position: None, role: None, report: LoadReport::default() }
+        AttemptOutcome { outcome, response: None, position: None, role: None, report: LoadReport::default() }
     }
 }
 
-/// What the outside may need to know of a run: whether the statement is written, and whose end to explain.
+/// What the code that ends an exchange from outside needs to know of it.
 #[derive(Default)]
-struct Progress {
-    written: Cell<bool>,
-    reason: RefCell<Option<Rc<Cell<CloseReason>>>>,
+struct ExchangeProgress {
+    /// Whether the whole statement was written, so that it may have run.
+    is_written: Cell<bool>,
+    /// The close reason of the connection in use, once there is one.
+    close_reason: RefCell<Option<Rc<Cell<CloseReason>>>>,
 }
 
-impl Progress {
-    fn explain(&self, why: CloseReason) {
-        if let Some(reason) = self.reason.borrow().as_ref() {
-            reason.set(why);
+impl ExchangeProgress {
+    /// Sets the reason under which the connection in use is logged when the exchange is dropped.
+    fn set_close_reason(&self, reason: CloseReason) {
+        if let Some(close_reason) = self.close_reason.borrow().as_ref() {
+            close_reason.set(reason);
         }
     }
 }
 
-/// A connection: an idle one, or a new one.
-async fn open_or_reuse(pool: &Pool, member: MemberId) -> Result<MemberConnection, Outcome> {
-    if let Some(link) = pool.checkout(member) {
-        return Ok(link);
+/// The reply, and the connection if the rest of a long answer is still to come on it.
+type ExchangeReply = (StatementReply, Option<MemberConnection>);
+
+/// One statement to one member.
+struct Exchange<'a> {
+    pool: &'a Pool,
+    member: MemberId,
+    is_request_over: &'a Cell<bool>,
+    progress: &'a ExchangeProgress,
+}
+
+impl Exchange<'_> {
+    /// Writes a statement and reads the reply. `acquire_permit` and `render` are called right before the statement is
+    /// written, `on_written` right after. An error is the outcome of a statement that has not run.
+    async fn run(
+        &self, acquire_permit: impl FnOnce() -> Option<Unit>, render: impl FnOnce() -> (Bytes, Bytes),
+        on_written: impl FnOnce(),
+    ) -> Result<ExchangeReply, Outcome> {
+        self.check_sendable()?;
+        let mut connection = open_or_reuse(self.pool, self.member).await?;
+        // The connection itself is good: only the request is over.
+        if self.is_request_over.get() && self.pool.is_accepting(self.member) {
+            self.pool.put_back(self.member, connection);
+            return Err(Outcome::Ignored);
+        }
+        self.check_sendable()?;
+        *self.progress.close_reason.borrow_mut() = Some(connection.close_reason());
+        // The quota is checked at the moment of use: a process that was stopped finds its lease expired here.
+        let Some(_permit) = acquire_permit() else {
+            self.pool.put_back(self.member, connection);
+            return Err(Outcome::Ignored);
+        };
+        let (head, tail) = render();
+        connection.write_statement(head, tail).await?;
+        self.progress.is_written.set(true);
+        on_written();
+        let reply = connection.read_reply().await;
+        if reply.is_streaming {
+            return Ok((reply, Some(connection)));
+        }
+        if reply.is_reusable {
+            self.pool.put_back(self.member, connection);
+        }
+        Ok((reply, None))
     }
-    let addr = pool.address(member).ok_or(Outcome::ConnectError)?;
-    // Without a descriptor left nothing is known against the member.
-    let place = pool.reserve_descriptor().ok_or(Outcome::Ignored)?;
-    let unit = pool.connection_permit(member).ok_or(Outcome::Ignored)?;
-    let mut link = MemberConnection::open(addr, place, pool.connect_timeout()).await?;
-    // Whatever a member says before it was asked would be taken for the answer.
-    if let Some(reason) = link.unusable_now() {
-        link.close_reason().set(reason);
-        return Err(Outcome::ConnectError);
+
+    /// Whether the statement may still be sent. Checked again once the connection is up: in the meantime a list may
+    /// have announced a drain, or the request may be over. Ending it here needs no permission to cancel, since
+    /// nothing has reached the member.
+    fn check_sendable(&self) -> Result<(), Outcome> {
+        let sendable = self.pool.is_accepting(self.member) && !self.is_request_over.get();
+        if sendable { Ok(()) } else { Err(Outcome::Ignored) }
     }
-    link.hold_permit(unit);
-    Ok(link)
 }
 
-async fn exchange(
-    pool: &Pool, member: MemberId, is_request_over: &Cell<bool>, statement: impl FnOnce() -> (Bytes, Bytes),
-    progress: &Progress, unit: impl FnOnce() -> Option<Unit>, written: impl FnOnce(),
-) -> Result<(StatementReply, Option<MemberConnection>), Outcome> {
-    // The list may tell of a drain while a connection comes up: what was decided before it is not sent after it. Nor is
-    // what nobody waits for any more: that takes no leave to call off work at a member, where there is none yet.
-    let open =
-        || if pool.is_accepting(member) && !is_request_over.get() { Ok(()) } else { Err(Outcome::Ignored) };
-    open()?;
-    let mut link = open_or_reuse(pool, member).await?;
-    if is_request_over.get() && pool.is_accepting(member) {
-        pool.put_back(member, link);
-        return Err(Outcome::Ignored);
-    }
-    open()?;
-    *progress.reason.borrow_mut() = Some(link.close_reason());
-    // The shares are asked at the moment of use: a process that was stopped finds its lease over here.
-    let Some(_unit) = unit() else {
-        pool.put_back(member, link);
-        return Err(Outcome::Ignored);
-    };
-    let (head, tail) = statement();
-    link.write_statement(head, tail).await?;
-    progress.written.set(true);
-    written();
-    let reply = link.read_reply().await;
-    if reply.is_streaming {
-        return Ok((reply, Some(link)));
+/// An idle connection of the pool, or else a new one.
+async fn open_or_reuse(pool: &Pool, member: MemberId) -> Result<MemberConnection, Outcome> {
+    if let Some(connection) = pool.checkout(member) {
+        return Ok(connection);
     }
-    if reply.is_reusable {
-        pool.put_back(member, link);
+    let address = pool.address(member).ok_or(Outcome::ConnectError)?;
+    // A proxy without a free descriptor or quota learns nothing about the member.
+    let descriptor = pool.reserve_descriptor().ok_or(Outcome::Ignored)?;
+    let permit = pool.connection_permit(member).ok_or(Outcome::Ignored)?;
+    let mut connection = MemberConnection::open(address, descriptor, pool.connect_timeout()).await?;
+    // Bytes that a member sends before the statement would be taken for the reply.
+    if let Some(reason) = connection.unusable_reason_now() {
+        connection.close_reason().set(reason);
+        return Err(Outcome::ConnectError);
     }
-    Ok((reply, None))
+    connection.hold_permit(permit);
+    Ok(connection)
 }
 
-/// Runs an attempt until it is answered, called off or out of time. Its connection is closed, or back in the
-/// pool, before this returns: nothing of a request is out once its ending is known. `written` is told once its last byte is.
+/// Runs an attempt until it is answered, cancelled or past its deadline. `on_written` is called once the last byte
+/// of the statement is written.
+///
+/// When this returns, the attempt's connection is closed or back in the pool, so the request has nothing in flight
+/// there. The exception is a long answer, whose connection is passed to a task that forwards the rest.
 pub async fn run(
-    pool: Pool, attempt_request: AttemptRequest, called_off: oneshot::Receiver<()>, written: impl FnOnce(),
+    pool: Pool, attempt_request: AttemptRequest, cancelled: oneshot::Receiver<()>, on_written: impl FnOnce(),
 ) -> AttemptOutcome {
     let AttemptRequest { member, payload, deadline, is_retry, is_request_over } = attempt_request;
-    let progress = Progress::default();
-    let statement = || {
-        let left = deadline.saturating_duration_since(Instant::now());
-        payload.pieces((left.as_millis() as u64).max(1))
+    let progress = ExchangeProgress::default();
+    let acquire_permit = || {
+        if is_retry && !pool.shares().repeat() {
+            return None;
+        }
+        pool.attempt_permit(member)
+    };
+    let render = || {
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        let time_left_ms = time_left.as_millis() as u64;
+        payload.pieces(time_left_ms.max(1))
     };
-    let unit = || if is_retry && !pool.shares().repeat() { None } else { pool.attempt_permit(member) };
-    let work = exchange(&pool, member, &is_request_over, statement, &progress, unit, written);
-    tokio::pin!(work);
+    let exchange = Exchange { pool: &pool, member, is_request_over: &is_request_over, progress: &progress };
+    let running = exchange.run(acquire_permit, render, on_written);
+    tokio::pin!(running);
+    // Biased: a reply that is ready in the same turn as the cancellation or the deadline counts.
     tokio::select! {
         biased;
-        done = &mut work => match done {
-            Ok((StatementReply { outcome, raw, position, role, report, .. }, link)) => {
-                let value = (outcome == Outcome::Ok).then(|| match link {
-                    None => Value::Whole(raw),
-                    Some(link) => {
-                        let (give, rest) = mpsc::channel(STREAM_WINDOW);
-                        tokio::task::spawn_local(pass(pool.clone(), member, link, give));
-                        Value::Passing(Flow { first: raw, rest })
-                    }
-                });
-                AttemptOutcome { outcome, value, position, role, report }
-            }
+        result = &mut running => match result {
+            Ok(reply) => answered(&pool, member, reply),
             Err(outcome) => AttemptOutcome::without_response(outcome),
         },
-        _ = called_off => {
-            progress.explain(CloseReason::Cancelled);
+        _ = cancelled => {
+            progress.set_close_reason(CloseReason::Cancelled);
             AttemptOutcome::without_response(Outcome::Cancelled)
         }
         () = sleep_until(deadline) => {
-            progress.explain(CloseReason::TimedOut);
-            // What was never written whole can't have run.
-            AttemptOutcome::without_response(if progress.written.get() { Outcome::TimedOut } else { Outcome::Ignored })
+            progress.set_close_reason(CloseReason::TimedOut);
+            // A statement that was not written to its end can't have run.
+            let outcome = if progress.is_written.get() { Outcome::TimedOut } else { Outcome::Ignored };
+            AttemptOutcome::without_response(outcome)
         }
     }
 }
 
-/// Passes the rest of a long answer on as it comes and as it is taken. The request has its answer already: what
-/// breaks here is for the client to see.
-async fn pass(pool: Pool, member: MemberId, mut link: MemberConnection, give: mpsc::Sender<Passed>) {
-    let by = Instant::now() + STREAM_TIMEOUT;
+/// The outcome of an attempt that has a reply. A connection that came with it carries the rest of a long answer,
+/// which a new task forwards.
+fn answered(pool: &Pool, member: MemberId, (reply, connection): ExchangeReply) -> AttemptOutcome {
+    let StatementReply { outcome, raw, position, role, report, .. } = reply;
+    let response = (outcome == Outcome::Ok).then(|| match connection {
+        None => Value::Whole(raw),
+        Some(connection) => {
+            let (chunks, rest) = mpsc::channel(STREAM_WINDOW);
+            tokio::task::spawn_local(forward_rest(pool.clone(), member, connection, chunks));
+            Value::Passing(Flow { first: raw, rest })
+        }
+    });
+    AttemptOutcome { outcome, response, position, role, report }
+}
+
+/// Forwards the rest of a long answer as the member sends it and the client takes it, then puts the connection back.
+/// The attempt has its outcome already: a stream that breaks here is visible to the client only.
+async fn forward_rest(
+    pool: Pool, member: MemberId, mut connection: MemberConnection, chunks: mpsc::Sender<Passed>,
+) {
+    let deadline = Instant::now() + STREAM_TIMEOUT;
     loop {
-        let passed = match link.next_chunk().await {
-            StreamEvent::Chunk(part) => Passed::Part(part),
-            StreamEvent::End(end) => Passed::Whole(end),
-            StreamEvent::Ready => return pool.put_back(member, link),
+        let chunk = match connection.next_chunk().await {
+            StreamEvent::Chunk(bytes) => Passed::Part(bytes),
+            StreamEvent::End(bytes) => Passed::Whole(bytes),
+            StreamEvent::Ready => return pool.put_back(member, connection),
             StreamEvent::Broken => return,
         };
-        let whole = matches!(passed, Passed::Whole(_));
-        let given = timeout_at(by, give.send(passed)).await;
-        let late = given.is_err() || Instant::now() >= by;
-        if (late || !matches!(given, Ok(Ok(())))) && !whole {
-            link.close_reason().set(if late { CloseReason::TimedOut } else { CloseReason::Cancelled });
-            return;
+        let is_end = matches!(chunk, Passed::Whole(_));
+        let delivery = timeout_at(deadline, chunks.send(chunk)).await;
+        let is_late = delivery.is_err() || Instant::now() >= deadline;
+        let is_delivered = matches!(delivery, Ok(Ok(())));
+        // After the end only the member's readiness is awaited, whether the client took the end or not.
+        if is_end || (is_delivered && !is_late) {
+            continue;
         }
+        let reason = if is_late { CloseReason::TimedOut } else { CloseReason::Cancelled };
+        connection.close_reason().set(reason);
+        return;
     }
 }
 
-/// Asks a member for its report.
+/// Asks a member for its load report. Takes as long as a new connection may take, at most.
 pub async fn probe(pool: Pool, member: MemberId) -> (Outcome, LoadReport) {
-    let progress = Progress::default();
-    let statement = || (Bytes::from_static(b"SHOW health"), Bytes::new());
-    let unit = || pool.shares().probe().then(Unit::default);
-    let never = Cell::new(false);
-    let work = exchange(&pool, member, &never, statement, &progress, unit, || ());
-    let Ok(done) = tokio::time::timeout(pool.connect_timeout(), work).await else {
+    let progress = ExchangeProgress::default();
+    let never_over = Cell::new(false);
+    let acquire_permit = || pool.shares().probe().then(Unit::default);
+    let render = || (Bytes::from_static(HEALTH_STATEMENT), Bytes::new());
+    let exchange = Exchange { pool: &pool, member, is_request_over: &never_over, progress: &progress };
+    let running = exchange.run(acquire_permit, render, || ());
+    let Ok(result) = tokio::time::timeout(pool.connect_timeout(), running).await else {
         return (Outcome::TimedOut, LoadReport::default());
     };
-    match done {
-        // No report is that long.
-        Ok((StatementReply { is_streaming: true, .. }, _)) => (Outcome::Garbled, LoadReport::default()),
-        Ok((StatementReply { outcome, column, report: told, .. }, _)) => {
-            let column = column.and_then(|c| String::from_utf8(c.to_vec()).ok());
-            (outcome, column.map_or(told, |text| report::parse(&text)))
-        }
+    match result {
+        // No report is long enough to be streamed.
+        Ok((reply, _)) if reply.is_streaming => (Outcome::Garbled, LoadReport::default()),
+        Ok((reply, _)) => (reply.outcome, probe_report(reply)),
         Err(outcome) => (outcome, LoadReport::default()),
     }
 }
+
+/// The report in the reply's column, or else the one that a parameter gave.
+fn probe_report(reply: StatementReply) -> LoadReport {
+    let column = reply.column.and_then(|column| String::from_utf8(column.to_vec()).ok());
+    column.map_or(reply.report, |text| report::parse(&text))
+}
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -1,16 +1,21 @@
-//! One connection to a member.
+//! One connection to a member, which carries one statement at a time: opens the session, writes a statement, reads
+//! the reply, and forwards the rest of a long answer in chunks.
+//!
+//! It must never read a byte as part of a reply that the member sent before the statement, nor report a connection as
+//! reusable on which anything is still to come. Its end is logged once, under the reason set last.
 
-use crate::api::{LoadReport, Outcome, Role, Time};
+use crate::api::Outcome;
 use crate::budget::Place;
 use crate::close_reason::{CloseReason, Side, log_close};
 use crate::fleet::Unit;
 use crate::peek::{Unread, unread};
 use crate::pg::PgError;
 use crate::pg::backend::{Backend, BackendCodec, Command};
-use crate::upstream::report;
+use crate::upstream::reply::{ReplyAssembler, ReplyProgress, StatementReply, outcome_of};
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
 use std::cell::Cell;
+use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,198 +24,161 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use tokio_util::codec::Framed;
 
-/// An answer that has begun says more within this long, or its rest will never come.
+/// A reply that has begun continues within this time, or its rest is not coming.
 const ANSWER_GAP: Duration = Duration::from_millis(250);
-/// Of a long answer that is passed on, more comes within this long, or nothing more will: peers take seconds.
+/// The longest time between two chunks of a long answer. Longer than [`ANSWER_GAP`], since members may pause for
+/// seconds within one.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(10);
-/// A buffer that grew past this is given back after the answer.
+/// A buffer that grew beyond this many bytes is released after the reply.
 const MAX_KEPT_BUFFER: usize = 32 * 1024;
+/// The size of a new buffer, in bytes: the codec's own default.
+const INITIAL_BUFFER: usize = 8 * 1024;
 
-/// An open connection; its end is logged when it is dropped.
+/// An open connection. Dropping it closes the socket, logs the close reason, and returns the descriptor and the quota
+/// permit.
 pub struct MemberConnection {
     framed: Framed<TcpStream, BackendCodec>,
-    addr: SocketAddr,
-    reason: Rc<Cell<CloseReason>>,
+    address: SocketAddr,
+    close_reason: Rc<Cell<CloseReason>>,
     _descriptor: Place,
-    _quota: Unit,
+    _permit: Unit,
 }
 
 impl Drop for MemberConnection {
     fn drop(&mut self) {
-        log_close(Side::Member, self.addr, self.reason.get());
+        log_close(Side::Member, self.address, self.close_reason.get());
     }
 }
 
-/// What came back for one statement.
-pub struct StatementReply {
-    /// How it ended.
-    pub outcome: Outcome,
-    /// Description, row and completion, as they came.
-    pub raw: Bytes,
-    /// The row's column.
-    pub column: Option<Bytes>,
-    /// The member's position, or a write's commit.
-    pub position: Option<Time>,
-    /// Its role.
-    pub role: Option<Role>,
-    /// Its report.
-    pub report: LoadReport,
-    /// The connection can carry the next statement.
-    pub is_reusable: bool,
-    /// Only the beginning is there: the rest is to be passed on.
-    pub is_streaming: bool,
-}
-
-/// What comes of the rest of a long answer.
+/// The next event of a long answer whose beginning was read.
 pub enum StreamEvent {
-    /// More of it.
+    /// A chunk of the value.
     Chunk(Bytes),
-    /// Its end, as it came.
+    /// The completion, as the member sent it: the answer is whole.
     End(Bytes),
-    /// The connection can carry the next statement.
+    /// The connection can carry another statement.
     Ready,
-    /// Nothing more comes.
+    /// Nothing more comes: the connection is of no further use.
     Broken,
 }
 
-/// How far an answer has come.
-#[derive(Clone, Copy)]
-enum ReplyStage {
-    AwaitingDescription,
-    AwaitingRow,
-    AwaitingCompletion,
-    AwaitingReady(Outcome),
+/// Why the session of a new connection could not be opened.
+struct SessionError {
+    outcome: Outcome,
+    close_reason: CloseReason,
 }
 
-impl StatementReply {
-    /// Notes what a parameter tells; one that can't be read tells nothing.
-    fn record_parameter(&mut self, name: &[u8], value: &[u8]) {
-        let text = std::str::from_utf8(value).unwrap_or("");
-        match name {
-            b"lsn_ms" => {
-                let ms = text.parse::<u64>().ok().filter(|ms| *ms > 0);
-                self.position = ms.map(|ms| Time(ms.saturating_mul(1_000)));
-            }
-            b"recovery" if text == "off" => self.role = Some(Role::Primary),
-            b"recovery" if text == "on" => self.role = Some(Role::Replica),
-            b"health" => self.report = report::parse(text),
-            _ => {}
-        }
-    }
-}
+impl SessionError {
+    /// The connection failed, or what came on it can't be read.
+    const BROKEN: SessionError =
+        SessionError { outcome: Outcome::ConnectError, close_reason: CloseReason::Reset };
 
-/// The outcome that an error's SQLSTATE stands for.
-fn outcome(code: &[u8]) -> Outcome {
-    match code {
-        b"25006" | b"72000" => Outcome::Miss,
-        b"53300" | b"57P03" => Outcome::QueueFull,
-        _ => Outcome::Failed,
+    /// The member answered the startup with an error.
+    fn rejected(sqlstate: &[u8]) -> SessionError {
+        let outcome = match outcome_of(sqlstate) {
+            Outcome::QueueFull => Outcome::QueueFull,
+            _ => Outcome::ConnectError,
+        };
+        SessionError { outcome, close_reason: CloseReason::TurnedAway }
     }
 }
 
 impl MemberConnection {
-    /// Opens a connection and waits until the member is ready on it, `within` so long in all.
-    pub async fn open(addr: SocketAddr, place: Place, within: Duration) -> Result<MemberConnection, Outcome> {
-        let by = Instant::now() + within;
-        let stream = match timeout_at(by, TcpStream::connect(addr)).await {
-            Ok(Ok(stream)) => stream,
-            failed => {
-                let refused = failed.is_ok();
-                let reason = if refused { CloseReason::Refused } else { CloseReason::ConnectTimeout };
-                log_close(Side::Member, addr, reason);
-                return Err(Outcome::ConnectError);
-            }
-        };
+    /// Opens a connection and waits until the member is ready for a statement, at most `connect_timeout` in all. An
+    /// error is the outcome of the attempt that needed the connection.
+    pub async fn open(
+        address: SocketAddr, descriptor: Place, connect_timeout: Duration,
+    ) -> Result<MemberConnection, Outcome> {
+        let deadline = Instant::now() + connect_timeout;
+        let stream = connect(address, deadline).await?;
+        // A socket that refuses the option works all the same, only slower.
         let _ = stream.set_nodelay(true);
-        let reason = Rc::new(Cell::new(CloseReason::ConnectTimeout));
-        let mut link = MemberConnection {
+        let mut connection = MemberConnection {
             framed: Framed::new(stream, BackendCodec::default()),
-            addr,
-            reason,
-            _descriptor: place,
-            _quota: Unit::default(),
+            address,
+            close_reason: Rc::new(Cell::new(CloseReason::ConnectTimeout)),
+            _descriptor: descriptor,
+            _permit: Unit::default(),
         };
-        match timeout_at(by, link.start_session()).await {
+        match timeout_at(deadline, connection.start_session()).await {
             Ok(Ok(())) => {
-                link.reason.set(CloseReason::Cancelled);
-                Ok(link)
+                connection.close_reason.set(CloseReason::Cancelled);
+                Ok(connection)
             }
-            Ok(Err((outcome, reason))) => {
-                link.reason.set(reason);
-                Err(outcome)
+            Ok(Err(error)) => {
+                connection.close_reason.set(error.close_reason);
+                Err(error.outcome)
             }
             Err(_) => Err(Outcome::ConnectError),
         }
     }
 
-    async fn start_session(&mut self) -> Result<(), (Outcome, CloseReason)> {
-        let broken = (Outcome::ConnectError, CloseReason::Reset);
-        self.framed.send(Command::Startup).await.map_err(|_| broken)?;
+    /// Sends the startup message and waits until the member is ready.
+    async fn start_session(&mut self) -> Result<(), SessionError> {
+        self.framed.send(Command::Startup).await.map_err(|_| SessionError::BROKEN)?;
         loop {
             match self.framed.next().await {
                 Some(Ok(Backend::Ready)) => return Ok(()),
-                Some(Ok(Backend::Error(code))) => {
-                    let full = outcome(&code) == Outcome::QueueFull;
-                    let outcome = if full { Outcome::QueueFull } else { Outcome::ConnectError };
-                    return Err((outcome, CloseReason::TurnedAway));
-                }
+                Some(Ok(Backend::Error(sqlstate))) => return Err(SessionError::rejected(&sqlstate)),
                 Some(Ok(_)) => {}
-                Some(Err(_)) | None => return Err(broken),
+                Some(Err(_)) | None => return Err(SessionError::BROKEN),
             }
         }
     }
 
-    /// It counts as a unit of a budget until it is closed.
-    pub fn hold_permit(&mut self, unit: Unit) {
-        self._quota = unit;
+    /// Keeps a quota permit until the connection is closed.
+    pub fn hold_permit(&mut self, permit: Unit) {
+        self._permit = permit;
     }
 
-    /// Where it leads.
-    pub fn addr(&self) -> SocketAddr {
-        self.addr
+    /// The member's address.
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 
-    /// The reason that will be logged, for whoever ends the connection.
+    /// The reason under which the end of the connection will be logged, for whoever ends it to set.
     pub fn close_reason(&self) -> Rc<Cell<CloseReason>> {
-        self.reason.clone()
+        self.close_reason.clone()
     }
 
-    /// Why it can't carry a statement, if so: an idle connection is open and silent.
-    pub fn unusable(&self) -> Option<CloseReason> {
+    /// Why the connection can't carry a statement, if it can't. An idle connection must be open, with nothing to
+    /// read.
+    pub fn unusable_reason(&self) -> Option<CloseReason> {
         let mut byte = [0u8; 1];
         match self.framed.get_ref().try_read(&mut byte) {
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
-                (!self.framed.read_buffer().is_empty()).then_some(CloseReason::Protocol)
+            Err(e) if e.kind() == ErrorKind::WouldBlock => {
+                let has_unread_bytes = !self.framed.read_buffer().is_empty();
+                has_unread_bytes.then_some(CloseReason::Protocol)
             }
             Ok(0) | Err(_) => Some(CloseReason::PeerClosed),
             Ok(_) => Some(CloseReason::Protocol),
         }
     }
 
-    /// The same by the machine's word, not the runtime's: what came since the runtime last looked counts. Asked right
-    /// before a statement is written.
-    pub fn unusable_now(&self) -> Option<CloseReason> {
-        self.unusable().or_else(|| match unread(self.framed.get_ref()) {
+    /// Like [`Self::unusable_reason`], but asks the kernel too: the runtime does not know of what arrived since it
+    /// last polled. To be checked right before a statement is written.
+    pub fn unusable_reason_now(&self) -> Option<CloseReason> {
+        self.unusable_reason().or_else(|| match unread(self.framed.get_ref()) {
             Unread::Nothing => None,
             Unread::Bytes => Some(CloseReason::Protocol),
             Unread::End => Some(CloseReason::PeerClosed),
         })
     }
 
-    /// Writes a statement whole; it has not run if this fails.
+    /// Writes a whole statement. If this fails the statement has not run.
     pub async fn write_statement(&mut self, head: Bytes, tail: Bytes) -> Result<(), Outcome> {
-        let sent = if tail.is_empty() {
+        let result = if tail.is_empty() {
             self.framed.send(Command::Query(head)).await
         } else {
             self.write_long(&head, &tail).await
         };
-        sent.map_err(|_| {
-            self.reason.set(CloseReason::Reset);
+        result.map_err(|_| {
+            self.close_reason.set(CloseReason::Reset);
             Outcome::ConnectError
         })
     }
 
-    /// A long statement goes past the codec's buffer, which would copy it.
+    /// Writes a long statement past the codec's buffer, into which it would be copied.
     async fn write_long(&mut self, head: &[u8], tail: &[u8]) -> Result<(), PgError> {
         let length = (4 + head.len() + tail.len() + 1) as u32;
         let stream = self.framed.get_mut();
@@ -219,115 +187,105 @@
         Ok(stream.write_all(&[0]).await?)
     }
 
-    /// The rest of a long answer, as it comes.
-    pub async fn next_chunk(&mut self) -> StreamEvent {
-        loop {
-            let problem = match timeout(CHUNK_TIMEOUT, self.framed.next()).await {
-                Ok(Some(Ok(Backend::Part(part)))) => return StreamEvent::Chunk(part),
-                Ok(Some(Ok(Backend::Complete(end)))) => return StreamEvent::End(end),
-                Ok(Some(Ok(Backend::Ready))) => match self.unusable() {
-                    None => return StreamEvent::Ready,
-                    Some(reason) => reason,
-                },
-                Ok(Some(Ok(Backend::Parameter { .. } | Backend::Other))) => continue,
-                Ok(Some(Ok(_)) | Some(Err(PgError::Length(_) | PgError::Kind(_) | PgError::Body(_)))) => {
-                    CloseReason::Protocol
+    /// Reads the reply to the statement written: a description, a row and a completion, or an error; then readiness.
+    /// Anything else is [`Outcome::Garbled`]: the statement may have run, and the connection is of no further use.
+    pub async fn read_reply(&mut self) -> StatementReply {
+        let mut assembler = ReplyAssembler::new();
+        let mut is_reusable = false;
+        let outcome = loop {
+            let message = self.next_message(assembler.has_begun()).await;
+            match assembler.push(message) {
+                ReplyProgress::Incomplete => {}
+                ReplyProgress::Streaming => return assembler.finish(Outcome::Ok),
+                ReplyProgress::Complete(outcome) => {
+                    // The answer counts even if more came after it, but the connection is not used again then.
+                    is_reusable = self.check_usable();
+                    break outcome;
                 }
-                Ok(_) => CloseReason::Reset,
-                Err(_) => CloseReason::TimedOut,
-            };
-            self.reason.set(problem);
-            return StreamEvent::Broken;
+                ReplyProgress::Broken(outcome, reason) => {
+                    self.close_reason.set(reason);
+                    break outcome;
+                }
+            }
+        };
+        self.release_large_buffers();
+        StatementReply { is_reusable, ..assembler.finish(outcome) }
+    }
+
+    /// Whether the connection can carry another statement; if not, sets the close reason.
+    fn check_usable(&self) -> bool {
+        let unusable_reason = self.unusable_reason();
+        if let Some(reason) = unusable_reason {
+            self.close_reason.set(reason);
         }
+        unusable_reason.is_none()
     }
 
-    /// The next message of an answer. It may take any time to begin, but not to go on once it has begun.
-    async fn next_message(&mut self, begun: bool) -> Option<Result<Backend, PgError>> {
-        let mut there = self.framed.read_buffer().len();
+    /// The next message of a reply. The first one may take any time; once bytes of the reply have arrived, others
+    /// must follow within [`ANSWER_GAP`].
+    async fn next_message(&mut self, has_begun: bool) -> Option<Result<Backend, PgError>> {
+        let mut buffered = self.framed.read_buffer().len();
         loop {
-            if let Ok(next) = timeout(ANSWER_GAP, self.framed.next()).await {
-                return next;
+            if let Ok(message) = timeout(ANSWER_GAP, self.framed.next()).await {
+                return message;
             }
-            let had = std::mem::replace(&mut there, self.framed.read_buffer().len());
-            if (begun || had > 0) && there == had {
+            let buffered_before = buffered;
+            buffered = self.framed.read_buffer().len();
+            if (has_begun || buffered_before > 0) && buffered == buffered_before {
                 return Some(Err(PgError::Body("an answer without its end")));
             }
         }
     }
 
-    /// Reads the answer to the statement written: a description, a row and a completion, or an error, and
-    /// then ready. Anything else is garbled: it may have run, and the connection is of no further use.
-    pub async fn read_reply(&mut self) -> StatementReply {
-        let mut raw = BytesMut::new();
-        let mut reply = StatementReply {
-            outcome: Outcome::Reset,
-            raw: Bytes::new(),
-            column: None,
-            position: None,
-            role: None,
-            report: LoadReport::default(),
-            is_reusable: false,
-            is_streaming: false,
-        };
-        let mut stage = ReplyStage::AwaitingDescription;
-        let broken = loop {
-            let begun = !matches!(stage, ReplyStage::AwaitingDescription);
-            match (stage, self.next_message(begun).await) {
-                (ReplyStage::AwaitingDescription, Some(Ok(Backend::Description(part)))) => {
-                    stage = ReplyStage::AwaitingRow;
-                    raw.extend_from_slice(&part);
-                }
-                (ReplyStage::AwaitingRow, Some(Ok(Backend::Row { raw: part, value }))) => {
-                    stage = ReplyStage::AwaitingCompletion;
-                    reply.column = Some(value);
-                    raw.extend_from_slice(&part);
-                }
-                (ReplyStage::AwaitingRow, Some(Ok(Backend::RowBegins(part)))) => {
-                    raw.extend_from_slice(&part);
-                    (reply.outcome, reply.raw, reply.is_streaming) = (Outcome::Ok, raw.freeze(), true);
-                    return reply;
-                }
-                (ReplyStage::AwaitingCompletion, Some(Ok(Backend::Complete(part)))) => {
-                    stage = ReplyStage::AwaitingReady(Outcome::Ok);
-                    raw.extend_from_slice(&part);
-                }
-                // A command that returns nothing has run, but leaves nothing to pass on.
-                (ReplyStage::AwaitingDescription, Some(Ok(Backend::Complete(_)))) => {
-                    stage = ReplyStage::AwaitingReady(Outcome::Failed)
-                }
-                (ReplyStage::AwaitingDescription, Some(Ok(Backend::Error(code)))) => {
-                    stage = ReplyStage::AwaitingReady(outcome(&code))
-                }
-                (ReplyStage::AwaitingReady(outcome), Some(Ok(Backend::Ready))) => {
-                    reply.outcome = outcome;
-                    break None;
+    /// The next event of a long answer whose beginning [`Self::read_reply`] has read.
+    pub async fn next_chunk(&mut self) -> StreamEvent {
+        loop {
+            let Ok(next) = timeout(CHUNK_TIMEOUT, self.framed.next()).await else {
+                return self.break_stream(CloseReason::TimedOut);
+            };
+            let message = match next {
+                Some(Ok(message)) => message,
+                Some(Err(PgError::Length(_) | PgError::Kind(_) | PgError::Body(_))) => {
+                    return self.break_stream(CloseReason::Protocol);
                 }
-                (_, Some(Ok(Backend::Parameter { name, value }))) => reply.record_parameter(&name, &value),
-                (_, Some(Ok(Backend::Other))) => {}
-                (_, None | Some(Err(PgError::Io(_)))) => break Some((Outcome::Reset, CloseReason::Reset)),
-                _ => break Some((Outcome::Garbled, CloseReason::Protocol)),
-            }
-        };
-        match broken {
-            Some((outcome, reason)) => {
-                self.reason.set(reason);
-                reply.outcome = outcome;
+                Some(Err(_)) | None => return self.break_stream(CloseReason::Reset),
+            };
+            match message {
+                Backend::Part(bytes) => return StreamEvent::Chunk(bytes),
+                Backend::Complete(bytes) => return StreamEvent::End(bytes),
+                Backend::Ready if self.check_usable() => return StreamEvent::Ready,
+                // The member sent more than it was asked for.
+                Backend::Ready => return StreamEvent::Broken,
+                Backend::Parameter { .. } | Backend::Other => {}
+                _ => return self.break_stream(CloseReason::Protocol),
             }
-            // More than the answer is served, but what comes next on this connection is not to be trusted.
-            None => match self.unusable() {
-                Some(reason) => self.reason.set(reason),
-                None => reply.is_reusable = true,
-            },
         }
-        if reply.outcome == Outcome::Ok {
-            reply.raw = raw.freeze();
-        }
-        if self.framed.read_buffer().capacity() > MAX_KEPT_BUFFER && self.framed.read_buffer().is_empty() {
-            *self.framed.read_buffer_mut() = BytesMut::with_capacity(8 * 1024);
+    }
+
+    fn break_stream(&self, reason: CloseReason) -> StreamEvent {
+        self.close_reason.set(reason);
+        StreamEvent::Broken
+    }
+
+    /// Replaces empty buffers that a long statement or answer made large.
+    fn release_large_buffers(&mut self) {
+        let is_large = |buffer: &BytesMut| buffer.capacity() > MAX_KEPT_BUFFER && buffer.is_empty();
+        if is_large(self.framed.read_buffer()) {
+            *self.framed.read_buffer_mut() = BytesMut::with_capacity(INITIAL_BUFFER);
         }
-        if self.framed.write_buffer().capacity() > MAX_KEPT_BUFFER && self.framed.write_buffer().is_empty() {
-            *self.framed.write_buffer_mut() = BytesMut::with_capacity(8 * 1024);
+        if is_large(self.framed.write_buffer()) {
+            *self.framed.write_buffer_mut() = BytesMut::with_capacity(INITIAL_BUFFER);
         }
-        reply
     }
 }
+
+/// Connects to a member; logs the end of a connection that never came up.
+async fn connect(address: SocketAddr, deadline: Instant) -> Result<TcpStream, Outcome> {
+    let reason = match timeout_at(deadline, TcpStream::connect(address)).await {
+        Ok(Ok(stream)) => return Ok(stream),
+        Ok(Err(_)) => CloseReason::Refused,
+        Err(_) => CloseReason::ConnectTimeout,
+    };
+    log_close(Side::Member, address, reason);
+    Err(Outcome::ConnectError)
+}
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -1,5 +1,8 @@
-//! Connections kept warm: the one used last is used next, so that the others grow old and are retired well
-//! before the member closes them. One budget of descriptors holds for all members together.
+//! Connections to members that are kept open between statements.
+//!
+//! The connection used last is used next, so that the others grow old and are retired well before the member closes
+//! them. One limit of descriptors holds for all members together, and for each member this proxy's quota of the
+//! fleet's budgets. The pool must never hand out a connection that is too old, not silent, or beyond the quota.
 
 use crate::api::MemberId;
 use crate::budget::{Budget, Place};
@@ -16,59 +19,85 @@
 
 /// Idle connections are retired at this part of the time after which members close them.
 const RETIRE_PART: f64 = 0.6;
-/// A connection rests this long after an answer: what a member sends too much would be taken for the next one.
-const REST: Duration = Duration::from_millis(2);
-/// How often idle connections are looked after.
-const SWEEP_EVERY: Duration = Duration::from_millis(500);
+/// A connection is not used again for this long after a reply: excess bytes of a member would be taken for the next
+/// one.
+const SETTLE_TIME: Duration = Duration::from_millis(2);
+/// Interval at which idle connections are checked.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
+/// A connection without a statement, and since when.
+struct IdleConnection {
+    connection: MemberConnection,
+    idle_since: Instant,
+}
+
+impl IdleConnection {
+    fn close(self, reason: CloseReason) {
+        self.connection.close_reason().set(reason);
+    }
+}
+
+/// What the pool holds of one member.
 #[derive(Default)]
-struct Slot {
-    addr: Option<SocketAddr>,
-    idle: Vec<(MemberConnection, Instant)>,
-    /// Nothing new may reach the member: it drains or is gone.
-    closed: bool,
+struct MemberSlot {
+    address: Option<SocketAddr>,
+    /// In the order of their last use, the oldest first.
+    idle: Vec<IdleConnection>,
+    /// Nothing new may be sent to the member: it drains or is gone.
+    rejects_new: bool,
+    /// The name by which the fleet's budgets know the member; empty until [`Pool::set_name`].
     name: String,
 }
 
 struct Inner {
-    slots: RefCell<BTreeMap<MemberId, Slot>>,
-    budget: Budget,
-    retire: Duration,
-    connect: Duration,
+    slots: RefCell<BTreeMap<MemberId, MemberSlot>>,
+    descriptors: Budget,
+    /// The age at which an idle connection is retired.
+    retire_after: Duration,
+    connect_timeout: Duration,
     counters: Rc<Counters>,
     shares: Shares,
 }
 
-/// All connections to members.
+/// All connections to members; copies share them.
 #[derive(Clone)]
 pub struct Pool(Rc<Inner>);
 
 impl Pool {
-    /// Holds at most `most` connections; members close idle ones after `idle_close`.
-    pub fn new(most: usize, idle_close: Duration, connect: Duration, counters: Rc<Counters>) -> Pool {
-        Pool::with_quota(most, idle_close, connect, counters, Shares::default())
+    /// A pool of at most `max_connections`, where members close idle connections after `idle_close`. No quota binds.
+    pub fn new(
+        max_connections: usize, idle_close: Duration, connect_timeout: Duration, counters: Rc<Counters>,
+    ) -> Pool {
+        Pool::with_quota(max_connections, idle_close, connect_timeout, counters, Shares::default())
     }
 
-    /// The same, within this proxy's shares of the fleet's budgets.
+    /// Like [`Pool::new`], within this proxy's shares of the fleet's budgets.
     pub fn with_quota(
-        most: usize, idle_close: Duration, connect: Duration, counters: Rc<Counters>, shares: Shares,
+        max_connections: usize, idle_close: Duration, connect_timeout: Duration, counters: Rc<Counters>,
+        shares: Shares,
     ) -> Pool {
-        let retire = idle_close.mul_f64(RETIRE_PART);
-        let (slots, budget) = (RefCell::default(), Budget::new(most));
-        Pool(Rc::new(Inner { slots, budget, retire, connect, counters, shares }))
+        Pool(Rc::new(Inner {
+            slots: RefCell::default(),
+            descriptors: Budget::new(max_connections),
+            retire_after: idle_close.mul_f64(RETIRE_PART),
+            connect_timeout,
+            counters,
+            shares,
+        }))
     }
 
-    /// Says where a member listens; connections to where it listened before are given back.
-    pub fn set_address(&self, member: MemberId, addr: SocketAddr) {
-        let moved = {
+    /// Sets a member's address. Idle connections to another address are closed.
+    pub fn set_address(&self, member: MemberId, address: SocketAddr) {
+        let outdated = {
             let mut slots = self.0.slots.borrow_mut();
             let slot = slots.entry(member).or_default();
-            if slot.addr.replace(addr) == Some(addr) { Vec::new() } else { std::mem::take(&mut slot.idle) }
+            let is_unchanged = slot.address.replace(address) == Some(address);
+            if is_unchanged { Vec::new() } else { std::mem::take(&mut slot.idle) }
         };
-        end(moved, CloseReason::GivenBack);
+        close_all(outdated);
     }
 
-    /// Says a member's name, by which the fleet knows it.
+    /// Sets the name by which the fleet's budgets know a member. Only the first one counts.
     pub fn set_name(&self, member: MemberId, name: &str) {
         let mut slots = self.0.slots.borrow_mut();
         let slot = slots.entry(member).or_default();
@@ -78,167 +107,184 @@
         }
     }
 
-    fn named<T>(&self, member: MemberId, take: impl FnOnce(&Shares, &str) -> Option<T>) -> Option<T> {
-        take(&self.0.shares, &self.0.slots.borrow().get(&member)?.name)
+    fn with_name<T>(&self, member: MemberId, apply: impl FnOnce(&Shares, &str) -> Option<T>) -> Option<T> {
+        apply(&self.0.shares, &self.0.slots.borrow().get(&member)?.name)
     }
 
-    /// Room for a connection to a member, and for an attempt there, in this proxy's shares; taken at once.
+    /// A permit for a new connection to a member; none if this proxy's quota is used up or the member is not known.
     pub fn connection_permit(&self, member: MemberId) -> Option<Unit> {
-        self.named(member, |shares, name| shares.connection(name))
+        self.with_name(member, |shares, name| shares.connection(name))
     }
 
-    /// Room for an attempt at a member.
+    /// A permit for an attempt at a member; none if this proxy's quota is used up or the member is not known.
     pub fn attempt_permit(&self, member: MemberId) -> Option<Unit> {
-        self.named(member, |shares, name| shares.attempt(name))
+        self.with_name(member, |shares, name| shares.attempt(name))
     }
 
-    /// The shares.
+    /// This proxy's shares of the fleet's budgets.
     pub fn shares(&self) -> &Shares {
         &self.0.shares
     }
 
-    /// Ends idle connections beyond what the shares allow, as they shrink or run out.
+    /// Closes idle connections beyond the quota whenever it shrinks or lapses, for as long as the program runs.
     pub async fn run_quota_enforcement(self) {
         loop {
             self.0.shares.changed().await;
-            let mut over = Vec::new();
-            for slot in self.0.slots.borrow_mut().values_mut() {
-                let many = usize::try_from(self.0.shares.excess(&slot.name)).unwrap_or(usize::MAX);
-                let many = many.min(slot.idle.len());
-                over.extend(slot.idle.drain(..many));
-            }
-            end(over, CloseReason::GivenBack);
+            self.close_excess();
         }
     }
 
-    /// Drops the members that are not to be kept, with their idle connections.
+    /// Closes idle connections beyond the quota, those used longest ago first.
+    fn close_excess(&self) {
+        let mut excess = Vec::new();
+        for slot in self.0.slots.borrow_mut().values_mut() {
+            let over_quota = usize::try_from(self.0.shares.excess(&slot.name)).unwrap_or(usize::MAX);
+            let closing = over_quota.min(slot.idle.len());
+            excess.extend(slot.idle.drain(..closing));
+        }
+        close_all(excess);
+    }
+
+    /// Forgets the members for which `keep` is false, and closes their idle connections.
     pub fn retain(&self, keep: impl Fn(MemberId) -> bool) {
-        let (mut dropped, mut gone) = (Vec::new(), Vec::new());
+        let mut orphaned = Vec::new();
+        let mut removed_names = Vec::new();
         self.0.slots.borrow_mut().retain(|member, slot| {
-            let kept = keep(*member);
-            if !kept {
-                dropped.append(&mut slot.idle);
-                gone.push(std::mem::take(&mut slot.name));
+            let is_kept = keep(*member);
+            if !is_kept {
+                orphaned.append(&mut slot.idle);
+                removed_names.push(std::mem::take(&mut slot.name));
             }
-            kept
+            is_kept
         });
-        end(dropped, CloseReason::GivenBack);
-        gone.iter().for_each(|name| self.0.shares.gone(name));
+        close_all(orphaned);
+        removed_names.iter().for_each(|name| self.0.shares.gone(name));
     }
 
-    /// Says which members take anything new. What was decided before and is not on its way yet stays here.
-    pub fn set_accepting(&self, takes_new: impl Fn(MemberId) -> bool) {
-        self.0.slots.borrow_mut().iter_mut().for_each(|(member, slot)| slot.closed = !takes_new(*member));
+    /// Sets which members accept new statements. Statements that were decided on before and are not written yet are
+    /// bound by it too.
+    pub fn set_accepting(&self, accepts_new: impl Fn(MemberId) -> bool) {
+        for (member, slot) in self.0.slots.borrow_mut().iter_mut() {
+            slot.rejects_new = !accepts_new(*member);
+        }
     }
 
-    /// Whether anything new may reach a member.
+    /// Whether new statements may be sent to a member.
     pub fn is_accepting(&self, member: MemberId) -> bool {
-        self.0.slots.borrow().get(&member).is_some_and(|slot| !slot.closed)
+        self.0.slots.borrow().get(&member).is_some_and(|slot| !slot.rejects_new)
     }
 
-    /// Where a member listens.
+    /// A member's address.
     pub fn address(&self, member: MemberId) -> Option<SocketAddr> {
-        self.0.slots.borrow().get(&member)?.addr
+        self.0.slots.borrow().get(&member)?.address
     }
 
-    /// How long a new connection may take.
+    /// The longest time that a new connection may take to come up.
     pub fn connect_timeout(&self) -> Duration {
-        self.0.connect
+        self.0.connect_timeout
     }
 
-    /// The idle connection that was used last, if one is still good and has rested.
+    /// Takes the idle connection that was used last and has settled. Those that turn out unusable on the way are
+    /// closed.
     pub fn checkout(&self, member: MemberId) -> Option<MemberConnection> {
         loop {
-            let (link, since) = {
-                let mut slots = self.0.slots.borrow_mut();
-                let idle = &mut slots.get_mut(&member)?.idle;
-                let rested = idle.iter().rposition(|(_, since)| since.elapsed() >= REST)?;
-                idle.remove(rested)
-            };
-            if self.is_over_quota(member) {
-                // The share has shrunk or run out, perhaps while this process was stopped: it is not used again.
-                link.close_reason().set(CloseReason::GivenBack);
-            } else if since.elapsed() >= self.0.retire {
-                link.close_reason().set(CloseReason::Retired);
-            } else if let Some(reason) = link.unusable_now() {
-                link.close_reason().set(reason);
+            let IdleConnection { connection, idle_since } = self.take_last_settled(member)?;
+            let close_reason = if self.is_over_quota(member) {
+                // The quota shrank or its lease expired, perhaps while this process was stopped.
+                Some(CloseReason::GivenBack)
+            } else if idle_since.elapsed() >= self.0.retire_after {
+                Some(CloseReason::Retired)
             } else {
-                link.close_reason().set(CloseReason::Cancelled);
-                return Some(link);
+                connection.unusable_reason_now()
+            };
+            connection.close_reason().set(close_reason.unwrap_or(CloseReason::Cancelled));
+            if close_reason.is_none() {
+                return Some(connection);
             }
         }
     }
 
-    /// Whether more connections to a member are open than this proxy's shares allow.
+    fn take_last_settled(&self, member: MemberId) -> Option<IdleConnection> {
+        let mut slots = self.0.slots.borrow_mut();
+        let idle = &mut slots.get_mut(&member)?.idle;
+        let settled = idle.iter().rposition(|candidate| candidate.idle_since.elapsed() >= SETTLE_TIME)?;
+        Some(idle.remove(settled))
+    }
+
+    /// Whether more connections to a member are open than this proxy's quota allows.
     fn is_over_quota(&self, member: MemberId) -> bool {
-        self.named(member, |shares, name| Some(shares.excess(name) > 0)).unwrap_or(false)
+        self.with_name(member, |shares, name| Some(shares.excess(name) > 0)).unwrap_or(false)
     }
 
-    /// Keeps a connection for the next use, unless it is one more than the shares allow: used on and on, it would
-    /// outlive its lease for ever.
-    pub fn put_back(&self, member: MemberId, link: MemberConnection) {
+    /// Keeps a connection for its next use, or closes it: where the member has moved or is forgotten, and where it is
+    /// beyond the quota, since a connection in constant use would otherwise outlive its lease.
+    pub fn put_back(&self, member: MemberId, connection: MemberConnection) {
+        connection.close_reason().set(CloseReason::GivenBack);
         if self.is_over_quota(member) {
-            return link.close_reason().set(CloseReason::GivenBack);
+            return;
         }
         let mut slots = self.0.slots.borrow_mut();
-        match slots.get_mut(&member).filter(|s| s.addr == Some(link.addr())) {
-            Some(slot) => {
-                link.close_reason().set(CloseReason::GivenBack);
-                slot.idle.push((link, Instant::now()));
-            }
-            None => link.close_reason().set(CloseReason::GivenBack),
+        let slot = slots.get_mut(&member).filter(|slot| slot.address == Some(connection.address()));
+        if let Some(slot) = slot {
+            slot.idle.push(IdleConnection { connection, idle_since: Instant::now() });
         }
     }
 
-    /// Room for one more connection, made if need be by ending the one that was idle longest.
+    /// Reserves the descriptor of one more connection. If none is left, the connection that was idle longest is
+    /// closed.
     pub fn reserve_descriptor(&self) -> Option<Place> {
-        if let Some(place) = self.0.budget.enter() {
-            self.0.counters.links.add();
-            return Some(place);
-        }
-        let oldest = {
+        let descriptor = self.0.descriptors.enter().or_else(|| {
+            self.close_longest_idle();
+            self.0.descriptors.enter()
+        })?;
+        self.0.counters.links.add();
+        Some(descriptor)
+    }
+
+    fn close_longest_idle(&self) {
+        let longest_idle = {
             let mut slots = self.0.slots.borrow_mut();
-            let idle = slots.values_mut().filter(|s| !s.idle.is_empty());
-            idle.min_by_key(|s| s.idle[0].1).map(|s| s.idle.remove(0))
+            let with_idle = slots.values_mut().filter(|slot| !slot.idle.is_empty());
+            with_idle.min_by_key(|slot| slot.idle[0].idle_since).map(|slot| slot.idle.remove(0))
         };
-        end(oldest, CloseReason::GivenBack);
-        let place = self.0.budget.enter()?;
-        self.0.counters.links.add();
-        Some(place)
+        close_all(longest_idle);
     }
 
-    /// Ends the idle connections to a member.
+    /// Closes the idle connections to a member.
     pub fn close_idle(&self, member: MemberId) {
-        let idle = self.0.slots.borrow_mut().get_mut(&member).map(|s| std::mem::take(&mut s.idle));
-        end(idle.into_iter().flatten(), CloseReason::GivenBack);
+        let idle = self.0.slots.borrow_mut().get_mut(&member).map(|slot| std::mem::take(&mut slot.idle));
+        close_all(idle.into_iter().flatten());
     }
 
-    /// Ends what is too old or unfit.
-    pub fn sweep(&self) {
-        let mut ended = Vec::new();
+    /// Closes idle connections that are too old or unusable.
+    fn sweep(&self) {
+        let mut closing = Vec::new();
         for slot in self.0.slots.borrow_mut().values_mut() {
-            for (link, since) in std::mem::take(&mut slot.idle) {
-                let old = (since.elapsed() >= self.0.retire).then_some(CloseReason::Retired);
-                match old.or_else(|| link.unusable()) {
-                    Some(reason) => {
-                        link.close_reason().set(reason);
-                        ended.push(link);
-                    }
-                    None => slot.idle.push((link, since)),
+            for idle in std::mem::take(&mut slot.idle) {
+                match self.sweep_reason(&idle) {
+                    Some(reason) => closing.push((idle, reason)),
+                    None => slot.idle.push(idle),
                 }
             }
         }
+        closing.into_iter().for_each(|(idle, reason)| idle.close(reason));
+    }
+
+    fn sweep_reason(&self, idle: &IdleConnection) -> Option<CloseReason> {
+        let is_old = idle.idle_since.elapsed() >= self.0.retire_after;
+        if is_old { Some(CloseReason::Retired) } else { idle.connection.unusable_reason() }
     }
 
-    /// Sweeps for as long as the program runs.
+    /// Closes idle connections that are too old or unusable, at an interval, for as long as the program runs.
     pub async fn run_sweeper(self) {
         loop {
-            tokio::time::sleep(SWEEP_EVERY).await;
+            tokio::time::sleep(SWEEP_INTERVAL).await;
             self.sweep();
         }
     }
 }
 
-fn end(links: impl IntoIterator<Item = (MemberConnection, Instant)>, reason: CloseReason) {
-    links.into_iter().for_each(|(link, _)| link.close_reason().set(reason));
+/// Closes idle connections for which the proxy has no further use. Not to be called while the slots are borrowed.
+fn close_all(idle: impl IntoIterator<Item = IdleConnection>) {
+    idle.into_iter().for_each(|idle| idle.close(CloseReason::GivenBack));
 }
--- /dev/null
+++ b/src/upstream/reply.rs
@@ -0,0 +1,174 @@
+//! The reply to a statement, assembled from a member's messages: a description, a row and a completion, or an error;
+//! then readiness.
+//!
+//! Reads no socket. A reply whose messages come in another order must never count as served.
+
+use crate::api::{LoadReport, Outcome, Role, Time};
+use crate::close_reason::CloseReason;
+use crate::pg::PgError;
+use crate::pg::backend::Backend;
+use crate::upstream::report;
+use bytes::{Bytes, BytesMut};
+
+/// SQLSTATE `read_only_sql_transaction`: a write reached a replica.
+const READ_ONLY: &[u8] = b"25006";
+/// SQLSTATE `snapshot_too_old`: the member has not reached the position that the read asks for.
+const BEHIND_POSITION: &[u8] = b"72000";
+/// SQLSTATE `too_many_connections`.
+const TOO_MANY_CONNECTIONS: &[u8] = b"53300";
+/// SQLSTATE `cannot_connect_now`.
+const CANNOT_CONNECT_NOW: &[u8] = b"57P03";
+
+/// The reply to one statement.
+pub struct StatementReply {
+    /// How the statement ended.
+    pub outcome: Outcome,
+    /// Description, row and completion as the member sent them; empty unless the outcome is [`Outcome::Ok`].
+    pub raw: Bytes,
+    /// The value of the row's one column.
+    pub column: Option<Bytes>,
+    /// The member's replication position, or the commit position of a write.
+    pub position: Option<Time>,
+    /// The member's role.
+    pub role: Option<Role>,
+    /// The member's load report.
+    pub report: LoadReport,
+    /// The connection can carry another statement.
+    pub is_reusable: bool,
+    /// Only the beginning of a long answer was read: the rest follows in chunks.
+    pub is_streaming: bool,
+}
+
+impl StatementReply {
+    /// A reply of which nothing has arrived.
+    fn empty() -> StatementReply {
+        StatementReply {
+            outcome: Outcome::Reset,
+            raw: Bytes::new(),
+            column: None,
+            position: None,
+            role: None,
+            report: LoadReport::default(),
+            is_reusable: false,
+            is_streaming: false,
+        }
+    }
+
+    /// Records a parameter of the member's status. A value that can't be read counts as absent.
+    fn record_parameter(&mut self, name: &[u8], value: &[u8]) {
+        let text = std::str::from_utf8(value).unwrap_or("");
+        match name {
+            b"lsn_ms" => {
+                let ms = text.parse::<u64>().ok().filter(|ms| *ms > 0);
+                self.position = ms.map(|ms| Time(ms.saturating_mul(1_000)));
+            }
+            b"recovery" if text == "off" => self.role = Some(Role::Primary),
+            b"recovery" if text == "on" => self.role = Some(Role::Replica),
+            b"health" => self.report = report::parse(text),
+            _ => {}
+        }
+    }
+}
+
+/// Which message of a reply is expected next.
+#[derive(Clone, Copy)]
+enum ExpectedMessage {
+    Description,
+    Row,
+    Completion,
+    /// The statement has this outcome; the member is not ready for another one yet.
+    Readiness(Outcome),
+}
+
+/// What a message means for the reading of a reply.
+pub(super) enum ReplyProgress {
+    /// More messages follow.
+    Incomplete,
+    /// The head of a long row: the value follows in chunks.
+    Streaming,
+    /// The reply is complete, and the member is ready.
+    Complete(Outcome),
+    /// The connection failed, or the message does not belong there.
+    Broken(Outcome, CloseReason),
+}
+
+/// Assembles a reply from its messages.
+pub(super) struct ReplyAssembler {
+    expected: ExpectedMessage,
+    raw: BytesMut,
+    reply: StatementReply,
+}
+
+impl ReplyAssembler {
+    pub(super) fn new() -> ReplyAssembler {
+        let expected = ExpectedMessage::Description;
+        ReplyAssembler { expected, raw: BytesMut::new(), reply: StatementReply::empty() }
+    }
+
+    /// Whether a message of the reply itself has arrived.
+    pub(super) fn has_begun(&self) -> bool {
+        !matches!(self.expected, ExpectedMessage::Description)
+    }
+
+    /// Takes the next message of the connection; `None` is its end.
+    pub(super) fn push(&mut self, message: Option<Result<Backend, PgError>>) -> ReplyProgress {
+        match message {
+            Some(Ok(message)) => self.push_message(message),
+            None | Some(Err(PgError::Io(_))) => ReplyProgress::Broken(Outcome::Reset, CloseReason::Reset),
+            Some(Err(_)) => ReplyProgress::Broken(Outcome::Garbled, CloseReason::Protocol),
+        }
+    }
+
+    fn push_message(&mut self, message: Backend) -> ReplyProgress {
+        match (self.expected, message) {
+            (ExpectedMessage::Description, Backend::Description(bytes)) => {
+                self.expected = ExpectedMessage::Row;
+                self.raw.extend_from_slice(&bytes);
+            }
+            (ExpectedMessage::Row, Backend::Row { raw: bytes, value }) => {
+                self.expected = ExpectedMessage::Completion;
+                self.reply.column = Some(value);
+                self.raw.extend_from_slice(&bytes);
+            }
+            (ExpectedMessage::Row, Backend::RowBegins(bytes)) => {
+                self.raw.extend_from_slice(&bytes);
+                self.reply.is_streaming = true;
+                return ReplyProgress::Streaming;
+            }
+            (ExpectedMessage::Completion, Backend::Complete(bytes)) => {
+                self.expected = ExpectedMessage::Readiness(Outcome::Ok);
+                self.raw.extend_from_slice(&bytes);
+            }
+            // A command without a row has run, but gives nothing to relay.
+            (ExpectedMessage::Description, Backend::Complete(_)) => {
+                self.expected = ExpectedMessage::Readiness(Outcome::Failed);
+            }
+            (ExpectedMessage::Description, Backend::Error(sqlstate)) => {
+                self.expected = ExpectedMessage::Readiness(outcome_of(&sqlstate));
+            }
+            (ExpectedMessage::Readiness(outcome), Backend::Ready) => return ReplyProgress::Complete(outcome),
+            (_, Backend::Parameter { name, value }) => self.reply.record_parameter(&name, &value),
+            (_, Backend::Other) => {}
+            _ => return ReplyProgress::Broken(Outcome::Garbled, CloseReason::Protocol),
+        }
+        ReplyProgress::Incomplete
+    }
+
+    /// The reply with its outcome; it carries the member's bytes only where they are an answer.
+    pub(super) fn finish(mut self, outcome: Outcome) -> StatementReply {
+        self.reply.outcome = outcome;
+        if outcome == Outcome::Ok {
+            self.reply.raw = self.raw.freeze();
+        }
+        self.reply
+    }
+}
+
+/// The outcome that an error's SQLSTATE stands for.
+pub(super) fn outcome_of(sqlstate: &[u8]) -> Outcome {
+    match sqlstate {
+        READ_ONLY | BEHIND_POSITION => Outcome::Miss,
+        TOO_MANY_CONNECTIONS | CANNOT_CONNECT_NOW => Outcome::QueueFull,
+        _ => Outcome::Failed,
+    }
+}
--- a/src/upstream/report.rs
+++ b/src/upstream/report.rs
@@ -1,23 +1,30 @@
-//! What members say of themselves: load reports.
+//! Load reports as members write them. A report must never be believed in part.
 
 use crate::api::{LoadReport, Role, Time};
 
-/// Reads `name=value` pairs; positions are Unix times in seconds. Of a report that can't be read whole nothing
-/// is believed.
+/// Positions are written in seconds and held in microseconds.
+const MICROS_PER_SECOND: f64 = 1e6;
+/// The role is written as a number: from here on it means the primary.
+const PRIMARY_FROM: f64 = 0.5;
+
+/// Parses a report of `name=value` pairs; positions are Unix times in seconds. A report with any pair that can't be
+/// read counts as empty; names that are not known are skipped.
 pub fn parse(text: &str) -> LoadReport {
+    parse_pairs(text).unwrap_or_default()
+}
+
+fn parse_pairs(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.split(',') {
-        let pair = pair.split_once('=').map(|(name, value)| (name.trim(), value.trim().parse::<f64>()));
-        let Some((name, Ok(value))) = pair.filter(|p| p.1.as_ref().is_ok_and(|v| v.is_finite())) else {
-            return LoadReport::default();
-        };
-        match name {
-            "x0" if value > 0.0 => report.position = Some(Time((value * 1e6) as u64)),
-            "x1" => report.role = Some(if value >= 0.5 { Role::Primary } else { Role::Replica }),
+        let (name, value) = pair.split_once('=')?;
+        let value = value.trim().parse::<f64>().ok().filter(|value| value.is_finite())?;
+        match name.trim() {
+            "x0" if value > 0.0 => report.position = Some(Time((value * MICROS_PER_SECOND) as u64)),
+            "x1" => report.role = Some(if value >= PRIMARY_FROM { Role::Primary } else { Role::Replica }),
             "inflight" | "queue" => report.load = Some(value),
             "util" | "cpu_share" => report.util = Some(value.clamp(0.0, 1.0)),
             _ => {}
         }
     }
-    report
+    Some(report)
 }
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -524,7 +524,7 @@
 
 // Guards against writing to a connection that its member may be closing, and against a descriptor too many.
 #[tokio::test]
-async fn old_links_are_not_used_and_idle_ones_make_room() {
+async fn old_connections_are_not_used_and_idle_ones_make_room() {
     let act = |_| std::future::ready(peer::Act::Break);
     let play = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -534,15 +534,17 @@
             let (m, long) = (MemberId(1), Duration::from_secs(60));
             let pool = Pool::new(1, idle_close, long, Rc::new(Counters::default()));
             pool.set_address(m, at);
-            let place = pool.reserve_descriptor().expect("a place");
-            let Ok(link) = MemberConnection::open(at, place, long).await else { panic!("no link") };
-            assert!(pool.reserve_descriptor().is_none(), "the one place is in use");
+            let descriptor = pool.reserve_descriptor().expect("a descriptor");
+            let Ok(connection) = MemberConnection::open(at, descriptor, long).await else {
+                panic!("no connection")
+            };
+            assert!(pool.reserve_descriptor().is_none(), "the one descriptor is in use");
             tokio::time::pause();
-            pool.put_back(m, link);
+            pool.put_back(m, connection);
             assert!(pool.checkout(m).is_none(), "more than the answer may still be on the way");
             tokio::time::advance(Duration::from_millis(3)).await;
-            assert_eq!(pool.checkout(m).map(|l| pool.put_back(m, l)).is_some(), kept);
-            assert!(pool.reserve_descriptor().is_some(), "an idle link makes room");
+            assert_eq!(pool.checkout(m).map(|connection| pool.put_back(m, connection)).is_some(), kept);
+            assert!(pool.reserve_descriptor().is_some(), "an idle connection makes room");
             assert!(pool.checkout(m).is_none());
             tokio::time::resume();
         }
@@ -553,7 +555,7 @@
 // The member ends an idle connection, or speaks on it, between two waits of the runtime: this thread goes on without one.
 // Guards against a statement that is written to a closed connection, and against late bytes that are taken for its answer.
 #[tokio::test]
-async fn an_idle_link_that_ended_since_the_runtime_last_looked_is_not_used() {
+async fn an_idle_connection_that_ended_between_polls_is_not_used() {
     for how in ["ends", "resets", "speaks"] {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let at = listener.local_addr().expect("an address");
@@ -569,13 +571,15 @@
         let (m, long) = (MemberId(1), Duration::from_secs(60));
         let pool = Pool::new(1, Duration::from_secs(3_600), long, Rc::new(Counters::default()));
         pool.set_address(m, at);
-        let place = pool.reserve_descriptor().expect("a place");
-        let Ok(link) = MemberConnection::open(at, place, long).await else { panic!("no link") };
+        let descriptor = pool.reserve_descriptor().expect("a descriptor");
+        let Ok(connection) = MemberConnection::open(at, descriptor, long).await else {
+            panic!("no connection")
+        };
         let mut far = greeted.join().expect("a member");
-        pool.put_back(m, link);
+        pool.put_back(m, connection);
         // Longer than it rests.
         std::thread::sleep(Duration::from_millis(5));
-        assert!(pool.checkout(m).map(|link| pool.put_back(m, link)).is_some(), "nothing came");
+        assert!(pool.checkout(m).map(|connection| pool.put_back(m, connection)).is_some(), "nothing came");
         if how == "resets" {
             socket2::SockRef::from(&far).set_linger(Some(Duration::ZERO)).expect("set");
         }
@@ -589,7 +593,7 @@
         // Written is not arrived, on a busy machine.
         let used = |_: &u32| {
             std::thread::sleep(Duration::from_millis(5));
-            pool.checkout(m).map(|link| pool.put_back(m, link)).is_some()
+            pool.checkout(m).map(|connection| pool.put_back(m, connection)).is_some()
         };
         assert!((0..1_000).take_while(used).count() < 1_000, "{how}: it is used on and on");
         drop(kept);
@@ -651,10 +655,12 @@
     };
     let proxy = async {
         let long = Duration::from_secs(60);
-        let place = Budget::new(1).enter().expect("a place");
-        let Ok(mut link) = MemberConnection::open(at, place, long).await else { panic!("no link") };
-        link.write_statement(b"SELECT 1".as_slice().into(), Bytes::new()).await.expect("written");
-        let reply = link.read_reply().await;
+        let descriptor = Budget::new(1).enter().expect("a descriptor");
+        let Ok(mut connection) = MemberConnection::open(at, descriptor, long).await else {
+            panic!("no connection")
+        };
+        connection.write_statement(b"SELECT 1".as_slice().into(), Bytes::new()).await.expect("written");
+        let reply = connection.read_reply().await;
         (reply.outcome, reply.report.position, reply.is_reusable)
     };
     let (reply, ()) = tokio::join!(proxy, member);
