--- a/src/config.rs
+++ b/src/config.rs
@@ -1,6 +1,6 @@
 //! What a proxy is told at its start: a JSON file, and variables that stand above it.
 
-use crate::discovery::list::{ListDoc, Listing, Names};
+use crate::discovery::list::{EndpointList, IdentifierTable, ListDoc};
 use crate::settings::{self, FormError, Profile, Site, need};
 use miniserde::Deserialize;
 use std::fmt;
@@ -52,11 +52,11 @@
     /// Memory that this process may use, in bytes.
     pub memory: usize,
     /// The list as it was last known.
-    pub known: Option<Listing>,
+    pub known: Option<EndpointList>,
     /// The settings.
     pub site: Site,
     /// Numbers of names, those of the settings' zones among them.
-    pub names: Names,
+    pub names: IdentifierTable,
 }
 
 /// Why there is no configuration; printed as one line.
@@ -176,8 +176,8 @@
                 })
             }
         };
-        let known = doc.known.map(|k| k.listing().map_err(inside("known"))).transpose()?;
-        let mut names = Names::default();
+        let known = doc.known.map(|k| k.into_list().map_err(inside("known"))).transpose()?;
+        let mut names = IdentifierTable::default();
         let profile = need("settings", doc.settings).map_err(form)?;
         let site = profile.site(&mut names.zones).map_err(inside("settings"))?;
         // Without time no connection would come up; the adapter has none to open.
--- a/src/discovery/http.rs
+++ b/src/discovery/http.rs
@@ -50,9 +50,9 @@
 
 /// Part of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum ResponsePart {
     /// The status.
-    Head(u16),
+    Status(u16),
     /// A line of the body, without its end; or the lines over which one object is indented.
     Line(Bytes),
     /// The body is over.
@@ -116,15 +116,15 @@
 }
 
 impl Decoder for WatchCodec {
-    type Item = Piece;
+    type Item = ResponsePart;
     type Error = HttpError;
 
-    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Piece>, HttpError> {
+    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<ResponsePart>, HttpError> {
         loop {
             if let Some(end) = self.scan.item(&self.text)? {
                 let line = self.text.split_to(end).freeze();
                 self.text.advance(1);
-                return Ok(Some(Piece::Line(line)));
+                return Ok(Some(ResponsePart::Line(line)));
             }
             if self.text.len() > LINE_MOST {
                 return Err(HttpError::Line);
@@ -136,7 +136,7 @@
                     Status::Partial => return Ok(None),
                     Status::Complete((_, 0)) => {
                         self.state = State::Over;
-                        return Ok(Some(Piece::End));
+                        return Ok(Some(ResponsePart::End));
                     }
                     Status::Complete((length, size)) => {
                         src.advance(length);
@@ -177,7 +177,7 @@
     }
 
     /// An answer that ends amid a line has just ended.
-    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Piece>, HttpError> {
+    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<ResponsePart>, HttpError> {
         let item = self.decode(src)?;
         if item.is_none() {
             src.clear();
@@ -187,7 +187,7 @@
 }
 
 impl WatchCodec {
-    fn head(&mut self, src: &mut BytesMut) -> Result<Option<Piece>, HttpError> {
+    fn head(&mut self, src: &mut BytesMut) -> Result<Option<ResponsePart>, HttpError> {
         let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
         let mut answer = httparse::Response::new(&mut headers);
         let length = match answer.parse(src).map_err(|_| HttpError::Head)? {
@@ -202,6 +202,6 @@
         });
         src.advance(length);
         self.state = if chunked { State::Size } else { State::Plain };
-        Ok(Some(Piece::Head(status)))
+        Ok(Some(ResponsePart::Status(status)))
     }
 }
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -13,11 +13,11 @@
 pub struct ListDoc {
     version: Option<u64>,
     full: Option<bool>,
-    servers: Option<Vec<ServerDoc>>,
+    servers: Option<Vec<EndpointDoc>>,
 }
 
 #[derive(Deserialize)]
-struct ServerDoc {
+struct EndpointDoc {
     id: Option<String>,
     addr: Option<String>,
     zone: Option<String>,
@@ -31,22 +31,22 @@
 
 /// A list, or the changes to one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listing {
+pub struct EndpointList {
     /// Its version.
     pub version: u64,
     /// Members that are absent from it are gone.
-    pub full: bool,
+    pub is_full: bool,
     /// Its entries.
-    pub servers: Vec<Server>,
+    pub endpoints: Vec<Endpoint>,
 }
 
 /// One entry.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Server {
+pub struct Endpoint {
     /// The member's name.
     pub id: String,
     /// Where it listens.
-    pub addr: SocketAddr,
+    pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
     /// Its kind.
@@ -60,51 +60,55 @@
     /// When it last started, in Unix milliseconds.
     pub started_ms: Option<u64>,
     /// The list holds it for its group's primary (`recovery` is `off`); lists may say so late, or not at all.
-    pub primary: bool,
+    pub is_primary: bool,
 }
 
 /// News of the list.
-pub enum News {
+pub enum ListEvent {
     /// The list as it was last known, from the configuration.
-    Known(Listing),
+    Cached(EndpointList),
     /// What discovery told.
-    Told(Listing),
+    Received(EndpointList),
     /// A call was answered, with nothing new.
     Unchanged,
     /// A call failed, or a watch ended.
     Failed {
         /// The watch fell silent: for how long it may have been.
-        quiet: Option<Span>,
+        silence: Option<Span>,
     },
 }
 
 /// Reads one list of a watch: what can be read of it, and what is wrong with the entries that can't. One entry with an
 /// address that can't be must not keep the news of all others from being heard.
-pub fn decode(line: &[u8]) -> Result<(Listing, Vec<FormError>), FormError> {
+pub fn decode(line: &[u8]) -> Result<(EndpointList, Vec<FormError>), FormError> {
     let text = std::str::from_utf8(line).map_err(|_| FormError::NotJson)?;
     let doc = settings::parse::<ListDoc>(text)?;
     let (version, full) = (need("version", doc.version)?, need("full", doc.full)?);
     let (mut servers, mut skipped) = (Vec::new(), Vec::new());
     for (i, entry) in need("servers", doc.servers)?.into_iter().enumerate() {
-        match entry.server(i) {
+        match entry.into_endpoint(i) {
             Ok(server) => servers.push(server),
             Err(problem) => skipped.push(problem),
         }
     }
-    Ok((Listing { version, full, servers }, skipped))
+    Ok((EndpointList { version, is_full: full, endpoints: servers }, skipped))
 }
 
 impl ListDoc {
     /// Checks every field.
-    pub fn listing(self) -> Result<Listing, FormError> {
+    pub fn into_list(self) -> Result<EndpointList, FormError> {
         let entries = need("servers", self.servers)?.into_iter().enumerate();
-        let servers = entries.map(|(i, entry)| entry.server(i)).collect::<Result<_, _>>()?;
-        Ok(Listing { version: need("version", self.version)?, full: need("full", self.full)?, servers })
+        let servers = entries.map(|(i, entry)| entry.into_endpoint(i)).collect::<Result<_, _>>()?;
+        Ok(EndpointList {
+            version: need("version", self.version)?,
+            is_full: need("full", self.full)?,
+            endpoints: servers,
+        })
     }
 }
 
-impl ServerDoc {
-    fn server(self, i: usize) -> Result<Server, FormError> {
+impl EndpointDoc {
+    fn into_endpoint(self, i: usize) -> Result<Endpoint, FormError> {
         let at = |field: &str| format!("servers[{i}].{field}");
         let wrong = |field: &str| FormError::Wrong(at(field));
         let count = |field: &str, value: Option<f64>| match value.unwrap_or(0.0) {
@@ -118,7 +122,7 @@
             "terminated" => MemberState::Gone,
             _ => return Err(wrong("state")),
         };
-        let addr = match need(&at("addr"), self.addr)?.parse() {
+        let address = match need(&at("addr"), self.addr)?.parse() {
             Ok(addr) => addr,
             // Nothing is sent there any more, wherever it is; that it leaves counts all the same.
             Err(_) if state != MemberState::InService => NOWHERE,
@@ -128,32 +132,32 @@
         let weight = self.weight.unwrap_or(1.0);
         let started_ms = Some(count("started_ms", self.started_ms)?).filter(|ms| *ms > 0);
         let (zone, kind) = (self.zone.unwrap_or_default(), self.kind.unwrap_or_default());
-        let primary = match self.recovery.as_deref() {
+        let is_primary = match self.recovery.as_deref() {
             Some("off") => true,
             Some("on") | None => false,
             Some(_) => return Err(wrong("recovery")),
         };
-        Ok(Server { id, addr, zone, kind, group, state, weight, started_ms, primary })
+        Ok(Endpoint { id, address, zone, kind, group, state, weight, started_ms, is_primary })
     }
 }
 
 /// The numbers that names have for the decisions, the same over all lists.
 #[derive(Default)]
-pub struct Names {
+pub struct IdentifierTable {
     members: settings::Names,
     kinds: settings::Names,
     /// The zones, also those of the settings.
     pub zones: settings::Names,
 }
 
-impl Names {
+impl IdentifierTable {
     /// Drops the names of members that are not to be kept.
     pub fn retain(&mut self, keep: impl Fn(MemberId) -> bool) {
         self.members.retain(|n| keep(MemberId(n as u32)));
     }
 
     /// An entry for the decisions, and where the member listens.
-    pub fn entry(&mut self, server: Server) -> (ListEntry, SocketAddr) {
+    pub fn entry(&mut self, server: Endpoint) -> (ListEntry, SocketAddr) {
         let entry = ListEntry {
             member: MemberId(self.members.number(&server.id) as u32),
             zone: ZoneId(self.zones.number(&server.zone)),
@@ -162,8 +166,8 @@
             state: server.state,
             weight: server.weight,
             started: server.started_ms.map(|ms| Time(ms.saturating_mul(1_000))),
-            primary_hint: server.primary,
+            primary_hint: server.is_primary,
         };
-        (entry, server.addr)
+        (entry, server.address)
     }
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -11,8 +11,8 @@
 use crate::stages::Input;
 use crate::watch_schedule::WatchSchedule;
 use futures_util::StreamExt;
-use http::{Piece, WatchCodec};
-use list::News;
+use http::{ResponsePart, WatchCodec};
+use list::ListEvent;
 use log::warn;
 use status::DiscoveryStatus;
 use std::net::SocketAddr;
@@ -112,7 +112,7 @@
         // It may have fallen silent right after its last word, or after the call if it never said any.
         let quiet = Span(status.silence().0.min(now.0.saturating_sub(opened.0)));
         let quiet = (last == Some(CloseReason::Silent)).then_some(quiet);
-        if inbox.send(Input::List(News::Failed { quiet })).is_err() {
+        if inbox.send(Input::List(ListEvent::Failed { silence: quiet })).is_err() {
             return;
         }
     }
@@ -163,27 +163,27 @@
     loop {
         let line = match timeout(patience, pieces.next()).await {
             Err(_) => return CloseReason::Silent,
-            Ok(None | Some(Ok(Piece::End))) => return CloseReason::WatchEnded,
+            Ok(None | Some(Ok(ResponsePart::End))) => return CloseReason::WatchEnded,
             Ok(Some(Err(problem))) => {
                 warn!("discovery: {problem}");
                 return CloseReason::Protocol;
             }
             // With nothing to tell, the first line is an empty one.
-            Ok(Some(Ok(Piece::Head(200)))) => {
+            Ok(Some(Ok(ResponsePart::Status(200)))) => {
                 patience = SILENT_AFTER;
                 continue;
             }
-            Ok(Some(Ok(Piece::Head(status)))) => {
+            Ok(Some(Ok(ResponsePart::Status(status)))) => {
                 warn!("discovery answered {status}");
                 return CloseReason::Status;
             }
-            Ok(Some(Ok(Piece::Line(line)))) => line,
+            Ok(Some(Ok(ResponsePart::Line(line)))) => line,
         };
         patience = SILENT_AFTER;
         status.record_message();
         let blank = line.iter().all(u8::is_ascii_whitespace);
         // Also without a list the call has succeeded.
-        if std::mem::take(&mut up) && blank && inbox.send(Input::List(News::Unchanged)).is_err() {
+        if std::mem::take(&mut up) && blank && inbox.send(Input::List(ListEvent::Unchanged)).is_err() {
             return CloseReason::Stopping;
         }
         if blank {
@@ -199,7 +199,7 @@
         match decoded {
             // An old change would undo newer ones, a drain among them. A whole list that a new watch begins with counts
             // whatever its number: the service may have begun anew.
-            Ok(listing) if listing.version < status.list_version() && !(listing.full && first) => {
+            Ok(listing) if listing.version < status.list_version() && !(listing.is_full && first) => {
                 warn!(
                     "discovery: version {} was not taken after version {}",
                     listing.version,
@@ -209,7 +209,7 @@
             Ok(listing) => {
                 first = false;
                 status.record_list(listing.version);
-                if inbox.send(Input::List(News::Told(listing))).is_err() {
+                if inbox.send(Input::List(ListEvent::Received(listing))).is_err() {
                     return CloseReason::Stopping;
                 }
             }
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -10,7 +10,7 @@
 use crate::config::Config;
 use crate::connection_admission::AdmissionLimits;
 use crate::counters::Counters;
-use crate::discovery::list::News;
+use crate::discovery::list::ListEvent;
 use crate::discovery::status::DiscoveryStatus;
 use crate::discovery::{self, WatchTrigger};
 use crate::figures::Figures;
@@ -135,7 +135,7 @@
     let router = Router::new(site.settings, config.seed, clock.now());
     let relay = Relay::default();
     if let Some(known) = known {
-        let _ = inbox.send(Input::List(News::Known(known)));
+        let _ = inbox.send(Input::List(ListEvent::Cached(known)));
     }
     let (asked, maintenance) = (inbox.clone(), Rc::default());
     let maintenance_log = MaintenanceLog::new(
--- a/src/stages/mod.rs
+++ b/src/stages/mod.rs
@@ -9,7 +9,7 @@
 pub mod send;
 
 use crate::api::{Ended, LoadReport, MemberId, Outcome, Request, RequestId, Span};
-use crate::discovery::list::News;
+use crate::discovery::list::ListEvent;
 use crate::request::Payload;
 use bytes::Bytes;
 use linenhill_decisions::outages::Sight;
@@ -83,7 +83,7 @@
     /// A probe ended.
     Probed(MemberId, Outcome, LoadReport),
     /// News of the list.
-    List(News),
+    List(ListEvent),
     /// Somebody asks how many members are listed, and how many of them avoided.
     Asked(oneshot::Sender<(usize, usize)>),
     /// Operators have said something new on the member with this name.
--- a/src/stages/route.rs
+++ b/src/stages/route.rs
@@ -8,7 +8,7 @@
     Action, Event, GroupId, ListEntry, ListUpdate, MemberId, MemberState, Outcome, RequestId, Span, Time,
 };
 use crate::clock::Clock;
-use crate::discovery::list::{Listing, Names, News, Server};
+use crate::discovery::list::{Endpoint, EndpointList, IdentifierTable, ListEvent};
 use crate::fleet::Shares;
 use crate::maintenance::{EffectiveState, ListedMember, Maintenance};
 use crate::policy::Router;
@@ -37,11 +37,11 @@
     sender: Sender,
     relay: Relay,
     pool: Pool,
-    names: Names,
+    names: IdentifierTable,
     subscribe: Rc<Notify>,
     maintenance: Rc<RefCell<Maintenance>>,
     /// What lists last said of each member.
-    listed: BTreeMap<String, (Server, MemberId)>,
+    listed: BTreeMap<String, (Endpoint, MemberId)>,
     timers: BTreeSet<(Time, u64)>,
     actions: Vec<Action>,
     shares: Shares,
@@ -52,7 +52,7 @@
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         router: Router, clock: Clock, inbox: mpsc::UnboundedReceiver<Input>, sender: Sender, relay: Relay,
-        pool: Pool, names: Names, subscribe: Rc<Notify>, maintenance: Rc<RefCell<Maintenance>>,
+        pool: Pool, names: IdentifierTable, subscribe: Rc<Notify>, maintenance: Rc<RefCell<Maintenance>>,
     ) -> Route {
         let (listed, timers, actions) = (BTreeMap::new(), BTreeSet::new(), Vec::new());
         Route {
@@ -148,17 +148,23 @@
             Input::Probed(member, outcome, report) => {
                 self.handle(Event::Probed { member, outcome, report });
             }
-            Input::List(News::Failed { quiet }) => self.handle(Event::List(ListUpdate::Failed { quiet })),
-            Input::List(News::Unchanged) => {
+            Input::List(ListEvent::Failed { silence: quiet }) => {
+                self.handle(Event::List(ListUpdate::Failed { quiet }))
+            }
+            Input::List(ListEvent::Unchanged) => {
                 self.handle(Event::List(ListUpdate::Changes(Arc::default())));
             }
-            Input::List(News::Known(listing)) => {
+            Input::List(ListEvent::Cached(listing)) => {
                 let entries = self.entries(listing);
                 self.list(ListUpdate::Cached(entries));
             }
-            Input::List(News::Told(listing)) => {
-                let full = listing.full;
-                info!("list version {} with {} entries, full={full}", listing.version, listing.servers.len());
+            Input::List(ListEvent::Received(listing)) => {
+                let full = listing.is_full;
+                info!(
+                    "list version {} with {} entries, full={full}",
+                    listing.version,
+                    listing.endpoints.len()
+                );
                 let entries = self.entries(listing);
                 let update = if full { ListUpdate::Full(entries) } else { ListUpdate::Changes(entries) };
                 self.list(update);
@@ -179,7 +185,7 @@
     /// Listed members that get nothing now: out by hand, draining, or avoided by the decisions.
     fn avoided(&self) -> usize {
         let maintenance = self.maintenance.borrow();
-        let avoided = |(name, (_, member)): &(&String, &(Server, MemberId))| {
+        let avoided = |(name, (_, member)): &(&String, &(Endpoint, MemberId))| {
             maintenance.is_out(name) || self.router.avoids(*member)
         };
         self.listed.iter().filter(avoided).count()
@@ -216,20 +222,20 @@
         self.pool.set_accepting(|member| router.takes_new(member));
     }
 
-    fn entries(&mut self, listing: Listing) -> Arc<Vec<ListEntry>> {
-        if listing.full {
+    fn entries(&mut self, listing: EndpointList) -> Arc<Vec<ListEntry>> {
+        if listing.is_full {
             self.listed.clear();
             self.maintenance.borrow_mut().begin_full_list(self.clock.now());
         }
-        let mut entries = Vec::with_capacity(listing.servers.len());
-        for server in listing.servers {
+        let mut entries = Vec::with_capacity(listing.endpoints.len());
+        for server in listing.endpoints {
             self.show(server, &mut entries);
         }
         Arc::new(entries)
     }
 
     /// The entries for a listed member, by what operators have said of it: who is out is shown as drained, and gone.
-    fn show(&mut self, server: Server, entries: &mut Vec<ListEntry>) {
+    fn show(&mut self, server: Endpoint, entries: &mut Vec<ListEntry>) {
         let name = server.id.clone();
         let (entry, addr) = self.names.entry(server.clone());
         if entry.state == MemberState::Gone {
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -17,7 +17,7 @@
 use linenhill::config::{Config, Reading, Variables};
 use linenhill::connection_admission::AdmissionLimits;
 use linenhill::counters::Counters;
-use linenhill::discovery::{self, list, list::News, status::DiscoveryStatus};
+use linenhill::discovery::{self, list, list::ListEvent, status::DiscoveryStatus};
 use linenhill::figures::Figures;
 use linenhill::lifecycle::ServingState;
 use linenhill::maintenance::{ListedMember, Maintenance};
@@ -73,7 +73,7 @@
     };
     let mut lists = 0;
     while let Ok(input) = events.try_recv() {
-        lists += usize::from(matches!(input, Input::List(News::Told(_))));
+        lists += usize::from(matches!(input, Input::List(ListEvent::Received(_))));
     }
     (status.list_version(), lists, reason)
 }
@@ -113,7 +113,7 @@
                 CloseReason::WatchEnded
             );
             let told = std::iter::from_fn(|| events.try_recv().ok());
-            told.map(|input| matches!(input, Input::List(News::Unchanged))).collect::<Vec<bool>>()
+            told.map(|input| matches!(input, Input::List(ListEvent::Unchanged))).collect::<Vec<bool>>()
         }
     };
     assert_eq!(words(&["", "", list]).await, [true, false]);
@@ -735,7 +735,7 @@
                 "zone":"a","kind":"m2","cell":1,"state":"in_service"}}]}}"#
         );
         let (told, _) = list::decode(line.as_bytes()).expect("a list");
-        assert!(inbox.send(Input::List(News::Told(told))).is_ok());
+        assert!(inbox.send(Input::List(ListEvent::Received(told))).is_ok());
     };
     let play = async {
         for (version, id) in [(1, "old"), (2, "new")] {
@@ -843,11 +843,11 @@
     let odd = flat.replacen("10.1.0.1:6543", "10.1.0.1:port", 1);
     assert_eq!(follow(vec![HEAD.to_string() + &chunk(&odd)]).await, (50, 1, CloseReason::Silent));
     let (listing, skipped) = linenhill::discovery::list::decode(odd.as_bytes()).expect("a list");
-    assert_eq!((listing.servers.len(), skipped.len()), (1, 1));
+    assert_eq!((listing.endpoints.len(), skipped.len()), (1, 1));
     assert!(skipped[0].to_string().contains("servers[0].addr"), "{}", skipped[0]);
     let leaves = odd.replacen("in_service", "terminating", 1);
     let (listing, skipped) = linenhill::discovery::list::decode(leaves.as_bytes()).expect("a list");
-    assert_eq!((listing.servers.len(), skipped.len()), (2, 0), "that it leaves counts, wherever it is");
+    assert_eq!((listing.endpoints.len(), skipped.len()), (2, 0), "that it leaves counts, wherever it is");
 }
 
 /// Guards against an order that is lost when two versions write at once, when the file is torn, or when its new text is
