--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -1,14 +1,18 @@
-//! Lists of members: decoded from JSON, checked, and numbered for the decisions.
+//! Endpoint lists: decoded from JSON, checked, and numbered for the decisions. A list is data from outside: nothing
+//! in it may cause a panic, and one bad entry of a watch must never hide the others.
 
 use crate::api::{GroupId, KindId, ListEntry, MemberId, MemberState, Span, Time, ZoneId};
 use crate::settings::{self, FormError, need};
 use miniserde::Deserialize;
-use std::net::SocketAddr;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// The address of a member that leaves, where the list's can't be read.
-const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
+/// The address of a leaving member whose own can't be read. Nothing is sent there.
+const UNKNOWN_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+/// The weight of an entry that gives none.
+const DEFAULT_WEIGHT: f64 = 1.0;
+const MICROS_PER_MILLI: u64 = 1_000;
 
-/// A list as it is written.
+/// A list as JSON has it.
 #[derive(Deserialize)]
 pub struct ListDoc {
     version: Option<u64>,
@@ -29,23 +33,23 @@
     recovery: Option<String>,
 }
 
-/// A list, or the changes to one.
+/// A full list, or the changes to one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// Its version.
+    /// Its version; later lists have higher ones, until the service begins anew.
     pub version: u64,
-    /// Members that are absent from it are gone.
+    /// Whether members that are absent from it are gone.
     pub is_full: bool,
     /// Its entries.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// One entry.
+/// One entry of a list: a member and where it listens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// The member's name.
     pub id: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
@@ -55,93 +59,118 @@
     pub group: u32,
     /// Its state.
     pub state: MemberState,
-    /// Its registered size.
+    /// Its registered capacity, relative to that of other members.
     pub weight: f64,
     /// When it last started, in Unix milliseconds.
     pub started_ms: Option<u64>,
-    /// The list holds it for its group's primary (`recovery` is `off`); lists may say so late, or not at all.
+    /// Whether the list has it as its group's primary. Lists may be late with this, or leave it out.
     pub is_primary: bool,
 }
 
-/// News of the list.
+/// A list that was read, as far as it can be.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DecodedList {
+    /// The list with its readable entries.
+    pub list: EndpointList,
+    /// What is wrong with each of the others.
+    pub skipped: Vec<FormError>,
+}
+
+/// What happened to the list of members.
 pub enum ListEvent {
-    /// The list as it was last known, from the configuration.
+    /// The configuration has a list of an earlier run.
     Cached(EndpointList),
-    /// What discovery told.
+    /// Discovery sent a list.
     Received(EndpointList),
-    /// A call was answered, with nothing new.
+    /// A call succeeded, with no change to report.
     Unchanged,
     /// A call failed, or a watch ended.
     Failed {
-        /// The watch fell silent: for how long it may have been.
+        /// For how long the watch may have been silent, if it ended for its silence.
         silence: Option<Span>,
     },
 }
 
-/// Reads one list of a watch: what can be read of it, and what is wrong with the entries that can't. One entry with an
-/// address that can't be must not keep the news of all others from being heard.
-pub fn decode(line: &[u8]) -> Result<(EndpointList, Vec<FormError>), FormError> {
+/// Decodes a list of a watch and skips the entries that can't be read: they must not keep the changes of the others
+/// from taking effect. An error means that the list as a whole can't be read.
+pub fn decode(line: &[u8]) -> Result<DecodedList, FormError> {
     let text = std::str::from_utf8(line).map_err(|_| FormError::NotJson)?;
     let doc = settings::parse::<ListDoc>(text)?;
-    let (version, full) = (need("version", doc.version)?, need("full", doc.full)?);
-    let (mut servers, mut skipped) = (Vec::new(), Vec::new());
-    for (i, entry) in need("servers", doc.servers)?.into_iter().enumerate() {
-        match entry.into_endpoint(i) {
-            Ok(server) => servers.push(server),
+    let version = need("version", doc.version)?;
+    let is_full = need("full", doc.full)?;
+    let mut endpoints = Vec::new();
+    let mut skipped = Vec::new();
+    for (index, entry) in need("servers", doc.servers)?.into_iter().enumerate() {
+        match entry.into_endpoint(index) {
+            Ok(endpoint) => endpoints.push(endpoint),
             Err(problem) => skipped.push(problem),
         }
     }
-    Ok((EndpointList { version, is_full: full, endpoints: servers }, skipped))
+    Ok(DecodedList { list: EndpointList { version, is_full, endpoints }, skipped })
 }
 
 impl ListDoc {
-    /// Checks every field.
+    /// Checks a list of the configuration, of which every entry must be readable.
     pub fn into_list(self) -> Result<EndpointList, FormError> {
         let entries = need("servers", self.servers)?.into_iter().enumerate();
-        let servers = entries.map(|(i, entry)| entry.into_endpoint(i)).collect::<Result<_, _>>()?;
-        Ok(EndpointList {
-            version: need("version", self.version)?,
-            is_full: need("full", self.full)?,
-            endpoints: servers,
-        })
+        let endpoints = entries.map(|(index, entry)| entry.into_endpoint(index)).collect::<Result<_, _>>()?;
+        let version = need("version", self.version)?;
+        let is_full = need("full", self.full)?;
+        Ok(EndpointList { version, is_full, endpoints })
     }
 }
 
 impl EndpointDoc {
-    fn into_endpoint(self, i: usize) -> Result<Endpoint, FormError> {
-        let at = |field: &str| format!("servers[{i}].{field}");
-        let wrong = |field: &str| FormError::Wrong(at(field));
-        let count = |field: &str, value: Option<f64>| match value.unwrap_or(0.0) {
-            v if v.is_finite() && v >= 0.0 => Ok(v as u64),
-            _ => Err(wrong(field)),
-        };
-        let id = need(&at("id"), self.id)?;
-        let state = match need(&at("state"), self.state)?.as_str() {
-            "in_service" => MemberState::InService,
-            "terminating" => MemberState::Draining,
-            "terminated" => MemberState::Gone,
-            _ => return Err(wrong("state")),
-        };
-        let address = match need(&at("addr"), self.addr)?.parse() {
-            Ok(addr) => addr,
-            // Nothing is sent there any more, wherever it is; that it leaves counts all the same.
-            Err(_) if state != MemberState::InService => NOWHERE,
+    /// Checks the entry at `index` of its list, whose fields errors name by their JSON keys.
+    fn into_endpoint(self, index: usize) -> Result<Endpoint, FormError> {
+        let path = |field: &str| format!("servers[{index}].{field}");
+        let wrong = |field: &str| FormError::Wrong(path(field));
+        let id = need(&path("id"), self.id)?;
+        let state = parse_state(&need(&path("state"), self.state)?).ok_or_else(|| wrong("state"))?;
+        let address = match need(&path("addr"), self.addr)?.parse() {
+            Ok(address) => address,
+            // Nothing is sent to a leaving member, so its address does not matter; that it leaves does.
+            Err(_) if state != MemberState::InService => UNKNOWN_ADDRESS,
             Err(_) => return Err(wrong("addr")),
         };
-        let group = u32::try_from(count("cell", self.cell)?).map_err(|_| wrong("cell"))?;
-        let weight = self.weight.unwrap_or(1.0);
-        let started_ms = Some(count("started_ms", self.started_ms)?).filter(|ms| *ms > 0);
-        let (zone, kind) = (self.zone.unwrap_or_default(), self.kind.unwrap_or_default());
+        let group = parse_count(self.cell).and_then(|count| u32::try_from(count).ok());
+        let group = group.ok_or_else(|| wrong("cell"))?;
+        let started_ms = parse_count(self.started_ms).ok_or_else(|| wrong("started_ms"))?;
         let is_primary = match self.recovery.as_deref() {
             Some("off") => true,
             Some("on") | None => false,
             Some(_) => return Err(wrong("recovery")),
         };
-        Ok(Endpoint { id, address, zone, kind, group, state, weight, started_ms, is_primary })
+        Ok(Endpoint {
+            id,
+            address,
+            zone: self.zone.unwrap_or_default(),
+            kind: self.kind.unwrap_or_default(),
+            group,
+            state,
+            weight: self.weight.unwrap_or(DEFAULT_WEIGHT),
+            started_ms: Some(started_ms).filter(|ms| *ms > 0),
+            is_primary,
+        })
+    }
+}
+
+fn parse_state(state: &str) -> Option<MemberState> {
+    match state {
+        "in_service" => Some(MemberState::InService),
+        "terminating" => Some(MemberState::Draining),
+        "terminated" => Some(MemberState::Gone),
+        _ => None,
     }
 }
 
-/// The numbers that names have for the decisions, the same over all lists.
+/// A count, which JSON may write as any number; 0 when absent.
+fn parse_count(value: Option<f64>) -> Option<u64> {
+    let value = value.unwrap_or(0.0);
+    (value.is_finite() && value >= 0.0).then_some(value as u64)
+}
+
+/// The numbers by which the decisions know members, kinds and zones; the same over all lists.
 #[derive(Default)]
 pub struct IdentifierTable {
     members: settings::Names,
@@ -151,23 +180,23 @@
 }
 
 impl IdentifierTable {
-    /// Drops the names of members that are not to be kept.
+    /// Forgets the members for which `keep` is false. Their numbers are not used again.
     pub fn retain(&mut self, keep: impl Fn(MemberId) -> bool) {
-        self.members.retain(|n| keep(MemberId(n as u32)));
+        self.members.retain(|number| keep(MemberId(number as u32)));
     }
 
-    /// An entry for the decisions, and where the member listens.
-    pub fn entry(&mut self, server: Endpoint) -> (ListEntry, SocketAddr) {
+    /// The entry for the decisions, and the member's address.
+    pub fn entry(&mut self, endpoint: Endpoint) -> (ListEntry, SocketAddr) {
         let entry = ListEntry {
-            member: MemberId(self.members.number(&server.id) as u32),
-            zone: ZoneId(self.zones.number(&server.zone)),
-            kind: KindId(self.kinds.number(&server.kind)),
-            group: GroupId(server.group),
-            state: server.state,
-            weight: server.weight,
-            started: server.started_ms.map(|ms| Time(ms.saturating_mul(1_000))),
-            primary_hint: server.is_primary,
+            member: MemberId(self.members.number(&endpoint.id) as u32),
+            zone: ZoneId(self.zones.number(&endpoint.zone)),
+            kind: KindId(self.kinds.number(&endpoint.kind)),
+            group: GroupId(endpoint.group),
+            state: endpoint.state,
+            weight: endpoint.weight,
+            started: endpoint.started_ms.map(|ms| Time(ms.saturating_mul(MICROS_PER_MILLI))),
+            primary_hint: endpoint.is_primary,
         };
-        (entry, server.address)
+        (entry, endpoint.address)
     }
 }
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -10,9 +10,10 @@
 use crate::config::Config;
 use crate::connection_admission::AdmissionLimits;
 use crate::counters::Counters;
+use crate::discovery::client::{DiscoveryClient, WatchTrigger};
 use crate::discovery::list::ListEvent;
 use crate::discovery::status::DiscoveryStatus;
-use crate::discovery::{self, WatchTrigger};
+use crate::discovery::watch::first_message_timeout;
 use crate::figures::Figures;
 use crate::fleet::Shares;
 use crate::fleet::outages;
@@ -124,7 +125,7 @@
     let desk = Rc::new(Desk::new(intake, admit, book.clone(), inbox.clone()));
     let subscribe = Rc::new(Notify::new());
     let version = known.as_ref().map_or(0, |k| k.version);
-    let within = discovery::answer_within(site.settings.discovery);
+    let first_message_timeout = first_message_timeout(site.settings.discovery);
     let status = Rc::new(DiscoveryStatus::new(version, clock));
     let trigger = match site.settings.discovery {
         api::Discovery::OnRequest => WatchTrigger::OnRequest(subscribe.clone()),
@@ -147,11 +148,18 @@
     let route = Route::new(router, clock, events, sender, relay, pool.clone(), names, subscribe, maintenance)
         .bound(shares);
     let driver = spawn_local(route.run());
-    let chance = fastrand::Rng::with_seed(config.seed);
-    let (kept, calls) = (status.clone(), counters.clone());
-    spawn_local(discovery::run(discovery, trigger, kept, inbox, calls, within, chance));
-    let kept = status.clone();
-    spawn_local(async move { kept.log_silence().await });
+    let discovery_client = DiscoveryClient {
+        address: discovery,
+        trigger,
+        status: status.clone(),
+        inbox,
+        counters: counters.clone(),
+        first_message_timeout,
+        rng: fastrand::Rng::with_seed(config.seed),
+    };
+    spawn_local(discovery_client.run());
+    let silence_logger = status.clone();
+    spawn_local(async move { silence_logger.log_silence().await });
     spawn_local(pool.clone().run_quota_enforcement());
     spawn_local(pool.run_sweeper());
     let lifecycle = LifecycleDriver::new(clock);
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -17,7 +17,9 @@
 use linenhill::config::{Config, Reading, Variables};
 use linenhill::connection_admission::AdmissionLimits;
 use linenhill::counters::Counters;
-use linenhill::discovery::{self, list, list::ListEvent, status::DiscoveryStatus};
+use linenhill::discovery::list::{self, DecodedList, ListEvent};
+use linenhill::discovery::status::DiscoveryStatus;
+use linenhill::discovery::watch::{first_message_timeout, read_watch};
 use linenhill::figures::Figures;
 use linenhill::lifecycle::ServingState;
 use linenhill::maintenance::{ListedMember, Maintenance};
@@ -68,7 +70,7 @@
     };
     let status = DiscoveryStatus::new(41, Clock::start());
     let reason = tokio::select! {
-        reason = discovery::follow(stream, &status, &inbox, WITHIN) => reason,
+        reason = read_watch(stream, &status, &inbox, WITHIN) => reason,
         () = told => unreachable!(),
     };
     let mut lists = 0;
@@ -96,8 +98,8 @@
     let late = |steps| [vec![String::new(); steps], vec![HEAD.to_string(), chunk(list)]].concat();
     assert_eq!(follow(late(1)).await, (43, 1, CloseReason::Silent));
     assert_eq!(follow(late(2)).await, (41, 0, CloseReason::Silent));
-    assert_eq!(discovery::answer_within(Discovery::OnRequest), WITHIN);
-    assert_eq!(discovery::answer_within(Discovery::Pushed), Duration::from_millis(1_500));
+    assert_eq!(first_message_timeout(Discovery::OnRequest), WITHIN);
+    assert_eq!(first_message_timeout(Discovery::Pushed), Duration::from_millis(1_500));
     // Bytes that trickle in without ever making a line.
     let trickle: Vec<String> = (0..9).map(|_| "1\r\n \r\n".to_string()).collect();
     let parts = [vec![HEAD.to_string()], trickle].concat();
@@ -108,10 +110,7 @@
         let text = HEAD.to_string() + &lines.iter().map(|l| chunk(l)).collect::<String>() + "0\r\n\r\n";
         async move {
             let status = DiscoveryStatus::new(41, Clock::start());
-            assert_eq!(
-                discovery::follow(text.as_bytes(), &status, &inbox, WITHIN).await,
-                CloseReason::WatchEnded
-            );
+            assert_eq!(read_watch(text.as_bytes(), &status, &inbox, WITHIN).await, CloseReason::WatchEnded);
             let told = std::iter::from_fn(|| events.try_recv().ok());
             told.map(|input| matches!(input, Input::List(ListEvent::Unchanged))).collect::<Vec<bool>>()
         }
@@ -734,8 +733,8 @@
             r#"{{"version":{version},"full":true,"servers":[{{"id":"{id}","addr":"127.0.0.1:1",
                 "zone":"a","kind":"m2","cell":1,"state":"in_service"}}]}}"#
         );
-        let (told, _) = list::decode(line.as_bytes()).expect("a list");
-        assert!(inbox.send(Input::List(ListEvent::Received(told))).is_ok());
+        let decoded = list::decode(line.as_bytes()).expect("a list");
+        assert!(inbox.send(Input::List(ListEvent::Received(decoded.list))).is_ok());
     };
     let play = async {
         for (version, id) in [(1, "old"), (2, "new")] {
@@ -842,12 +841,12 @@
     // The members' entries stand for themselves: one that can't be read keeps nobody else's news from being heard.
     let odd = flat.replacen("10.1.0.1:6543", "10.1.0.1:port", 1);
     assert_eq!(follow(vec![HEAD.to_string() + &chunk(&odd)]).await, (50, 1, CloseReason::Silent));
-    let (listing, skipped) = linenhill::discovery::list::decode(odd.as_bytes()).expect("a list");
-    assert_eq!((listing.endpoints.len(), skipped.len()), (1, 1));
+    let DecodedList { list, skipped } = list::decode(odd.as_bytes()).expect("a list");
+    assert_eq!((list.endpoints.len(), skipped.len()), (1, 1));
     assert!(skipped[0].to_string().contains("servers[0].addr"), "{}", skipped[0]);
     let leaves = odd.replacen("in_service", "terminating", 1);
-    let (listing, skipped) = linenhill::discovery::list::decode(leaves.as_bytes()).expect("a list");
-    assert_eq!((listing.endpoints.len(), skipped.len()), (2, 0), "that it leaves counts, wherever it is");
+    let DecodedList { list, skipped } = list::decode(leaves.as_bytes()).expect("a list");
+    assert_eq!((list.endpoints.len(), skipped.len()), (2, 0), "that it leaves counts, wherever it is");
 }
 
 /// Guards against an order that is lost when two versions write at once, when the file is torn, or when its new text is
