--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -54,11 +54,12 @@
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
-/// How long the first word of a watch may take here.
-const WITHIN: Duration = Duration::from_secs(3);
+/// The longest time until the first message of a watch.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Follows a watch that is told these parts, 2 s apart; what came of it, and why it ended.
-async fn follow(parts: Vec<String>) -> (u64, usize, CloseReason) {
+/// Plays a watch that sends these parts, 2 s apart. Returns the list version in use after it, the lists received, and why
+/// it ended.
+async fn play_watch(parts: Vec<String>) -> (u64, usize, CloseReason) {
     let (inbox, mut events) = mpsc::unbounded_channel();
     let (stream, mut far) = duplex(4096);
     let told = async {
@@ -70,7 +71,7 @@
     };
     let status = DiscoveryStatus::new(41, Clock::start());
     let reason = tokio::select! {
-        reason = read_watch(stream, &status, &inbox, WITHIN) => reason,
+        reason = read_watch(stream, &status, &inbox, FIRST_MESSAGE_TIMEOUT) => reason,
         () = told => unreachable!(),
     };
     let mut lists = 0;
@@ -80,37 +81,41 @@
     (status.list_version(), lists, reason)
 }
 
-// Guards against trusting a watch whose service is gone without a word: only its blank lines show it alive, and a word
-// that is never finished doesn't. And against a line that is passed over: what it said is not said again on this watch.
+/// Guards against trusting a watch whose service hangs: only its blank lines show that it lives, and a line that never
+/// ends does not. And against skipping a bad line, whose content the watch does not repeat: the list in use stays, but
+/// the watch ends.
 #[tokio::test(start_paused = true)]
-async fn a_silent_watch_is_dead_and_a_bad_line_ends_it_and_leaves_the_list() {
+async fn a_watch_ends_on_silence_or_a_bad_line() {
     let list = r#"{"version":43,"full":false,"servers":[]}"#;
     let bad = r#"{"version":44,"full":false,"servers":[{"id":5}]}"#;
     let alive = ["", "", "", "", list].map(chunk);
     let alive = [&[HEAD.to_string()], &alive[..]].concat();
-    assert_eq!(follow(alive.clone()).await, (43, 1, CloseReason::Silent));
+    assert_eq!(play_watch(alive.clone()).await, (43, 1, CloseReason::Silent));
     let later = list.replace("43", "45");
     let parts = [&alive[..], &[chunk(bad), chunk(&later)]].concat();
-    assert_eq!(follow(parts).await, (43, 1, CloseReason::Protocol));
-    assert_eq!(follow(vec![]).await, (41, 0, CloseReason::Silent));
+    assert_eq!(play_watch(parts).await, (43, 1, CloseReason::Protocol));
+    assert_eq!(play_watch(vec![]).await, (41, 0, CloseReason::Silent));
     // A call that waits in turn for 2 s is not given up: the next one would wait behind it. After 3 s it may have fallen
     // silent right after it was made, and what it misses counts as told 6 s after that.
     let late = |steps| [vec![String::new(); steps], vec![HEAD.to_string(), chunk(list)]].concat();
-    assert_eq!(follow(late(1)).await, (43, 1, CloseReason::Silent));
-    assert_eq!(follow(late(2)).await, (41, 0, CloseReason::Silent));
-    assert_eq!(first_message_timeout(Discovery::OnRequest), WITHIN);
+    assert_eq!(play_watch(late(1)).await, (43, 1, CloseReason::Silent));
+    assert_eq!(play_watch(late(2)).await, (41, 0, CloseReason::Silent));
+    assert_eq!(first_message_timeout(Discovery::OnRequest), FIRST_MESSAGE_TIMEOUT);
     assert_eq!(first_message_timeout(Discovery::Pushed), Duration::from_millis(1_500));
     // Bytes that trickle in without ever making a line.
     let trickle: Vec<String> = (0..9).map(|_| "1\r\n \r\n".to_string()).collect();
     let parts = [vec![HEAD.to_string()], trickle].concat();
-    assert_eq!(follow(parts).await, (41, 0, CloseReason::Silent));
+    assert_eq!(play_watch(parts).await, (41, 0, CloseReason::Silent));
     // A call that is answered with nothing new is told once, so that the gaps after failures start anew.
     let words = |lines: &[&str]| {
         let (inbox, mut events) = mpsc::unbounded_channel();
         let text = HEAD.to_string() + &lines.iter().map(|l| chunk(l)).collect::<String>() + "0\r\n\r\n";
         async move {
             let status = DiscoveryStatus::new(41, Clock::start());
-            assert_eq!(read_watch(text.as_bytes(), &status, &inbox, WITHIN).await, CloseReason::WatchEnded);
+            assert_eq!(
+                read_watch(text.as_bytes(), &status, &inbox, FIRST_MESSAGE_TIMEOUT).await,
+                CloseReason::WatchEnded
+            );
             let told = std::iter::from_fn(|| events.try_recv().ok());
             told.map(|input| matches!(input, Input::List(ListEvent::Unchanged))).collect::<Vec<bool>>()
         }
@@ -118,8 +123,8 @@
     assert_eq!(words(&["", "", list]).await, [true, false]);
     assert_eq!(words(&[list, "", ""]).await, [false]);
     let busy = "HTTP/1.1 503 Service Unavailable\r\n\r\n".to_string();
-    assert_eq!(follow(vec![busy]).await, (41, 0, CloseReason::Status));
-    assert_eq!(follow(vec![format!("{HEAD}0\r\n\r\n")]).await, (41, 0, CloseReason::WatchEnded));
+    assert_eq!(play_watch(vec![busy]).await, (41, 0, CloseReason::Status));
+    assert_eq!(play_watch(vec![format!("{HEAD}0\r\n\r\n")]).await, (41, 0, CloseReason::WatchEnded));
 }
 
 type Events = mpsc::UnboundedReceiver<Input>;
@@ -521,9 +526,9 @@
     }
 }
 
-// Guards against writing to a connection that its member may be closing, and against a descriptor too many.
+/// Guards against writing to a connection that its member may be closing, and against exceeding the descriptors.
 #[tokio::test]
-async fn old_connections_are_not_used_and_idle_ones_make_room() {
+async fn the_pool_skips_old_connections_and_evicts_idle_ones() {
     let act = |_| std::future::ready(peer::Act::Break);
     let play = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -551,10 +556,10 @@
     tokio::task::LocalSet::new().run_until(play).await;
 }
 
-// The member ends an idle connection, or speaks on it, between two waits of the runtime: this thread goes on without one.
-// Guards against a statement that is written to a closed connection, and against late bytes that are taken for its answer.
+/// The member closes an idle connection, or sends bytes on it, between two polls of the runtime: this thread does not
+/// yield. Guards against a statement written to a closed connection, and against late bytes taken for its reply.
 #[tokio::test]
-async fn an_idle_connection_that_ended_between_polls_is_not_used() {
+async fn a_connection_that_ended_between_polls_is_not_used() {
     for how in ["ends", "resets", "speaks"] {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let at = listener.local_addr().expect("an address");
@@ -599,9 +604,9 @@
     }
 }
 
-// Guards against work that was decided before a drain was told of and sent after it, since its connection took its time.
+/// Guards against sending work that was decided on before a drain was announced, while its connection came up.
 #[tokio::test]
-async fn a_statement_that_waits_for_its_connection_is_not_sent_once_the_member_drains() {
+async fn no_statement_is_written_after_a_drain() {
     let play = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let (m, long) = (MemberId(1), Duration::from_secs(60));
@@ -639,7 +644,8 @@
     [&[kind], &(4 + body.len() as u32).to_be_bytes()[..], body].concat()
 }
 
-/// What a link makes of these bytes, sent in answer to a statement on a connection that stays open.
+/// The reply that a connection reads from these bytes, sent in answer to a statement; the connection stays open. Its
+/// outcome, the position of its report, and whether the connection is reusable.
 async fn reply_to(bytes: Vec<u8>) -> (Outcome, Option<Time>, bool) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
@@ -666,10 +672,10 @@
     reply
 }
 
-// Guards against passing on what no member made for the request, against waiting for an end that never comes,
-// and against a good answer lost to what comes along with it.
+/// Guards against relaying what no member made for the request, against waiting for an end that never comes, and
+/// against losing a good answer to what arrives along with it.
 #[tokio::test]
-async fn a_spoilt_answer_is_garbled_at_once_and_a_good_one_is_served() {
+async fn malformed_replies_are_garbled_and_good_ones_served() {
     let description = typed(b'T', &[b"\0\x01val\0".as_slice(), &[0; 18]].concat());
     let row = typed(b'D', b"\0\x01\0\0\0\x02ok");
     let (complete, ready) = (typed(b'C', b"SELECT 1\0"), typed(b'Z', b"I"));
@@ -712,9 +718,9 @@
     }
 }
 
-// Guards against a place kept for every member that ever was, and against a number that comes to mean another.
+/// Guards against a slot kept for every member that ever was, and against a number that comes to mean another member.
 #[tokio::test(start_paused = true)]
-async fn what_the_decisions_forget_of_members_everybody_forgets() {
+async fn forgotten_members_are_dropped_everywhere() {
     let text = include_str!("../examples/config.json");
     let config = Config::parse(text, Path::new("config.json"), Variables::default(), Reading::Start)
         .expect("a configuration");
@@ -789,38 +795,46 @@
     format!(r#"{{"version":{version},"full":{full},"servers":[{}],"region":"mu"}}"#, entries.join(","))
 }
 
-// Guards against a large fleet's list that is lost or taken for another: cut anywhere, twice, older than what is known,
-// empty, with fields that nobody knows. An old change would undo a drain that was told since.
+/// Guards against a large fleet's list that is lost or misread: cut anywhere, sent twice, older than the one in use,
+/// empty, with unknown fields. An old change would undo a drain that was announced since.
 #[tokio::test(start_paused = true)]
-async fn a_list_of_sixty_members_is_taken_whole_and_never_backwards() {
+async fn lists_are_accepted_whole_and_never_backwards() {
     let whole = chunk(&large_list(50, true, 60));
     for cut in (1..whole.len()).step_by(397) {
         let parts = vec![HEAD.to_string() + &whole[..cut], whole[cut..].to_string()];
-        assert_eq!(follow(parts).await, (50, 1, CloseReason::Silent), "cut at {cut}");
+        assert_eq!(play_watch(parts).await, (50, 1, CloseReason::Silent), "cut at {cut}");
     }
     let stream = |lists: &[String]| {
         let lines: String = lists.iter().map(|l| chunk(l)).collect();
         vec![HEAD.to_string() + &lines]
     };
     let [new, older, empty] = [(50, 60), (49, 60), (51, 0)].map(|(v, n)| large_list(v, false, n));
-    assert_eq!(follow(stream(&[new.clone(), new.clone()])).await, (50, 2, CloseReason::Silent), "twice");
-    assert_eq!(follow(stream(&[new.clone(), older.clone()])).await, (50, 1, CloseReason::Silent), "older");
-    assert_eq!(follow(stream(&[new.clone(), empty])).await, (51, 2, CloseReason::Silent), "empty");
+    assert_eq!(play_watch(stream(&[new.clone(), new.clone()])).await, (50, 2, CloseReason::Silent), "twice");
+    assert_eq!(
+        play_watch(stream(&[new.clone(), older.clone()])).await,
+        (50, 1, CloseReason::Silent),
+        "older"
+    );
+    assert_eq!(play_watch(stream(&[new.clone(), empty])).await, (51, 2, CloseReason::Silent), "empty");
     let before = large_list(40, false, 60);
-    assert_eq!(follow(stream(&[before])).await, (41, 0, CloseReason::Silent), "from before what is known");
+    assert_eq!(
+        play_watch(stream(&[before])).await,
+        (41, 0, CloseReason::Silent),
+        "from before what is known"
+    );
     let anew = large_list(3, true, 60);
     assert_eq!(
-        follow(stream(std::slice::from_ref(&anew))).await,
+        play_watch(stream(std::slice::from_ref(&anew))).await,
         (3, 1, CloseReason::Silent),
         "a service that began anew"
     );
-    assert_eq!(follow(stream(&[new, anew])).await, (50, 1, CloseReason::Silent), "but not amid a watch");
+    assert_eq!(play_watch(stream(&[new, anew])).await, (50, 1, CloseReason::Silent), "but not amid a watch");
 }
 
-// Guards against lists that are lost because they come indented, also in pieces; and against a list that was cut and
-// would take all later lines as its own.
+/// Guards against losing lists that are indented, also in pieces; and against a list that was cut and would take all
+/// later lines as its own.
 #[tokio::test(start_paused = true)]
-async fn an_indented_list_is_one_list_and_a_cut_one_ends_the_watch() {
+async fn indented_lists_are_read_and_cut_ones_end_the_watch() {
     let entry =
         r#"{"id":"s-{\"{","addr":"10.1.0.1:6543","zone":"a\\","kind":"m2","cell":1,"state":"in_service"}"#;
     let flat = format!(r#"{{"version":50,"full":true,"servers":[{entry},{entry}],"more":{{"x":[1,[2]]}}}}"#);
@@ -830,17 +844,17 @@
         let whole = chunk("") + &chunk(text) + &chunk("") + &chunk(&text.replace("50", "51"));
         for cut in (1..whole.len()).step_by(89) {
             let parts = vec![HEAD.to_string() + &whole[..cut], whole[cut..].to_string()];
-            assert_eq!(follow(parts).await, (51, 2, CloseReason::Silent), "cut at {cut}");
+            assert_eq!(play_watch(parts).await, (51, 2, CloseReason::Silent), "cut at {cut}");
         }
     }
     let next = chunk("") + &chunk(&flat);
     for cut in (1..indented.len()).step_by(7) {
         let parts = vec![HEAD.to_string() + &chunk(&indented[..cut]), next.clone()];
-        assert_eq!(follow(parts).await, (41, 0, CloseReason::Protocol), "cut at {cut}");
+        assert_eq!(play_watch(parts).await, (41, 0, CloseReason::Protocol), "cut at {cut}");
     }
     // The members' entries stand for themselves: one that can't be read keeps nobody else's news from being heard.
     let odd = flat.replacen("10.1.0.1:6543", "10.1.0.1:port", 1);
-    assert_eq!(follow(vec![HEAD.to_string() + &chunk(&odd)]).await, (50, 1, CloseReason::Silent));
+    assert_eq!(play_watch(vec![HEAD.to_string() + &chunk(&odd)]).await, (50, 1, CloseReason::Silent));
     let DecodedList { list, skipped } = list::decode(odd.as_bytes()).expect("a list");
     assert_eq!((list.endpoints.len(), skipped.len()), (1, 1));
     assert!(skipped[0].to_string().contains("servers[0].addr"), "{}", skipped[0]);
