--- a/src/members/mod.rs
+++ /dev/null
@@ -1,6 +0,0 @@
-//! The members' side: connections kept warm, and the life of one attempt.
-
-pub mod attempt;
-pub mod link;
-pub mod pool;
-pub mod report;
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -10,14 +10,14 @@
 use crate::config::Config;
 use crate::connection_admission::AdmissionLimits;
 use crate::counters::Counters;
-use crate::discovery::list::News;
+use crate::discovery::client::{DiscoveryClient, WatchTrigger};
+use crate::discovery::list::ListEvent;
 use crate::discovery::status::DiscoveryStatus;
-use crate::discovery::{self, WatchTrigger};
+use crate::discovery::watch::first_message_timeout;
 use crate::figures::Figures;
 use crate::fleet::Shares;
 use crate::fleet::outages;
 use crate::lifecycle::Event;
-use crate::members::pool::Pool;
 use crate::policy::Router;
 use crate::stages::Input;
 use crate::stages::admit::Admit;
@@ -27,6 +27,7 @@
 use crate::stages::route::Route;
 use crate::stages::send::Sender;
 use crate::takeover::maintenance_log::{self, MaintenanceLog};
+use crate::upstream::pool::Pool;
 use crate::watch_schedule::WatchSchedule;
 use linenhill_cluster::member::Fleet;
 use log::info;
@@ -104,7 +105,7 @@
     let idle_close = Duration::from_micros(limits.idle_close.0);
     let connect = Duration::from_micros(limits.connect_timeout.0).max(Duration::from_millis(1));
     let shares = listeners.together.as_ref().map(|(shares, ..)| shares.clone()).unwrap_or_default();
-    let pool = Pool::bound(share(MEMBERS_PART), idle_close, connect, counters.clone(), shares.clone());
+    let pool = Pool::with_quota(share(MEMBERS_PART), idle_close, connect, counters.clone(), shares.clone());
     let (inbox, events) = mpsc::unbounded_channel();
     let figures = Rc::new(Figures::new(site.class_names()));
     let book = Book::new(counters.clone(), figures.clone());
@@ -124,7 +125,7 @@
     let gateway = Rc::new(RequestGateway::new(intake, admit, book.clone(), inbox.clone()));
     let subscribe = Rc::new(Notify::new());
     let version = known.as_ref().map_or(0, |k| k.version);
-    let within = discovery::answer_within(site.settings.discovery);
+    let first_message_timeout = first_message_timeout(site.settings.discovery);
     let status = Rc::new(DiscoveryStatus::new(version, clock));
     let trigger = match site.settings.discovery {
         api::Discovery::OnRequest => WatchTrigger::OnRequest(subscribe.clone()),
@@ -135,7 +136,7 @@
     let router = Router::new(site.settings, config.seed, clock.now());
     let relay = Relay::default();
     if let Some(known) = known {
-        let _ = inbox.send(Input::List(News::Known(known)));
+        let _ = inbox.send(Input::List(ListEvent::Cached(known)));
     }
     let (asked, maintenance) = (inbox.clone(), Rc::default());
     let maintenance_log = MaintenanceLog::new(
@@ -147,13 +148,20 @@
     let route = Route::new(router, clock, events, sender, relay, pool.clone(), names, subscribe, maintenance)
         .bound(shares);
     let driver = spawn_local(route.run());
-    let chance = fastrand::Rng::with_seed(config.seed);
-    let (kept, calls) = (status.clone(), counters.clone());
-    spawn_local(discovery::run(discovery, trigger, kept, inbox, calls, within, chance));
-    let kept = status.clone();
-    spawn_local(async move { kept.log_silence().await });
-    spawn_local(pool.clone().follow_shares());
-    spawn_local(pool.look_after());
+    let discovery_client = DiscoveryClient {
+        address: discovery,
+        trigger,
+        status: status.clone(),
+        inbox,
+        counters: counters.clone(),
+        first_message_timeout,
+        rng: fastrand::Rng::with_seed(config.seed),
+    };
+    spawn_local(discovery_client.run());
+    let silence_logger = status.clone();
+    spawn_local(async move { silence_logger.log_silence().await });
+    spawn_local(pool.clone().run_quota_enforcement());
+    spawn_local(pool.run_sweeper());
     let lifecycle = LifecycleDriver::new(clock);
     let together = listeners.together.as_ref().map(|(_, fleet, _)| fleet.clone());
     if let Some((_, fleet, reached)) = listeners.together {
--- /dev/null
+++ b/src/upstream/connection.rs
@@ -0,0 +1,291 @@
+//! One connection to a member, which carries one statement at a time: opens the session, writes a statement, reads
+//! the reply, and forwards the rest of a long answer in chunks.
+//!
+//! It must never read a byte as part of a reply that the member sent before the statement, nor report a connection as
+//! reusable on which anything is still to come. Its end is logged once, under the reason set last.
+
+use crate::api::Outcome;
+use crate::budget::Place;
+use crate::close_reason::{CloseReason, Side, log_close};
+use crate::fleet::Unit;
+use crate::peek::{Unread, unread};
+use crate::pg::PgError;
+use crate::pg::backend::{Backend, BackendCodec, Command};
+use crate::upstream::reply::{ReplyAssembler, ReplyProgress, StatementReply, outcome_of};
+use bytes::{Bytes, BytesMut};
+use futures_util::{SinkExt, StreamExt};
+use std::cell::Cell;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+use tokio::time::{Instant, timeout, timeout_at};
+use tokio_util::codec::Framed;
+
+/// A reply that has begun continues within this time, or its rest is not coming.
+const ANSWER_GAP: Duration = Duration::from_millis(250);
+/// The longest time between two chunks of a long answer. Longer than [`ANSWER_GAP`], since members may pause for
+/// seconds within one.
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(10);
+/// A buffer that grew beyond this many bytes is released after the reply.
+const MAX_KEPT_BUFFER: usize = 32 * 1024;
+/// The size of a new buffer, in bytes: the codec's own default.
+const INITIAL_BUFFER: usize = 8 * 1024;
+
+/// An open connection. Dropping it closes the socket, logs the close reason, and returns the descriptor and the quota
+/// permit.
+pub struct MemberConnection {
+    framed: Framed<TcpStream, BackendCodec>,
+    address: SocketAddr,
+    close_reason: Rc<Cell<CloseReason>>,
+    _descriptor: Place,
+    _permit: Unit,
+}
+
+impl Drop for MemberConnection {
+    fn drop(&mut self) {
+        log_close(Side::Member, self.address, self.close_reason.get());
+    }
+}
+
+/// The next event of a long answer whose beginning was read.
+pub enum StreamEvent {
+    /// A chunk of the value.
+    Chunk(Bytes),
+    /// The completion, as the member sent it: the answer is whole.
+    End(Bytes),
+    /// The connection can carry another statement.
+    Ready,
+    /// Nothing more comes: the connection is of no further use.
+    Broken,
+}
+
+/// Why the session of a new connection could not be opened.
+struct SessionError {
+    outcome: Outcome,
+    close_reason: CloseReason,
+}
+
+impl SessionError {
+    /// The connection failed, or what came on it can't be read.
+    const BROKEN: SessionError =
+        SessionError { outcome: Outcome::ConnectError, close_reason: CloseReason::Reset };
+
+    /// The member answered the startup with an error.
+    fn rejected(sqlstate: &[u8]) -> SessionError {
+        let outcome = match outcome_of(sqlstate) {
+            Outcome::QueueFull => Outcome::QueueFull,
+            _ => Outcome::ConnectError,
+        };
+        SessionError { outcome, close_reason: CloseReason::TurnedAway }
+    }
+}
+
+impl MemberConnection {
+    /// Opens a connection and waits until the member is ready for a statement, at most `connect_timeout` in all. An
+    /// error is the outcome of the attempt that needed the connection.
+    pub async fn open(
+        address: SocketAddr, descriptor: Place, connect_timeout: Duration,
+    ) -> Result<MemberConnection, Outcome> {
+        let deadline = Instant::now() + connect_timeout;
+        let stream = connect(address, deadline).await?;
+        // A socket that refuses the option works all the same, only slower.
+        let _ = stream.set_nodelay(true);
+        let mut connection = MemberConnection {
+            framed: Framed::new(stream, BackendCodec::default()),
+            address,
+            close_reason: Rc::new(Cell::new(CloseReason::ConnectTimeout)),
+            _descriptor: descriptor,
+            _permit: Unit::default(),
+        };
+        match timeout_at(deadline, connection.start_session()).await {
+            Ok(Ok(())) => {
+                connection.close_reason.set(CloseReason::Cancelled);
+                Ok(connection)
+            }
+            Ok(Err(error)) => {
+                connection.close_reason.set(error.close_reason);
+                Err(error.outcome)
+            }
+            Err(_) => Err(Outcome::ConnectError),
+        }
+    }
+
+    /// Sends the startup message and waits until the member is ready.
+    async fn start_session(&mut self) -> Result<(), SessionError> {
+        self.framed.send(Command::Startup).await.map_err(|_| SessionError::BROKEN)?;
+        loop {
+            match self.framed.next().await {
+                Some(Ok(Backend::Ready)) => return Ok(()),
+                Some(Ok(Backend::Error(sqlstate))) => return Err(SessionError::rejected(&sqlstate)),
+                Some(Ok(_)) => {}
+                Some(Err(_)) | None => return Err(SessionError::BROKEN),
+            }
+        }
+    }
+
+    /// Keeps a quota permit until the connection is closed.
+    pub fn hold_permit(&mut self, permit: Unit) {
+        self._permit = permit;
+    }
+
+    /// The member's address.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// The reason under which the end of the connection will be logged, for whoever ends it to set.
+    pub fn close_reason(&self) -> Rc<Cell<CloseReason>> {
+        self.close_reason.clone()
+    }
+
+    /// Why the connection can't carry a statement, if it can't. An idle connection must be open, with nothing to
+    /// read.
+    pub fn unusable_reason(&self) -> Option<CloseReason> {
+        let mut byte = [0u8; 1];
+        match self.framed.get_ref().try_read(&mut byte) {
+            Err(e) if e.kind() == ErrorKind::WouldBlock => {
+                let has_unread_bytes = !self.framed.read_buffer().is_empty();
+                has_unread_bytes.then_some(CloseReason::Protocol)
+            }
+            Ok(0) | Err(_) => Some(CloseReason::PeerClosed),
+            Ok(_) => Some(CloseReason::Protocol),
+        }
+    }
+
+    /// Like [`Self::unusable_reason`], but asks the kernel too: the runtime does not know of what arrived since it
+    /// last polled. To be checked right before a statement is written.
+    pub fn unusable_reason_now(&self) -> Option<CloseReason> {
+        self.unusable_reason().or_else(|| match unread(self.framed.get_ref()) {
+            Unread::Nothing => None,
+            Unread::Bytes => Some(CloseReason::Protocol),
+            Unread::End => Some(CloseReason::PeerClosed),
+        })
+    }
+
+    /// Writes a whole statement. If this fails the statement has not run.
+    pub async fn write_statement(&mut self, head: Bytes, tail: Bytes) -> Result<(), Outcome> {
+        let result = if tail.is_empty() {
+            self.framed.send(Command::Query(head)).await
+        } else {
+            self.write_long(&head, &tail).await
+        };
+        result.map_err(|_| {
+            self.close_reason.set(CloseReason::Reset);
+            Outcome::ConnectError
+        })
+    }
+
+    /// Writes a long statement past the codec's buffer, into which it would be copied.
+    async fn write_long(&mut self, head: &[u8], tail: &[u8]) -> Result<(), PgError> {
+        let length = (4 + head.len() + tail.len() + 1) as u32;
+        let stream = self.framed.get_mut();
+        stream.write_all(&[b"Q", &length.to_be_bytes()[..], head].concat()).await?;
+        stream.write_all(tail).await?;
+        Ok(stream.write_all(&[0]).await?)
+    }
+
+    /// Reads the reply to the statement written: a description, a row and a completion, or an error; then readiness.
+    /// Anything else is [`Outcome::Garbled`]: the statement may have run, and the connection is of no further use.
+    pub async fn read_reply(&mut self) -> StatementReply {
+        let mut assembler = ReplyAssembler::new();
+        let mut is_reusable = false;
+        let outcome = loop {
+            let message = self.next_message(assembler.has_begun()).await;
+            match assembler.push(message) {
+                ReplyProgress::Incomplete => {}
+                ReplyProgress::Streaming => return assembler.finish(Outcome::Ok),
+                ReplyProgress::Complete(outcome) => {
+                    // The answer counts even if more came after it, but the connection is not used again then.
+                    is_reusable = self.check_usable();
+                    break outcome;
+                }
+                ReplyProgress::Broken(outcome, reason) => {
+                    self.close_reason.set(reason);
+                    break outcome;
+                }
+            }
+        };
+        self.release_large_buffers();
+        StatementReply { is_reusable, ..assembler.finish(outcome) }
+    }
+
+    /// Whether the connection can carry another statement; if not, sets the close reason.
+    fn check_usable(&self) -> bool {
+        let unusable_reason = self.unusable_reason();
+        if let Some(reason) = unusable_reason {
+            self.close_reason.set(reason);
+        }
+        unusable_reason.is_none()
+    }
+
+    /// The next message of a reply. The first one may take any time; once bytes of the reply have arrived, others
+    /// must follow within [`ANSWER_GAP`].
+    async fn next_message(&mut self, has_begun: bool) -> Option<Result<Backend, PgError>> {
+        let mut buffered = self.framed.read_buffer().len();
+        loop {
+            if let Ok(message) = timeout(ANSWER_GAP, self.framed.next()).await {
+                return message;
+            }
+            let buffered_before = buffered;
+            buffered = self.framed.read_buffer().len();
+            if (has_begun || buffered_before > 0) && buffered == buffered_before {
+                return Some(Err(PgError::Body("an answer without its end")));
+            }
+        }
+    }
+
+    /// The next event of a long answer whose beginning [`Self::read_reply`] has read.
+    pub async fn next_chunk(&mut self) -> StreamEvent {
+        loop {
+            let Ok(next) = timeout(CHUNK_TIMEOUT, self.framed.next()).await else {
+                return self.break_stream(CloseReason::TimedOut);
+            };
+            let message = match next {
+                Some(Ok(message)) => message,
+                Some(Err(PgError::Length(_) | PgError::Kind(_) | PgError::Body(_))) => {
+                    return self.break_stream(CloseReason::Protocol);
+                }
+                Some(Err(_)) | None => return self.break_stream(CloseReason::Reset),
+            };
+            match message {
+                Backend::Part(bytes) => return StreamEvent::Chunk(bytes),
+                Backend::Complete(bytes) => return StreamEvent::End(bytes),
+                Backend::Ready if self.check_usable() => return StreamEvent::Ready,
+                // The member sent more than it was asked for.
+                Backend::Ready => return StreamEvent::Broken,
+                Backend::Parameter { .. } | Backend::Other => {}
+                _ => return self.break_stream(CloseReason::Protocol),
+            }
+        }
+    }
+
+    fn break_stream(&self, reason: CloseReason) -> StreamEvent {
+        self.close_reason.set(reason);
+        StreamEvent::Broken
+    }
+
+    /// Replaces empty buffers that a long statement or answer made large.
+    fn release_large_buffers(&mut self) {
+        let is_large = |buffer: &BytesMut| buffer.capacity() > MAX_KEPT_BUFFER && buffer.is_empty();
+        if is_large(self.framed.read_buffer()) {
+            *self.framed.read_buffer_mut() = BytesMut::with_capacity(INITIAL_BUFFER);
+        }
+        if is_large(self.framed.write_buffer()) {
+            *self.framed.write_buffer_mut() = BytesMut::with_capacity(INITIAL_BUFFER);
+        }
+    }
+}
+
+/// Connects to a member; logs the end of a connection that never came up.
+async fn connect(address: SocketAddr, deadline: Instant) -> Result<TcpStream, Outcome> {
+    let reason = match timeout_at(deadline, TcpStream::connect(address)).await {
+        Ok(Ok(stream)) => return Ok(stream),
+        Ok(Err(_)) => CloseReason::Refused,
+        Err(_) => CloseReason::ConnectTimeout,
+    };
+    log_close(Side::Member, address, reason);
+    Err(Outcome::ConnectError)
+}
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -17,13 +17,12 @@
 use linenhill::config::{Config, Reading, Variables};
 use linenhill::connection_admission::AdmissionLimits;
 use linenhill::counters::Counters;
-use linenhill::discovery::{self, list, list::News, status::DiscoveryStatus};
+use linenhill::discovery::list::{self, DecodedList, ListEvent};
+use linenhill::discovery::status::DiscoveryStatus;
+use linenhill::discovery::watch::{first_message_timeout, read_watch};
 use linenhill::figures::Figures;
 use linenhill::lifecycle::ServingState;
 use linenhill::maintenance::{ListedMember, Maintenance};
-use linenhill::members::attempt::{self, Errand};
-use linenhill::members::link::Link;
-use linenhill::members::pool::Pool;
 use linenhill::policy::Router;
 use linenhill::request::Payload;
 use linenhill::stages::admit::Admit;
@@ -34,6 +33,9 @@
 use linenhill::stages::send::Sender;
 use linenhill::stages::{Answer, Input};
 use linenhill::takeover::{maintenance_log::MaintenanceLog, saved};
+use linenhill::upstream::attempt::{self, AttemptRequest};
+use linenhill::upstream::connection::MemberConnection;
+use linenhill::upstream::pool::Pool;
 use std::cell::RefCell;
 use std::io::{Read, Write};
 use std::path::Path;
@@ -52,11 +54,12 @@
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
-/// How long the first word of a watch may take here.
-const WITHIN: Duration = Duration::from_secs(3);
+/// The longest time until the first message of a watch.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Follows a watch that is told these parts, 2 s apart; what came of it, and why it ended.
-async fn follow(parts: Vec<String>) -> (u64, usize, CloseReason) {
+/// Plays a watch that sends these parts, 2 s apart. Returns the list version in use after it, the lists received, and why
+/// it ended.
+async fn play_watch(parts: Vec<String>) -> (u64, usize, CloseReason) {
     let (inbox, mut events) = mpsc::unbounded_channel();
     let (stream, mut far) = duplex(4096);
     let told = async {
@@ -68,40 +71,41 @@
     };
     let status = DiscoveryStatus::new(41, Clock::start());
     let reason = tokio::select! {
-        reason = discovery::follow(stream, &status, &inbox, WITHIN) => reason,
+        reason = read_watch(stream, &status, &inbox, FIRST_MESSAGE_TIMEOUT) => reason,
         () = told => unreachable!(),
     };
     let mut lists = 0;
     while let Ok(input) = events.try_recv() {
-        lists += usize::from(matches!(input, Input::List(News::Told(_))));
+        lists += usize::from(matches!(input, Input::List(ListEvent::Received(_))));
     }
     (status.list_version(), lists, reason)
 }
 
-// Guards against trusting a watch whose service is gone without a word: only its blank lines show it alive, and a word
-// that is never finished doesn't. And against a line that is passed over: what it said is not said again on this watch.
+/// Guards against trusting a watch whose service hangs: only its blank lines show that it lives, and a line that never
+/// ends does not. And against skipping a bad line, whose content the watch does not repeat: the list in use stays, but
+/// the watch ends.
 #[tokio::test(start_paused = true)]
-async fn a_silent_watch_is_dead_and_a_bad_line_ends_it_and_leaves_the_list() {
+async fn a_watch_ends_on_silence_or_a_bad_line() {
     let list = r#"{"version":43,"full":false,"servers":[]}"#;
     let bad = r#"{"version":44,"full":false,"servers":[{"id":5}]}"#;
     let alive = ["", "", "", "", list].map(chunk);
     let alive = [&[HEAD.to_string()], &alive[..]].concat();
-    assert_eq!(follow(alive.clone()).await, (43, 1, CloseReason::Silent));
+    assert_eq!(play_watch(alive.clone()).await, (43, 1, CloseReason::Silent));
     let later = list.replace("43", "45");
     let parts = [&alive[..], &[chunk(bad), chunk(&later)]].concat();
-    assert_eq!(follow(parts).await, (43, 1, CloseReason::Protocol));
-    assert_eq!(follow(vec![]).await, (41, 0, CloseReason::Silent));
+    assert_eq!(play_watch(parts).await, (43, 1, CloseReason::Protocol));
+    assert_eq!(play_watch(vec![]).await, (41, 0, CloseReason::Silent));
     // A call that waits in turn for 2 s is not given up: the next one would wait behind it. After 3 s it may have fallen
     // silent right after it was made, and what it misses counts as told 6 s after that.
     let late = |steps| [vec![String::new(); steps], vec![HEAD.to_string(), chunk(list)]].concat();
-    assert_eq!(follow(late(1)).await, (43, 1, CloseReason::Silent));
-    assert_eq!(follow(late(2)).await, (41, 0, CloseReason::Silent));
-    assert_eq!(discovery::answer_within(Discovery::OnRequest), WITHIN);
-    assert_eq!(discovery::answer_within(Discovery::Pushed), Duration::from_millis(1_500));
+    assert_eq!(play_watch(late(1)).await, (43, 1, CloseReason::Silent));
+    assert_eq!(play_watch(late(2)).await, (41, 0, CloseReason::Silent));
+    assert_eq!(first_message_timeout(Discovery::OnRequest), FIRST_MESSAGE_TIMEOUT);
+    assert_eq!(first_message_timeout(Discovery::Pushed), Duration::from_millis(1_500));
     // Bytes that trickle in without ever making a line.
     let trickle: Vec<String> = (0..9).map(|_| "1\r\n \r\n".to_string()).collect();
     let parts = [vec![HEAD.to_string()], trickle].concat();
-    assert_eq!(follow(parts).await, (41, 0, CloseReason::Silent));
+    assert_eq!(play_watch(parts).await, (41, 0, CloseReason::Silent));
     // A call that is answered with nothing new is told once, so that the gaps after failures start anew.
     let words = |lines: &[&str]| {
         let (inbox, mut events) = mpsc::unbounded_channel();
@@ -109,18 +113,18 @@
         async move {
             let status = DiscoveryStatus::new(41, Clock::start());
             assert_eq!(
-                discovery::follow(text.as_bytes(), &status, &inbox, WITHIN).await,
+                read_watch(text.as_bytes(), &status, &inbox, FIRST_MESSAGE_TIMEOUT).await,
                 CloseReason::WatchEnded
             );
             let told = std::iter::from_fn(|| events.try_recv().ok());
-            told.map(|input| matches!(input, Input::List(News::Unchanged))).collect::<Vec<bool>>()
+            told.map(|input| matches!(input, Input::List(ListEvent::Unchanged))).collect::<Vec<bool>>()
         }
     };
     assert_eq!(words(&["", "", list]).await, [true, false]);
     assert_eq!(words(&[list, "", ""]).await, [false]);
     let busy = "HTTP/1.1 503 Service Unavailable\r\n\r\n".to_string();
-    assert_eq!(follow(vec![busy]).await, (41, 0, CloseReason::Status));
-    assert_eq!(follow(vec![format!("{HEAD}0\r\n\r\n")]).await, (41, 0, CloseReason::WatchEnded));
+    assert_eq!(play_watch(vec![busy]).await, (41, 0, CloseReason::Status));
+    assert_eq!(play_watch(vec![format!("{HEAD}0\r\n\r\n")]).await, (41, 0, CloseReason::WatchEnded));
 }
 
 type Events = mpsc::UnboundedReceiver<Input>;
@@ -520,9 +524,9 @@
     }
 }
 
-// Guards against writing to a connection that its member may be closing, and against a descriptor too many.
+/// Guards against writing to a connection that its member may be closing, and against exceeding the descriptors.
 #[tokio::test]
-async fn old_links_are_not_used_and_idle_ones_make_room() {
+async fn the_pool_skips_old_connections_and_evicts_idle_ones() {
     let act = |_| std::future::ready(peer::Act::Break);
     let play = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -531,27 +535,29 @@
         for (idle_close, kept) in [(Duration::ZERO, false), (Duration::from_secs(3_600), true)] {
             let (m, long) = (MemberId(1), Duration::from_secs(60));
             let pool = Pool::new(1, idle_close, long, Rc::new(Counters::default()));
-            pool.locate(m, at);
-            let place = pool.place().expect("a place");
-            let Ok(link) = Link::open(at, place, long).await else { panic!("no link") };
-            assert!(pool.place().is_none(), "the one place is in use");
+            pool.set_address(m, at);
+            let descriptor = pool.reserve_descriptor().expect("a descriptor");
+            let Ok(connection) = MemberConnection::open(at, descriptor, long).await else {
+                panic!("no connection")
+            };
+            assert!(pool.reserve_descriptor().is_none(), "the one descriptor is in use");
             tokio::time::pause();
-            pool.give(m, link);
-            assert!(pool.take(m).is_none(), "more than the answer may still be on the way");
+            pool.put_back(m, connection);
+            assert!(pool.checkout(m).is_none(), "more than the answer may still be on the way");
             tokio::time::advance(Duration::from_millis(3)).await;
-            assert_eq!(pool.take(m).map(|l| pool.give(m, l)).is_some(), kept);
-            assert!(pool.place().is_some(), "an idle link makes room");
-            assert!(pool.take(m).is_none());
+            assert_eq!(pool.checkout(m).map(|connection| pool.put_back(m, connection)).is_some(), kept);
+            assert!(pool.reserve_descriptor().is_some(), "an idle connection makes room");
+            assert!(pool.checkout(m).is_none());
             tokio::time::resume();
         }
     };
     tokio::task::LocalSet::new().run_until(play).await;
 }
 
-// The member ends an idle connection, or speaks on it, between two waits of the runtime: this thread goes on without one.
-// Guards against a statement that is written to a closed connection, and against late bytes that are taken for its answer.
+/// The member closes an idle connection, or sends bytes on it, between two polls of the runtime: this thread does not
+/// yield. Guards against a statement written to a closed connection, and against late bytes taken for its reply.
 #[tokio::test]
-async fn an_idle_link_that_ended_since_the_runtime_last_looked_is_not_used() {
+async fn a_connection_that_ended_between_polls_is_not_used() {
     for how in ["ends", "resets", "speaks"] {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let at = listener.local_addr().expect("an address");
@@ -566,14 +572,16 @@
         });
         let (m, long) = (MemberId(1), Duration::from_secs(60));
         let pool = Pool::new(1, Duration::from_secs(3_600), long, Rc::new(Counters::default()));
-        pool.locate(m, at);
-        let place = pool.place().expect("a place");
-        let Ok(link) = Link::open(at, place, long).await else { panic!("no link") };
+        pool.set_address(m, at);
+        let descriptor = pool.reserve_descriptor().expect("a descriptor");
+        let Ok(connection) = MemberConnection::open(at, descriptor, long).await else {
+            panic!("no connection")
+        };
         let mut far = greeted.join().expect("a member");
-        pool.give(m, link);
+        pool.put_back(m, connection);
         // Longer than it rests.
         std::thread::sleep(Duration::from_millis(5));
-        assert!(pool.take(m).map(|link| pool.give(m, link)).is_some(), "nothing came");
+        assert!(pool.checkout(m).map(|connection| pool.put_back(m, connection)).is_some(), "nothing came");
         if how == "resets" {
             socket2::SockRef::from(&far).set_linger(Some(Duration::ZERO)).expect("set");
         }
@@ -587,37 +595,38 @@
         // Written is not arrived, on a busy machine.
         let used = |_: &u32| {
             std::thread::sleep(Duration::from_millis(5));
-            pool.take(m).map(|link| pool.give(m, link)).is_some()
+            pool.checkout(m).map(|connection| pool.put_back(m, connection)).is_some()
         };
         assert!((0..1_000).take_while(used).count() < 1_000, "{how}: it is used on and on");
         drop(kept);
     }
 }
 
-// Guards against work that was decided before a drain was told of and sent after it, since its connection took its time.
+/// Guards against sending work that was decided on before a drain was announced, while its connection came up.
 #[tokio::test]
-async fn a_statement_that_waits_for_its_connection_is_not_sent_once_the_member_drains() {
+async fn no_statement_is_written_after_a_drain() {
     let play = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let (m, long) = (MemberId(1), Duration::from_secs(60));
         let pool = Pool::new(2, long, long, Rc::new(Counters::default()));
         for drains in [true, false] {
-            pool.locate(m, listener.local_addr().expect("an address"));
-            pool.admit(|_| true);
+            pool.set_address(m, listener.local_addr().expect("an address"));
+            pool.set_accepting(|_| true);
             let payload = Payload::cut(&Bytes::from_static(b"/* d=9 */ SELECT 1"), 5..6);
-            let errand = Errand {
+            let attempt_request = AttemptRequest {
                 member: m,
                 payload,
-                until: tokio::time::Instant::now() + long,
-                repeat: false,
-                over: Rc::default(),
+                deadline: tokio::time::Instant::now() + long,
+                is_retry: false,
+                is_request_over: Rc::default(),
             };
             let (_call_off, called_off) = tokio::sync::oneshot::channel();
-            let run = tokio::task::spawn_local(attempt::run(pool.clone(), errand, called_off, || ()));
+            let run =
+                tokio::task::spawn_local(attempt::run(pool.clone(), attempt_request, called_off, || ()));
             let (mut far, _) = listener.accept().await.expect("a connection");
             let length = far.read_u32().await.expect("a length") as usize;
             far.read_exact(&mut vec![0; length - 4]).await.expect("a startup message");
-            pool.admit(|_| !drains);
+            pool.set_accepting(|_| !drains);
             far.write_all(&[typed(b'R', &[0; 4]), typed(b'Z', b"I")].concat()).await.expect("written");
             let first = far.read_u8().await.ok();
             assert_eq!(first, (!drains).then_some(b'Q'), "drains: {drains}");
@@ -633,7 +642,8 @@
     [&[kind], &(4 + body.len() as u32).to_be_bytes()[..], body].concat()
 }
 
-/// What a link makes of these bytes, sent in answer to a statement on a connection that stays open.
+/// The reply that a connection reads from these bytes, sent in answer to a statement; the connection stays open. Its
+/// outcome, the position of its report, and whether the connection is reusable.
 async fn reply_to(bytes: Vec<u8>) -> (Outcome, Option<Time>, bool) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
@@ -648,20 +658,22 @@
     };
     let proxy = async {
         let long = Duration::from_secs(60);
-        let place = Budget::new(1).enter().expect("a place");
-        let Ok(mut link) = Link::open(at, place, long).await else { panic!("no link") };
-        link.write(b"SELECT 1".as_slice().into(), Bytes::new()).await.expect("written");
-        let reply = link.read().await;
-        (reply.outcome, reply.report.position, reply.reusable)
+        let descriptor = Budget::new(1).enter().expect("a descriptor");
+        let Ok(mut connection) = MemberConnection::open(at, descriptor, long).await else {
+            panic!("no connection")
+        };
+        connection.write_statement(b"SELECT 1".as_slice().into(), Bytes::new()).await.expect("written");
+        let reply = connection.read_reply().await;
+        (reply.outcome, reply.report.position, reply.is_reusable)
     };
     let (reply, ()) = tokio::join!(proxy, member);
     reply
 }
 
-// Guards against passing on what no member made for the request, against waiting for an end that never comes,
-// and against a good answer lost to what comes along with it.
+/// Guards against relaying what no member made for the request, against waiting for an end that never comes, and
+/// against losing a good answer to what arrives along with it.
 #[tokio::test]
-async fn a_spoilt_answer_is_garbled_at_once_and_a_good_one_is_served() {
+async fn malformed_replies_are_garbled_and_good_ones_served() {
     let description = typed(b'T', &[b"\0\x01val\0".as_slice(), &[0; 18]].concat());
     let row = typed(b'D', b"\0\x01\0\0\0\x02ok");
     let (complete, ready) = (typed(b'C', b"SELECT 1\0"), typed(b'Z', b"I"));
@@ -704,9 +716,9 @@
     }
 }
 
-// Guards against a place kept for every member that ever was, and against a number that comes to mean another.
+/// Guards against a slot kept for every member that ever was, and against a number that comes to mean another member.
 #[tokio::test(start_paused = true)]
-async fn what_the_decisions_forget_of_members_everybody_forgets() {
+async fn forgotten_members_are_dropped_everywhere() {
     let text = include_str!("../examples/config.json");
     let config = Config::parse(text, Path::new("config.json"), Variables::default(), Reading::Start)
         .expect("a configuration");
@@ -725,22 +737,22 @@
             r#"{{"version":{version},"full":true,"servers":[{{"id":"{id}","addr":"127.0.0.1:1",
                 "zone":"a","kind":"m2","cell":1,"state":"in_service"}}]}}"#
         );
-        let (told, _) = list::decode(line.as_bytes()).expect("a list");
-        assert!(inbox.send(Input::List(News::Told(told))).is_ok());
+        let decoded = list::decode(line.as_bytes()).expect("a list");
+        assert!(inbox.send(Input::List(ListEvent::Received(decoded.list))).is_ok());
     };
     let play = async {
         for (version, id) in [(1, "old"), (2, "new")] {
             list(version, id);
             sleep(second).await;
         }
-        assert!(pool.addr(MemberId(0)).is_some(), "it may come back");
+        assert!(pool.address(MemberId(0)).is_some(), "it may come back");
         sleep(60 * second).await;
         list(3, "new");
         sleep(second).await;
-        assert!(pool.addr(MemberId(0)).is_none() && pool.addr(MemberId(1)).is_some());
+        assert!(pool.address(MemberId(0)).is_none() && pool.address(MemberId(1)).is_some());
         list(4, "newest");
         sleep(second).await;
-        assert!(pool.addr(MemberId(0)).is_none() && pool.addr(MemberId(2)).is_some());
+        assert!(pool.address(MemberId(0)).is_none() && pool.address(MemberId(2)).is_some());
     };
     let run = async {
         tokio::select! {
@@ -781,38 +793,46 @@
     format!(r#"{{"version":{version},"full":{full},"servers":[{}],"region":"mu"}}"#, entries.join(","))
 }
 
-// Guards against a large fleet's list that is lost or taken for another: cut anywhere, twice, older than what is known,
-// empty, with fields that nobody knows. An old change would undo a drain that was told since.
+/// Guards against a large fleet's list that is lost or misread: cut anywhere, sent twice, older than the one in use,
+/// empty, with unknown fields. An old change would undo a drain that was announced since.
 #[tokio::test(start_paused = true)]
-async fn a_list_of_sixty_members_is_taken_whole_and_never_backwards() {
+async fn lists_are_accepted_whole_and_never_backwards() {
     let whole = chunk(&large_list(50, true, 60));
     for cut in (1..whole.len()).step_by(397) {
         let parts = vec![HEAD.to_string() + &whole[..cut], whole[cut..].to_string()];
-        assert_eq!(follow(parts).await, (50, 1, CloseReason::Silent), "cut at {cut}");
+        assert_eq!(play_watch(parts).await, (50, 1, CloseReason::Silent), "cut at {cut}");
     }
     let stream = |lists: &[String]| {
         let lines: String = lists.iter().map(|l| chunk(l)).collect();
         vec![HEAD.to_string() + &lines]
     };
     let [new, older, empty] = [(50, 60), (49, 60), (51, 0)].map(|(v, n)| large_list(v, false, n));
-    assert_eq!(follow(stream(&[new.clone(), new.clone()])).await, (50, 2, CloseReason::Silent), "twice");
-    assert_eq!(follow(stream(&[new.clone(), older.clone()])).await, (50, 1, CloseReason::Silent), "older");
-    assert_eq!(follow(stream(&[new.clone(), empty])).await, (51, 2, CloseReason::Silent), "empty");
+    assert_eq!(play_watch(stream(&[new.clone(), new.clone()])).await, (50, 2, CloseReason::Silent), "twice");
+    assert_eq!(
+        play_watch(stream(&[new.clone(), older.clone()])).await,
+        (50, 1, CloseReason::Silent),
+        "older"
+    );
+    assert_eq!(play_watch(stream(&[new.clone(), empty])).await, (51, 2, CloseReason::Silent), "empty");
     let before = large_list(40, false, 60);
-    assert_eq!(follow(stream(&[before])).await, (41, 0, CloseReason::Silent), "from before what is known");
+    assert_eq!(
+        play_watch(stream(&[before])).await,
+        (41, 0, CloseReason::Silent),
+        "from before what is known"
+    );
     let anew = large_list(3, true, 60);
     assert_eq!(
-        follow(stream(std::slice::from_ref(&anew))).await,
+        play_watch(stream(std::slice::from_ref(&anew))).await,
         (3, 1, CloseReason::Silent),
         "a service that began anew"
     );
-    assert_eq!(follow(stream(&[new, anew])).await, (50, 1, CloseReason::Silent), "but not amid a watch");
+    assert_eq!(play_watch(stream(&[new, anew])).await, (50, 1, CloseReason::Silent), "but not amid a watch");
 }
 
-// Guards against lists that are lost because they come indented, also in pieces; and against a list that was cut and
-// would take all later lines as its own.
+/// Guards against losing lists that are indented, also in pieces; and against a list that was cut and would take all
+/// later lines as its own.
 #[tokio::test(start_paused = true)]
-async fn an_indented_list_is_one_list_and_a_cut_one_ends_the_watch() {
+async fn indented_lists_are_read_and_cut_ones_end_the_watch() {
     let entry =
         r#"{"id":"s-{\"{","addr":"10.1.0.1:6543","zone":"a\\","kind":"m2","cell":1,"state":"in_service"}"#;
     let flat = format!(r#"{{"version":50,"full":true,"servers":[{entry},{entry}],"more":{{"x":[1,[2]]}}}}"#);
@@ -822,23 +842,23 @@
         let whole = chunk("") + &chunk(text) + &chunk("") + &chunk(&text.replace("50", "51"));
         for cut in (1..whole.len()).step_by(89) {
             let parts = vec![HEAD.to_string() + &whole[..cut], whole[cut..].to_string()];
-            assert_eq!(follow(parts).await, (51, 2, CloseReason::Silent), "cut at {cut}");
+            assert_eq!(play_watch(parts).await, (51, 2, CloseReason::Silent), "cut at {cut}");
         }
     }
     let next = chunk("") + &chunk(&flat);
     for cut in (1..indented.len()).step_by(7) {
         let parts = vec![HEAD.to_string() + &chunk(&indented[..cut]), next.clone()];
-        assert_eq!(follow(parts).await, (41, 0, CloseReason::Protocol), "cut at {cut}");
+        assert_eq!(play_watch(parts).await, (41, 0, CloseReason::Protocol), "cut at {cut}");
     }
     // The members' entries stand for themselves: one that can't be read keeps nobody else's news from being heard.
     let odd = flat.replacen("10.1.0.1:6543", "10.1.0.1:port", 1);
-    assert_eq!(follow(vec![HEAD.to_string() + &chunk(&odd)]).await, (50, 1, CloseReason::Silent));
-    let (listing, skipped) = linenhill::discovery::list::decode(odd.as_bytes()).expect("a list");
-    assert_eq!((listing.servers.len(), skipped.len()), (1, 1));
+    assert_eq!(play_watch(vec![HEAD.to_string() + &chunk(&odd)]).await, (50, 1, CloseReason::Silent));
+    let DecodedList { list, skipped } = list::decode(odd.as_bytes()).expect("a list");
+    assert_eq!((list.endpoints.len(), skipped.len()), (1, 1));
     assert!(skipped[0].to_string().contains("servers[0].addr"), "{}", skipped[0]);
     let leaves = odd.replacen("in_service", "terminating", 1);
-    let (listing, skipped) = linenhill::discovery::list::decode(leaves.as_bytes()).expect("a list");
-    assert_eq!((listing.servers.len(), skipped.len()), (2, 0), "that it leaves counts, wherever it is");
+    let DecodedList { list, skipped } = list::decode(leaves.as_bytes()).expect("a list");
+    assert_eq!((list.endpoints.len(), skipped.len()), (2, 0), "that it leaves counts, wherever it is");
 }
 
 /// Guards against an order that is lost when two versions write at once, when the file is torn, or when its new text is
