--- a/crates/cluster/src/keeper.rs
+++ b/crates/cluster/src/keeper.rs
@@ -4,8 +4,8 @@
 use crate::clock;
 use crate::link::{self, Identity, Incoming, Peer};
 use crate::node::{Action, Event, Node, TICK_US};
+use crate::protocol::Envelope;
 use crate::store::Disk;
-use crate::wire::Envelope;
 use linenhill_settings::operator::Operator;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/cluster/src/link.rs
+++ b/crates/cluster/src/link.rs
@@ -1,6 +1,8 @@
 //! Connections between instances: who may come, what they say, and one connection to each other keeper.
 
-use crate::wire::{Body, Done, Envelope, EnvelopeCodec, Operate, StatusAsk, VERSION};
+use crate::protocol::{
+    Body, Empty, Envelope, EnvelopeCodec, OperatorReply, OperatorRequest, PROTOCOL_VERSION,
+};
 use futures_util::{SinkExt, StreamExt};
 use ipnet::IpNet;
 use linenhill_settings::operator::Keeper;
@@ -44,13 +46,13 @@
 
 impl Identity {
     /// A message from this instance.
-    pub fn say(&self, founding: u64, body: Body) -> Envelope {
+    pub fn say(&self, log_id: u64, body: Body) -> Envelope {
         Envelope {
             cluster: self.cluster.clone(),
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             from: self.name.clone(),
             incarnation: self.incarnation,
-            founding,
+            log_id,
             body: Some(body),
         }
     }
@@ -100,7 +102,7 @@
     stream: TcpStream, identity: &Identity, inbox: mpsc::Sender<Incoming>,
 ) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
-    let mut link = Framed::new(stream, EnvelopeCodec::small());
+    let mut link = Framed::new(stream, EnvelopeCodec::for_untrusted());
     let (reply, mut answers) = mpsc::channel::<Envelope>(QUEUE);
     loop {
         let say = tokio::select! {
@@ -112,11 +114,11 @@
                 if envelope.cluster != identity.cluster {
                     return Err(format!("it is of the fleet '{}'", envelope.cluster));
                 }
-                if envelope.version != VERSION {
-                    return Err(format!("it speaks version {}, and this is {VERSION}", envelope.version));
+                if envelope.version != PROTOCOL_VERSION {
+                    return Err(format!("it speaks version {}, and this is {PROTOCOL_VERSION}", envelope.version));
                 }
                 if identity.keepers.contains(&envelope.from) {
-                    link.codec_mut().trust();
+                    link.codec_mut().allow_keeper_frames();
                 }
                 if !matches!(envelope.body, Some(Body::Ping(_))) {
                     let reply = reply.clone();
@@ -125,7 +127,7 @@
                     }
                     continue;
                 }
-                identity.say(0, Body::Pong(StatusAsk {}))
+                identity.say(0, Body::Pong(Empty {}))
             }
             Some(answer) = answers.recv() => answer,
         };
@@ -153,15 +155,17 @@
 }
 
 /// Tells the keepers something, in turn until one that leads has done it: what it says, or what the last one said.
-pub async fn tell(keepers: &[Keeper], identity: &Identity, operate: Operate) -> Result<Done, String> {
+pub async fn tell(
+    keepers: &[Keeper], identity: &Identity, operate: OperatorRequest,
+) -> Result<OperatorReply, String> {
     let mut last = Err("there is no keeper".to_string());
     for keeper in keepers {
-        match call(keeper.address, identity.say(0, Body::Operate(operate.clone()))).await {
-            Ok(Envelope { body: Some(Body::Done(done)), .. }) if done.ok => return Ok(done),
-            Ok(Envelope { body: Some(Body::Done(done)), .. }) if done.elsewhere => {
+        match call(keeper.address, identity.say(0, Body::OperatorRequest(operate.clone()))).await {
+            Ok(Envelope { body: Some(Body::OperatorReply(done)), .. }) if done.ok => return Ok(done),
+            Ok(Envelope { body: Some(Body::OperatorReply(done)), .. }) if done.not_leader => {
                 last = last.or(Err(format!("{}: {}", keeper.name, done.text)));
             }
-            Ok(Envelope { body: Some(Body::Done(done)), .. }) => last = Ok(done),
+            Ok(Envelope { body: Some(Body::OperatorReply(done)), .. }) => last = Ok(done),
             Ok(_) => last = last.or(Err(format!("{}: an answer that is none", keeper.name))),
             Err(problem) => last = last.or(Err(format!("{}: {problem}", keeper.name))),
         }
@@ -229,7 +233,7 @@
                 if heard.elapsed() > SILENT {
                     return Some("it is silent".into());
                 }
-                identity.say(0, Body::Ping(StatusAsk {}))
+                identity.say(0, Body::Ping(Empty {}))
             }
             next = waiting.recv() => match next {
                 Some(next) => next,
--- a/crates/cluster/src/member.rs
+++ b/crates/cluster/src/member.rs
@@ -5,8 +5,11 @@
 
 use crate::clock;
 use crate::link::{self, Identity, Incoming};
+use crate::protocol::{
+    Body, BudgetStatus, Envelope, EnvelopeCodec, LeaseGranted, LeaseRequest, OperatorReply, OperatorRequest,
+    Status,
+};
 use crate::state::OutageDoc;
-use crate::wire::{Body, BudgetStatus, Done, Envelope, EnvelopeCodec, Granted, Operate, ProxyAsk, Status};
 use futures_util::{SinkExt, StreamExt};
 use linenhill_decisions::disruption::reporter::HealthReporter;
 use linenhill_decisions::disruption::{Availability, HealthObservation, Quarantine};
@@ -169,7 +172,7 @@
                     seeking.request_sent(clock::now());
                     let (version, zone) = (self.version.clone(), self.operator.zone.clone());
                     let report = self.bounds_outages().then(|| self.reporter.borrow_mut().next_report(ask.seq));
-                    let envelope = self.identity().say(0, Body::Ask(ProxyAsk { ask, version, zone, report }));
+                    let envelope = self.identity().say(0, Body::LeaseRequest(LeaseRequest { quota: ask, version, zone, report }));
                     let within = Duration::from_micros(seeking.answer_timeout());
                     if !matches!(timeout(within, open.send(envelope)).await, Ok(Ok(()))) {
                         pause = Some(seeking.keeper_lost(fastrand::f64()));
@@ -183,7 +186,7 @@
                 came = open.next() => match came {
                     Some(Ok(envelope)) => match self.on_answer(envelope) {
                         Answer::Granted => seeking.request_granted(),
-                        Answer::Elsewhere(place) => {
+                        Answer::NotLeader(place) => {
                             pause = Some(seeking.redirected(place, fastrand::f64()));
                         }
                         Answer::Nothing => {}
@@ -200,7 +203,7 @@
 
     fn on_answer(&self, envelope: Envelope) -> Answer {
         match envelope.body {
-            Some(Body::Granted(Granted { grant, fence })) => {
+            Some(Body::LeaseGranted(LeaseGranted { grant, quarantine: fence })) => {
                 let seq = grant.seq;
                 if !self.holder.borrow_mut().apply_grant(clock::now(), grant) {
                     return Answer::Nothing;
@@ -217,10 +220,10 @@
                 self.changed.notify_one();
                 Answer::Granted
             }
-            Some(Body::Elsewhere(elsewhere)) => {
-                Answer::Elsewhere(self.operator.keepers.iter().position(|k| k.name == elsewhere.leader))
+            Some(Body::NotLeader(elsewhere)) => {
+                Answer::NotLeader(self.operator.keepers.iter().position(|k| k.name == elsewhere.leader))
             }
-            Some(Body::Refused(refused)) if refused.superseded => {
+            Some(Body::LeaseRejected(refused)) if refused.superseded => {
                 // Not an answer to the incarnation that was drawn since.
                 if refused.incarnation == self.identity().incarnation {
                     warn!("fleet: another process is {} now; this one has nothing", self.identity().name);
@@ -291,8 +294,8 @@
     }
 
     /// Wishes something of the keepers: what the leader says, or what each of them said.
-    pub async fn wish(&self, outage: OutageDoc) -> Result<Done, String> {
-        let operate = Operate { outage: Some(outage), ..Operate::default() };
+    pub async fn wish(&self, outage: OutageDoc) -> Result<OperatorReply, String> {
+        let operate = OperatorRequest { disruption: Some(outage), ..OperatorRequest::default() };
         link::tell(&self.operator.keepers, &self.identity(), operate).await
     }
 
@@ -302,7 +305,7 @@
         let served = link::serve(listener, self.operator.allow.clone(), self.identity(), inbox);
         let answer = async {
             while let Some(Incoming { envelope, reply }) = came.recv().await {
-                if matches!(envelope.body, Some(Body::StatusAsk(_))) {
+                if matches!(envelope.body, Some(Body::StatusRequest(_))) {
                     let _ = reply.try_send(self.identity().say(0, Body::Status(self.status())));
                 }
             }
@@ -315,8 +318,8 @@
         let (holder, now) = (self.holder.borrow(), clock::now());
         let budget = |name: &str| BudgetStatus {
             name: name.to_string(),
-            whole: 0,
-            counted: holder.limit(now, name).unwrap_or(0),
+            total: 0,
+            committed: holder.limit(now, name).unwrap_or(0),
             in_use: holder.in_use(name),
         };
         let keepers: BTreeMap<String, String> =
@@ -326,7 +329,7 @@
             leader: self.leader.borrow().clone(),
             keepers,
             budgets: holder.budgets().map(budget).collect(),
-            news_ms: now.saturating_sub(self.answered.get()) / 1_000,
+            log_age_ms: now.saturating_sub(self.answered.get()) / 1_000,
             ..Status::default()
         }
     }
@@ -334,6 +337,6 @@
 
 enum Answer {
     Granted,
-    Elsewhere(Option<usize>),
+    NotLeader(Option<usize>),
     Nothing,
 }
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -6,14 +6,14 @@
 //! became leader: time of log stands still while nobody leads, so nothing that was granted is over too early.
 
 use crate::link::Identity;
+use crate::protocol::{
+    Body, BudgetStatus, Envelope, JoinRequest, LeaseGranted, LeaseRejected, LeaseRequest, NotLeader,
+    OperatorReply, OperatorRequest, SessionStatus, Status, UnavailableStatus,
+};
 use crate::state::{
     AskDoc, CommandDoc, DeclareDoc, Entry, KeeperSeat, OutageDoc, Outcome, State, Told, Which,
 };
 use crate::store::{self, Batch, Disk, DiskError};
-use crate::wire::{
-    Body, BudgetStatus, Done, Elsewhere, Envelope, Granted, Join, Operate, OutStatus, ProxyAsk, Refused,
-    SeatStatus, Status,
-};
 use linenhill_decisions::disruption::Availability;
 use linenhill_decisions::disruption::table::{LivenessView, Permit};
 use linenhill_decisions::membership::SessionRejected;
@@ -110,9 +110,9 @@
         return Ok(disk);
     }
     let mut rng = fastrand::Rng::new();
-    let (id, founding) = (rng.u64(1..u64::MAX), if found { rng.u64(1..u64::MAX) } else { 0 });
+    let (id, log_id) = (rng.u64(1..u64::MAX), if found { rng.u64(1..u64::MAX) } else { 0 });
     let cluster = operator.cluster.clone();
-    let identity = store::Identity { id, founding, name: name.to_string(), cluster };
+    let identity = store::Identity { id, log_id, name: name.to_string(), cluster };
     let state = found.then(|| founded(id, name, address));
     Ok(Disk::create(folder, identity, state)?)
 }
@@ -280,8 +280,8 @@
         self.engine.report_unreachable(keeper);
     }
 
-    fn answer(&mut self, to: R, founding: u64, body: Body) {
-        self.actions.push(Action::Answer(to, self.identity.say(founding, body)));
+    fn answer(&mut self, to: R, log_id: u64, body: Body) {
+        self.actions.push(Action::Answer(to, self.identity.say(log_id, body)));
     }
 
     /// Its number as a keeper.
@@ -289,8 +289,8 @@
         self.identity.incarnation
     }
 
-    fn founding(&self) -> u64 {
-        self.engine.store().identity().founding
+    fn log_id(&self) -> u64 {
+        self.engine.store().identity().log_id
     }
 
     fn is_member(&self) -> bool {
@@ -325,18 +325,22 @@
         let own = self.operator.keepers.iter().find(|k| k.name == self.identity.name).map(|k| k.address);
         let Some(own) = own else { return };
         for other in self.operator.keepers.iter().filter(|k| k.name != self.identity.name) {
-            let join = self.identity.say(self.founding(), Body::Join(Join { address: own.to_string() }));
+            let join = self.identity.say(self.log_id(), Body::Join(JoinRequest { address: own.to_string() }));
             self.actions.push(Action::AskToJoin(other.address, join));
         }
     }
 
     fn on_joined(&mut self, answer: Envelope) -> Result<(), KeeperError> {
         match answer.body {
-            Some(Body::Done(Done { ok: true, .. })) if answer.founding > 0 && self.founding() == 0 => {
+            Some(Body::OperatorReply(OperatorReply { ok: true, .. }))
+                if answer.log_id > 0 && self.log_id() == 0 =>
+            {
                 info!("fleet: {} lets this keeper in", answer.from);
-                self.engine.mut_store().found(answer.founding)?;
+                self.engine.mut_store().found(answer.log_id)?;
+            }
+            Some(Body::OperatorReply(OperatorReply { ok: false, text, .. })) => {
+                warn!("fleet: {}: {text}", answer.from)
             }
-            Some(Body::Done(Done { ok: false, text, .. })) => warn!("fleet: {}: {text}", answer.from),
             _ => {}
         }
         Ok(())
@@ -356,7 +360,7 @@
         if !self.leads() {
             self.counted = None;
             // Whoever waits here asks elsewhere.
-            let elsewhere = Body::Elsewhere(Elsewhere { leader: self.leader() });
+            let elsewhere = Body::NotLeader(NotLeader { leader: self.leader() });
             for waiting in std::mem::take(&mut self.waiting) {
                 self.answer(waiting.reply, 0, elsewhere.clone());
             }
@@ -402,11 +406,11 @@
     }
 
     fn take(&mut self, envelope: Envelope, reply: R) {
-        let Envelope { from, incarnation, founding, body, .. } = envelope;
+        let Envelope { from, incarnation, log_id, body, .. } = envelope;
         match body {
             Some(Body::Raft(bytes)) => {
                 // A joiner learns what the keepers have in common from whoever lets it in, and only then votes.
-                if founding == 0 || founding != self.founding() {
+                if log_id == 0 || log_id != self.log_id() {
                     return;
                 }
                 let named = self.operator.keepers.iter().find(|k| k.name == from).map(|k| k.address);
@@ -423,33 +427,39 @@
                     info!("fleet: a message of {from} was not taken: {problem}");
                 }
             }
-            Some(Body::Ask(ask)) => self.on_ask(from, incarnation, ask, reply),
-            Some(Body::StatusAsk(_)) => {
+            Some(Body::LeaseRequest(ask)) => self.on_ask(from, incarnation, ask, reply),
+            Some(Body::StatusRequest(_)) => {
                 let status = self.status();
                 self.answer(reply, 0, Body::Status(status));
             }
             Some(Body::Join(join)) => self.on_join(&from, incarnation, &join, reply),
-            Some(Body::Operate(Operate { outage: Some(wish), .. })) if self.leads() => self.wish(wish, reply),
-            Some(Body::Operate(operate)) => {
-                let elsewhere = !self.leads();
+            Some(Body::OperatorRequest(OperatorRequest { disruption: Some(wish), .. })) if self.leads() => {
+                self.wish(wish, reply)
+            }
+            Some(Body::OperatorRequest(operate)) => {
+                let not_leader = !self.leads();
                 let (ok, text) = self.operate(&operate);
-                self.answer(reply, 0, Body::Done(Done { ok, text, elsewhere, ..Done::default() }));
+                self.answer(
+                    reply,
+                    0,
+                    Body::OperatorReply(OperatorReply { ok, text, not_leader, ..OperatorReply::default() }),
+                );
             }
             _ => {}
         }
     }
 
-    fn on_ask(&mut self, name: String, incarnation: u64, ask: ProxyAsk, reply: R) {
+    fn on_ask(&mut self, name: String, incarnation: u64, ask: LeaseRequest, reply: R) {
         if !self.leads() || self.waiting.len() >= WAITING {
-            let elsewhere = Elsewhere { leader: if self.leads() { String::new() } else { self.leader() } };
-            self.answer(reply, 0, Body::Elsewhere(elsewhere));
+            let elsewhere = NotLeader { leader: if self.leads() { String::new() } else { self.leader() } };
+            self.answer(reply, 0, Body::NotLeader(elsewhere));
             return;
         }
-        let seq = ask.ask.seq;
+        let seq = ask.quota.seq;
         if ask.encoded_len() > ASK_MOST {
             let reason = format!("a request of over {ASK_MOST} bytes");
-            let refused = Refused { seq, superseded: false, reason, incarnation };
-            self.answer(reply, 0, Body::Refused(refused));
+            let refused = LeaseRejected { seq, superseded: false, reason, incarnation };
+            self.answer(reply, 0, Body::LeaseRejected(refused));
             return;
         }
         let fenced = ask.report.as_ref().map_or(0, |r| r.quarantine_edition);
@@ -457,7 +467,7 @@
         self.commands.push_back(doc(Which::Ask(AskDoc { name, incarnation, ask })));
     }
 
-    fn on_join(&mut self, name: &str, id: u64, join: &Join, reply: R) {
+    fn on_join(&mut self, name: &str, id: u64, join: &JoinRequest, reply: R) {
         // Whoever was let in and never heard of it learns so from any keeper: without its vote none may be able to lead.
         let known = self.state.keeper(name) == Some(id);
         if !self.leads() && !known {
@@ -484,14 +494,22 @@
                 }
             }
         };
-        self.answer(reply, self.founding(), Body::Done(Done { ok, text, ..Done::default() }));
+        self.answer(
+            reply,
+            self.log_id(),
+            Body::OperatorReply(OperatorReply { ok, text, ..OperatorReply::default() }),
+        );
     }
 
     /// A wish is answered once its entry is applied.
     fn wish(&mut self, wish: OutageDoc, reply: R) {
         if wish.encoded_len() > WISH_MOST || self.waiting.len() >= WAITING {
             let text = format!("a wish of over {WISH_MOST} bytes, or too many at once");
-            return self.answer(reply, 0, Body::Done(Done { text, ..Done::default() }));
+            return self.answer(
+                reply,
+                0,
+                Body::OperatorReply(OperatorReply { text, ..OperatorReply::default() }),
+            );
         }
         self.tickets += 1;
         let ticket = fastrand::Rng::with_seed(self.chance ^ self.tickets).u64(1..u64::MAX);
@@ -499,7 +517,7 @@
         self.commands.push_back(CommandDoc { which: Some(Which::Outage(wish)), ticket });
     }
 
-    fn operate(&mut self, operate: &Operate) -> (bool, String) {
+    fn operate(&mut self, operate: &OperatorRequest) -> (bool, String) {
         if !self.leads() {
             return (false, format!("the leader is {}", self.leader()));
         }
@@ -610,11 +628,11 @@
     }
 
     fn send(&mut self, messages: Vec<Message>) {
-        let founding = self.founding();
+        let log_id = self.log_id();
         for message in messages {
             let Ok(bytes) = message.write_to_bytes() else { continue };
             if self.peers.contains_key(&message.to) {
-                let say = self.identity.say(founding, Body::Raft(bytes));
+                let say = self.identity.say(log_id, Body::Raft(bytes));
                 self.actions.push(Action::Send(message.to, say));
             } else {
                 self.engine.report_unreachable(message.to);
@@ -670,7 +688,7 @@
             Ok(grant) => {
                 let fence = self.state.outages.quarantine();
                 let fence = Some(fence).filter(|f| f.edition > waiting.fenced);
-                Body::Granted(Granted { grant, fence })
+                Body::LeaseGranted(LeaseGranted { grant, quarantine: fence })
             }
             Err(problem) => {
                 let superseded = matches!(problem, SessionRejected::Superseded);
@@ -678,7 +696,7 @@
                     info!("fleet: {name} is not let in: {}", problem.wire_reason());
                 }
                 let reason = problem.wire_reason().to_string();
-                Body::Refused(Refused { seq: waiting.seq, superseded, reason, incarnation })
+                Body::LeaseRejected(LeaseRejected { seq: waiting.seq, superseded, reason, incarnation })
             }
         };
         self.answer(waiting.reply, 0, body);
@@ -695,7 +713,12 @@
         self.answer(
             waiting.reply,
             0,
-            Body::Done(Done { ok: told.ok, text: told.text, unconfirmed, elsewhere: false }),
+            Body::OperatorReply(OperatorReply {
+                ok: told.ok,
+                text: told.text,
+                unconfirmed,
+                not_leader: false,
+            }),
         );
     }
 
@@ -709,26 +732,33 @@
         let table = &self.state.table;
         let now = table.membership.now;
         let lease = table.terms.with_drift_margin(table.terms.lease_us);
-        let seat = |(name, s): (&String, &linenhill_decisions::membership::Session)| SeatStatus {
+        let seat = |(name, s): (&String, &linenhill_decisions::membership::Session)| SessionStatus {
             name: name.clone(),
             incarnation: s.incarnation,
             version: s.version.clone(),
             zone: s.zone.clone(),
-            heard_ms: now.saturating_sub(s.last_request_at) / 1_000,
-            holds: now <= s.last_request_at.saturating_add(lease),
+            last_request_age_ms: now.saturating_sub(s.last_request_at) / 1_000,
+            has_lease: now <= s.last_request_at.saturating_add(lease),
         };
         let budget =
             |(name, line): (&String, &linenhill_decisions::quota::table::BudgetEntry)| BudgetStatus {
                 name: name.clone(),
-                whole: line.budget.as_ref().map_or(0, |b| b.total),
-                counted: line.committed(now),
+                total: line.budget.as_ref().map_or(0, |b| b.total),
+                committed: line.committed(now),
                 in_use: line.allocations.values().map(|h| h.in_use).sum(),
             };
         let outages = &self.state.outages;
         let out = |(thing, cause): (String, Availability)| {
             let permit = outages.subjects.get(&thing).and_then(|k| k.permit.clone()).unwrap_or_default();
-            let Permit { number, requested_by: by, reason, forced, .. } = permit;
-            OutStatus { thing, cause: cause.label().to_string(), permit: number, by, reason, forced }
+            let Permit { number, requested_by, reason, forced, .. } = permit;
+            UnavailableStatus {
+                subject: thing,
+                cause: cause.label().to_string(),
+                permit: number,
+                requested_by,
+                reason,
+                forced,
+            }
         };
         let out = outages
             .unavailable(&LivenessView::new(&table.membership, &table.terms))
@@ -741,10 +771,10 @@
             term: self.engine.raft.term,
             applied: self.applied,
             keepers: self.state.keepers.values().map(|k| (k.name.clone(), k.address.clone())).collect(),
-            seats: table.membership.sessions.iter().map(seat).collect(),
+            sessions: table.membership.sessions.iter().map(seat).collect(),
             budgets: table.entries.iter().map(budget).collect(),
-            news_ms: self.now.saturating_sub(self.news) / 1_000,
-            out,
+            log_age_ms: self.now.saturating_sub(self.news) / 1_000,
+            unavailable: out,
         }
     }
 }
--- a/crates/cluster/src/state.rs
+++ b/crates/cluster/src/state.rs
@@ -1,6 +1,6 @@
 //! What the entries of the agreed log make of the state: the table of shares, who is out, and who the keepers are.
 
-use crate::wire::ProxyAsk;
+use crate::protocol::LeaseRequest;
 use linenhill_decisions::disruption::table::{DisruptionTable, LivenessView, Permit, PermitDenied};
 use linenhill_decisions::disruption::{DisruptionPolicy, Subject};
 use linenhill_decisions::membership::LeaseTerms;
@@ -130,7 +130,7 @@
     pub incarnation: u64,
     /// What it asks.
     #[prost(message, required, tag = "3")]
-    pub ask: ProxyAsk,
+    pub ask: LeaseRequest,
 }
 
 /// A keeper.
@@ -172,7 +172,7 @@
                     commands.push(QuotaCommand::Declare { terms, budgets, revision });
                 }
                 Some(Which::Ask(AskDoc { name, incarnation, ask })) => {
-                    let ProxyAsk { ask, version, zone, report } = ask;
+                    let LeaseRequest { quota: ask, version, zone, report } = ask;
                     reports.push((name.clone(), incarnation, zone.clone(), report));
                     commands.push(QuotaCommand::Request { name, incarnation, version, zone, request: ask });
                 }
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store.rs
@@ -54,7 +54,7 @@
     /// The keeper's number, drawn with the store.
     pub id: u64,
     /// What the keepers of one log have in common; 0 until it is known.
-    pub founding: u64,
+    pub log_id: u64,
     /// The keeper's name.
     pub name: String,
     /// The fleet's name.
@@ -63,7 +63,7 @@
 
 impl Identity {
     fn text(&self) -> String {
-        format!("{FORMAT}\n{}\n{}\n{}\n{}", self.id, self.founding, self.name, self.cluster)
+        format!("{FORMAT}\n{}\n{}\n{}\n{}", self.id, self.log_id, self.name, self.cluster)
     }
 
     fn parse(text: &str) -> Option<Identity> {
@@ -71,9 +71,9 @@
         if lines.next()?.parse() != Ok(FORMAT) {
             return None;
         }
-        let (id, founding) = (lines.next()?.parse().ok()?, lines.next()?.parse().ok()?);
+        let (id, log_id) = (lines.next()?.parse().ok()?, lines.next()?.parse().ok()?);
         let (name, cluster) = (lines.next()?.to_string(), lines.next()?.to_string());
-        (name.len() <= MAX_NAME_BYTES).then_some(Identity { id, founding, name, cluster })
+        (name.len() <= MAX_NAME_BYTES).then_some(Identity { id, log_id, name, cluster })
     }
 }
 
@@ -216,8 +216,8 @@
     }
 
     /// What the keepers have in common is known now.
-    pub fn found(&mut self, founding: u64) -> Result<(), DiskError> {
-        self.identity.founding = founding;
+    pub fn found(&mut self, log_id: u64) -> Result<(), DiskError> {
+        self.identity.log_id = log_id;
         self.write(|meta, _| {
             meta.insert("identity", self.identity.text().as_bytes())?;
             Ok(())
--- a/crates/cluster/tests/link.rs
+++ b/crates/cluster/tests/link.rs
@@ -2,7 +2,7 @@
 
 use futures_util::{SinkExt, StreamExt};
 use linenhill_cluster::link::{self, Identity, Incoming};
-use linenhill_cluster::wire::{Body, Join, SMALL_FRAME_MOST, StatusAsk};
+use linenhill_cluster::protocol::{Body, Empty, JoinRequest, MAX_FRAME_BYTES};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::TcpListener;
@@ -33,7 +33,7 @@
 }
 
 fn long() -> Body {
-    Body::Join(Join { address: "a".repeat(SMALL_FRAME_MOST + 1) })
+    Body::Join(JoinRequest { address: "a".repeat(MAX_FRAME_BYTES + 1) })
 }
 
 // Guards against a stranger that makes an instance set memory aside by the length that it declares, and against keepers
@@ -47,7 +47,7 @@
         assert!(!matches!(stranger.next().await, Some(Ok(_))), "the connection ends");
         assert!(came.try_recv().is_err());
         let mut keeper = link::connect(at).await.expect("a connection");
-        keeper.send(identity("k1").say(0, Body::Ping(StatusAsk {}))).await.expect("sent");
+        keeper.send(identity("k1").say(0, Body::Ping(Empty {}))).await.expect("sent");
         assert!(keeper.next().await.is_some_and(|pong| pong.is_ok()));
         keeper.send(identity("k1").say(0, long())).await.expect("sent");
         assert_eq!(came.recv().await.expect("it came").envelope.from, "k1");
@@ -59,12 +59,12 @@
 fn strangers_are_not_heard() {
     play(async {
         let (at, mut came) = serving("10.0.0.0/8").await;
-        let ask = || identity("p1").say(0, Body::StatusAsk(StatusAsk {}));
+        let ask = || identity("p1").say(0, Body::StatusRequest(Empty {}));
         assert!(link::call(at, ask()).await.is_err());
         assert!(came.try_recv().is_err());
         let (at, mut came) = serving("127.0.0.0/8").await;
-        let other = linenhill_cluster::wire::Envelope { cluster: "other".into(), ..ask() };
-        let newer = linenhill_cluster::wire::Envelope { version: 99, ..ask() };
+        let other = linenhill_cluster::protocol::Envelope { cluster: "other".into(), ..ask() };
+        let newer = linenhill_cluster::protocol::Envelope { version: 99, ..ask() };
         for wrong in [other, newer] {
             assert!(link::call(at, wrong).await.is_err());
         }
--- a/crates/cluster/tests/store.rs
+++ b/crates/cluster/tests/store.rs
@@ -12,7 +12,7 @@
 }
 
 fn identity() -> Identity {
-    Identity { id: 7, founding: 9, name: "k1".into(), cluster: "test".into() }
+    Identity { id: 7, log_id: 9, name: "k1".into(), cluster: "test".into() }
 }
 
 // Guards against a keeper that does not start any more: killed after a snapshot, before how far the log is agreed on was
--- a/crates/lab/src/together.rs
+++ b/crates/lab/src/together.rs
@@ -6,8 +6,8 @@
 use crate::disk::{Image, Wrong};
 use linenhill_cluster::link::Identity;
 use linenhill_cluster::node::{self, Action, Event, KeeperError, Node, TICK_US};
+use linenhill_cluster::protocol::{Body, Envelope, LeaseRequest, OperatorRequest};
 use linenhill_cluster::store::{self, Disk};
-use linenhill_cluster::wire::{Body, Envelope, Operate, ProxyAsk};
 use linenhill_decisions::membership::LeaseTerms;
 use linenhill_decisions::quota::leader_search::LeaderSearch;
 use linenhill_decisions::quota::lease_holder::{AcquireDecision, LeaseHolder};
@@ -279,9 +279,9 @@
         let image = keeper.image.clone();
         let disk = if image.is_blank() {
             let (id, founds) = (self.rng.u64(1..u64::MAX), self.now == 0 && i == 0);
-            let founding = if founds { self.rng.u64(1..u64::MAX) } else { 0 };
+            let log_id = if founds { self.rng.u64(1..u64::MAX) } else { 0 };
             let cluster = self.operator.cluster.clone();
-            let identity = store::Identity { id, founding, name: name.clone(), cluster };
+            let identity = store::Identity { id, log_id, name: name.clone(), cluster };
             let state = founds.then(|| node::founded(id, &name, self.operator.keepers[i].address));
             Disk::create_on(image, identity, state)
         } else {
@@ -535,7 +535,7 @@
     fn send(&mut self, from: At, to: At, say: Envelope) {
         self.counts.messages += 1;
         self.counts.bytes += say.encoded_len() as u64;
-        self.counts.grants += u64::from(matches!(say.body, Some(Body::Granted(_))));
+        self.counts.grants += u64::from(matches!(say.body, Some(Body::LeaseGranted(_))));
         if self.cut.contains_key(&(from, to)) || self.rng.u64(0..100) < self.loss {
             return;
         }
@@ -546,7 +546,7 @@
                 span += self.rng.u64(0..1_500 * MS);
             }
             let ahead = match (to, &say.body) {
-                (At::Keeper(i), Some(Body::Done(_))) => {
+                (At::Keeper(i), Some(Body::OperatorReply(_))) => {
                     Ahead::Joined(i, self.keepers[i].life, Box::new(say.clone()))
                 }
                 (At::Keeper(i), _) => Ahead::Deliver(from, to, self.keepers[i].life, Box::new(say.clone())),
@@ -571,7 +571,12 @@
         if now >= due && now >= proxy.paused {
             let ask = proxy.holder.next_request(now);
             proxy.seeking.request_sent(now);
-            let body = Body::Ask(ProxyAsk { ask, version: String::new(), zone: String::new(), report: None });
+            let body = Body::LeaseRequest(LeaseRequest {
+                quota: ask,
+                version: String::new(),
+                zone: String::new(),
+                report: None,
+            });
             let (say, to) = (proxy.identity.say(0, body), At::Keeper(proxy.seeking.current_keeper()));
             self.send(At::Proxy(i), to, say);
         }
@@ -593,16 +598,16 @@
         let proxy = &mut self.proxies[i];
         let now = proxy.clock.shows(self.now);
         match say.body {
-            Some(Body::Granted(granted)) => {
+            Some(Body::LeaseGranted(granted)) => {
                 let news = proxy.holder.apply_grant(now, granted.grant);
                 news.then(|| proxy.seeking.request_granted());
             }
-            Some(Body::Elsewhere(elsewhere)) => {
+            Some(Body::NotLeader(elsewhere)) => {
                 let leader = self.operator.keepers.iter().position(|k| k.name == elsewhere.leader);
                 proxy.paused = now + proxy.seeking.redirected(leader, self.rng.f64());
                 proxy.holder.request_at_once();
             }
-            Some(Body::Refused(refused))
+            Some(Body::LeaseRejected(refused))
                 if refused.superseded && refused.incarnation == proxy.identity.incarnation =>
             {
                 proxy.identity.incarnation = self.rng.u64(1..u64::MAX);
@@ -724,7 +729,7 @@
         self.bound = self.bound.max(whole);
         let Some(leader) = self.leader() else { return };
         let declare = Some(node::declaration(&self.operator));
-        let body = Body::Operate(Operate { declare, ..Operate::default() });
+        let body = Body::OperatorRequest(OperatorRequest { declare, ..OperatorRequest::default() });
         let say = identity(&self.operator, "operators", 1).say(0, body);
         self.feed(leader, Some(Event::Came(say, None)));
     }
--- a/crates/lab/tests/bounds.rs
+++ b/crates/lab/tests/bounds.rs
@@ -2,8 +2,8 @@
 
 use linenhill_cluster::link::Identity;
 use linenhill_cluster::node::{Action, Event, Node, TICK_US, founded};
+use linenhill_cluster::protocol::{Body, Envelope, LeaseRequest};
 use linenhill_cluster::store::{self, Disk};
-use linenhill_cluster::wire::{Body, Envelope, ProxyAsk};
 use linenhill_decisions::membership::{LeaseTerms, MAX_SESSIONS, Membership, SessionRejected, SessionUpdate};
 use linenhill_decisions::quota::{Budget, QuotaNeed, QuotaRequest};
 use linenhill_lab::disk::Image;
@@ -22,7 +22,7 @@
     let terms = LeaseTerms { lease_us: 1_000_000, membership_us: 4_000_000, drift_ppm: 10_000 };
     let keepers = vec![Keeper { name: "k0".into(), address }];
     let operator = operator(keepers, terms, [("b".to_string(), budget)].into());
-    let whose = store::Identity { id: 7, founding: 8, name: "k0".into(), cluster: "lab".into() };
+    let whose = store::Identity { id: 7, log_id: 8, name: "k0".into(), cluster: "lab".into() };
     let disk = Disk::create_on(Image::default(), whose, Some(founded(7, "k0", address))).expect("a store");
     let mut node = Node::start(operator, Rc::new(identity("k0".into(), 7)), disk, 0, 1).expect("a node");
     let mut now = 0;
@@ -36,8 +36,8 @@
 fn asks(i: usize, bytes: usize) -> Envelope {
     let need = QuotaNeed { in_use: 0, demand: 1 };
     let ask = QuotaRequest { seq: 1, needs: [("b".to_string(), need)].into(), ..QuotaRequest::default() };
-    let body = ProxyAsk { ask, version: "v".repeat(bytes), zone: String::new(), report: None };
-    identity(format!("p{i}"), 1_000 + i as u64).say(0, Body::Ask(body))
+    let body = LeaseRequest { quota: ask, version: "v".repeat(bytes), zone: String::new(), report: None };
+    identity(format!("p{i}"), 1_000 + i as u64).say(0, Body::LeaseRequest(body))
 }
 
 // Guards against requests that wait without bound at a leader that can't write entries, and against one that is too long
@@ -46,14 +46,15 @@
 fn requests_beyond_what_can_wait_are_sent_away_and_long_ones_refused() {
     let (mut node, now) = leader();
     let long = node.handle(now + 1, [Event::Came(asks(0, 300 << 10), 1)]).expect("handled");
-    let refused =
-        |a: &Action<usize>| matches!(a, Action::Answer(1, Envelope { body: Some(Body::Refused(_)), .. }));
+    let refused = |a: &Action<usize>| {
+        matches!(a, Action::Answer(1, Envelope { body: Some(Body::LeaseRejected(_)), .. }))
+    };
     assert!(long.iter().any(refused));
     let many = 20_000;
     let events = (0..many).map(|i| Event::Came(asks(i, 0), i));
     let actions = node.handle(now + 2, events).expect("handled");
     let away =
-        |a: &&Action<usize>| matches!(a, Action::Answer(_, Envelope { body: Some(Body::Elsewhere(_)), .. }));
+        |a: &&Action<usize>| matches!(a, Action::Answer(_, Envelope { body: Some(Body::NotLeader(_)), .. }));
     let sent_away = actions.iter().filter(away).count();
     assert!((many - 16_384..many).contains(&sent_away), "{sent_away} of {many}");
     // Those that wait are answered all the same, once there is time to write.
@@ -61,7 +62,7 @@
     for tick in 1..20 {
         let actions = node.handle(now + tick * TICK_US, [Event::Tick]).expect("a tick");
         let grant = |a: &&Action<usize>| {
-            matches!(a, Action::Answer(_, Envelope { body: Some(Body::Granted(_)), .. }))
+            matches!(a, Action::Answer(_, Envelope { body: Some(Body::LeaseGranted(_)), .. }))
         };
         granted += actions.iter().filter(grant).count();
     }
--- a/src/fleet/outages.rs
+++ b/src/fleet/outages.rs
@@ -4,8 +4,8 @@
 use crate::clients::phase::Course;
 use crate::stages::Input;
 use linenhill_cluster::member::Fleet;
+use linenhill_cluster::protocol::OperatorReply;
 use linenhill_cluster::state::{OutageDoc, Wish};
-use linenhill_cluster::wire::Done;
 use linenhill_decisions::disruption::{Availability, Subject};
 use std::rc::Rc;
 use std::time::Duration;
@@ -69,9 +69,9 @@
     let mut left = Vec::new();
     let confirmed = async {
         loop {
-            let Done { ok, text, unconfirmed, elsewhere } =
+            let OperatorReply { ok, text, unconfirmed, not_leader } =
                 fleet.wish(wish.clone()).await.map_err(No::Unasked)?;
-            if elsewhere {
+            if not_leader {
                 return Err(No::Unasked(text));
             }
             if !ok {
--- a/src/fleet/tools.rs
+++ b/src/fleet/tools.rs
@@ -3,8 +3,8 @@
 use crate::cli::Fleet;
 use linenhill_cluster::link::{self, Identity};
 use linenhill_cluster::node::declaration;
+use linenhill_cluster::protocol::{Body, Empty, OperatorReply, OperatorRequest, Status, UnavailableStatus};
 use linenhill_cluster::state::{OutageDoc, Wish};
-use linenhill_cluster::wire::{Body, Done, Operate, OutStatus, Status, StatusAsk};
 use linenhill_settings::operator::{self, Mistake, Operator};
 use miniserde::Serialize;
 use std::fmt::Write;
@@ -103,12 +103,12 @@
             Ok(if json { miniserde::json::to_string(&doc(from, status)) } else { text(&from, &status) })
         }
         Fleet::Remove { name, operator } => {
-            tell(&read(&operator)?, Operate { remove: name, ..Operate::default() }).await
+            tell(&read(&operator)?, OperatorRequest { remove: name, ..OperatorRequest::default() }).await
         }
         Fleet::Declare { operator } => {
             let operator = read(&operator)?;
             let declare = Some(declaration(&operator));
-            tell(&operator, Operate { declare, ..Operate::default() }).await
+            tell(&operator, OperatorRequest { declare, ..OperatorRequest::default() }).await
         }
         Fleet::Permit { thing, operator, reason, force } => {
             wish(&operator, thing, Wish::Permit, reason, force).await
@@ -116,7 +116,7 @@
         Fleet::Back { thing, operator } => wish(&operator, thing, Wish::Back, String::new(), false).await,
         Fleet::Forget { thing, operator } => wish(&operator, thing, Wish::Forget, String::new(), false).await,
         Fleet::Replace { name, operator } => {
-            tell(&read(&operator)?, Operate { replace: name, ..Operate::default() }).await
+            tell(&read(&operator)?, OperatorRequest { replace: name, ..OperatorRequest::default() }).await
         }
     }
 }
@@ -136,7 +136,7 @@
     let keepers = operator.keepers.iter().map(|k| k.address);
     let all: Vec<SocketAddr> = at.map_or_else(|| keepers.collect(), |at| vec![at]);
     for address in all {
-        match link::call(address, identity.say(0, Body::StatusAsk(StatusAsk {}))).await {
+        match link::call(address, identity.say(0, Body::StatusRequest(Empty {}))).await {
             Ok(envelope) => match envelope.body {
                 Some(Body::Status(status)) if status.role == "leader" => return Ok((envelope.from, status)),
                 Some(Body::Status(status)) => other = other.or(Some((envelope.from, status))),
@@ -148,8 +148,8 @@
     other.ok_or_else(|| problems.join("\n"))
 }
 
-async fn tell(operator: &Operator, operate: Operate) -> Result<String, String> {
-    let Done { ok, text, unconfirmed, .. } =
+async fn tell(operator: &Operator, operate: OperatorRequest) -> Result<String, String> {
+    let OperatorReply { ok, text, unconfirmed, .. } =
         link::tell(&operator.keepers, &identity(operator), operate).await?;
     let waits = if unconfirmed.is_empty() {
         String::new()
@@ -162,33 +162,33 @@
 /// A wish on something that may be out.
 async fn wish(file: &Path, thing: String, wish: Wish, reason: String, force: bool) -> Result<String, String> {
     let outage = OutageDoc { thing, wish: wish as i32, by: "operators".into(), reason, force };
-    tell(&read(file)?, Operate { outage: Some(outage), ..Operate::default() }).await
+    tell(&read(file)?, OperatorRequest { disruption: Some(outage), ..OperatorRequest::default() }).await
 }
 
 fn doc(from: String, status: Status) -> StatusDoc {
-    let Status { role, leader, term, applied, keepers, seats, budgets, news_ms, out } = status;
-    let seat = |s: linenhill_cluster::wire::SeatStatus| SeatDoc {
+    let Status { role, leader, term, applied, keepers, sessions, budgets, log_age_ms, unavailable } = status;
+    let seat = |s: linenhill_cluster::protocol::SessionStatus| SeatDoc {
         name: s.name,
         incarnation: format!("{:016x}", s.incarnation),
         version: s.version,
         zone: s.zone,
-        heard_ms: s.heard_ms,
-        holds: s.holds,
+        heard_ms: s.last_request_age_ms,
+        holds: s.has_lease,
     };
-    let budget = |b: linenhill_cluster::wire::BudgetStatus| BudgetDoc {
+    let budget = |b: linenhill_cluster::protocol::BudgetStatus| BudgetDoc {
         name: b.name,
-        whole: b.whole,
-        counted: b.counted,
+        whole: b.total,
+        counted: b.committed,
         in_use: b.in_use,
     };
-    let instances = seats.into_iter().map(seat).collect();
+    let instances = sessions.into_iter().map(seat).collect();
     let budgets = budgets.into_iter().map(budget).collect();
-    let one = |o: OutStatus| {
-        let OutStatus { thing, cause, permit, by, reason, forced } = o;
-        OutDoc { thing, cause, permit, by, reason, forced }
+    let one = |o: UnavailableStatus| {
+        let UnavailableStatus { subject, cause, permit, requested_by, reason, forced } = o;
+        OutDoc { thing: subject, cause, permit, by: requested_by, reason, forced }
     };
-    let out = out.into_iter().map(one).collect();
-    StatusDoc { from, role, leader, term, applied, news_ms, keepers, instances, budgets, out }
+    let out = unavailable.into_iter().map(one).collect();
+    StatusDoc { from, role, leader, term, applied, news_ms: log_age_ms, keepers, instances, budgets, out }
 }
 
 fn text(from: &str, status: &Status) -> String {
@@ -198,30 +198,30 @@
         if status.leader.is_empty() { "unknown" } else { &status.leader },
         status.term,
         status.applied,
-        status.news_ms
+        status.log_age_ms
     );
     for (name, address) in &status.keepers {
         let _ = writeln!(text, "keeper  {name:<16} {address}");
     }
-    for seat in &status.seats {
-        let lease = if seat.holds { "holds" } else { "no lease" };
+    for seat in &status.sessions {
+        let lease = if seat.has_lease { "holds" } else { "no lease" };
         let _ = writeln!(
             text,
             "proxy   {:<16} {:016x} {} {} heard {} ms ago, {lease}",
-            seat.name, seat.incarnation, seat.version, seat.zone, seat.heard_ms
+            seat.name, seat.incarnation, seat.version, seat.zone, seat.last_request_age_ms
         );
     }
     for budget in &status.budgets {
-        let (counted, whole, used) = (budget.counted, budget.whole, budget.in_use);
+        let (counted, whole, used) = (budget.committed, budget.total, budget.in_use);
         let _ = writeln!(text, "budget  {:<24} whole {whole}, counted {counted}, in use {used}", budget.name);
     }
-    for o in &status.out {
+    for o in &status.unavailable {
         let forced = if o.forced { ", against the limits" } else { "" };
         let permit = match o.permit {
             0 => "no permit".to_string(),
-            number => format!("permit {number} of {}: {}{forced}", o.by, o.reason),
+            number => format!("permit {number} of {}: {}{forced}", o.requested_by, o.reason),
         };
-        let _ = writeln!(text, "out     {:<24} {}, {permit}", o.thing, o.cause);
+        let _ = writeln!(text, "out     {:<24} {}, {permit}", o.subject, o.cause);
     }
     text
 }
