--- a/crates/cluster/src/keeper.rs
+++ b/crates/cluster/src/keeper.rs
@@ -5,7 +5,7 @@
 use crate::link::{self, Identity, Incoming, Peer};
 use crate::node::{Action, Event, Node, TICK_US};
 use crate::protocol::Envelope;
-use crate::store::Disk;
+use crate::store::KeeperStore;
 use linenhill_settings::operator::Operator;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 
 /// Runs a keeper until its disk or its engine fails.
 pub async fn run(
-    operator: Operator, name: &str, disk: Disk, listener: TcpListener,
+    operator: Operator, name: &str, disk: KeeperStore, listener: TcpListener,
 ) -> Result<(), KeeperError> {
     let identity = Rc::new(Identity {
         cluster: operator.cluster.clone(),
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -13,7 +13,7 @@
 use crate::state::{
     AskDoc, CommandDoc, DeclareDoc, Entry, KeeperSeat, OutageDoc, Outcome, State, Told, Which,
 };
-use crate::store::{self, Batch, Disk, DiskError};
+use crate::store::{self, KeeperStore, StoreError, WriteBatch};
 use linenhill_decisions::disruption::Availability;
 use linenhill_decisions::disruption::table::{LivenessView, Permit};
 use linenhill_decisions::membership::SessionRejected;
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub enum KeeperError {
     /// Its disk. It votes no more.
-    Disk(DiskError),
+    Store(StoreError),
     /// The engine.
     Engine(raft::Error),
     /// The operator's file lacks something.
@@ -71,7 +71,7 @@
 impl fmt::Display for KeeperError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            KeeperError::Disk(e) => write!(f, "the keeper votes no more: {e}"),
+            KeeperError::Store(e) => write!(f, "the keeper votes no more: {e}"),
             KeeperError::Engine(e) => write!(f, "the keeper's engine: {e}"),
             KeeperError::File(field) => write!(f, "the operator's file lacks {field}"),
             KeeperError::Stranger(whose) => write!(f, "the store is of {whose}"),
@@ -81,9 +81,9 @@
 
 impl std::error::Error for KeeperError {}
 
-impl From<DiskError> for KeeperError {
-    fn from(e: DiskError) -> KeeperError {
-        KeeperError::Disk(e)
+impl From<StoreError> for KeeperError {
+    fn from(e: StoreError) -> KeeperError {
+        KeeperError::Store(e)
     }
 }
 
@@ -94,12 +94,12 @@
 }
 
 /// Opens the keeper's store, or makes one; `found` begins a new log of which it is the only keeper so far.
-pub fn open(operator: &Operator, name: &str, found: bool) -> Result<Disk, KeeperError> {
+pub fn open(operator: &Operator, name: &str, found: bool) -> Result<KeeperStore, KeeperError> {
     let folder = operator.store.as_deref().ok_or(KeeperError::File("instance.store"))?;
     let seat = operator.keepers.iter().find(|k| k.name == name);
     let address = seat.ok_or(KeeperError::File("a keeper of this name"))?.address;
-    if Disk::exists(folder) && !found {
-        let disk = Disk::open(folder)?;
+    if KeeperStore::exists(folder) && !found {
+        let disk = KeeperStore::open(folder)?;
         let whose = disk.identity();
         if whose.name != name || whose.cluster != operator.cluster {
             return Err(KeeperError::Stranger(format!(
@@ -112,9 +112,9 @@
     let mut rng = fastrand::Rng::new();
     let (id, log_id) = (rng.u64(1..u64::MAX), if found { rng.u64(1..u64::MAX) } else { 0 });
     let cluster = operator.cluster.clone();
-    let identity = store::Identity { id, log_id, name: name.to_string(), cluster };
+    let identity = store::StoreIdentity { id, log_id, name: name.to_string(), cluster };
     let state = found.then(|| founded(id, name, address));
-    Ok(Disk::create(folder, identity, state)?)
+    Ok(KeeperStore::create(folder, identity, state)?)
 }
 
 /// The state with which a log begins: its only keeper so far.
@@ -164,7 +164,7 @@
 
 /// A keeper without its sockets and its clock.
 pub struct Node<R> {
-    engine: RawNode<Disk>,
+    engine: RawNode<KeeperStore>,
     operator: Operator,
     identity: Rc<Identity>,
     state: State,
@@ -193,7 +193,7 @@
     /// Starts on a disk at `now`, in microseconds on a clock that never stands still; what is to be done first comes with
     /// the first event.
     pub fn start(
-        operator: Operator, identity: Rc<Identity>, disk: Disk, now: u64, chance: u64,
+        operator: Operator, identity: Rc<Identity>, disk: KeeperStore, now: u64, chance: u64,
     ) -> Result<Node<R>, KeeperError> {
         let applied = disk.snapshot().get_metadata().index;
         let state = match disk.snapshot().get_data() {
@@ -336,7 +336,7 @@
                 if answer.log_id > 0 && self.log_id() == 0 =>
             {
                 info!("fleet: {} lets this keeper in", answer.from);
-                self.engine.mut_store().found(answer.log_id)?;
+                self.engine.mut_store().set_log_id(answer.log_id)?;
             }
             Some(Body::OperatorReply(OperatorReply { ok: false, text, .. })) => {
                 warn!("fleet: {}: {text}", answer.from)
@@ -601,7 +601,8 @@
                 self.applied = snapshot.get_metadata().index;
                 self.compacted = self.applied;
             }
-            let batch = Batch { snapshot: snapshot.as_ref(), entries: ready.entries(), hard: ready.hs() };
+            let batch =
+                WriteBatch { snapshot: snapshot.as_ref(), entries: ready.entries(), hard_state: ready.hs() };
             self.engine.mut_store().save(&batch)?;
             if snapshot.is_some() {
                 self.meet();
@@ -611,7 +612,7 @@
             self.send(ready.take_persisted_messages());
             let mut light = self.engine.advance(ready);
             if let Some(commit) = light.commit_index() {
-                self.engine.mut_store().commit(commit);
+                self.engine.mut_store().set_commit_index(commit);
             }
             self.send(light.take_messages());
             let committed = light.take_committed_entries();
@@ -788,7 +789,7 @@
     fn store_term(&self, index: u64) -> u64;
 }
 
-impl StoreTerm for RawNode<Disk> {
+impl StoreTerm for RawNode<KeeperStore> {
     fn store_term(&self, index: u64) -> u64 {
         use raft::Storage;
         self.store().term(index).unwrap_or(0)
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store.rs
@@ -1,212 +1,226 @@
-//! A keeper's disk: the engine's log, its votes and the last snapshot, in an embedded store whose every write is synced
-//! before anything that rests on it is said.
+//! A keeper's persistent store: the Raft log, the vote and the last snapshot, in an embedded database.
 //!
-//! A store has a number of its own, drawn when it is made. Whoever lost its disk has another number, so it can never vote
-//! again under the one it had.
+//! Every write is synced before it returns, because messages that rest on it may be sent right after. The store must never
+//! be recreated silently: a store has a Raft identifier that is drawn when it is made, so a keeper that lost its store has
+//! another identifier and can never vote again under the old one.
 
 use linenhill_decisions::membership::MAX_NAME_BYTES;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::storage::MemStorage;
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
-use redb::{Builder, Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
+use redb::{
+    Builder, Database, ReadTransaction, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition,
+};
+use std::error::Error;
 use std::fmt;
 use std::path::{Path, PathBuf};
 
+/// Identity, snapshot and hard state, each under its key.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
+/// Encoded entries by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// The form of what is written.
+const IDENTITY_KEY: &str = "identity";
+const SNAPSHOT_KEY: &str = "snapshot";
+const HARD_STATE_KEY: &str = "hard";
+/// Version of the stored format, first line of the identity.
 const FORMAT: u64 = 1;
-const FILE: &str = "agreed.redb";
+const FILE_NAME: &str = "agreed.redb";
+/// Index and term of the snapshot with which a new log begins.
+const INITIAL_INDEX: u64 = 1;
+const INITIAL_TERM: u64 = 1;
 
-/// Why a store can't be used; printed as one line.
+/// Why a store cannot be used. Prints as one line that begins with the path.
 #[derive(Debug)]
-pub enum DiskError {
-    /// There is none yet, or it is lost.
+pub enum StoreError {
+    /// There is no store at this path: it was never made, or it is lost.
     Missing(PathBuf),
-    /// There is one already.
-    Present(PathBuf),
-    /// The folder can't be made.
-    Folder(PathBuf, std::io::Error),
-    /// The store itself failed: it is cut, full, or can't be synced.
-    Store(PathBuf, Box<redb::Error>),
-    /// What stands in it can't be read.
-    Content(PathBuf, &'static str),
+    /// There is a store at this path already.
+    AlreadyExists(PathBuf),
+    /// The directory cannot be created.
+    Directory(PathBuf, std::io::Error),
+    /// The database failed: it is truncated, the disk is full, or a sync failed.
+    Database(PathBuf, Box<redb::Error>),
+    /// A stored or outgoing value is invalid.
+    Invalid {
+        /// Path of the store.
+        path: PathBuf,
+        /// The invalid value.
+        what: &'static str,
+        /// The decoder's or the engine's error, where there is one.
+        source: Option<Box<dyn Error + Send + Sync>>,
+    },
 }
 
-impl fmt::Display for DiskError {
+impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            DiskError::Missing(path) => write!(f, "{}: there is no store", path.display()),
-            DiskError::Present(path) => write!(f, "{}: there is a store already", path.display()),
-            DiskError::Folder(path, e) => write!(f, "{}: {e}", path.display()),
-            DiskError::Store(path, e) => write!(f, "{}: {e}", path.display()),
-            DiskError::Content(path, what) => write!(f, "{}: {what} can't be read", path.display()),
+            StoreError::Missing(path) => write!(f, "{}: there is no store", path.display()),
+            StoreError::AlreadyExists(path) => write!(f, "{}: there is a store already", path.display()),
+            StoreError::Directory(path, error) => write!(f, "{}: {error}", path.display()),
+            StoreError::Database(path, error) => write!(f, "{}: {error}", path.display()),
+            StoreError::Invalid { path, what, .. } => write!(f, "{}: {what} can't be read", path.display()),
         }
     }
 }
 
-impl std::error::Error for DiskError {}
+impl Error for StoreError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            StoreError::Missing(_) | StoreError::AlreadyExists(_) => None,
+            StoreError::Directory(_, error) => Some(error),
+            StoreError::Database(_, error) => Some(error.as_ref()),
+            StoreError::Invalid { source, .. } => {
+                source.as_deref().map(|source| source as &(dyn Error + 'static))
+            }
+        }
+    }
+}
 
-/// Whose store it is.
+/// The keeper that a store belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Identity {
-    /// The keeper's number, drawn with the store.
+pub struct StoreIdentity {
+    /// Raft identifier of the keeper, drawn when the store is made.
     pub id: u64,
-    /// What the keepers of one log have in common; 0 until it is known.
+    /// Identifier of the replicated log, shared by its keepers; 0 until this keeper has joined.
     pub log_id: u64,
-    /// The keeper's name.
+    /// Name of the keeper.
     pub name: String,
-    /// The fleet's name.
+    /// Name of the fleet.
     pub cluster: String,
 }
 
-impl Identity {
-    fn text(&self) -> String {
+impl StoreIdentity {
+    /// One value a line, the version of the format first.
+    fn encode(&self) -> String {
         format!("{FORMAT}\n{}\n{}\n{}\n{}", self.id, self.log_id, self.name, self.cluster)
     }
 
-    fn parse(text: &str) -> Option<Identity> {
+    fn decode(text: &str) -> Option<StoreIdentity> {
         let mut lines = text.split('\n');
         if lines.next()?.parse() != Ok(FORMAT) {
             return None;
         }
-        let (id, log_id) = (lines.next()?.parse().ok()?, lines.next()?.parse().ok()?);
-        let (name, cluster) = (lines.next()?.to_string(), lines.next()?.to_string());
-        (name.len() <= MAX_NAME_BYTES).then_some(Identity { id, log_id, name, cluster })
+        let id = lines.next()?.parse().ok()?;
+        let log_id = lines.next()?.parse().ok()?;
+        let name = lines.next()?.to_string();
+        let cluster = lines.next()?.to_string();
+        (name.len() <= MAX_NAME_BYTES).then_some(StoreIdentity { id, log_id, name, cluster })
     }
 }
 
-/// The disk, with what the engine reads often kept in memory.
-pub struct Disk {
-    db: Database,
+/// The store of one keeper. The log is also kept in memory, since the engine reads it often.
+pub struct KeeperStore {
+    database: Database,
     path: PathBuf,
-    mem: MemStorage,
+    memory: MemStorage,
     snapshot: Snapshot,
-    identity: Identity,
+    identity: StoreIdentity,
 }
 
-/// What is to be on the disk before anything is said of it.
+/// Changes that are written and synced together.
 #[derive(Default)]
-pub struct Batch<'a> {
-    /// A snapshot in the place of the whole log.
+pub struct WriteBatch<'a> {
+    /// A snapshot that replaces the whole log.
     pub snapshot: Option<&'a Snapshot>,
-    /// Entries, in the place of all from the first one's index on.
+    /// Entries that replace all entries from the first one's index on.
     pub entries: &'a [Entry],
-    /// Term, vote and what is agreed on.
-    pub hard: Option<&'a HardState>,
+    /// Term, vote and commit index.
+    pub hard_state: Option<&'a HardState>,
 }
 
-impl Disk {
-    /// Whether a folder has a store.
-    pub fn exists(folder: &Path) -> bool {
-        folder.join(FILE).exists()
+impl KeeperStore {
+    /// Whether the directory holds a store.
+    pub fn exists(directory: &Path) -> bool {
+        directory.join(FILE_NAME).exists()
     }
 
-    /// Makes a store for `identity`; with `founded`, it begins a log whose only keeper this is, at that state.
-    pub fn create(folder: &Path, identity: Identity, founded: Option<Vec<u8>>) -> Result<Disk, DiskError> {
-        if Disk::exists(folder) {
-            return Err(DiskError::Present(folder.join(FILE)));
+    /// Creates a store for `identity`. With `initial_state`, it begins a log in that encoded state, of which this keeper is
+    /// the only voter.
+    pub fn create(
+        directory: &Path, identity: StoreIdentity, initial_state: Option<Vec<u8>>,
+    ) -> Result<KeeperStore, StoreError> {
+        let path = directory.join(FILE_NAME);
+        if KeeperStore::exists(directory) {
+            return Err(StoreError::AlreadyExists(path));
         }
-        std::fs::create_dir_all(folder).map_err(|e| DiskError::Folder(folder.to_path_buf(), e))?;
-        let path = folder.join(FILE);
-        let db = failed(&path, Database::create(&path))?;
-        Disk::begin(path, db, identity, founded)
+        std::fs::create_dir_all(directory)
+            .map_err(|error| StoreError::Directory(directory.to_path_buf(), error))?;
+        let database = Database::create(&path).map_err(database_error(&path))?;
+        KeeperStore::initialize(path, database, identity, initial_state)
     }
 
-    /// Makes a store on something else than a file, as [`Disk::create`] does.
-    pub fn create_on(
-        backend: impl StorageBackend, identity: Identity, founded: Option<Vec<u8>>,
-    ) -> Result<Disk, DiskError> {
+    /// Like [`KeeperStore::create`], on a storage backend instead of a file.
+    pub fn create_with_backend(
+        backend: impl StorageBackend, identity: StoreIdentity, initial_state: Option<Vec<u8>>,
+    ) -> Result<KeeperStore, StoreError> {
         let path = PathBuf::from(&identity.name);
-        let db = failed(&path, Builder::new().create_with_backend(backend))?;
-        Disk::begin(path, db, identity, founded)
+        let database = Builder::new().create_with_backend(backend).map_err(database_error(&path))?;
+        KeeperStore::initialize(path, database, identity, initial_state)
     }
 
-    fn begin(
-        path: PathBuf, db: Database, identity: Identity, founded: Option<Vec<u8>>,
-    ) -> Result<Disk, DiskError> {
-        let mut disk = Disk { db, path, mem: MemStorage::new(), snapshot: Snapshot::default(), identity };
-        disk.write(|meta, _| {
-            meta.insert("identity", disk.identity.text().as_bytes())?;
-            Ok(())
-        })?;
-        if let Some(state) = founded {
-            let mut snapshot = Snapshot::default();
-            let meta = snapshot.mut_metadata();
-            (meta.index, meta.term) = (1, 1);
-            meta.set_conf_state(ConfState { voters: vec![disk.identity.id], ..ConfState::default() });
-            snapshot.set_data(state.into());
-            let hard = HardState { term: 1, commit: 1, ..HardState::default() };
-            disk.save(&Batch { snapshot: Some(&snapshot), entries: &[], hard: Some(&hard) })?;
+    fn initialize(
+        path: PathBuf, database: Database, identity: StoreIdentity, initial_state: Option<Vec<u8>>,
+    ) -> Result<KeeperStore, StoreError> {
+        let (memory, snapshot) = (MemStorage::new(), Snapshot::default());
+        let mut store = KeeperStore { database, path, memory, snapshot, identity };
+        store.write_identity()?;
+        if let Some(state) = initial_state {
+            let voters = ConfState { voters: vec![store.identity.id], ..ConfState::default() };
+            let snapshot = new_snapshot(INITIAL_INDEX, INITIAL_TERM, voters, state);
+            let hard_state = HardState { term: INITIAL_TERM, commit: INITIAL_INDEX, ..HardState::default() };
+            store.save(&WriteBatch {
+                snapshot: Some(&snapshot),
+                entries: &[],
+                hard_state: Some(&hard_state),
+            })?;
         }
-        Ok(disk)
+        Ok(store)
     }
 
-    /// Opens the store of a folder.
-    pub fn open(folder: &Path) -> Result<Disk, DiskError> {
-        let path = folder.join(FILE);
+    /// Opens the store of a directory.
+    pub fn open(directory: &Path) -> Result<KeeperStore, StoreError> {
+        let path = directory.join(FILE_NAME);
         if !path.exists() {
-            return Err(DiskError::Missing(path));
+            return Err(StoreError::Missing(path));
         }
-        let db = failed(&path, Database::open(&path))?;
-        Disk::read(path, db)
+        let database = Database::open(&path).map_err(database_error(&path))?;
+        KeeperStore::load(path, database)
     }
 
-    /// Opens the store on something else than a file.
-    pub fn open_on(backend: impl StorageBackend, name: &str) -> Result<Disk, DiskError> {
+    /// Like [`KeeperStore::open`], on a storage backend instead of a file.
+    pub fn open_with_backend(backend: impl StorageBackend, name: &str) -> Result<KeeperStore, StoreError> {
         let path = PathBuf::from(name);
-        let db = failed(&path, Builder::new().create_with_backend(backend))?;
-        Disk::read(path, db)
+        let database = Builder::new().create_with_backend(backend).map_err(database_error(&path))?;
+        KeeperStore::load(path, database)
     }
 
-    fn read(path: PathBuf, db: Database) -> Result<Disk, DiskError> {
-        let content = |what| DiskError::Content(path.clone(), what);
-        let read = failed(&path, db.begin_read())?;
-        let meta = failed(&path, read.open_table(META))?;
-        let get = |key: &str| -> Result<Option<Vec<u8>>, DiskError> {
-            Ok(failed(&path, meta.get(key))?.map(|found| found.value().to_vec()))
-        };
-        let identity = get("identity")?.and_then(|b| Identity::parse(std::str::from_utf8(&b).ok()?));
-        let identity = identity.ok_or_else(|| content("the identity"))?;
-        let mem = MemStorage::new();
-        let mut snapshot = Snapshot::default();
-        if let Some(bytes) = get("snapshot")? {
-            snapshot = Snapshot::parse_from_bytes(&bytes).map_err(|_| content("the snapshot"))?;
-            mem.wl().apply_snapshot(snapshot.clone()).map_err(|_| content("the snapshot"))?;
+    fn load(path: PathBuf, database: Database) -> Result<KeeperStore, StoreError> {
+        let transaction = database.begin_read().map_err(database_error(&path))?;
+        let stored = StoredMeta::read(&path, &transaction)?;
+        let memory = MemStorage::new();
+        if let Some(snapshot) = &stored.snapshot {
+            memory.wl().apply_snapshot(snapshot.clone()).map_err(invalid(&path, "the snapshot"))?;
         }
-        let hard = get("hard")?.map(|b| HardState::parse_from_bytes(&b)).transpose();
-        let hard = hard.map_err(|_| content("the vote"))?;
-        let mut entries = Vec::new();
-        if let Ok(log) = read.open_table(LOG) {
-            for row in failed(&path, log.iter())? {
-                let (index, bytes) = failed(&path, row)?;
-                let entry = Entry::parse_from_bytes(bytes.value()).map_err(|_| content("an entry"))?;
-                let next = snapshot.get_metadata().index + 1 + entries.len() as u64;
-                if index.value() >= next {
-                    if entry.index != next || index.value() != next {
-                        return Err(content("the order of entries"));
-                    }
-                    entries.push(entry);
-                }
+        let snapshot = stored.snapshot.unwrap_or_default();
+        let entries = read_entries(&path, &transaction, snapshot.get_metadata().index)?;
+        memory.wl().append(&entries).map_err(invalid(&path, "the log"))?;
+        if let Some(mut hard_state) = stored.hard_state {
+            // A snapshot holds committed entries only, also where the hard state was written before their commit was known.
+            let metadata = snapshot.get_metadata();
+            hard_state.commit = hard_state.commit.max(metadata.index);
+            hard_state.term = hard_state.term.max(metadata.term);
+            if hard_state.commit > memory.last_index().unwrap_or(0) {
+                return Err(StoreError::Invalid { path, what: "the end of the log", source: None });
             }
+            memory.wl().set_hardstate(hard_state);
         }
-        mem.wl().append(&entries).map_err(|_| content("the log"))?;
-        if let Some(mut hard) = hard {
-            // A snapshot is of what was agreed on, also where the vote was written before that was known.
-            let meta = snapshot.get_metadata();
-            (hard.commit, hard.term) = (hard.commit.max(meta.index), hard.term.max(meta.term));
-            if hard.commit > mem.last_index().unwrap_or(0) {
-                return Err(content("the end of the log"));
-            }
-            mem.wl().set_hardstate(hard);
-        }
-        drop((meta, read));
-        Ok(Disk { db, path, mem, snapshot, identity })
+        drop(transaction);
+        Ok(KeeperStore { database, path, memory, snapshot, identity: stored.identity })
     }
 
-    /// Whose it is.
-    pub fn identity(&self) -> &Identity {
+    /// The keeper that the store belongs to.
+    pub fn identity(&self) -> &StoreIdentity {
         &self.identity
     }
 
@@ -215,48 +229,51 @@
         &self.snapshot
     }
 
-    /// What the keepers have in common is known now.
-    pub fn found(&mut self, log_id: u64) -> Result<(), DiskError> {
+    /// Records the identifier of the log that this keeper joined.
+    pub fn set_log_id(&mut self, log_id: u64) -> Result<(), StoreError> {
         self.identity.log_id = log_id;
+        self.write_identity()
+    }
+
+    fn write_identity(&self) -> Result<(), StoreError> {
         self.write(|meta, _| {
-            meta.insert("identity", self.identity.text().as_bytes())?;
+            meta.insert(IDENTITY_KEY, self.identity.encode().as_bytes())?;
             Ok(())
         })
     }
 
+    /// Runs `fill` on both tables in one transaction and syncs it.
     fn write(
         &self,
         fill: impl FnOnce(&mut redb::Table<&str, &[u8]>, &mut redb::Table<u64, &[u8]>) -> Result<(), redb::Error>,
-    ) -> Result<(), DiskError> {
-        let write = failed(&self.path, self.db.begin_write())?;
+    ) -> Result<(), StoreError> {
+        let transaction = self.database.begin_write().map_err(database_error(&self.path))?;
         {
-            let mut meta = failed(&self.path, write.open_table(META))?;
-            let mut log = failed(&self.path, write.open_table(LOG))?;
-            failed(&self.path, fill(&mut meta, &mut log))?;
+            let mut meta = transaction.open_table(META).map_err(database_error(&self.path))?;
+            let mut log = transaction.open_table(LOG).map_err(database_error(&self.path))?;
+            fill(&mut meta, &mut log).map_err(database_error(&self.path))?;
         }
-        failed(&self.path, write.commit())
+        transaction.commit().map_err(database_error(&self.path))
     }
 
-    /// Writes a batch and syncs it; after an error nothing of this disk is to be trusted any more.
-    pub fn save(&mut self, batch: &Batch) -> Result<(), DiskError> {
-        let content = |what| DiskError::Content(self.path.clone(), what);
-        let bytes =
-            |message: &dyn protobuf::Message| message.write_to_bytes().map_err(|_| content("a message"));
-        let snapshot = batch.snapshot.map(|s| bytes(s)).transpose()?;
-        let hard = batch.hard.map(|h| bytes(h)).transpose()?;
-        let entries: Result<Vec<(u64, Vec<u8>)>, DiskError> =
-            batch.entries.iter().map(|e| Ok((e.index, bytes(e)?))).collect();
-        let entries = entries?;
-        if snapshot.is_none() && hard.is_none() && entries.is_empty() {
+    /// Writes a batch and syncs it. After an error the store must not be used any more.
+    pub fn save(&mut self, batch: &WriteBatch) -> Result<(), StoreError> {
+        let snapshot = batch.snapshot.map(|snapshot| self.encode(snapshot)).transpose()?;
+        let hard_state = batch.hard_state.map(|hard_state| self.encode(hard_state)).transpose()?;
+        let mut entries = Vec::with_capacity(batch.entries.len());
+        for entry in batch.entries {
+            entries.push((entry.index, self.encode(entry)?));
+        }
+        if snapshot.is_none() && hard_state.is_none() && entries.is_empty() {
             return Ok(());
         }
         self.write(|meta, log| {
             if let Some(bytes) = &snapshot {
-                meta.insert("snapshot", bytes.as_slice())?;
+                meta.insert(SNAPSHOT_KEY, bytes.as_slice())?;
                 log.retain(|_, _| false)?;
             }
-            if let Some(bytes) = &hard {
-                meta.insert("hard", bytes.as_slice())?;
+            if let Some(bytes) = &hard_state {
+                meta.insert(HARD_STATE_KEY, bytes.as_slice())?;
             }
             if let Some((first, _)) = entries.first() {
                 log.retain_in(*first.., |_, _| false)?;
@@ -266,72 +283,145 @@
             }
             Ok(())
         })?;
+        self.save_in_memory(batch)
+    }
+
+    fn save_in_memory(&mut self, batch: &WriteBatch) -> Result<(), StoreError> {
         if let Some(snapshot) = batch.snapshot {
-            self.mem.wl().apply_snapshot(snapshot.clone()).map_err(|_| content("a snapshot"))?;
+            let applied = self.memory.wl().apply_snapshot(snapshot.clone());
+            applied.map_err(invalid(&self.path, "a snapshot"))?;
             self.snapshot = snapshot.clone();
         }
-        self.mem.wl().append(batch.entries).map_err(|_| content("entries"))?;
-        if let Some(hard) = batch.hard {
-            self.mem.wl().set_hardstate(hard.clone());
+        self.memory.wl().append(batch.entries).map_err(invalid(&self.path, "entries"))?;
+        if let Some(hard_state) = batch.hard_state {
+            self.memory.wl().set_hardstate(hard_state.clone());
         }
         Ok(())
     }
 
-    /// Notes how far the log is agreed on; it need not be synced.
-    pub fn commit(&mut self, index: u64) {
-        self.mem.wl().mut_hard_state().commit = index;
+    fn encode(&self, message: &dyn protobuf::Message) -> Result<Vec<u8>, StoreError> {
+        message.write_to_bytes().map_err(invalid(&self.path, "a message"))
+    }
+
+    /// Records the commit index in memory. It need not be synced: the engine learns it anew.
+    pub fn set_commit_index(&mut self, index: u64) {
+        self.memory.wl().mut_hard_state().commit = index;
     }
 
-    /// The state up to an applied entry stands for the log before it.
-    pub fn compact(&mut self, index: u64, conf: &ConfState, state: Vec<u8>) -> Result<(), DiskError> {
-        let term =
-            self.mem.term(index).map_err(|_| DiskError::Content(self.path.clone(), "an entry's term"))?;
-        let mut snapshot = Snapshot::default();
-        let meta = snapshot.mut_metadata();
-        (meta.index, meta.term) = (index, term);
-        meta.set_conf_state(conf.clone());
-        snapshot.set_data(state.into());
-        let bytes = snapshot.write_to_bytes();
-        let bytes = bytes.map_err(|_| DiskError::Content(self.path.clone(), "a snapshot"))?;
-        let hard = self.mem.rl().hard_state().write_to_bytes();
-        let hard = hard.map_err(|_| DiskError::Content(self.path.clone(), "a vote"))?;
+    /// Replaces the log up to the applied entry `index` by a snapshot of the encoded state at that entry.
+    pub fn compact(&mut self, index: u64, conf: &ConfState, state: Vec<u8>) -> Result<(), StoreError> {
+        let term = self.memory.term(index).map_err(invalid(&self.path, "an entry's term"))?;
+        let snapshot = new_snapshot(index, term, conf.clone(), state);
+        let snapshot_bytes = snapshot.write_to_bytes().map_err(invalid(&self.path, "a snapshot"))?;
+        let hard_state = self.memory.rl().hard_state().write_to_bytes();
+        let hard_state_bytes = hard_state.map_err(invalid(&self.path, "a vote"))?;
         self.write(|meta, log| {
-            meta.insert("snapshot", bytes.as_slice())?;
-            meta.insert("hard", hard.as_slice())?;
+            meta.insert(SNAPSHOT_KEY, snapshot_bytes.as_slice())?;
+            meta.insert(HARD_STATE_KEY, hard_state_bytes.as_slice())?;
             log.retain_in(..=index, |_, _| false)?;
             Ok(())
         })?;
-        self.mem.wl().compact(index).map_err(|_| DiskError::Content(self.path.clone(), "the log"))?;
+        self.memory.wl().compact(index).map_err(invalid(&self.path, "the log"))?;
         self.snapshot = snapshot;
         Ok(())
     }
 }
 
-fn failed<T, E: Into<redb::Error>>(path: &Path, done: Result<T, E>) -> Result<T, DiskError> {
-    done.map_err(|e| DiskError::Store(path.to_path_buf(), Box::new(e.into())))
+/// The decoded values of the table [`META`].
+struct StoredMeta {
+    identity: StoreIdentity,
+    snapshot: Option<Snapshot>,
+    hard_state: Option<HardState>,
+}
+
+impl StoredMeta {
+    fn read(path: &Path, transaction: &ReadTransaction) -> Result<StoredMeta, StoreError> {
+        let table = transaction.open_table(META).map_err(database_error(path))?;
+        let value = |key: &str| -> Result<Option<Vec<u8>>, StoreError> {
+            let found = table.get(key).map_err(database_error(path))?;
+            Ok(found.map(|found| found.value().to_vec()))
+        };
+        let identity = value(IDENTITY_KEY)?
+            .and_then(|bytes| StoreIdentity::decode(std::str::from_utf8(&bytes).ok()?))
+            .ok_or_else(|| StoreError::Invalid {
+                path: path.to_path_buf(),
+                what: "the identity",
+                source: None,
+            })?;
+        let snapshot = value(SNAPSHOT_KEY)?.map(|bytes| Snapshot::parse_from_bytes(&bytes)).transpose();
+        let snapshot = snapshot.map_err(invalid(path, "the snapshot"))?;
+        let hard_state = value(HARD_STATE_KEY)?.map(|bytes| HardState::parse_from_bytes(&bytes)).transpose();
+        let hard_state = hard_state.map_err(invalid(path, "the vote"))?;
+        Ok(StoredMeta { identity, snapshot, hard_state })
+    }
+}
+
+/// Reads the entries after `snapshot_index`; their indices must be consecutive.
+fn read_entries(
+    path: &Path, transaction: &ReadTransaction, snapshot_index: u64,
+) -> Result<Vec<Entry>, StoreError> {
+    let mut entries: Vec<Entry> = Vec::new();
+    let mut next_index = snapshot_index + 1;
+    let Ok(table) = transaction.open_table(LOG) else { return Ok(entries) };
+    for row in table.iter().map_err(database_error(path))? {
+        let (index, bytes) = row.map_err(database_error(path))?;
+        let entry = Entry::parse_from_bytes(bytes.value()).map_err(invalid(path, "an entry"))?;
+        if index.value() < next_index {
+            continue;
+        }
+        if entry.index != next_index || index.value() != next_index {
+            let what = "the order of entries";
+            return Err(StoreError::Invalid { path: path.to_path_buf(), what, source: None });
+        }
+        entries.push(entry);
+        next_index += 1;
+    }
+    Ok(entries)
+}
+
+fn new_snapshot(index: u64, term: u64, conf: ConfState, state: Vec<u8>) -> Snapshot {
+    let mut snapshot = Snapshot::default();
+    let metadata = snapshot.mut_metadata();
+    metadata.index = index;
+    metadata.term = term;
+    metadata.set_conf_state(conf);
+    snapshot.set_data(state.into());
+    snapshot
+}
+
+/// Converts an error of the database.
+fn database_error<E: Into<redb::Error>>(path: &Path) -> impl FnOnce(E) -> StoreError {
+    move |error| StoreError::Database(path.to_path_buf(), Box::new(error.into()))
+}
+
+/// Converts an error that shows that `what` is invalid.
+fn invalid<E: Error + Send + Sync + 'static>(
+    path: &Path, what: &'static str,
+) -> impl FnOnce(E) -> StoreError {
+    move |error| StoreError::Invalid { path: path.to_path_buf(), what, source: Some(Box::new(error)) }
 }
 
-impl Storage for Disk {
+impl Storage for KeeperStore {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        self.mem.initial_state()
+        self.memory.initial_state()
     }
 
     fn entries(
         &self, low: u64, high: u64, max: impl Into<Option<u64>>, context: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        self.mem.entries(low, high, max, context)
+        self.memory.entries(low, high, max, context)
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        self.mem.term(index)
+        self.memory.term(index)
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        self.mem.first_index()
+        self.memory.first_index()
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        self.mem.last_index()
+        self.memory.last_index()
     }
 
     fn snapshot(&self, request: u64, _to: u64) -> raft::Result<Snapshot> {
--- a/crates/lab/src/together.rs
+++ b/crates/lab/src/together.rs
@@ -7,7 +7,7 @@
 use linenhill_cluster::link::Identity;
 use linenhill_cluster::node::{self, Action, Event, KeeperError, Node, TICK_US};
 use linenhill_cluster::protocol::{Body, Envelope, LeaseRequest, OperatorRequest};
-use linenhill_cluster::store::{self, Disk};
+use linenhill_cluster::store::{self, KeeperStore};
 use linenhill_decisions::membership::LeaseTerms;
 use linenhill_decisions::quota::leader_search::LeaderSearch;
 use linenhill_decisions::quota::lease_holder::{AcquireDecision, LeaseHolder};
@@ -281,13 +281,13 @@
             let (id, founds) = (self.rng.u64(1..u64::MAX), self.now == 0 && i == 0);
             let log_id = if founds { self.rng.u64(1..u64::MAX) } else { 0 };
             let cluster = self.operator.cluster.clone();
-            let identity = store::Identity { id, log_id, name: name.clone(), cluster };
+            let identity = store::StoreIdentity { id, log_id, name: name.clone(), cluster };
             let state = founds.then(|| node::founded(id, &name, self.operator.keepers[i].address));
-            Disk::create_on(image, identity, state)
+            KeeperStore::create_with_backend(image, identity, state)
         } else {
-            Disk::open_on(image, &name)
+            KeeperStore::open_with_backend(image, &name)
         };
-        let opened = disk.map_err(KeeperError::Disk).and_then(|disk| {
+        let opened = disk.map_err(KeeperError::Store).and_then(|disk| {
             let identity = Rc::new(identity(&self.operator, &name, disk.identity().id));
             let shows = self.keepers[i].clock.shows(self.now);
             Node::start(self.operator.clone(), identity, disk, shows, self.rng.u64(..))
--- a/crates/lab/tests/bounds.rs
+++ b/crates/lab/tests/bounds.rs
@@ -3,7 +3,7 @@
 use linenhill_cluster::link::Identity;
 use linenhill_cluster::node::{Action, Event, Node, TICK_US, founded};
 use linenhill_cluster::protocol::{Body, Envelope, LeaseRequest};
-use linenhill_cluster::store::{self, Disk};
+use linenhill_cluster::store::{self, KeeperStore};
 use linenhill_decisions::membership::{LeaseTerms, MAX_SESSIONS, Membership, SessionRejected, SessionUpdate};
 use linenhill_decisions::quota::{Budget, QuotaNeed, QuotaRequest};
 use linenhill_lab::disk::Image;
@@ -22,8 +22,9 @@
     let terms = LeaseTerms { lease_us: 1_000_000, membership_us: 4_000_000, drift_ppm: 10_000 };
     let keepers = vec![Keeper { name: "k0".into(), address }];
     let operator = operator(keepers, terms, [("b".to_string(), budget)].into());
-    let whose = store::Identity { id: 7, log_id: 8, name: "k0".into(), cluster: "lab".into() };
-    let disk = Disk::create_on(Image::default(), whose, Some(founded(7, "k0", address))).expect("a store");
+    let whose = store::StoreIdentity { id: 7, log_id: 8, name: "k0".into(), cluster: "lab".into() };
+    let disk = KeeperStore::create_with_backend(Image::default(), whose, Some(founded(7, "k0", address)))
+        .expect("a store");
     let mut node = Node::start(operator, Rc::new(identity("k0".into(), 7)), disk, 0, 1).expect("a node");
     let mut now = 0;
     while node.leader_term().is_none() || node.state().table.entries.is_empty() {
