--- a/crates/cluster/src/keeper.rs
+++ b/crates/cluster/src/keeper.rs
@@ -2,10 +2,10 @@
 //! and the pace of its ticks.
 
 use crate::clock;
-use crate::link::{self, Identity, Incoming, Peer};
 use crate::node::{Action, Event, Node, TICK_US};
 use crate::protocol::Envelope;
 use crate::store::KeeperStore;
+use crate::transport::{self, IncomingMessage, InstanceIdentity, PeerConnection};
 use linenhill_settings::operator::Operator;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -27,21 +27,21 @@
 pub async fn run(
     operator: Operator, name: &str, disk: KeeperStore, listener: TcpListener,
 ) -> Result<(), KeeperError> {
-    let identity = Rc::new(Identity {
+    let identity = Rc::new(InstanceIdentity {
         cluster: operator.cluster.clone(),
         name: name.to_string(),
         incarnation: disk.identity().id,
         keepers: operator.keepers.iter().map(|k| k.name.clone()).collect(),
     });
     let (inbox, mut came) = mpsc::channel(INBOX);
-    spawn_local(link::serve(listener, operator.allow.clone(), identity.clone(), inbox));
+    spawn_local(transport::serve(listener, operator.allow.clone(), identity.clone(), inbox));
     let chance = fastrand::Rng::new().u64(..);
     let mut node = Node::start(operator, identity.clone(), disk, clock::now(), chance)?;
     let mut tick = interval(Duration::from_micros(TICK_US));
     tick.set_missed_tick_behavior(MissedTickBehavior::Skip);
     let (joined, mut answers) = mpsc::channel(JOINED);
-    let mut peers: BTreeMap<u64, Peer> = BTreeMap::new();
-    let event = |Incoming { envelope, reply }: Incoming| Event::Came(envelope, reply);
+    let mut peers: BTreeMap<u64, PeerConnection> = BTreeMap::new();
+    let event = |IncomingMessage { envelope, reply }: IncomingMessage| Event::Came(envelope, reply);
     loop {
         let mut events = Vec::new();
         let due = node.due();
@@ -65,7 +65,7 @@
                 Action::Peers(now) => {
                     peers.retain(|id, peer| now.get(id) == Some(&peer.address));
                     for (id, address) in now {
-                        peers.entry(id).or_insert_with(|| Peer::start(address, identity.clone()));
+                        peers.entry(id).or_insert_with(|| PeerConnection::start(address, identity.clone()));
                     }
                 }
                 Action::AskToJoin(address, say) => _ = spawn_local(ask(address, say, joined.clone())),
@@ -75,7 +75,7 @@
 }
 
 async fn ask(address: std::net::SocketAddr, say: Envelope, joined: mpsc::Sender<Envelope>) {
-    if let Ok(answer) = link::call(address, say).await {
+    if let Ok(answer) = transport::call(address, say).await {
         let _ = joined.send(answer).await;
     }
 }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,4 +1,4 @@
-//! Instances of one fleet together: the link between them ([`protocol`], [`link`]), the agreed log of the keepers ([`node`],
+//! Instances of one fleet together: the link between them ([`protocol`], [`transport`]), the agreed log of the keepers ([`node`],
 //! with an existing Raft engine, which [`keeper`] carries out) on its disk ([`store`]), and a proxy's side of it
 //! ([`member`]).
 //!
@@ -9,9 +9,9 @@
 
 pub mod clock;
 pub mod keeper;
-pub mod link;
 pub mod member;
 pub mod node;
 pub mod protocol;
 pub mod state;
 pub mod store;
+pub mod transport;
--- a/crates/cluster/src/member.rs
+++ b/crates/cluster/src/member.rs
@@ -4,12 +4,12 @@
 //! rest runs beside it, and while no keeper is there the proxy lives on what it has until that is over by the clock.
 
 use crate::clock;
-use crate::link::{self, Identity, Incoming};
 use crate::protocol::{
     Body, BudgetStatus, Envelope, EnvelopeCodec, LeaseGranted, LeaseRequest, OperatorReply, OperatorRequest,
     Status,
 };
 use crate::state::OutageDoc;
+use crate::transport::{self, IncomingMessage, InstanceIdentity};
 use futures_util::{SinkExt, StreamExt};
 use linenhill_decisions::disruption::reporter::HealthReporter;
 use linenhill_decisions::disruption::{Availability, HealthObservation, Quarantine};
@@ -34,7 +34,7 @@
 /// A proxy's part in the fleet.
 pub struct Fleet {
     holder: RefCell<LeaseHolder>,
-    identity: RefCell<Rc<Identity>>,
+    identity: RefCell<Rc<InstanceIdentity>>,
     operator: Operator,
     version: String,
     leader: RefCell<String>,
@@ -55,7 +55,7 @@
             holder.enforce(budget, declared.is_rate());
         }
         let incarnation = fastrand::Rng::new().u64(1..u64::MAX);
-        let identity = Identity {
+        let identity = InstanceIdentity {
             cluster: operator.cluster.clone(),
             name: name.to_string(),
             incarnation,
@@ -76,7 +76,7 @@
         })
     }
 
-    fn identity(&self) -> Rc<Identity> {
+    fn identity(&self) -> Rc<InstanceIdentity> {
         self.identity.borrow().clone()
     }
 
@@ -155,7 +155,7 @@
             let until = self.holder.borrow().expiry().quotas;
             let Some(open) = &mut link else {
                 let Some(keeper) = self.operator.keepers.get(seeking.current_keeper()) else { return };
-                match link::connect(keeper.address).await {
+                match transport::connect(keeper.address).await {
                     Ok(opened) => {
                         link = Some(opened);
                         self.holder.borrow_mut().request_at_once();
@@ -172,7 +172,7 @@
                     seeking.request_sent(clock::now());
                     let (version, zone) = (self.version.clone(), self.operator.zone.clone());
                     let report = self.bounds_outages().then(|| self.reporter.borrow_mut().next_report(ask.seq));
-                    let envelope = self.identity().say(0, Body::LeaseRequest(LeaseRequest { quota: ask, version, zone, report }));
+                    let envelope = self.identity().envelope(0, Body::LeaseRequest(LeaseRequest { quota: ask, version, zone, report }));
                     let within = Duration::from_micros(seeking.answer_timeout());
                     if !matches!(timeout(within, open.send(envelope)).await, Ok(Ok(()))) {
                         pause = Some(seeking.keeper_lost(fastrand::f64()));
@@ -228,7 +228,7 @@
                 if refused.incarnation == self.identity().incarnation {
                     warn!("fleet: another process is {} now; this one has nothing", self.identity().name);
                     let incarnation = fastrand::Rng::new().u64(1..u64::MAX);
-                    let next = Identity { incarnation, ..Identity::clone(&self.identity()) };
+                    let next = InstanceIdentity { incarnation, ..InstanceIdentity::clone(&self.identity()) };
                     self.identity.replace(Rc::new(next));
                     self.holder.borrow_mut().handle_superseded(clock::now());
                     self.reporter.borrow_mut().reset();
@@ -296,17 +296,19 @@
     /// Wishes something of the keepers: what the leader says, or what each of them said.
     pub async fn wish(&self, outage: OutageDoc) -> Result<OperatorReply, String> {
         let operate = OperatorRequest { disruption: Some(outage), ..OperatorRequest::default() };
-        link::tell(&self.operator.keepers, &self.identity(), operate).await
+        transport::send_to_leader(&self.operator.keepers, &self.identity(), operate)
+            .await
+            .map_err(|e| e.to_string())
     }
 
     /// Answers operators who ask this proxy for its state.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        let (inbox, mut came) = mpsc::channel::<Incoming>(INBOX);
-        let served = link::serve(listener, self.operator.allow.clone(), self.identity(), inbox);
+        let (inbox, mut came) = mpsc::channel::<IncomingMessage>(INBOX);
+        let served = transport::serve(listener, self.operator.allow.clone(), self.identity(), inbox);
         let answer = async {
-            while let Some(Incoming { envelope, reply }) = came.recv().await {
+            while let Some(IncomingMessage { envelope, reply }) = came.recv().await {
                 if matches!(envelope.body, Some(Body::StatusRequest(_))) {
-                    let _ = reply.try_send(self.identity().say(0, Body::Status(self.status())));
+                    let _ = reply.try_send(self.identity().envelope(0, Body::Status(self.status())));
                 }
             }
         };
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -5,7 +5,6 @@
 //! Only the leader writes entries, and each says what the leader's own clock counted since its entry before, or since it
 //! became leader: time of log stands still while nobody leads, so nothing that was granted is over too early.
 
-use crate::link::Identity;
 use crate::protocol::{
     Body, BudgetStatus, Envelope, JoinRequest, LeaseGranted, LeaseRejected, LeaseRequest, NotLeader,
     OperatorReply, OperatorRequest, SessionStatus, Status, UnavailableStatus,
@@ -14,6 +13,7 @@
     AskDoc, CommandDoc, DeclareDoc, Entry, KeeperSeat, OutageDoc, Outcome, State, Told, Which,
 };
 use crate::store::{self, KeeperStore, StoreError, WriteBatch};
+use crate::transport::InstanceIdentity;
 use linenhill_decisions::disruption::Availability;
 use linenhill_decisions::disruption::table::{LivenessView, Permit};
 use linenhill_decisions::membership::SessionRejected;
@@ -166,7 +166,7 @@
 pub struct Node<R> {
     engine: RawNode<KeeperStore>,
     operator: Operator,
-    identity: Rc<Identity>,
+    identity: Rc<InstanceIdentity>,
     state: State,
     applied: u64,
     compacted: u64,
@@ -193,7 +193,7 @@
     /// Starts on a disk at `now`, in microseconds on a clock that never stands still; what is to be done first comes with
     /// the first event.
     pub fn start(
-        operator: Operator, identity: Rc<Identity>, disk: KeeperStore, now: u64, chance: u64,
+        operator: Operator, identity: Rc<InstanceIdentity>, disk: KeeperStore, now: u64, chance: u64,
     ) -> Result<Node<R>, KeeperError> {
         let applied = disk.snapshot().get_metadata().index;
         let state = match disk.snapshot().get_data() {
@@ -281,7 +281,7 @@
     }
 
     fn answer(&mut self, to: R, log_id: u64, body: Body) {
-        self.actions.push(Action::Answer(to, self.identity.say(log_id, body)));
+        self.actions.push(Action::Answer(to, self.identity.envelope(log_id, body)));
     }
 
     /// Its number as a keeper.
@@ -325,7 +325,8 @@
         let own = self.operator.keepers.iter().find(|k| k.name == self.identity.name).map(|k| k.address);
         let Some(own) = own else { return };
         for other in self.operator.keepers.iter().filter(|k| k.name != self.identity.name) {
-            let join = self.identity.say(self.log_id(), Body::Join(JoinRequest { address: own.to_string() }));
+            let join =
+                self.identity.envelope(self.log_id(), Body::Join(JoinRequest { address: own.to_string() }));
             self.actions.push(Action::AskToJoin(other.address, join));
         }
     }
@@ -633,7 +634,7 @@
         for message in messages {
             let Ok(bytes) = message.write_to_bytes() else { continue };
             if self.peers.contains_key(&message.to) {
-                let say = self.identity.say(log_id, Body::Raft(bytes));
+                let say = self.identity.envelope(log_id, Body::Raft(bytes));
                 self.actions.push(Action::Send(message.to, say));
             } else {
                 self.engine.report_unreachable(message.to);
--- /dev/null
+++ b/crates/cluster/src/transport/server.rs
@@ -0,0 +1,106 @@
+//! The accepting side: which instances may connect, and what reaches the instance from them.
+
+use super::{Connection, IO_TIMEOUT, InstanceIdentity, MIN_RETRY_DELAY, QUEUE_LENGTH, TransportError};
+use crate::protocol::{Body, Empty, Envelope, EnvelopeCodec, PROTOCOL_VERSION};
+use futures_util::{SinkExt, StreamExt};
+use ipnet::IpNet;
+use log::warn;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{Semaphore, mpsc};
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout};
+use tokio_util::codec::Framed;
+
+/// Most accepted connections at a time.
+const MAX_CONNECTIONS: usize = 4_096;
+/// A connection that brings no message for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// A received message and the way back to its sender.
+pub struct IncomingMessage {
+    /// The message. Its fleet and protocol version are those of this instance.
+    pub envelope: Envelope,
+    /// Takes answers for the same connection; what does not fit the queue should be dropped.
+    pub reply: mpsc::Sender<Envelope>,
+}
+
+/// Accepts connections from the allowed prefixes and passes their messages to `inbox`. Never returns.
+pub async fn serve(
+    listener: TcpListener, allowed: Vec<IpNet>, identity: Rc<InstanceIdentity>,
+    inbox: mpsc::Sender<IncomingMessage>,
+) {
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    loop {
+        let (stream, peer) = match listener.accept().await {
+            Ok(accepted) => accepted,
+            Err(error) => {
+                warn!("fleet: accept: {error}");
+                sleep(MIN_RETRY_DELAY).await;
+                continue;
+            }
+        };
+        if !allowed.iter().any(|prefix| prefix.contains(&peer.ip())) {
+            warn!("fleet: {peer} is outside the allowed prefixes");
+            continue;
+        }
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
+            warn!("fleet: {peer} finds no place");
+            continue;
+        };
+        let (identity, inbox) = (identity.clone(), inbox.clone());
+        spawn_local(async move {
+            if let Err(error) = serve_connection(stream, &identity, inbox).await {
+                warn!("fleet: {peer}: {error}");
+            }
+            drop(permit);
+        });
+    }
+}
+
+/// Serves one connection until it is closed, idle for too long, or fails.
+async fn serve_connection(
+    stream: TcpStream, identity: &InstanceIdentity, inbox: mpsc::Sender<IncomingMessage>,
+) -> Result<(), TransportError> {
+    // Without it messages are only slower.
+    let _ = stream.set_nodelay(true);
+    let mut connection = Framed::new(stream, EnvelopeCodec::for_untrusted());
+    let (reply, mut answers) = mpsc::channel::<Envelope>(QUEUE_LENGTH);
+    loop {
+        let outgoing = tokio::select! {
+            received = timeout(IDLE_TIMEOUT, connection.next()) => {
+                let Ok(Some(envelope)) = received else { return Ok(()) };
+                let envelope = envelope?;
+                check_sender(&envelope, identity, &mut connection)?;
+                if !matches!(envelope.body, Some(Body::Ping(_))) {
+                    let reply = reply.clone();
+                    if inbox.send(IncomingMessage { envelope, reply }).await.is_err() {
+                        return Ok(());
+                    }
+                    continue;
+                }
+                identity.envelope(0, Body::Pong(Empty {}))
+            }
+            Some(answer) = answers.recv() => answer,
+        };
+        timeout(IO_TIMEOUT, connection.send(outgoing)).await??;
+    }
+}
+
+/// Rejects other fleets and protocol versions, and lets keepers send long frames from now on.
+fn check_sender(
+    envelope: &Envelope, identity: &InstanceIdentity, connection: &mut Connection,
+) -> Result<(), TransportError> {
+    if envelope.cluster != identity.cluster {
+        return Err(TransportError::OtherCluster(envelope.cluster.clone()));
+    }
+    if envelope.version != PROTOCOL_VERSION {
+        return Err(TransportError::OtherVersion(envelope.version));
+    }
+    if identity.keepers.contains(&envelope.from) {
+        connection.codec_mut().allow_keeper_frames();
+    }
+    Ok(())
+}
--- a/crates/cluster/tests/link.rs
+++ b/crates/cluster/tests/transport.rs
@@ -1,24 +1,24 @@
 //! Who may speak to an instance, and how much: strangers are bounded before memory is set aside for them.
 
 use futures_util::{SinkExt, StreamExt};
-use linenhill_cluster::link::{self, Identity, Incoming};
 use linenhill_cluster::protocol::{Body, Empty, JoinRequest, MAX_FRAME_BYTES};
+use linenhill_cluster::transport::{self, IncomingMessage, InstanceIdentity};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::task::{LocalSet, spawn_local};
 
-fn identity(name: &str) -> Identity {
+fn identity(name: &str) -> InstanceIdentity {
     let keepers = vec!["k0".to_string(), "k1".to_string()];
-    Identity { cluster: "test".into(), name: name.into(), incarnation: 1, keepers }
+    InstanceIdentity { cluster: "test".into(), name: name.into(), incarnation: 1, keepers }
 }
 
-async fn serving(allow: &str) -> (SocketAddr, mpsc::Receiver<Incoming>) {
+async fn serving(allow: &str) -> (SocketAddr, mpsc::Receiver<IncomingMessage>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
     let (inbox, came) = mpsc::channel(8);
-    spawn_local(link::serve(
+    spawn_local(transport::serve(
         listener,
         vec![allow.parse().expect("a prefix")],
         Rc::new(identity("k0")),
@@ -42,14 +42,14 @@
 fn only_keepers_send_long_frames() {
     play(async {
         let (at, mut came) = serving("127.0.0.0/8").await;
-        let mut stranger = link::connect(at).await.expect("a connection");
-        let _ = stranger.send(identity("p9").say(0, long())).await;
+        let mut stranger = transport::connect(at).await.expect("a connection");
+        let _ = stranger.send(identity("p9").envelope(0, long())).await;
         assert!(!matches!(stranger.next().await, Some(Ok(_))), "the connection ends");
         assert!(came.try_recv().is_err());
-        let mut keeper = link::connect(at).await.expect("a connection");
-        keeper.send(identity("k1").say(0, Body::Ping(Empty {}))).await.expect("sent");
+        let mut keeper = transport::connect(at).await.expect("a connection");
+        keeper.send(identity("k1").envelope(0, Body::Ping(Empty {}))).await.expect("sent");
         assert!(keeper.next().await.is_some_and(|pong| pong.is_ok()));
-        keeper.send(identity("k1").say(0, long())).await.expect("sent");
+        keeper.send(identity("k1").envelope(0, long())).await.expect("sent");
         assert_eq!(came.recv().await.expect("it came").envelope.from, "k1");
     });
 }
@@ -59,14 +59,14 @@
 fn strangers_are_not_heard() {
     play(async {
         let (at, mut came) = serving("10.0.0.0/8").await;
-        let ask = || identity("p1").say(0, Body::StatusRequest(Empty {}));
-        assert!(link::call(at, ask()).await.is_err());
+        let ask = || identity("p1").envelope(0, Body::StatusRequest(Empty {}));
+        assert!(transport::call(at, ask()).await.is_err());
         assert!(came.try_recv().is_err());
         let (at, mut came) = serving("127.0.0.0/8").await;
         let other = linenhill_cluster::protocol::Envelope { cluster: "other".into(), ..ask() };
         let newer = linenhill_cluster::protocol::Envelope { version: 99, ..ask() };
         for wrong in [other, newer] {
-            assert!(link::call(at, wrong).await.is_err());
+            assert!(transport::call(at, wrong).await.is_err());
         }
         assert!(came.try_recv().is_err());
     });
--- a/crates/lab/src/together.rs
+++ b/crates/lab/src/together.rs
@@ -4,10 +4,10 @@
 //! The checker stands outside: it counts the units in use and knows the whole, and nothing of shares.
 
 use crate::disk::{Image, Wrong};
-use linenhill_cluster::link::Identity;
 use linenhill_cluster::node::{self, Action, Event, KeeperError, Node, TICK_US};
 use linenhill_cluster::protocol::{Body, Envelope, LeaseRequest, OperatorRequest};
 use linenhill_cluster::store::{self, KeeperStore};
+use linenhill_cluster::transport::InstanceIdentity;
 use linenhill_decisions::membership::LeaseTerms;
 use linenhill_decisions::quota::leader_search::LeaderSearch;
 use linenhill_decisions::quota::lease_holder::{AcquireDecision, LeaseHolder};
@@ -134,7 +134,7 @@
 }
 
 struct ProxyPart {
-    identity: Identity,
+    identity: InstanceIdentity,
     holder: LeaseHolder,
     seeking: LeaderSearch,
     clock: Clock,
@@ -577,7 +577,7 @@
                 zone: String::new(),
                 report: None,
             });
-            let (say, to) = (proxy.identity.say(0, body), At::Keeper(proxy.seeking.current_keeper()));
+            let (say, to) = (proxy.identity.envelope(0, body), At::Keeper(proxy.seeking.current_keeper()));
             self.send(At::Proxy(i), to, say);
         }
         let proxy = &self.proxies[i];
@@ -730,7 +730,7 @@
         let Some(leader) = self.leader() else { return };
         let declare = Some(node::declaration(&self.operator));
         let body = Body::OperatorRequest(OperatorRequest { declare, ..OperatorRequest::default() });
-        let say = identity(&self.operator, "operators", 1).say(0, body);
+        let say = identity(&self.operator, "operators", 1).envelope(0, body);
         self.feed(leader, Some(Event::Came(say, None)));
     }
 }
@@ -752,7 +752,7 @@
     }
 }
 
-fn identity(operator: &Operator, name: &str, incarnation: u64) -> Identity {
+fn identity(operator: &Operator, name: &str, incarnation: u64) -> InstanceIdentity {
     let keepers = operator.keepers.iter().map(|k| k.name.clone()).collect();
-    Identity { cluster: operator.cluster.clone(), name: name.to_string(), incarnation, keepers }
+    InstanceIdentity { cluster: operator.cluster.clone(), name: name.to_string(), incarnation, keepers }
 }
--- a/crates/lab/tests/bounds.rs
+++ b/crates/lab/tests/bounds.rs
@@ -1,9 +1,9 @@
 //! What keepers keep and take is bounded, and beyond a bound whoever asks hears so; nobody else's share suffers.
 
-use linenhill_cluster::link::Identity;
 use linenhill_cluster::node::{Action, Event, Node, TICK_US, founded};
 use linenhill_cluster::protocol::{Body, Envelope, LeaseRequest};
 use linenhill_cluster::store::{self, KeeperStore};
+use linenhill_cluster::transport::InstanceIdentity;
 use linenhill_decisions::membership::{LeaseTerms, MAX_SESSIONS, Membership, SessionRejected, SessionUpdate};
 use linenhill_decisions::quota::{Budget, QuotaNeed, QuotaRequest};
 use linenhill_lab::disk::Image;
@@ -11,8 +11,8 @@
 use linenhill_settings::operator::Keeper;
 use std::rc::Rc;
 
-fn identity(name: String, incarnation: u64) -> Identity {
-    Identity { cluster: "lab".into(), name, incarnation, keepers: vec!["k0".into()] }
+fn identity(name: String, incarnation: u64) -> InstanceIdentity {
+    InstanceIdentity { cluster: "lab".into(), name, incarnation, keepers: vec!["k0".into()] }
 }
 
 /// A keeper that leads by itself, and its clock.
@@ -38,7 +38,7 @@
     let need = QuotaNeed { in_use: 0, demand: 1 };
     let ask = QuotaRequest { seq: 1, needs: [("b".to_string(), need)].into(), ..QuotaRequest::default() };
     let body = LeaseRequest { quota: ask, version: "v".repeat(bytes), zone: String::new(), report: None };
-    identity(format!("p{i}"), 1_000 + i as u64).say(0, Body::LeaseRequest(body))
+    identity(format!("p{i}"), 1_000 + i as u64).envelope(0, Body::LeaseRequest(body))
 }
 
 // Guards against requests that wait without bound at a leader that can't write entries, and against one that is too long
--- a/src/fleet/tools.rs
+++ b/src/fleet/tools.rs
@@ -1,10 +1,10 @@
 //! What operators ask of a fleet from the command line: checks of their file, its state, and changes.
 
 use crate::cli::Fleet;
-use linenhill_cluster::link::{self, Identity};
 use linenhill_cluster::node::declaration;
 use linenhill_cluster::protocol::{Body, Empty, OperatorReply, OperatorRequest, Status, UnavailableStatus};
 use linenhill_cluster::state::{OutageDoc, Wish};
+use linenhill_cluster::transport::{self, InstanceIdentity};
 use linenhill_settings::operator::{self, Mistake, Operator};
 use miniserde::Serialize;
 use std::fmt::Write;
@@ -121,8 +121,8 @@
     }
 }
 
-fn identity(operator: &Operator) -> Identity {
-    Identity {
+fn identity(operator: &Operator) -> InstanceIdentity {
+    InstanceIdentity {
         cluster: operator.cluster.clone(),
         name: "operators".to_string(),
         incarnation: 0,
@@ -136,7 +136,7 @@
     let keepers = operator.keepers.iter().map(|k| k.address);
     let all: Vec<SocketAddr> = at.map_or_else(|| keepers.collect(), |at| vec![at]);
     for address in all {
-        match link::call(address, identity.say(0, Body::StatusRequest(Empty {}))).await {
+        match transport::call(address, identity.envelope(0, Body::StatusRequest(Empty {}))).await {
             Ok(envelope) => match envelope.body {
                 Some(Body::Status(status)) if status.role == "leader" => return Ok((envelope.from, status)),
                 Some(Body::Status(status)) => other = other.or(Some((envelope.from, status))),
@@ -149,8 +149,8 @@
 }
 
 async fn tell(operator: &Operator, operate: OperatorRequest) -> Result<String, String> {
-    let OperatorReply { ok, text, unconfirmed, .. } =
-        link::tell(&operator.keepers, &identity(operator), operate).await?;
+    let reply = transport::send_to_leader(&operator.keepers, &identity(operator), operate).await;
+    let OperatorReply { ok, text, unconfirmed, .. } = reply.map_err(|error| error.to_string())?;
     let waits = if unconfirmed.is_empty() {
         String::new()
     } else {
