--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -9,9 +9,10 @@
 
 pub mod clock;
 pub mod keeper;
+pub mod log_entry;
 pub mod member;
 pub mod node;
 pub mod protocol;
-pub mod state;
+pub mod replicated_state;
 pub mod store;
 pub mod transport;
--- a/crates/cluster/src/member.rs
+++ b/crates/cluster/src/member.rs
@@ -4,11 +4,11 @@
 //! rest runs beside it, and while no keeper is there the proxy lives on what it has until that is over by the clock.
 
 use crate::clock;
+use crate::log_entry::DisruptionRequest;
 use crate::protocol::{
     Body, BudgetStatus, Envelope, EnvelopeCodec, LeaseGranted, LeaseRequest, OperatorReply, OperatorRequest,
     Status,
 };
-use crate::state::OutageDoc;
 use crate::transport::{self, IncomingMessage, InstanceIdentity};
 use futures_util::{SinkExt, StreamExt};
 use linenhill_decisions::disruption::reporter::HealthReporter;
@@ -294,7 +294,7 @@
     }
 
     /// Wishes something of the keepers: what the leader says, or what each of them said.
-    pub async fn wish(&self, outage: OutageDoc) -> Result<OperatorReply, String> {
+    pub async fn wish(&self, outage: DisruptionRequest) -> Result<OperatorReply, String> {
         let operate = OperatorRequest { disruption: Some(outage), ..OperatorRequest::default() };
         transport::send_to_leader(&self.operator.keepers, &self.identity(), operate)
             .await
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -5,13 +5,14 @@
 //! Only the leader writes entries, and each says what the leader's own clock counted since its entry before, or since it
 //! became leader: time of log stands still while nobody leads, so nothing that was granted is over too early.
 
+use crate::log_entry::{
+    Command, Declaration, DisruptionRequest, LogEntry, LoggedCommand, SessionLeaseRequest,
+};
 use crate::protocol::{
     Body, BudgetStatus, Envelope, JoinRequest, LeaseGranted, LeaseRejected, LeaseRequest, NotLeader,
     OperatorReply, OperatorRequest, SessionStatus, Status, UnavailableStatus,
 };
-use crate::state::{
-    AskDoc, CommandDoc, DeclareDoc, Entry, KeeperSeat, OutageDoc, Outcome, State, Told, Which,
-};
+use crate::replicated_state::{AppliedResult, DisruptionResult, KeeperRecord, ReplicatedState};
 use crate::store::{self, KeeperStore, StoreError, WriteBatch};
 use crate::transport::InstanceIdentity;
 use linenhill_decisions::disruption::Availability;
@@ -119,15 +120,15 @@
 
 /// The state with which a log begins: its only keeper so far.
 pub fn founded(id: u64, name: &str, address: SocketAddr) -> Vec<u8> {
-    let mut state = State::default();
-    state.keepers.insert(id, KeeperSeat { name: name.to_string(), address: address.to_string() });
+    let mut state = ReplicatedState::default();
+    state.keepers.insert(id, KeeperRecord { name: name.to_string(), address: address.to_string() });
     state.encode_to_vec()
 }
 
 /// The budgets of a file, as they are declared to the leader.
-pub fn declaration(operator: &Operator) -> DeclareDoc {
+pub fn declaration(operator: &Operator) -> Declaration {
     let Operator { terms, budgets, revision, outages, .. } = operator;
-    DeclareDoc { terms: *terms, budgets: budgets.clone(), revision: *revision, outages: *outages }
+    Declaration { terms: *terms, budgets: budgets.clone(), revision: *revision, disruption_policy: *outages }
 }
 
 /// What comes to a keeper; `R` is where an answer goes.
@@ -167,7 +168,7 @@
     engine: RawNode<KeeperStore>,
     operator: Operator,
     identity: Rc<InstanceIdentity>,
-    state: State,
+    state: ReplicatedState,
     applied: u64,
     compacted: u64,
     peers: BTreeMap<u64, SocketAddr>,
@@ -178,7 +179,7 @@
     /// Of this term as leader, up to when its clock has been counted.
     counted: Option<(u64, u64)>,
     /// Commands for the next entry.
-    commands: VecDeque<CommandDoc>,
+    commands: VecDeque<LoggedCommand>,
     waiting: VecDeque<Waiting<R>>,
     /// Whether the operator's file has been compared with what is agreed, in this term.
     declared: Option<u64>,
@@ -197,10 +198,9 @@
     ) -> Result<Node<R>, KeeperError> {
         let applied = disk.snapshot().get_metadata().index;
         let state = match disk.snapshot().get_data() {
-            [] => State::default(),
-            data => {
-                State::decode(data).map_err(|_| KeeperError::File("a state that this version can read"))?
-            }
+            [] => ReplicatedState::default(),
+            data => ReplicatedState::decode(data)
+                .map_err(|_| KeeperError::File("a state that this version can read"))?,
         };
         let config = Config {
             id: identity.incarnation,
@@ -266,7 +266,7 @@
     }
 
     /// The state as far as it is applied here.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
@@ -369,11 +369,11 @@
         } else if self.declared != Some(term) && self.applied_this_term() {
             self.declared = Some(term);
             let file = declaration(&self.operator);
-            let (table, ours) = (&self.state.table, file.revision);
+            let (table, ours) = (&self.state.quota, file.revision);
             let same = table.terms == file.terms && table.declared == file.budgets;
             if table.accepts_revision(ours) {
                 info!("fleet: budgets are declared as this file has them, revision {ours}");
-                self.commands.push_back(doc(Which::Declare(file)));
+                self.commands.push_back(doc(Command::Declare(file)));
             } else if !same {
                 let agreed = table.revision;
                 warn!(
@@ -465,16 +465,20 @@
         }
         let fenced = ask.report.as_ref().map_or(0, |r| r.quarantine_edition);
         self.waiting.push_back(Waiting { incarnation, seq, since: self.now, fenced, reply });
-        self.commands.push_back(doc(Which::Ask(AskDoc { name, incarnation, ask })));
+        self.commands.push_back(doc(Command::LeaseRequest(SessionLeaseRequest {
+            name,
+            incarnation,
+            request: ask,
+        })));
     }
 
     fn on_join(&mut self, name: &str, id: u64, join: &JoinRequest, reply: R) {
         // Whoever was let in and never heard of it learns so from any keeper: without its vote none may be able to lead.
-        let known = self.state.keeper(name) == Some(id);
+        let known = self.state.keeper_id(name) == Some(id);
         if !self.leads() && !known {
             return;
         }
-        let (ok, text) = match self.state.keeper(name) {
+        let (ok, text) = match self.state.keeper_id(name) {
             Some(_) if known => (true, "known".to_string()),
             Some(_) => (
                 false,
@@ -484,7 +488,7 @@
                 (false, format!("the leader's file names no keeper {name}"))
             }
             None => {
-                let seat = KeeperSeat { name: name.to_string(), address: join.address.clone() };
+                let seat = KeeperRecord { name: name.to_string(), address: join.address.clone() };
                 let mut change = ConfChange::default();
                 change.set_change_type(ConfChangeType::AddNode);
                 change.node_id = id;
@@ -503,7 +507,7 @@
     }
 
     /// A wish is answered once its entry is applied.
-    fn wish(&mut self, wish: OutageDoc, reply: R) {
+    fn wish(&mut self, wish: DisruptionRequest, reply: R) {
         if wish.encoded_len() > WISH_MOST || self.waiting.len() >= WAITING {
             let text = format!("a wish of over {WISH_MOST} bytes, or too many at once");
             return self.answer(
@@ -515,7 +519,8 @@
         self.tickets += 1;
         let ticket = fastrand::Rng::with_seed(self.chance ^ self.tickets).u64(1..u64::MAX);
         self.waiting.push_back(Waiting { incarnation: ticket, seq: 0, since: self.now, fenced: 0, reply });
-        self.commands.push_back(CommandDoc { which: Some(Which::Outage(wish)), ticket });
+        self.commands
+            .push_back(LoggedCommand { command: Some(Command::Disruption(wish)), request_id: ticket });
     }
 
     fn operate(&mut self, operate: &OperatorRequest) -> (bool, String) {
@@ -524,18 +529,18 @@
         }
         if let Some(file) = &operate.declare {
             let (newer, agreed) =
-                (self.state.table.accepts_revision(file.revision), self.state.table.revision);
+                (self.state.quota.accepts_revision(file.revision), self.state.quota.revision);
             if !newer {
                 return (false, format!("revision {agreed} is agreed on: a change needs a higher one"));
             }
-            self.commands.push_back(doc(Which::Declare(file.clone())));
+            self.commands.push_back(doc(Command::Declare(file.clone())));
             return (true, format!("revision {} is declared in the place of {agreed}", file.revision));
         }
         if !operate.remove.is_empty() {
-            self.commands.push_back(doc(Which::Remove(operate.remove.clone())));
+            self.commands.push_back(doc(Command::RemoveProxy(operate.remove.clone())));
             return (true, format!("{} is taken off; what it holds ends by itself", operate.remove));
         }
-        match self.state.keeper(&operate.replace) {
+        match self.state.keeper_id(&operate.replace) {
             None => (false, format!("there is no keeper '{}'", operate.replace)),
             Some(id) if id == self.id() => (false, "this keeper leads".to_string()),
             Some(id) => {
@@ -579,7 +584,7 @@
                 size += command.encoded_len();
                 commands.push(command);
             }
-            match self.engine.propose(Vec::new(), Entry { elapsed_us, commands }.encode_to_vec()) {
+            match self.engine.propose(Vec::new(), LogEntry { elapsed_us, commands }.encode_to_vec()) {
                 Ok(()) => (self.counted, elapsed_us) = (Some((term, now)), 0),
                 // Too much is under way: what was asked for is asked for again.
                 Err(problem) => info!("fleet: an entry was not taken: {problem}"),
@@ -597,7 +602,7 @@
             self.send(ready.take_messages());
             let snapshot = Some(ready.snapshot().clone()).filter(|s| s.get_metadata().index > 0);
             if let Some(snapshot) = &snapshot {
-                let state = State::decode(snapshot.get_data());
+                let state = ReplicatedState::decode(snapshot.get_data());
                 self.state = state.map_err(|_| KeeperError::File("a state that this version can read"))?;
                 self.applied = snapshot.get_metadata().index;
                 self.compacted = self.applied;
@@ -652,8 +657,8 @@
                     let effects = self.state.apply(&entry.data);
                     for outcome in effects {
                         match outcome {
-                            Outcome::Share(effect) => self.tell(effect),
-                            Outcome::Told(told) => self.tell_wish(told),
+                            AppliedResult::Quota(effect) => self.tell(effect),
+                            AppliedResult::Disruption(told) => self.tell_wish(told),
                         }
                     }
                 }
@@ -663,7 +668,7 @@
                     match change.get_change_type() {
                         ConfChangeType::RemoveNode => _ = self.state.keepers.remove(&change.node_id),
                         _ => {
-                            let seat = KeeperSeat::decode(change.get_context()).unwrap_or_default();
+                            let seat = KeeperRecord::decode(change.get_context()).unwrap_or_default();
                             info!("fleet: {} is a keeper", seat.name);
                             self.state.keepers.insert(change.node_id, seat);
                         }
@@ -688,7 +693,7 @@
         let Some(waiting) = self.waiting.remove(place) else { return };
         let body = match answer {
             Ok(grant) => {
-                let fence = self.state.outages.quarantine();
+                let fence = self.state.disruption.quarantine();
                 let fence = Some(fence).filter(|f| f.edition > waiting.fenced);
                 Body::LeaseGranted(LeaseGranted { grant, quarantine: fence })
             }
@@ -704,12 +709,12 @@
         self.answer(waiting.reply, 0, body);
     }
 
-    fn tell_wish(&mut self, told: Told) {
-        let mine = |w: &Waiting<R>| w.incarnation == told.ticket && w.seq == 0;
+    fn tell_wish(&mut self, told: DisruptionResult) {
+        let mine = |w: &Waiting<R>| w.incarnation == told.request_id && w.seq == 0;
         let Some(waiting) = self.waiting.iter().position(mine).and_then(|at| self.waiting.remove(at)) else {
             return;
         };
-        let seats = &self.state.table.membership.sessions;
+        let seats = &self.state.quota.membership.sessions;
         let name = |i: &u64| seats.iter().find(|(_, s)| s.incarnation == *i).map(|(name, _)| name.clone());
         let unconfirmed = told.unconfirmed.iter().filter_map(name).collect();
         self.answer(
@@ -731,7 +736,7 @@
             StateRole::Follower => "follower",
             StateRole::Candidate | StateRole::PreCandidate => "candidate",
         };
-        let table = &self.state.table;
+        let table = &self.state.quota;
         let now = table.membership.now;
         let lease = table.terms.with_drift_margin(table.terms.lease_us);
         let seat = |(name, s): (&String, &linenhill_decisions::membership::Session)| SessionStatus {
@@ -749,7 +754,7 @@
                 committed: line.committed(now),
                 in_use: line.allocations.values().map(|h| h.in_use).sum(),
             };
-        let outages = &self.state.outages;
+        let outages = &self.state.disruption;
         let out = |(thing, cause): (String, Availability)| {
             let permit = outages.subjects.get(&thing).and_then(|k| k.permit.clone()).unwrap_or_default();
             let Permit { number, requested_by, reason, forced, .. } = permit;
@@ -781,8 +786,8 @@
     }
 }
 
-fn doc(which: Which) -> CommandDoc {
-    CommandDoc { which: Some(which), ticket: 0 }
+fn doc(which: Command) -> LoggedCommand {
+    LoggedCommand { command: Some(which), request_id: 0 }
 }
 
 /// The engine's word on the term of an entry, 0 where it has none.
--- a/crates/cluster/src/protocol.rs
+++ b/crates/cluster/src/protocol.rs
@@ -3,7 +3,7 @@
 //! This module defines the encoding and its bounds. It must never decide what an instance does with a message. Tags are
 //! part of the wire format and never change; names of Rust fields are not.
 
-use crate::state::{DeclareDoc, OutageDoc};
+use crate::log_entry::{Declaration, DisruptionRequest};
 use bytes::{Buf, Bytes, BytesMut};
 use linenhill_decisions::disruption::{HealthReport, Quarantine};
 use linenhill_decisions::quota::{Grant, QuotaRequest};
@@ -161,10 +161,10 @@
     pub replace: String,
     /// Budgets and lease terms that replace the agreed ones.
     #[prost(message, optional, tag = "3")]
-    pub declare: Option<DeclareDoc>,
+    pub declare: Option<Declaration>,
     /// A change to the disruption table.
     #[prost(message, optional, tag = "4")]
-    pub disruption: Option<OutageDoc>,
+    pub disruption: Option<DisruptionRequest>,
 }
 
 /// Outcome of an [`OperatorRequest`] or a [`JoinRequest`].
--- a/crates/lab/tests/bounds.rs
+++ b/crates/lab/tests/bounds.rs
@@ -27,7 +27,7 @@
         .expect("a store");
     let mut node = Node::start(operator, Rc::new(identity("k0".into(), 7)), disk, 0, 1).expect("a node");
     let mut now = 0;
-    while node.leader_term().is_none() || node.state().table.entries.is_empty() {
+    while node.leader_term().is_none() || node.state().quota.entries.is_empty() {
         now += TICK_US;
         node.handle(now, [Event::Tick]).expect("a tick");
     }
@@ -68,7 +68,7 @@
         granted += actions.iter().filter(grant).count();
     }
     assert!(granted >= MAX_SESSIONS - 1, "{granted} were granted");
-    assert!(node.state().table.membership.sessions.len() <= MAX_SESSIONS);
+    assert!(node.state().quota.membership.sessions.len() <= MAX_SESSIONS);
 }
 
 // Guards against a membership without end, and against seats that are refused for ever once it was full.
--- a/src/fleet/outages.rs
+++ b/src/fleet/outages.rs
@@ -3,9 +3,9 @@
 
 use crate::clients::phase::Course;
 use crate::stages::Input;
+use linenhill_cluster::log_entry::{DisruptionAction, DisruptionRequest};
 use linenhill_cluster::member::Fleet;
 use linenhill_cluster::protocol::OperatorReply;
-use linenhill_cluster::state::{OutageDoc, Wish};
 use linenhill_decisions::disruption::{Availability, Subject};
 use std::rc::Rc;
 use std::time::Duration;
@@ -63,9 +63,13 @@
 
 /// Asks for leave for a thing to be out, and for a member waits until no proxy sends to it any more.
 pub async fn permit(fleet: &Fleet, thing: &Subject, reason: &str, force: bool) -> Result<String, No> {
-    let by = fleet.name();
-    let wish =
-        OutageDoc { thing: thing.key(), wish: Wish::Permit as i32, by, reason: reason.to_string(), force };
+    let wish = DisruptionRequest {
+        subject: thing.key(),
+        action: DisruptionAction::Permit as i32,
+        requested_by: fleet.name(),
+        reason: reason.to_string(),
+        force,
+    };
     let mut left = Vec::new();
     let confirmed = async {
         loop {
@@ -100,7 +104,11 @@
 
 /// A thing is to come back.
 pub async fn back(fleet: &Fleet, thing: &Subject) -> Result<String, No> {
-    let wish = OutageDoc { thing: thing.key(), wish: Wish::Back as i32, ..OutageDoc::default() };
+    let wish = DisruptionRequest {
+        subject: thing.key(),
+        action: DisruptionAction::Return as i32,
+        ..DisruptionRequest::default()
+    };
     let done = fleet.wish(wish).await.map_err(No::Unasked)?;
     if done.ok { Ok(done.text) } else { Err(No::Denied(done.text)) }
 }
--- a/src/fleet/tools.rs
+++ b/src/fleet/tools.rs
@@ -1,9 +1,9 @@
 //! What operators ask of a fleet from the command line: checks of their file, its state, and changes.
 
 use crate::cli::Fleet;
+use linenhill_cluster::log_entry::{DisruptionAction, DisruptionRequest};
 use linenhill_cluster::node::declaration;
 use linenhill_cluster::protocol::{Body, Empty, OperatorReply, OperatorRequest, Status, UnavailableStatus};
-use linenhill_cluster::state::{OutageDoc, Wish};
 use linenhill_cluster::transport::{self, InstanceIdentity};
 use linenhill_settings::operator::{self, Mistake, Operator};
 use miniserde::Serialize;
@@ -111,10 +111,14 @@
             tell(&operator, OperatorRequest { declare, ..OperatorRequest::default() }).await
         }
         Fleet::Permit { thing, operator, reason, force } => {
-            wish(&operator, thing, Wish::Permit, reason, force).await
+            wish(&operator, thing, DisruptionAction::Permit, reason, force).await
+        }
+        Fleet::Back { thing, operator } => {
+            wish(&operator, thing, DisruptionAction::Return, String::new(), false).await
+        }
+        Fleet::Forget { thing, operator } => {
+            wish(&operator, thing, DisruptionAction::Forget, String::new(), false).await
         }
-        Fleet::Back { thing, operator } => wish(&operator, thing, Wish::Back, String::new(), false).await,
-        Fleet::Forget { thing, operator } => wish(&operator, thing, Wish::Forget, String::new(), false).await,
         Fleet::Replace { name, operator } => {
             tell(&read(&operator)?, OperatorRequest { replace: name, ..OperatorRequest::default() }).await
         }
@@ -160,8 +164,16 @@
 }
 
 /// A wish on something that may be out.
-async fn wish(file: &Path, thing: String, wish: Wish, reason: String, force: bool) -> Result<String, String> {
-    let outage = OutageDoc { thing, wish: wish as i32, by: "operators".into(), reason, force };
+async fn wish(
+    file: &Path, thing: String, action: DisruptionAction, reason: String, force: bool,
+) -> Result<String, String> {
+    let outage = DisruptionRequest {
+        subject: thing,
+        action: action as i32,
+        requested_by: "operators".into(),
+        reason,
+        force,
+    };
     tell(&read(file)?, OperatorRequest { disruption: Some(outage), ..OperatorRequest::default() }).await
 }
 
