--- a/crates/cluster/src/clock.rs
+++ b/crates/cluster/src/clock.rs
@@ -1,50 +1,60 @@
-//! The clock that leases go by: it never stands still, not even while the machine sleeps, and no one sets it.
+//! The clock that leases are measured by: it also runs while the machine sleeps, and nobody can set it.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// Microseconds since the machine started, sleep included.
+const MICROS_PER_SECOND: u64 = 1_000_000;
+const NANOS_PER_MICRO: u64 = 1_000;
+
+/// Time since the machine started, sleep included. Microseconds.
 pub fn now() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
-    let whole = u64::try_from(time.tv_sec).unwrap_or(0).saturating_mul(1_000_000);
-    rate::shown(whole.saturating_add(u64::try_from(time.tv_nsec).unwrap_or(0) / 1_000))
+    // The clock starts at 0 and is never negative.
+    let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
+    let nanos = u64::try_from(time.tv_nsec).unwrap_or(0);
+    rate::from_real(seconds.saturating_mul(MICROS_PER_SECOND).saturating_add(nanos / NANOS_PER_MICRO))
 }
 
-/// From now to that moment.
-pub fn until(at: u64) -> Duration {
-    Duration::from_micros(rate::real(at.saturating_sub(now())))
+/// Time from now until `at`, which is in microseconds on this clock; zero if `at` has passed.
+pub fn duration_until(at: u64) -> Duration {
+    Duration::from_micros(rate::to_real(at.saturating_sub(now())))
 }
 
-/// A clock that runs too fast or too slow, for tests of the bound on drift: `LINENHILL_CLOCK_PPM` is its rate, in
-/// millionths of the true one.
+/// A clock that runs too fast or too slow, for tests of the bound on clock drift. The environment variable
+/// `LINENHILL_CLOCK_PPM` sets its rate, in millionths of the true rate.
 #[cfg(feature = "fault-injection")]
 mod rate {
     use std::sync::OnceLock;
 
-    const TRUE: u64 = 1_000_000;
+    const TRUE_RATE: u64 = 1_000_000;
 
     fn rate() -> u64 {
         static RATE: OnceLock<u64> = OnceLock::new();
-        let named = || std::env::var("LINENHILL_CLOCK_PPM").ok()?.parse().ok().filter(|r| *r > 0);
-        *RATE.get_or_init(|| named().unwrap_or(TRUE))
+        let configured = || std::env::var("LINENHILL_CLOCK_PPM").ok()?.parse().ok().filter(|rate| *rate > 0);
+        *RATE.get_or_init(|| configured().unwrap_or(TRUE_RATE))
     }
 
-    pub(super) fn shown(real: u64) -> u64 {
-        (u128::from(real) * u128::from(rate()) / u128::from(TRUE)) as u64
+    /// What this clock shows after a real duration.
+    pub(super) fn from_real(real: u64) -> u64 {
+        let scaled = u128::from(real) * u128::from(rate()) / u128::from(TRUE_RATE);
+        u64::try_from(scaled).unwrap_or(u64::MAX)
     }
 
-    pub(super) fn real(span: u64) -> u64 {
-        (u128::from(span) * u128::from(TRUE)).div_ceil(u128::from(rate())) as u64
+    /// Real duration in which this clock advances by `shown`, rounded up.
+    pub(super) fn to_real(shown: u64) -> u64 {
+        let scaled = (u128::from(shown) * u128::from(TRUE_RATE)).div_ceil(u128::from(rate()));
+        u64::try_from(scaled).unwrap_or(u64::MAX)
     }
 }
 
+/// The true rate.
 #[cfg(not(feature = "fault-injection"))]
 mod rate {
-    pub(super) const fn shown(real: u64) -> u64 {
+    pub(super) const fn from_real(real: u64) -> u64 {
         real
     }
 
-    pub(super) const fn real(span: u64) -> u64 {
-        span
+    pub(super) const fn to_real(shown: u64) -> u64 {
+        shown
     }
 }
--- a/crates/cluster/src/keeper.rs
+++ b/crates/cluster/src/keeper.rs
@@ -46,7 +46,7 @@
         let mut events = Vec::new();
         let due = node.due();
         tokio::select! {
-            () = sleep(clock::until(due.unwrap_or(0))), if due.is_some() => {}
+            () = sleep(clock::duration_until(due.unwrap_or(0))), if due.is_some() => {}
             _ = tick.tick() => events.push(Event::Tick),
             Some(answer) = answers.recv() => events.push(Event::Joined(answer)),
             Some(incoming) = came.recv() => {
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -17,7 +17,7 @@
 use crate::takeover::words::Words;
 use call::{Call, CallCodec, CallError};
 use futures_util::StreamExt;
-use linenhill_cluster::member::Fleet;
+use linenhill_cluster::client::FleetClient;
 use linenhill_decisions::disruption::Subject;
 use log::{info, warn};
 use std::cell::RefCell;
@@ -61,7 +61,7 @@
     /// Where the driver of the decisions is asked of members.
     pub inbox: mpsc::UnboundedSender<Input>,
     /// The fleet, if this process is part of one.
-    pub fleet: Option<Rc<Fleet>>,
+    pub fleet: Option<Rc<FleetClient>>,
 }
 
 /// An answer: status, type of the text, text.
@@ -136,7 +136,7 @@
     }
 
     fn bounded(&self) -> bool {
-        self.fleet.as_ref().is_some_and(|fleet| fleet.bounds_outages())
+        self.fleet.as_ref().is_some_and(|fleet| fleet.limits_disruptions())
     }
 
     /// Leave of the fleet, where it bounds what is out; it must be had before anything is drained.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -4,14 +4,14 @@
 pub mod tools;
 
 use crate::api::ClassId;
-use linenhill_cluster::member::Fleet;
+use linenhill_cluster::client::FleetClient;
 use linenhill_decisions::quota::lease_holder::AcquireDecision;
 use linenhill_settings::operator::What;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 struct Bound {
-    fleet: Rc<Fleet>,
+    fleet: Rc<FleetClient>,
     connections: Vec<String>,
     attempts: Vec<String>,
     repeats: Vec<String>,
@@ -32,14 +32,14 @@
 impl Drop for Unit {
     fn drop(&mut self) {
         if let Some((bound, lines)) = self.0.take() {
-            lines.iter().for_each(|line| bound.fleet.give(line));
+            lines.iter().for_each(|line| bound.fleet.release(line));
         }
     }
 }
 
 impl Shares {
     /// Those of the operator's file, which names classes as the settings do; else the first class that they don't know.
-    pub fn new(fleet: Rc<Fleet>, classes: &BTreeMap<String, ClassId>) -> Result<Shares, String> {
+    pub fn new(fleet: Rc<FleetClient>, classes: &BTreeMap<String, ClassId>) -> Result<Shares, String> {
         let named = |what: What| -> Vec<String> {
             let bindings = fleet.operator().bindings.iter();
             bindings.filter(|b| b.what == what).map(|b| b.budget.clone()).collect()
@@ -65,7 +65,7 @@
         let Some(bound) = &self.0 else { return };
         for name in names {
             let budgets = bound.connections.iter().chain(&bound.attempts);
-            budgets.for_each(|budget| bound.fleet.bind(&line(budget, name)));
+            budgets.for_each(|budget| bound.fleet.enforce(&line(budget, name)));
         }
     }
 
@@ -73,7 +73,7 @@
     pub fn gone(&self, name: &str) {
         let Some(bound) = &self.0 else { return };
         let budgets = bound.connections.iter().chain(&bound.attempts);
-        budgets.for_each(|budget| bound.fleet.unbind(&line(budget, name)));
+        budgets.for_each(|budget| bound.fleet.stop_enforcing(&line(budget, name)));
     }
 
     fn held(&self, budgets: impl Fn(&Bound) -> &[String], member: &str) -> Option<Unit> {
@@ -81,7 +81,7 @@
         let mut unit = Unit(Some((bound.clone(), Vec::new())));
         for budget in budgets(bound) {
             let line = line(budget, member);
-            match bound.fleet.take(&line) {
+            match bound.fleet.acquire(&line) {
                 AcquireDecision::Acquired => {
                     unit.0.iter_mut().for_each(|(_, lines)| lines.push(line.clone()))
                 }
@@ -110,7 +110,7 @@
 
     fn spent(&self, budgets: impl Fn(&Bound) -> &[String]) -> bool {
         let Some(bound) = &self.0 else { return true };
-        budgets(bound).iter().all(|budget| bound.fleet.spend(budget) != AcquireDecision::Exhausted)
+        budgets(bound).iter().all(|budget| bound.fleet.spend_token(budget) != AcquireDecision::Exhausted)
     }
 
     /// A second or later attempt.
@@ -140,20 +140,20 @@
         if let Some(bound) = &self.0
             && let Some((load, whole)) = &bound.load
         {
-            bound.fleet.want(load, *whole);
+            bound.fleet.request_units(load, *whole);
         }
     }
 
     /// Whether clients are served: not where outages are bounded and this proxy is a member of the fleet no more, since it
     /// can't know who is out.
     pub fn serves(&self) -> bool {
-        self.0.as_ref().is_none_or(|bound| bound.fleet.serves())
+        self.0.as_ref().is_none_or(|bound| bound.fleet.may_serve())
     }
 
     /// Returns when shares changed; never where nothing binds.
     pub async fn changed(&self) {
         match &self.0 {
-            Some(bound) => bound.fleet.changed().await,
+            Some(bound) => bound.fleet.quota_changed().await,
             None => std::future::pending().await,
         }
     }
--- a/src/fleet/outages.rs
+++ b/src/fleet/outages.rs
@@ -3,8 +3,8 @@
 
 use crate::clients::phase::Course;
 use crate::stages::Input;
+use linenhill_cluster::client::FleetClient;
 use linenhill_cluster::log_entry::{DisruptionAction, DisruptionRequest};
-use linenhill_cluster::member::Fleet;
 use linenhill_cluster::protocol::OperatorReply;
 use linenhill_decisions::disruption::{Availability, Subject};
 use std::rc::Rc;
@@ -19,19 +19,19 @@
 const BACK_TRIES: usize = 100;
 
 /// Tells the fleet for as long as the program runs, and carries out its fence.
-pub async fn look_after(fleet: Rc<Fleet>, course: Rc<Course>, inbox: mpsc::UnboundedSender<Input>) {
-    let (mut view, mut fences) = (course.watch(), fleet.fences());
-    let mut look = interval(fleet.renews_every());
+pub async fn look_after(fleet: Rc<FleetClient>, course: Rc<Course>, inbox: mpsc::UnboundedSender<Input>) {
+    let (mut view, mut fences) = (course.watch(), fleet.subscribe_quarantine());
+    let mut look = interval(fleet.renewal_interval());
     look.set_missed_tick_behavior(MissedTickBehavior::Skip);
     loop {
-        fleet.own(course.cause());
+        fleet.set_own_availability(course.cause());
         tokio::select! {
             changed = view.changed() => if changed.is_err() { return },
             _ = look.tick() => {
                 let (ask, asked) = oneshot::channel();
                 let _ = inbox.send(Input::Sights(ask));
                 if let Ok(sights) = asked.await {
-                    fleet.see(sights);
+                    fleet.observe_members(sights);
                 }
             }
             changed = fences.changed() => {
@@ -43,7 +43,7 @@
                 let _ = inbox.send(Input::Fence(fence.members, done));
                 // It is confirmed once the decisions have taken it in: nothing new is sent there after that.
                 if carried.await.is_ok() {
-                    fleet.carried(fence.edition);
+                    fleet.quarantine_applied(fence.edition);
                 }
             }
         }
@@ -62,7 +62,7 @@
 }
 
 /// Asks for leave for a thing to be out, and for a member waits until no proxy sends to it any more.
-pub async fn permit(fleet: &Fleet, thing: &Subject, reason: &str, force: bool) -> Result<String, No> {
+pub async fn permit(fleet: &FleetClient, thing: &Subject, reason: &str, force: bool) -> Result<String, No> {
     let wish = DisruptionRequest {
         subject: thing.key(),
         action: DisruptionAction::Permit as i32,
@@ -73,8 +73,10 @@
     let mut left = Vec::new();
     let confirmed = async {
         loop {
-            let OperatorReply { ok, text, unconfirmed, not_leader } =
-                fleet.wish(wish.clone()).await.map_err(No::Unasked)?;
+            let OperatorReply { ok, text, unconfirmed, not_leader } = fleet
+                .request_disruption(wish.clone())
+                .await
+                .map_err(|error| No::Unasked(error.to_string()))?;
             if not_leader {
                 return Err(No::Unasked(text));
             }
@@ -93,23 +95,23 @@
 
 /// This proxy is back: its permit is given back, whether or not anybody saw it out. Tried for a while; where no keeper
 /// answers, the permit ends once the proxy was seen out and back, or operators say so.
-pub async fn come_back(fleet: &Fleet) {
+pub async fn come_back(fleet: &FleetClient) {
     for _ in 0..BACK_TRIES {
         match back(fleet, &Subject::Proxy(fleet.name())).await {
-            Err(No::Unasked(_)) => sleep(fleet.renews_every()).await,
+            Err(No::Unasked(_)) => sleep(fleet.renewal_interval()).await,
             _ => return,
         }
     }
 }
 
 /// A thing is to come back.
-pub async fn back(fleet: &Fleet, thing: &Subject) -> Result<String, No> {
+pub async fn back(fleet: &FleetClient, thing: &Subject) -> Result<String, No> {
     let wish = DisruptionRequest {
         subject: thing.key(),
         action: DisruptionAction::Return as i32,
         ..DisruptionRequest::default()
     };
-    let done = fleet.wish(wish).await.map_err(No::Unasked)?;
+    let done = fleet.request_disruption(wish).await.map_err(|error| No::Unasked(error.to_string()))?;
     if done.ok { Ok(done.text) } else { Err(No::Denied(done.text)) }
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,8 +8,8 @@
 use linenhill::fleet::{Shares, tools};
 use linenhill::proxy::{self, Listeners};
 use linenhill::takeover::inherit;
+use linenhill_cluster::client::FleetClient;
 use linenhill_cluster::keeper;
-use linenhill_cluster::member::Fleet;
 use linenhill_decisions::membership::MAX_NAME_BYTES;
 use linenhill_settings::operator::Operator;
 use log::{error, info, warn};
@@ -140,7 +140,7 @@
             ));
         }
         Some(operator) => {
-            let fleet = Fleet::new(operator, &config.name, env!("CARGO_PKG_VERSION"));
+            let fleet = FleetClient::new(operator, &config.name, env!("CARGO_PKG_VERSION"));
             let reached = match fleet.operator().listen {
                 None => None,
                 Some(at) => {
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -28,7 +28,7 @@
 use crate::stages::send::Sender;
 use crate::takeover::words::Words;
 use crate::watching::Watching;
-use linenhill_cluster::member::Fleet;
+use linenhill_cluster::client::FleetClient;
 use log::info;
 use std::fmt;
 use std::future::Future;
@@ -79,7 +79,7 @@
     /// For operators, if there is a door for them.
     pub operators: Option<TcpListener>,
     /// For other instances of a fleet, with what this one may use of its budgets.
-    pub together: Option<(Shares, Rc<Fleet>, Option<TcpListener>)>,
+    pub together: Option<(Shares, Rc<FleetClient>, Option<TcpListener>)>,
 }
 
 /// Serves until `stop` is ready and all that was taken is answered. `discovery` is where it is, and where it
@@ -154,7 +154,7 @@
     let together = listeners.together.as_ref().map(|(_, fleet, _)| fleet.clone());
     if let Some((_, fleet, reached)) = listeners.together {
         spawn_local(fleet.clone().run());
-        if fleet.bounds_outages() {
+        if fleet.limits_disruptions() {
             spawn_local(outages::look_after(fleet.clone(), course.clone(), asked.clone()));
         }
         if let Some(reached) = reached {
