--- a/crates/cluster/src/keeper.rs
+++ b/crates/cluster/src/keeper.rs
@@ -1,13 +1,16 @@
-//! A keeper: one of three or five processes that hold the agreed log. Carries out what [`Node`] decides: sockets, its clock,
-//! and the pace of its ticks.
+//! The process of a keeper: one of three or five that hold the replicated log.
+//!
+//! Gives [`RaftNode`] its sockets, its clock and its ticks, and carries out its actions in their order. Must decide nothing
+//! by the content of a message.
 
 use crate::clock;
-use crate::node::{Action, Event, Node, TICK_US};
 use crate::protocol::Envelope;
+use crate::raft_node::{Action, Event, RaftNode, TICK_US};
 use crate::store::KeeperStore;
 use crate::transport::{self, IncomingMessage, InstanceIdentity, PeerConnection};
 use linenhill_settings::operator::Operator;
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -15,67 +18,101 @@
 use tokio::task::spawn_local;
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-pub use crate::node::{KeeperError, open};
+pub use crate::raft_node::{KeeperError, open_store};
 
-/// Messages of others that wait here, and that are taken before the engine goes on: they share an entry and a sync.
-const INBOX: usize = 4_096;
-const BATCH: usize = 512;
-/// Answers of those who were asked to let this one in.
-const JOINED: usize = 8;
+/// Most received messages that wait for the node.
+const INBOX_LENGTH: usize = 4_096;
+/// Most received messages that one call of the node handles, beyond the first; they share an entry and a sync.
+const MAX_BATCH: usize = 512;
+/// Most replies to join requests that wait for the node.
+const JOIN_REPLIES_LENGTH: usize = 8;
 
-/// Runs a keeper until its disk or its engine fails.
+/// The way back to the sender of a message.
+type ReplySender = mpsc::Sender<Envelope>;
+
+/// Runs a keeper until its store or its engine fails.
+///
+/// # Errors
+/// That failure.
 pub async fn run(
-    operator: Operator, name: &str, disk: KeeperStore, listener: TcpListener,
+    operator: Operator, name: &str, store: KeeperStore, listener: TcpListener,
 ) -> Result<(), KeeperError> {
     let identity = Rc::new(InstanceIdentity {
         cluster: operator.cluster.clone(),
         name: name.to_string(),
-        incarnation: disk.identity().id,
-        keepers: operator.keepers.iter().map(|k| k.name.clone()).collect(),
+        incarnation: store.identity().id,
+        keepers: operator.keepers.iter().map(|keeper| keeper.name.clone()).collect(),
     });
-    let (inbox, mut came) = mpsc::channel(INBOX);
+    let (inbox, mut received) = mpsc::channel(INBOX_LENGTH);
     spawn_local(transport::serve(listener, operator.allow.clone(), identity.clone(), inbox));
-    let chance = fastrand::Rng::new().u64(..);
-    let mut node = Node::start(operator, identity.clone(), disk, clock::now(), chance)?;
+    let seed = fastrand::Rng::new().u64(..);
+    let mut node = RaftNode::start(operator, identity.clone(), store, clock::now(), seed)?;
     let mut tick = interval(Duration::from_micros(TICK_US));
     tick.set_missed_tick_behavior(MissedTickBehavior::Skip);
-    let (joined, mut answers) = mpsc::channel(JOINED);
-    let mut peers: BTreeMap<u64, PeerConnection> = BTreeMap::new();
-    let event = |IncomingMessage { envelope, reply }: IncomingMessage| Event::Came(envelope, reply);
+    let (join_reply_sender, mut join_replies) = mpsc::channel(JOIN_REPLIES_LENGTH);
+    let mut connections = Connections { identity, peers: BTreeMap::new(), join_reply_sender };
     loop {
         let mut events = Vec::new();
-        let due = node.due();
+        let next_call_at = node.next_call_at();
         tokio::select! {
-            () = sleep(clock::duration_until(due.unwrap_or(0))), if due.is_some() => {}
+            () = sleep(clock::duration_until(next_call_at.unwrap_or(0))), if next_call_at.is_some() => {}
             _ = tick.tick() => events.push(Event::Tick),
-            Some(answer) = answers.recv() => events.push(Event::Joined(answer)),
-            Some(incoming) = came.recv() => {
-                events.push(event(incoming));
-                events.extend((0..BATCH).map_while(|_| came.try_recv().ok()).map(event));
+            Some(answer) = join_replies.recv() => events.push(Event::JoinReply(answer)),
+            Some(message) = received.recv() => {
+                events.push(received_event(message));
+                let further = (0..MAX_BATCH).map_while(|_| received.try_recv().ok());
+                events.extend(further.map(received_event));
             }
         }
         for action in node.handle(clock::now(), events)? {
-            match action {
-                Action::Answer(reply, say) => _ = reply.try_send(say),
-                Action::Send(to, say) => {
-                    if !peers.get(&to).is_some_and(|peer| peer.send(say)) {
-                        node.unreachable(to);
-                    }
-                }
-                Action::Peers(now) => {
-                    peers.retain(|id, peer| now.get(id) == Some(&peer.address));
-                    for (id, address) in now {
-                        peers.entry(id).or_insert_with(|| PeerConnection::start(address, identity.clone()));
-                    }
+            connections.carry_out(action, &mut node);
+        }
+    }
+}
+
+fn received_event(message: IncomingMessage) -> Event<ReplySender> {
+    Event::Received(message.envelope, message.reply)
+}
+
+/// A keeper's connections to the others.
+struct Connections {
+    identity: Rc<InstanceIdentity>,
+    /// By Raft identifier.
+    peers: BTreeMap<u64, PeerConnection>,
+    join_reply_sender: mpsc::Sender<Envelope>,
+}
+
+impl Connections {
+    fn carry_out(&mut self, action: Action<ReplySender>, node: &mut RaftNode<ReplySender>) {
+        match action {
+            // A reply that does not fit the sender's queue is dropped; the sender asks again.
+            Action::Reply(reply, envelope) => _ = reply.try_send(envelope),
+            Action::Send(id, envelope) => {
+                let is_sent = self.peers.get(&id).is_some_and(|peer| peer.send(envelope));
+                if !is_sent {
+                    node.report_unreachable(id);
                 }
-                Action::AskToJoin(address, say) => _ = spawn_local(ask(address, say, joined.clone())),
             }
+            Action::SetPeers(addresses) => self.set_peers(addresses),
+            Action::RequestJoin(address, envelope) => {
+                spawn_local(request_join(address, envelope, self.join_reply_sender.clone()));
+            }
+        }
+    }
+
+    /// Keeps the connections whose address is unchanged, ends the others and starts the missing ones.
+    fn set_peers(&mut self, addresses: BTreeMap<u64, SocketAddr>) {
+        self.peers.retain(|id, peer| addresses.get(id) == Some(&peer.address));
+        for (id, address) in addresses {
+            let identity = &self.identity;
+            self.peers.entry(id).or_insert_with(|| PeerConnection::start(address, identity.clone()));
         }
     }
 }
 
-async fn ask(address: std::net::SocketAddr, say: Envelope, joined: mpsc::Sender<Envelope>) {
-    if let Ok(answer) = transport::call(address, say).await {
-        let _ = joined.send(answer).await;
+async fn request_join(address: SocketAddr, envelope: Envelope, replies: mpsc::Sender<Envelope>) {
+    // A keeper that does not answer is asked again by the node.
+    if let Ok(answer) = transport::call(address, envelope).await {
+        let _ = replies.send(answer).await;
     }
 }
--- /dev/null
+++ b/crates/cluster/src/raft_node/error.rs
@@ -0,0 +1,64 @@
+//! Why a keeper does not start, or stops.
+
+use crate::store::StoreError;
+use std::error::Error;
+use std::fmt;
+
+/// Why a keeper does not start, or stops. Prints as one line.
+#[derive(Debug)]
+pub enum KeeperError {
+    /// The store failed. The keeper must not vote any more.
+    Store(StoreError),
+    /// The Raft engine failed.
+    Engine(raft::Error),
+    /// The operators' file lacks this.
+    MissingSetting(&'static str),
+    /// The snapshot was written by a newer version, or is damaged.
+    Snapshot(prost::DecodeError),
+    /// The store belongs to another keeper or another fleet.
+    ForeignStore {
+        /// Name of the keeper that the store belongs to.
+        keeper: String,
+        /// Name of that keeper's fleet.
+        cluster: String,
+    },
+}
+
+impl fmt::Display for KeeperError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            KeeperError::Store(error) => write!(f, "the keeper votes no more: {error}"),
+            KeeperError::Engine(error) => write!(f, "the keeper's engine: {error}"),
+            KeeperError::MissingSetting(field) => write!(f, "the operator's file lacks {field}"),
+            KeeperError::Snapshot(_) => {
+                f.write_str("the operator's file lacks a state that this version can read")
+            }
+            KeeperError::ForeignStore { keeper, cluster } => {
+                write!(f, "the store is of keeper '{keeper}' of fleet '{cluster}'")
+            }
+        }
+    }
+}
+
+impl Error for KeeperError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            KeeperError::Store(error) => Some(error),
+            KeeperError::Engine(error) => Some(error),
+            KeeperError::Snapshot(error) => Some(error),
+            KeeperError::MissingSetting(_) | KeeperError::ForeignStore { .. } => None,
+        }
+    }
+}
+
+impl From<StoreError> for KeeperError {
+    fn from(error: StoreError) -> KeeperError {
+        KeeperError::Store(error)
+    }
+}
+
+impl From<raft::Error> for KeeperError {
+    fn from(error: raft::Error) -> KeeperError {
+        KeeperError::Engine(error)
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/raft_node/mod.rs
@@ -0,0 +1,232 @@
+//! A keeper's decisions, without sockets and without a clock: [`RaftNode`] drives the Raft engine, persists what must be
+//! persisted before a message rests on it, and applies committed entries.
+//!
+//! [`crate::keeper`] carries out the [`Action`]s; tests run the same node under virtual time. The node writes to its store by
+//! itself, because the order of writes and messages decides over safety; it must do no other I/O.
+//!
+//! Only the leader proposes entries. Each entry says how much time passed on the leader's clock since its previous entry, or
+//! since it became leader. Log time therefore stands still while there is no leader, so nothing granted expires early.
+//!
+//! Each step has a module: `ticks` (elections, and what a new leader declares), `requests` and `operators` (received
+//! messages), `voters` (the list of keepers), `proposals` (new entries), `ready` (store, messages and committed entries, in
+//! the order that the engine needs), `replies` (requests that wait for their entry) and `status`.
+
+mod bootstrap;
+mod error;
+mod operators;
+mod proposals;
+mod ready;
+mod replies;
+mod requests;
+mod status;
+mod ticks;
+mod voters;
+
+pub use bootstrap::{initial_state, open_store};
+pub use error::KeeperError;
+pub use ticks::TICK_US;
+
+use crate::protocol::{Body, Envelope};
+use crate::replicated_state::ReplicatedState;
+use crate::store::KeeperStore;
+use crate::transport::InstanceIdentity;
+use linenhill_settings::operator::Operator;
+use log::info;
+use proposals::{LogClock, ProposalQueue};
+use prost::Message as _;
+use raft::{Config, RawNode, StateRole};
+use replies::PendingRequest;
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// Longest append message of the engine, in bytes.
+const MAX_APPEND_BYTES: u64 = 1 << 20;
+/// Most append messages in flight to one keeper.
+const MAX_IN_FLIGHT_APPENDS: usize = 256;
+
+/// An input of a keeper. `R` identifies the way back to a sender.
+pub enum Event<R> {
+    /// [`TICK_US`] passed since the previous tick.
+    Tick,
+    /// A message arrived.
+    Received(Envelope, R),
+    /// The answer to an [`Action::RequestJoin`] arrived.
+    JoinReply(Envelope),
+}
+
+/// An output of a keeper. Actions must be carried out in their order.
+pub enum Action<R> {
+    /// Send an answer back.
+    Reply(R, Envelope),
+    /// Send to the keeper of this Raft identifier. May be lost; see [`RaftNode::report_unreachable`].
+    Send(u64, Envelope),
+    /// Keep connections to exactly these keepers, by Raft identifier.
+    SetPeers(BTreeMap<u64, SocketAddr>),
+    /// Ask the keeper at this address to become a voter; the answer comes back as [`Event::JoinReply`].
+    RequestJoin(SocketAddr, Envelope),
+}
+
+/// A keeper without its sockets and its clock.
+pub struct RaftNode<R> {
+    engine: RawNode<KeeperStore>,
+    operator: Operator,
+    identity: Rc<InstanceIdentity>,
+    state: ReplicatedState,
+    /// Index of the last applied entry.
+    applied: u64,
+    /// Index of the entry at which the log was compacted last.
+    compacted: u64,
+    peers: BTreeMap<u64, SocketAddr>,
+    actions: Vec<Action<R>>,
+    /// Time of the current call. Microseconds.
+    now: u64,
+    /// Seed of election timeouts, so that keepers differ and a simulation repeats.
+    seed: u64,
+    /// Log time that this keeper has proposed as leader; none before its first call as leader.
+    log_clock: Option<LogClock>,
+    proposals: ProposalQueue,
+    pending: VecDeque<PendingRequest<R>>,
+    /// Term in which this keeper, as leader, compared its file with the agreed declaration.
+    declared_in_term: Option<u64>,
+    /// Time of the last applied entry. Microseconds.
+    last_applied_at: u64,
+    /// Leader that was logged last.
+    logged_leader: Option<String>,
+    ticks: u64,
+    /// Disruption requests so far; each draws its request identifier by this number.
+    disruption_requests: u64,
+}
+
+impl<R> RaftNode<R> {
+    /// Starts on a store at `now`, in microseconds of a clock that also runs while the machine sleeps. The first actions
+    /// come with the first [`RaftNode::handle`].
+    ///
+    /// # Errors
+    /// The snapshot cannot be decoded, or the engine rejects the store.
+    pub fn start(
+        operator: Operator, identity: Rc<InstanceIdentity>, store: KeeperStore, now: u64, seed: u64,
+    ) -> Result<RaftNode<R>, KeeperError> {
+        let applied = store.snapshot().get_metadata().index;
+        let state = decode_state(store.snapshot().get_data())?;
+        let config = Config {
+            id: identity.incarnation,
+            election_tick: ticks::ELECTION_TICKS,
+            heartbeat_tick: ticks::HEARTBEAT_TICKS,
+            applied,
+            max_size_per_msg: MAX_APPEND_BYTES,
+            max_inflight_msgs: MAX_IN_FLIGHT_APPENDS,
+            check_quorum: true,
+            pre_vote: true,
+            ..Config::default()
+        };
+        let logger = slog::Logger::root(slog::Discard, slog::o!());
+        let engine = RawNode::new(&config, store, &logger)?;
+        info!("fleet: keeper {} has number {}", identity.name, identity.incarnation);
+        let mut node = RaftNode {
+            engine,
+            operator,
+            identity,
+            state,
+            applied,
+            compacted: applied,
+            peers: BTreeMap::new(),
+            actions: Vec::new(),
+            now,
+            seed,
+            log_clock: None,
+            proposals: ProposalQueue::default(),
+            pending: VecDeque::new(),
+            declared_in_term: None,
+            last_applied_at: now,
+            logged_leader: None,
+            ticks: 0,
+            disruption_requests: 0,
+        };
+        node.update_peers();
+        Ok(node)
+    }
+
+    /// Handles all events since the previous call, at `now`; they share a log entry and a sync of the store.
+    ///
+    /// # Errors
+    /// The store or the engine failed. The node must not be used any more, since its state may differ from its store.
+    pub fn handle(
+        &mut self, now: u64, events: impl IntoIterator<Item = Event<R>>,
+    ) -> Result<Vec<Action<R>>, KeeperError> {
+        self.now = self.now.max(now);
+        for event in events {
+            match event {
+                Event::Tick => self.on_tick(),
+                Event::Received(envelope, reply) => self.on_envelope(envelope, reply),
+                Event::JoinReply(answer) => self.on_join_reply(answer)?,
+            }
+        }
+        self.propose();
+        self.process_ready()?;
+        Ok(std::mem::take(&mut self.actions))
+    }
+
+    /// Time at which [`RaftNode::handle`] is to be called even without an event, if there is one. Microseconds.
+    pub fn next_call_at(&self) -> Option<u64> {
+        if !self.is_leader() || self.proposals.is_empty() {
+            return None;
+        }
+        let log_clock = self.log_clock.filter(|log_clock| log_clock.term == self.term())?;
+        Some(log_clock.entry_due_at())
+    }
+
+    /// The state after the last applied entry.
+    pub fn state(&self) -> &ReplicatedState {
+        &self.state
+    }
+
+    /// The term in which this keeper leads; none if it does not lead.
+    pub fn leader_term(&self) -> Option<u64> {
+        self.is_leader().then_some(self.term())
+    }
+
+    /// Reports that a message to the keeper of this Raft identifier was dropped.
+    pub fn report_unreachable(&mut self, keeper: u64) {
+        self.engine.report_unreachable(keeper);
+    }
+
+    /// Raft identifier of this keeper.
+    pub fn id(&self) -> u64 {
+        self.identity.incarnation
+    }
+
+    fn log_id(&self) -> u64 {
+        self.engine.store().identity().log_id
+    }
+
+    fn term(&self) -> u64 {
+        self.engine.raft.term
+    }
+
+    fn is_leader(&self) -> bool {
+        self.engine.raft.state == StateRole::Leader
+    }
+
+    /// Name of the leader; empty while it is unknown.
+    fn leader_name(&self) -> String {
+        let leader = self.state.keepers.get(&self.engine.raft.leader_id);
+        leader.map_or_else(String::new, |keeper| keeper.name.clone())
+    }
+
+    fn reply(&mut self, to: R, body: Body) {
+        self.reply_with_log_id(to, 0, body);
+    }
+
+    fn reply_with_log_id(&mut self, to: R, log_id: u64, body: Body) {
+        self.actions.push(Action::Reply(to, self.identity.envelope(log_id, body)));
+    }
+}
+
+/// Decodes the content of a snapshot; a store that never had one is in the default state.
+fn decode_state(data: &[u8]) -> Result<ReplicatedState, KeeperError> {
+    if data.is_empty() {
+        return Ok(ReplicatedState::default());
+    }
+    ReplicatedState::decode(data).map_err(KeeperError::Snapshot)
+}
--- /dev/null
+++ b/crates/cluster/src/raft_node/voters.rs
@@ -0,0 +1,137 @@
+//! The keepers of the log: who they are, where they are reached, and how one joins or is removed.
+
+use super::{Action, KeeperError, RaftNode};
+use crate::protocol::{Body, Envelope, JoinRequest, OperatorReply};
+use crate::replicated_state::KeeperRecord;
+use log::{info, warn};
+use prost::Message as _;
+use raft::eraftpb::{ConfChange, ConfChangeType};
+use std::net::SocketAddr;
+
+/// Most peers that a keeper without a state learns from their messages.
+const MAX_LEARNED_PEERS: usize = 16;
+
+impl<R> RaftNode<R> {
+    /// Whether this keeper is one of the agreed voters.
+    pub(super) fn is_voter(&self) -> bool {
+        self.state.keepers.contains_key(&self.id())
+    }
+
+    /// Address of the keeper `name` by this keeper's file.
+    fn configured_address(&self, name: &str) -> Option<SocketAddr> {
+        self.operator.keepers.iter().find(|keeper| keeper.name == name).map(|keeper| keeper.address)
+    }
+
+    /// Makes the agreed keepers the peers of this one. This keeper's file decides over their addresses, else the log.
+    pub(super) fn update_peers(&mut self) {
+        // A keeper without a state keeps the peers that it learned from their messages.
+        if !self.state.keepers.is_empty() {
+            self.peers.retain(|id, _| self.state.keepers.contains_key(id));
+        }
+        let own_id = self.id();
+        for (id, keeper) in self.state.keepers.iter().filter(|(id, _)| **id != own_id) {
+            let configured = self.configured_address(&keeper.name);
+            if let Some(address) = configured.or_else(|| keeper.address.parse().ok()) {
+                self.peers.insert(*id, address);
+            }
+        }
+        self.actions.push(Action::SetPeers(self.peers.clone()));
+    }
+
+    /// Adds the sender of a Raft message to the peers, while this keeper has no state that names them.
+    pub(super) fn learn_peer(&mut self, name: &str, id: u64) {
+        let may_learn = self.state.keepers.is_empty() && self.peers.len() < MAX_LEARNED_PEERS;
+        if !may_learn || self.peers.contains_key(&id) {
+            return;
+        }
+        if let Some(address) = self.configured_address(name) {
+            self.peers.insert(id, address);
+            self.actions.push(Action::SetPeers(self.peers.clone()));
+        }
+    }
+
+    /// Asks every other configured keeper to become a voter; only a leader can grant it.
+    pub(super) fn request_join(&mut self) {
+        let Some(own_address) = self.configured_address(&self.identity.name) else { return };
+        for keeper in self.operator.keepers.iter().filter(|keeper| keeper.name != self.identity.name) {
+            let join = JoinRequest { address: own_address.to_string() };
+            let envelope = self.identity.envelope(self.log_id(), Body::Join(join));
+            self.actions.push(Action::RequestJoin(keeper.address, envelope));
+        }
+    }
+
+    pub(super) fn on_join_reply(&mut self, answer: Envelope) -> Result<(), KeeperError> {
+        let Some(Body::OperatorReply(reply)) = answer.body else { return Ok(()) };
+        if !reply.ok {
+            warn!("fleet: {}: {}", answer.from, reply.text);
+        } else if answer.log_id > 0 && self.log_id() == 0 {
+            info!("fleet: {} lets this keeper in", answer.from);
+            self.engine.mut_store().set_log_id(answer.log_id)?;
+        }
+        Ok(())
+    }
+
+    pub(super) fn on_join_request(&mut self, name: &str, id: u64, join: &JoinRequest, reply: R) {
+        let known_id = self.state.keeper_id(name);
+        // A voter that never received its acceptance learns it from any keeper: without its vote there may be no leader.
+        if !self.is_leader() && known_id != Some(id) {
+            return;
+        }
+        let (ok, text) = match known_id {
+            Some(known_id) if known_id == id => (true, "known".to_string()),
+            Some(_) => (
+                false,
+                format!("keeper {name} has another store: a lost one is replaced by 'fleet replace {name}'"),
+            ),
+            None if self.configured_address(name).is_none() => {
+                (false, format!("the leader's file names no keeper {name}"))
+            }
+            None => {
+                let record = KeeperRecord { name: name.to_string(), address: join.address.clone() };
+                match self.propose_voter_change(ConfChangeType::AddNode, id, record.encode_to_vec()) {
+                    Ok(()) => (true, "being let in".to_string()),
+                    Err(error) => (false, error.to_string()),
+                }
+            }
+        };
+        let body = Body::OperatorReply(OperatorReply { ok, text, ..OperatorReply::default() });
+        self.reply_with_log_id(reply, self.log_id(), body);
+    }
+
+    /// Removes a voter that lost its store, so that another store may join under its name.
+    pub(super) fn replace_keeper(&mut self, name: &str) -> (bool, String) {
+        match self.state.keeper_id(name) {
+            None => (false, format!("there is no keeper '{name}'")),
+            Some(id) if id == self.id() => (false, "this keeper leads".to_string()),
+            Some(id) => match self.propose_voter_change(ConfChangeType::RemoveNode, id, Vec::new()) {
+                Ok(()) => (true, format!("{name} with number {id} votes no more; another store may join")),
+                Err(error) => (false, error.to_string()),
+            },
+        }
+    }
+
+    /// Proposes to add or remove a voter. `record` is the encoded [`KeeperRecord`] of an added one.
+    fn propose_voter_change(
+        &mut self, change_type: ConfChangeType, id: u64, record: Vec<u8>,
+    ) -> Result<(), raft::Error> {
+        let mut change = ConfChange::default();
+        change.set_change_type(change_type);
+        change.node_id = id;
+        change.set_context(record.into());
+        self.engine.propose_conf_change(Vec::new(), change)
+    }
+
+    pub(super) fn apply_voter_change(&mut self, change: &ConfChange) -> Result<(), KeeperError> {
+        let conf = self.engine.apply_conf_change(change)?;
+        if change.get_change_type() == ConfChangeType::RemoveNode {
+            self.state.keepers.remove(&change.node_id);
+        } else {
+            let record = KeeperRecord::decode(change.get_context()).unwrap_or_default();
+            info!("fleet: {} is a keeper", record.name);
+            self.state.keepers.insert(change.node_id, record);
+        }
+        self.update_peers();
+        // A new voter accepts only a snapshot that names it, and the engine sends it the last snapshot there is.
+        self.compact(&conf)
+    }
+}
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -2,7 +2,7 @@
 //! and what agreeing costs. Both are played by the same demand, in one run.
 
 use crate::together::{Plan, World};
-use linenhill_cluster::node::KeeperError;
+use linenhill_cluster::raft_node::KeeperError;
 use linenhill_decisions::membership::LeaseTerms;
 use miniserde::Serialize;
 
--- a/crates/lab/src/together.rs
+++ b/crates/lab/src/together.rs
@@ -4,8 +4,9 @@
 //! The checker stands outside: it counts the units in use and knows the whole, and nothing of shares.
 
 use crate::disk::{Image, Wrong};
-use linenhill_cluster::node::{self, Action, Event, KeeperError, Node, TICK_US};
+use linenhill_cluster::log_entry::Declaration;
 use linenhill_cluster::protocol::{Body, Envelope, LeaseRequest, OperatorRequest};
+use linenhill_cluster::raft_node::{self, Action, Event, KeeperError, RaftNode, TICK_US};
 use linenhill_cluster::store::{self, KeeperStore};
 use linenhill_cluster::transport::InstanceIdentity;
 use linenhill_decisions::membership::LeaseTerms;
@@ -123,7 +124,7 @@
 }
 
 struct KeeperPart {
-    node: Option<Node<Option<At>>>,
+    node: Option<RaftNode<Option<At>>>,
     image: Image,
     clock: Clock,
     life: u64,
@@ -282,7 +283,7 @@
             let log_id = if founds { self.rng.u64(1..u64::MAX) } else { 0 };
             let cluster = self.operator.cluster.clone();
             let identity = store::StoreIdentity { id, log_id, name: name.clone(), cluster };
-            let state = founds.then(|| node::founded(id, &name, self.operator.keepers[i].address));
+            let state = founds.then(|| raft_node::initial_state(id, &name, self.operator.keepers[i].address));
             KeeperStore::create_with_backend(image, identity, state)
         } else {
             KeeperStore::open_with_backend(image, &name)
@@ -290,7 +291,7 @@
         let opened = disk.map_err(KeeperError::Store).and_then(|disk| {
             let identity = Rc::new(identity(&self.operator, &name, disk.identity().id));
             let shows = self.keepers[i].clock.shows(self.now);
-            Node::start(self.operator.clone(), identity, disk, shows, self.rng.u64(..))
+            RaftNode::start(self.operator.clone(), identity, disk, shows, self.rng.u64(..))
         });
         match opened {
             Ok(node) => {
@@ -352,7 +353,7 @@
 
     /// The place of the keeper that leads, if one does.
     pub fn leader(&self) -> Option<usize> {
-        let term = |k: &KeeperPart| k.node.as_ref().filter(|_| !k.stopped).and_then(Node::leader_term);
+        let term = |k: &KeeperPart| k.node.as_ref().filter(|_| !k.stopped).and_then(RaftNode::leader_term);
         (0..self.keepers.len())
             .filter(|i| term(&self.keepers[*i]).is_some())
             .max_by_key(|i| term(&self.keepers[*i]))
@@ -474,8 +475,10 @@
                 self.keepers[i].due = None;
                 self.feed(i, None);
             }
-            Ahead::Joined(i, _, answer) => self.feed(i, Some(Event::Joined(*answer))),
-            Ahead::Deliver(from, At::Keeper(i), _, say) => self.feed(i, Some(Event::Came(*say, Some(from)))),
+            Ahead::Joined(i, _, answer) => self.feed(i, Some(Event::JoinReply(*answer))),
+            Ahead::Deliver(from, At::Keeper(i), _, say) => {
+                self.feed(i, Some(Event::Received(*say, Some(from))))
+            }
             Ahead::Deliver(_, At::Proxy(i), _, say) => self.answered(i, *say),
             Ahead::Wake(i, _) => {
                 if self.now >= self.proxies[i].wakes {
@@ -497,7 +500,7 @@
         let Some(node) = &mut self.keepers[i].node else { return };
         let began = std::time::Instant::now();
         let done = node.handle(shows, event);
-        let due = node.due();
+        let due = node.next_call_at();
         self.counts.keepers_ns += began.elapsed().as_nanos() as u64;
         let actions = match done {
             Ok(actions) => actions,
@@ -515,19 +518,19 @@
         }
         for action in actions {
             match action {
-                Action::Answer(Some(to), say) => self.send(At::Keeper(i), to, say),
+                Action::Reply(Some(to), say) => self.send(At::Keeper(i), to, say),
                 Action::Send(id, say) => {
                     let place = |k: &KeeperPart| k.node.as_ref().is_some_and(|n| n.id() == id);
                     if let Some(to) = self.keepers.iter().position(place) {
                         self.send(At::Keeper(i), At::Keeper(to), say);
                     }
                 }
-                Action::AskToJoin(address, say) => {
+                Action::RequestJoin(address, say) => {
                     if let Some(to) = self.addresses.get(&address).copied() {
                         self.send(At::Keeper(i), At::Keeper(to), say);
                     }
                 }
-                Action::Answer(None, _) | Action::Peers(_) => {}
+                Action::Reply(None, _) | Action::SetPeers(_) => {}
             }
         }
     }
@@ -728,10 +731,10 @@
         self.operator.budgets.values_mut().for_each(|b| b.total = whole);
         self.bound = self.bound.max(whole);
         let Some(leader) = self.leader() else { return };
-        let declare = Some(node::declaration(&self.operator));
+        let declare = Some(Declaration::from(&self.operator));
         let body = Body::OperatorRequest(OperatorRequest { declare, ..OperatorRequest::default() });
         let say = identity(&self.operator, "operators", 1).envelope(0, body);
-        self.feed(leader, Some(Event::Came(say, None)));
+        self.feed(leader, Some(Event::Received(say, None)));
     }
 }
 
--- a/crates/lab/tests/bounds.rs
+++ b/crates/lab/tests/bounds.rs
@@ -1,7 +1,7 @@
 //! What keepers keep and take is bounded, and beyond a bound whoever asks hears so; nobody else's share suffers.
 
-use linenhill_cluster::node::{Action, Event, Node, TICK_US, founded};
 use linenhill_cluster::protocol::{Body, Envelope, LeaseRequest};
+use linenhill_cluster::raft_node::{Action, Event, RaftNode, TICK_US, initial_state};
 use linenhill_cluster::store::{self, KeeperStore};
 use linenhill_cluster::transport::InstanceIdentity;
 use linenhill_decisions::membership::{LeaseTerms, MAX_SESSIONS, Membership, SessionRejected, SessionUpdate};
@@ -16,16 +16,17 @@
 }
 
 /// A keeper that leads by itself, and its clock.
-fn leader() -> (Node<usize>, u64) {
+fn leader() -> (RaftNode<usize>, u64) {
     let address = ([10, 0, 0, 1], 1).into();
     let budget = Budget { total: 9, floor: 1, burst: 0, outlives_us: 1, per_key: false };
     let terms = LeaseTerms { lease_us: 1_000_000, membership_us: 4_000_000, drift_ppm: 10_000 };
     let keepers = vec![Keeper { name: "k0".into(), address }];
     let operator = operator(keepers, terms, [("b".to_string(), budget)].into());
     let whose = store::StoreIdentity { id: 7, log_id: 8, name: "k0".into(), cluster: "lab".into() };
-    let disk = KeeperStore::create_with_backend(Image::default(), whose, Some(founded(7, "k0", address)))
-        .expect("a store");
-    let mut node = Node::start(operator, Rc::new(identity("k0".into(), 7)), disk, 0, 1).expect("a node");
+    let disk =
+        KeeperStore::create_with_backend(Image::default(), whose, Some(initial_state(7, "k0", address)))
+            .expect("a store");
+    let mut node = RaftNode::start(operator, Rc::new(identity("k0".into(), 7)), disk, 0, 1).expect("a node");
     let mut now = 0;
     while node.leader_term().is_none() || node.state().quota.entries.is_empty() {
         now += TICK_US;
@@ -46,16 +47,16 @@
 #[test]
 fn requests_beyond_what_can_wait_are_sent_away_and_long_ones_refused() {
     let (mut node, now) = leader();
-    let long = node.handle(now + 1, [Event::Came(asks(0, 300 << 10), 1)]).expect("handled");
+    let long = node.handle(now + 1, [Event::Received(asks(0, 300 << 10), 1)]).expect("handled");
     let refused = |a: &Action<usize>| {
-        matches!(a, Action::Answer(1, Envelope { body: Some(Body::LeaseRejected(_)), .. }))
+        matches!(a, Action::Reply(1, Envelope { body: Some(Body::LeaseRejected(_)), .. }))
     };
     assert!(long.iter().any(refused));
     let many = 20_000;
-    let events = (0..many).map(|i| Event::Came(asks(i, 0), i));
+    let events = (0..many).map(|i| Event::Received(asks(i, 0), i));
     let actions = node.handle(now + 2, events).expect("handled");
     let away =
-        |a: &&Action<usize>| matches!(a, Action::Answer(_, Envelope { body: Some(Body::NotLeader(_)), .. }));
+        |a: &&Action<usize>| matches!(a, Action::Reply(_, Envelope { body: Some(Body::NotLeader(_)), .. }));
     let sent_away = actions.iter().filter(away).count();
     assert!((many - 16_384..many).contains(&sent_away), "{sent_away} of {many}");
     // Those that wait are answered all the same, once there is time to write.
@@ -63,7 +64,7 @@
     for tick in 1..20 {
         let actions = node.handle(now + tick * TICK_US, [Event::Tick]).expect("a tick");
         let grant = |a: &&Action<usize>| {
-            matches!(a, Action::Answer(_, Envelope { body: Some(Body::LeaseGranted(_)), .. }))
+            matches!(a, Action::Reply(_, Envelope { body: Some(Body::LeaseGranted(_)), .. }))
         };
         granted += actions.iter().filter(grant).count();
     }
--- a/crates/lab/tests/together.rs
+++ b/crates/lab/tests/together.rs
@@ -1,7 +1,7 @@
 //! Keepers with their engine and store, and proxies, under virtual time: whatever the network, the clocks, the disks and
 //! the processes do, the units in use never sum to more than the whole, and a fleet that is well again comes to rest.
 
-use linenhill_cluster::node::KeeperError;
+use linenhill_cluster::raft_node::KeeperError;
 use linenhill_decisions::membership::LeaseTerms;
 use linenhill_lab::disk::Wrong;
 use linenhill_lab::together::{Plan, World};
--- a/src/fleet/tools.rs
+++ b/src/fleet/tools.rs
@@ -1,8 +1,7 @@
 //! What operators ask of a fleet from the command line: checks of their file, its state, and changes.
 
 use crate::cli::Fleet;
-use linenhill_cluster::log_entry::{DisruptionAction, DisruptionRequest};
-use linenhill_cluster::node::declaration;
+use linenhill_cluster::log_entry::{Declaration, DisruptionAction, DisruptionRequest};
 use linenhill_cluster::protocol::{Body, Empty, OperatorReply, OperatorRequest, Status, UnavailableStatus};
 use linenhill_cluster::transport::{self, InstanceIdentity};
 use linenhill_settings::operator::{self, Mistake, Operator};
@@ -107,7 +106,7 @@
         }
         Fleet::Declare { operator } => {
             let operator = read(&operator)?;
-            let declare = Some(declaration(&operator));
+            let declare = Some(Declaration::from(&operator));
             tell(&operator, OperatorRequest { declare, ..OperatorRequest::default() }).await
         }
         Fleet::Permit { thing, operator, reason, force } => {
--- a/src/main.rs
+++ b/src/main.rs
@@ -101,7 +101,7 @@
 fn keep(operator: &Path, name: &str, found: bool) -> Result<(), String> {
     let operator = tools::read(operator)?;
     inject_fault()?;
-    let disk = keeper::open(&operator, name, found).map_err(|e| e.to_string())?;
+    let disk = keeper::open_store(&operator, name, found).map_err(|e| e.to_string())?;
     let listen = operator.listen.ok_or("the operator's file lacks instance.listen")?;
     let name = name.to_string();
     runtime()?.block_on(LocalSet::new().run_until(async move {
