--- /dev/null
+++ b/crates/cluster/src/store/load.rs
@@ -0,0 +1,60 @@
+//! Reading a store: every value is checked, since a keeper must not vote on a damaged one.
+
+use super::error::{database_error, invalid};
+use super::{HARD_STATE_KEY, IDENTITY_KEY, LOG, META, SNAPSHOT_KEY, StoreError, StoreIdentity};
+use protobuf::Message as _;
+use raft::eraftpb::{Entry, HardState, Snapshot};
+use redb::{ReadTransaction, ReadableTable};
+use std::path::Path;
+
+/// The decoded values of the table [`META`].
+pub(super) struct StoredMeta {
+    pub identity: StoreIdentity,
+    pub snapshot: Option<Snapshot>,
+    pub hard_state: Option<HardState>,
+}
+
+impl StoredMeta {
+    pub fn read(path: &Path, transaction: &ReadTransaction) -> Result<StoredMeta, StoreError> {
+        let table = transaction.open_table(META).map_err(database_error(path))?;
+        let value = |key: &str| -> Result<Option<Vec<u8>>, StoreError> {
+            let found = table.get(key).map_err(database_error(path))?;
+            Ok(found.map(|found| found.value().to_vec()))
+        };
+        let identity = value(IDENTITY_KEY)?
+            .and_then(|bytes| StoreIdentity::decode(std::str::from_utf8(&bytes).ok()?))
+            .ok_or_else(|| StoreError::Invalid {
+                path: path.to_path_buf(),
+                what: "the identity",
+                source: None,
+            })?;
+        let snapshot = value(SNAPSHOT_KEY)?.map(|bytes| Snapshot::parse_from_bytes(&bytes)).transpose();
+        let snapshot = snapshot.map_err(invalid(path, "the snapshot"))?;
+        let hard_state = value(HARD_STATE_KEY)?.map(|bytes| HardState::parse_from_bytes(&bytes)).transpose();
+        let hard_state = hard_state.map_err(invalid(path, "the vote"))?;
+        Ok(StoredMeta { identity, snapshot, hard_state })
+    }
+}
+
+/// Reads the entries after `snapshot_index`; their indices must be consecutive.
+pub(super) fn read_entries(
+    path: &Path, transaction: &ReadTransaction, snapshot_index: u64,
+) -> Result<Vec<Entry>, StoreError> {
+    let mut entries: Vec<Entry> = Vec::new();
+    let mut next_index = snapshot_index + 1;
+    let Ok(table) = transaction.open_table(LOG) else { return Ok(entries) };
+    for row in table.iter().map_err(database_error(path))? {
+        let (index, bytes) = row.map_err(database_error(path))?;
+        let entry = Entry::parse_from_bytes(bytes.value()).map_err(invalid(path, "an entry"))?;
+        if index.value() < next_index {
+            continue;
+        }
+        if entry.index != next_index || index.value() != next_index {
+            let what = "the order of entries";
+            return Err(StoreError::Invalid { path: path.to_path_buf(), what, source: None });
+        }
+        entries.push(entry);
+        next_index += 1;
+    }
+    Ok(entries)
+}
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store/mod.rs
@@ -4,16 +4,19 @@
 //! be recreated silently: a store has a Raft identifier that is drawn when it is made, so a keeper that lost its store has
 //! another identifier and can never vote again under the old one.
 
+mod error;
+mod load;
+
+pub use error::StoreError;
+
+use error::{database_error, invalid};
 use linenhill_decisions::membership::MAX_NAME_BYTES;
+use load::{StoredMeta, read_entries};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::storage::MemStorage;
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
-use redb::{
-    Builder, Database, ReadTransaction, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition,
-};
-use std::error::Error;
-use std::fmt;
+use redb::{Builder, Database, ReadableDatabase, StorageBackend, TableDefinition};
 use std::path::{Path, PathBuf};
 
 /// Identity, snapshot and hard state, each under its key.
@@ -30,53 +33,6 @@
 const INITIAL_INDEX: u64 = 1;
 const INITIAL_TERM: u64 = 1;
 
-/// Why a store cannot be used. Prints as one line that begins with the path.
-#[derive(Debug)]
-pub enum StoreError {
-    /// There is no store at this path: it was never made, or it is lost.
-    Missing(PathBuf),
-    /// There is a store at this path already.
-    AlreadyExists(PathBuf),
-    /// The directory cannot be created.
-    Directory(PathBuf, std::io::Error),
-    /// The database failed: it is truncated, the disk is full, or a sync failed.
-    Database(PathBuf, Box<redb::Error>),
-    /// A stored or outgoing value is invalid.
-    Invalid {
-        /// Path of the store.
-        path: PathBuf,
-        /// The invalid value.
-        what: &'static str,
-        /// The decoder's or the engine's error, where there is one.
-        source: Option<Box<dyn Error + Send + Sync>>,
-    },
-}
-
-impl fmt::Display for StoreError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            StoreError::Missing(path) => write!(f, "{}: there is no store", path.display()),
-            StoreError::AlreadyExists(path) => write!(f, "{}: there is a store already", path.display()),
-            StoreError::Directory(path, error) => write!(f, "{}: {error}", path.display()),
-            StoreError::Database(path, error) => write!(f, "{}: {error}", path.display()),
-            StoreError::Invalid { path, what, .. } => write!(f, "{}: {what} can't be read", path.display()),
-        }
-    }
-}
-
-impl Error for StoreError {
-    fn source(&self) -> Option<&(dyn Error + 'static)> {
-        match self {
-            StoreError::Missing(_) | StoreError::AlreadyExists(_) => None,
-            StoreError::Directory(_, error) => Some(error),
-            StoreError::Database(_, error) => Some(error.as_ref()),
-            StoreError::Invalid { source, .. } => {
-                source.as_deref().map(|source| source as &(dyn Error + 'static))
-            }
-        }
-    }
-}
-
 /// The keeper that a store belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreIdentity {
@@ -327,58 +283,6 @@
     }
 }
 
-/// The decoded values of the table [`META`].
-struct StoredMeta {
-    identity: StoreIdentity,
-    snapshot: Option<Snapshot>,
-    hard_state: Option<HardState>,
-}
-
-impl StoredMeta {
-    fn read(path: &Path, transaction: &ReadTransaction) -> Result<StoredMeta, StoreError> {
-        let table = transaction.open_table(META).map_err(database_error(path))?;
-        let value = |key: &str| -> Result<Option<Vec<u8>>, StoreError> {
-            let found = table.get(key).map_err(database_error(path))?;
-            Ok(found.map(|found| found.value().to_vec()))
-        };
-        let identity = value(IDENTITY_KEY)?
-            .and_then(|bytes| StoreIdentity::decode(std::str::from_utf8(&bytes).ok()?))
-            .ok_or_else(|| StoreError::Invalid {
-                path: path.to_path_buf(),
-                what: "the identity",
-                source: None,
-            })?;
-        let snapshot = value(SNAPSHOT_KEY)?.map(|bytes| Snapshot::parse_from_bytes(&bytes)).transpose();
-        let snapshot = snapshot.map_err(invalid(path, "the snapshot"))?;
-        let hard_state = value(HARD_STATE_KEY)?.map(|bytes| HardState::parse_from_bytes(&bytes)).transpose();
-        let hard_state = hard_state.map_err(invalid(path, "the vote"))?;
-        Ok(StoredMeta { identity, snapshot, hard_state })
-    }
-}
-
-/// Reads the entries after `snapshot_index`; their indices must be consecutive.
-fn read_entries(
-    path: &Path, transaction: &ReadTransaction, snapshot_index: u64,
-) -> Result<Vec<Entry>, StoreError> {
-    let mut entries: Vec<Entry> = Vec::new();
-    let mut next_index = snapshot_index + 1;
-    let Ok(table) = transaction.open_table(LOG) else { return Ok(entries) };
-    for row in table.iter().map_err(database_error(path))? {
-        let (index, bytes) = row.map_err(database_error(path))?;
-        let entry = Entry::parse_from_bytes(bytes.value()).map_err(invalid(path, "an entry"))?;
-        if index.value() < next_index {
-            continue;
-        }
-        if entry.index != next_index || index.value() != next_index {
-            let what = "the order of entries";
-            return Err(StoreError::Invalid { path: path.to_path_buf(), what, source: None });
-        }
-        entries.push(entry);
-        next_index += 1;
-    }
-    Ok(entries)
-}
-
 fn new_snapshot(index: u64, term: u64, conf: ConfState, state: Vec<u8>) -> Snapshot {
     let mut snapshot = Snapshot::default();
     let metadata = snapshot.mut_metadata();
@@ -389,18 +293,6 @@
     snapshot
 }
 
-/// Converts an error of the database.
-fn database_error<E: Into<redb::Error>>(path: &Path) -> impl FnOnce(E) -> StoreError {
-    move |error| StoreError::Database(path.to_path_buf(), Box::new(error.into()))
-}
-
-/// Converts an error that shows that `what` is invalid.
-fn invalid<E: Error + Send + Sync + 'static>(
-    path: &Path, what: &'static str,
-) -> impl FnOnce(E) -> StoreError {
-    move |error| StoreError::Invalid { path: path.to_path_buf(), what, source: Some(Box::new(error)) }
-}
-
 impl Storage for KeeperStore {
     fn initial_state(&self) -> raft::Result<RaftState> {
         self.memory.initial_state()
