--- a/crates/cluster/tests/transport.rs
+++ b/crates/cluster/tests/transport.rs
@@ -1,7 +1,7 @@
-//! Who may speak to an instance, and how much: strangers are bounded before memory is set aside for them.
+//! Which instances are served, and how long their frames may be: limits apply before memory is allocated.
 
 use futures_util::{SinkExt, StreamExt};
-use linenhill_cluster::protocol::{Body, Empty, JoinRequest, MAX_FRAME_BYTES};
+use linenhill_cluster::protocol::{Body, Empty, Envelope, JoinRequest, MAX_FRAME_BYTES};
 use linenhill_cluster::transport::{self, IncomingMessage, InstanceIdentity};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,60 +14,65 @@
     InstanceIdentity { cluster: "test".into(), name: name.into(), incarnation: 1, keepers }
 }
 
-async fn serving(allow: &str) -> (SocketAddr, mpsc::Receiver<IncomingMessage>) {
+/// A server that accepts `allowed`, with its address and what it receives.
+async fn start_server(allowed: &str) -> (SocketAddr, mpsc::Receiver<IncomingMessage>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let at = listener.local_addr().expect("an address");
-    let (inbox, came) = mpsc::channel(8);
-    spawn_local(transport::serve(
-        listener,
-        vec![allow.parse().expect("a prefix")],
-        Rc::new(identity("k0")),
-        inbox,
-    ));
-    (at, came)
+    let address = listener.local_addr().expect("an address");
+    let (inbox, received) = mpsc::channel(8);
+    let allowed = vec![allowed.parse().expect("a prefix")];
+    spawn_local(transport::serve(listener, allowed, Rc::new(identity("k0")), inbox));
+    (address, received)
 }
 
-fn play(work: impl Future<Output = ()>) {
+fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    runtime.block_on(LocalSet::new().run_until(work));
+    runtime.block_on(LocalSet::new().run_until(test));
 }
 
-fn long() -> Body {
+fn message_beyond_the_limit() -> Body {
     Body::Join(JoinRequest { address: "a".repeat(MAX_FRAME_BYTES + 1) })
 }
 
-// Guards against a stranger that makes an instance set memory aside by the length that it declares, and against keepers
-// whose snapshots don't get through.
+/// Guards against a sender that makes an instance allocate memory by a declared length, and against keepers whose
+/// snapshots are rejected.
 #[test]
 fn only_keepers_send_long_frames() {
-    play(async {
-        let (at, mut came) = serving("127.0.0.0/8").await;
-        let mut stranger = transport::connect(at).await.expect("a connection");
-        let _ = stranger.send(identity("p9").envelope(0, long())).await;
-        assert!(!matches!(stranger.next().await, Some(Ok(_))), "the connection ends");
-        assert!(came.try_recv().is_err());
-        let mut keeper = transport::connect(at).await.expect("a connection");
+    run_local(async {
+        let (address, mut received) = start_server("127.0.0.0/8").await;
+        let mut proxy = transport::connect(address).await.expect("a connection");
+        let _ = proxy.send(identity("p9").envelope(0, message_beyond_the_limit())).await;
+        assert!(!matches!(proxy.next().await, Some(Ok(_))), "the connection ends");
+        assert!(received.try_recv().is_err());
+        let mut keeper = transport::connect(address).await.expect("a connection");
         keeper.send(identity("k1").envelope(0, Body::Ping(Empty {}))).await.expect("sent");
         assert!(keeper.next().await.is_some_and(|pong| pong.is_ok()));
-        keeper.send(identity("k1").envelope(0, long())).await.expect("sent");
-        assert_eq!(came.recv().await.expect("it came").envelope.from, "k1");
+        keeper.send(identity("k1").envelope(0, message_beyond_the_limit())).await.expect("sent");
+        assert_eq!(received.recv().await.expect("a message").envelope.from, "k1");
     });
 }
 
-// Guards against instances outside the allowed prefixes, of another fleet, or of another version of the protocol.
+/// Guards against messages from instances outside the allowed prefixes.
 #[test]
-fn strangers_are_not_heard() {
-    play(async {
-        let (at, mut came) = serving("10.0.0.0/8").await;
-        let ask = || identity("p1").envelope(0, Body::StatusRequest(Empty {}));
-        assert!(transport::call(at, ask()).await.is_err());
-        assert!(came.try_recv().is_err());
-        let (at, mut came) = serving("127.0.0.0/8").await;
-        let other = linenhill_cluster::protocol::Envelope { cluster: "other".into(), ..ask() };
-        let newer = linenhill_cluster::protocol::Envelope { version: 99, ..ask() };
-        for wrong in [other, newer] {
-            assert!(transport::call(at, wrong).await.is_err());
+fn other_prefixes_are_rejected() {
+    run_local(async {
+        let (address, mut received) = start_server("10.0.0.0/8").await;
+        let request = identity("p1").envelope(0, Body::StatusRequest(Empty {}));
+        assert!(transport::call(address, request).await.is_err());
+        assert!(received.try_recv().is_err());
+    });
+}
+
+/// Guards against messages from instances of another fleet, or of another version of the protocol.
+#[test]
+fn other_fleets_and_versions_are_rejected() {
+    run_local(async {
+        let (address, mut received) = start_server("127.0.0.0/8").await;
+        let request = || identity("p1").envelope(0, Body::StatusRequest(Empty {}));
+        let other_fleet = Envelope { cluster: "other".into(), ..request() };
+        let newer_version = Envelope { version: 99, ..request() };
+        for wrong in [other_fleet, newer_version] {
+            assert!(transport::call(address, wrong).await.is_err());
         }
-        assert!(came.try_recv().is_err());
+        assert!(received.try_recv().is_err());
     });
 }
