--- a/crates/cluster/src/raft_node/operators.rs
+++ b/crates/cluster/src/raft_node/operators.rs
@@ -29,7 +29,7 @@
     fn on_disruption_request(&mut self, request: DisruptionRequest, reply: R) {
         let is_too_long = request.encoded_len() > MAX_DISRUPTION_REQUEST_BYTES;
         if is_too_long || self.pending.len() >= MAX_PENDING_REQUESTS {
-            let text = format!("a wish of over {MAX_DISRUPTION_REQUEST_BYTES} bytes, or too many at once");
+            let text = format!("a request of over {MAX_DISRUPTION_REQUEST_BYTES} bytes, or too many at once");
             let rejection = OperatorReply { text, ..OperatorReply::default() };
             return self.reply(reply, Body::OperatorReply(rejection));
         }
--- a/crates/cluster/src/replicated_state.rs
+++ b/crates/cluster/src/replicated_state.rs
@@ -192,7 +192,9 @@
             }
             DisruptionRejected::Denied { subject, reason } => write_denial(f, subject, reason),
             DisruptionRejected::NoRecord => f.write_str("nothing was known of it"),
-            DisruptionRejected::UnknownAction => f.write_str("this keeper's version does not know that wish"),
+            DisruptionRejected::UnknownAction => {
+                f.write_str("this keeper's version does not know that request")
+            }
         }
     }
 }
--- a/crates/cluster/src/transport/call.rs
+++ b/crates/cluster/src/transport/call.rs
@@ -13,7 +13,7 @@
 /// Limit on the wait for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Opens a connection within [`IO_TIMEOUT`].
+/// Opens a connection within one second.
 ///
 /// # Errors
 /// [`TransportError::Timeout`] or [`TransportError::Connect`].
