--- a/crates/cluster/src/raft_node/operators.rs
+++ b/crates/cluster/src/raft_node/operators.rs
@@ -5,25 +5,74 @@
 use crate::log_entry::{Command, Declaration, DisruptionRequest, LoggedCommand};
 use crate::protocol::{Body, OperatorReply, OperatorRequest};
 use prost::Message as _;
+use std::fmt;
 
 /// Longest disruption request, in bytes.
 const MAX_DISRUPTION_REQUEST_BYTES: usize = 4_096;
 
+/// Why an operator's request, or a join request, is rejected; operators read the text.
+pub(super) enum ChangeRejected {
+    /// This keeper does not lead; the leader's name is empty while it is unknown.
+    NotLeader { leader: String },
+    /// The agreed declaration has this revision, which is not older.
+    RevisionNotNewer { agreed: u64 },
+    /// No voter has this name.
+    UnknownKeeper { name: String },
+    /// The leader cannot remove itself.
+    IsLeader,
+    /// The voter of this name has another store.
+    OtherStore { name: String },
+    /// The leader's file names no keeper of this name.
+    NotConfigured { name: String },
+    /// The engine did not take the proposal, such as while another change of voters is in flight.
+    Engine(raft::Error),
+}
+
+impl fmt::Display for ChangeRejected {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            ChangeRejected::NotLeader { leader } => write!(f, "the leader is {leader}"),
+            ChangeRejected::RevisionNotNewer { agreed } => {
+                write!(f, "revision {agreed} is agreed on: a change needs a higher one")
+            }
+            ChangeRejected::UnknownKeeper { name } => write!(f, "there is no keeper '{name}'"),
+            ChangeRejected::IsLeader => f.write_str("this keeper leads"),
+            ChangeRejected::OtherStore { name } => {
+                write!(f, "keeper {name} has another store: a lost one is replaced by 'fleet replace {name}'")
+            }
+            ChangeRejected::NotConfigured { name } => write!(f, "the leader's file names no keeper {name}"),
+            ChangeRejected::Engine(error) => write!(f, "{error}"),
+        }
+    }
+}
+
+impl From<raft::Error> for ChangeRejected {
+    fn from(error: raft::Error) -> ChangeRejected {
+        ChangeRejected::Engine(error)
+    }
+}
+
+/// The reply to a request whose outcome is known at once.
+pub(super) fn immediate_reply(outcome: Result<String, ChangeRejected>) -> OperatorReply {
+    let ok = outcome.is_ok();
+    let not_leader = matches!(outcome, Err(ChangeRejected::NotLeader { .. }));
+    let text = outcome.unwrap_or_else(|rejected| rejected.to_string());
+    OperatorReply { ok, text, unconfirmed: Vec::new(), not_leader }
+}
+
 impl<R> RaftNode<R> {
     /// A disruption request is answered once its entry is applied, any other one as soon as it is proposed.
     pub(super) fn on_operator_request(&mut self, request: OperatorRequest, reply: R) {
-        let not_leader = !self.is_leader();
-        let (ok, text) = match request {
-            _ if not_leader => (false, format!("the leader is {}", self.leader_name())),
+        let outcome = match request {
+            _ if !self.is_leader() => Err(ChangeRejected::NotLeader { leader: self.leader_name() }),
             OperatorRequest { disruption: Some(request), .. } => {
                 return self.on_disruption_request(request, reply);
             }
             OperatorRequest { declare: Some(declaration), .. } => self.propose_declaration(declaration),
-            OperatorRequest { remove, .. } if !remove.is_empty() => self.propose_removal(remove),
+            OperatorRequest { remove, .. } if !remove.is_empty() => Ok(self.propose_removal(remove)),
             OperatorRequest { replace, .. } => self.replace_keeper(&replace),
         };
-        let unconfirmed = Vec::new();
-        self.reply(reply, Body::OperatorReply(OperatorReply { ok, text, unconfirmed, not_leader }));
+        self.reply(reply, Body::OperatorReply(immediate_reply(outcome)));
     }
 
     fn on_disruption_request(&mut self, request: DisruptionRequest, reply: R) {
@@ -40,19 +89,19 @@
         self.proposals.push(LoggedCommand { command: Some(Command::Disruption(request)), request_id });
     }
 
-    fn propose_declaration(&mut self, declaration: Declaration) -> (bool, String) {
+    fn propose_declaration(&mut self, declaration: Declaration) -> Result<String, ChangeRejected> {
         let revision = declaration.revision;
         let agreed = self.state.quota.revision;
         if !self.state.quota.accepts_revision(revision) {
-            return (false, format!("revision {agreed} is agreed on: a change needs a higher one"));
+            return Err(ChangeRejected::RevisionNotNewer { agreed });
         }
         self.proposals.push(Command::Declare(declaration).into());
-        (true, format!("revision {revision} is declared in the place of {agreed}"))
+        Ok(format!("revision {revision} is declared in the place of {agreed}"))
     }
 
-    fn propose_removal(&mut self, name: String) -> (bool, String) {
+    fn propose_removal(&mut self, name: String) -> String {
         let text = format!("{name} is taken off; what it holds ends by itself");
         self.proposals.push(Command::RemoveProxy(name).into());
-        (true, text)
+        text
     }
 }
--- a/crates/cluster/src/raft_node/voters.rs
+++ b/crates/cluster/src/raft_node/voters.rs
@@ -1,7 +1,8 @@
 //! The keepers of the log: who they are, where they are reached, and how one joins or is removed.
 
+use super::operators::{ChangeRejected, immediate_reply};
 use super::{Action, KeeperError, RaftNode};
-use crate::protocol::{Body, Envelope, JoinRequest, OperatorReply};
+use crate::protocol::{Body, Envelope, JoinRequest};
 use crate::replicated_state::KeeperRecord;
 use log::{info, warn};
 use prost::Message as _;
@@ -77,37 +78,34 @@
         if !self.is_leader() && known_id != Some(id) {
             return;
         }
-        let (ok, text) = match known_id {
-            Some(known_id) if known_id == id => (true, "known".to_string()),
-            Some(_) => (
-                false,
-                format!("keeper {name} has another store: a lost one is replaced by 'fleet replace {name}'"),
-            ),
-            None if self.configured_address(name).is_none() => {
-                (false, format!("the leader's file names no keeper {name}"))
-            }
-            None => {
-                let record = KeeperRecord { name: name.to_string(), address: join.address.clone() };
-                match self.propose_voter_change(ConfChangeType::AddNode, id, record.encode_to_vec()) {
-                    Ok(()) => (true, "being let in".to_string()),
-                    Err(error) => (false, error.to_string()),
-                }
-            }
+        let outcome = match known_id {
+            Some(known_id) if known_id == id => Ok("known".to_string()),
+            Some(_) => Err(ChangeRejected::OtherStore { name: name.to_string() }),
+            None => self.propose_voter(name, id, join),
         };
-        let body = Body::OperatorReply(OperatorReply { ok, text, ..OperatorReply::default() });
-        self.reply_with_log_id(reply, self.log_id(), body);
+        self.reply_with_log_id(reply, self.log_id(), Body::OperatorReply(immediate_reply(outcome)));
+    }
+
+    fn propose_voter(&mut self, name: &str, id: u64, join: &JoinRequest) -> Result<String, ChangeRejected> {
+        if self.configured_address(name).is_none() {
+            return Err(ChangeRejected::NotConfigured { name: name.to_string() });
+        }
+        let record = KeeperRecord { name: name.to_string(), address: join.address.clone() };
+        self.propose_voter_change(ConfChangeType::AddNode, id, record.encode_to_vec())?;
+        Ok("being let in".to_string())
     }
 
     /// Removes a voter that lost its store, so that another store may join under its name.
-    pub(super) fn replace_keeper(&mut self, name: &str) -> (bool, String) {
-        match self.state.keeper_id(name) {
-            None => (false, format!("there is no keeper '{name}'")),
-            Some(id) if id == self.id() => (false, "this keeper leads".to_string()),
-            Some(id) => match self.propose_voter_change(ConfChangeType::RemoveNode, id, Vec::new()) {
-                Ok(()) => (true, format!("{name} with number {id} votes no more; another store may join")),
-                Err(error) => (false, error.to_string()),
-            },
+    pub(super) fn replace_keeper(&mut self, name: &str) -> Result<String, ChangeRejected> {
+        let id = self
+            .state
+            .keeper_id(name)
+            .ok_or_else(|| ChangeRejected::UnknownKeeper { name: name.to_string() })?;
+        if id == self.id() {
+            return Err(ChangeRejected::IsLeader);
         }
+        self.propose_voter_change(ConfChangeType::RemoveNode, id, Vec::new())?;
+        Ok(format!("{name} with number {id} votes no more; another store may join"))
     }
 
     /// Proposes to add or remove a voter. `record` is the encoded [`KeeperRecord`] of an added one.
