--- a/crates/lab/src/together.rs
+++ b/crates/lab/src/together.rs
@@ -4,10 +4,11 @@
 //! The checker stands outside: it counts the units in use and knows the whole, and nothing of shares.
 
 use crate::disk::{Image, Wrong};
-use linenhill_cluster::link::Identity;
-use linenhill_cluster::node::{self, Action, Event, KeeperError, Node, TICK_US};
-use linenhill_cluster::store::{self, Disk};
-use linenhill_cluster::wire::{Body, Envelope, Operate, ProxyAsk};
+use linenhill_cluster::log_entry::Declaration;
+use linenhill_cluster::protocol::{Body, Envelope, LeaseRequest, OperatorRequest};
+use linenhill_cluster::raft_node::{self, Action, Event, KeeperError, RaftNode, TICK_US};
+use linenhill_cluster::store::{self, KeeperStore};
+use linenhill_cluster::transport::InstanceIdentity;
 use linenhill_decisions::membership::LeaseTerms;
 use linenhill_decisions::quota::leader_search::LeaderSearch;
 use linenhill_decisions::quota::lease_holder::{AcquireDecision, LeaseHolder};
@@ -123,7 +124,7 @@
 }
 
 struct KeeperPart {
-    node: Option<Node<Option<At>>>,
+    node: Option<RaftNode<Option<At>>>,
     image: Image,
     clock: Clock,
     life: u64,
@@ -134,7 +135,7 @@
 }
 
 struct ProxyPart {
-    identity: Identity,
+    identity: InstanceIdentity,
     holder: LeaseHolder,
     seeking: LeaderSearch,
     clock: Clock,
@@ -279,18 +280,18 @@
         let image = keeper.image.clone();
         let disk = if image.is_blank() {
             let (id, founds) = (self.rng.u64(1..u64::MAX), self.now == 0 && i == 0);
-            let founding = if founds { self.rng.u64(1..u64::MAX) } else { 0 };
+            let log_id = if founds { self.rng.u64(1..u64::MAX) } else { 0 };
             let cluster = self.operator.cluster.clone();
-            let identity = store::Identity { id, founding, name: name.clone(), cluster };
-            let state = founds.then(|| node::founded(id, &name, self.operator.keepers[i].address));
-            Disk::create_on(image, identity, state)
+            let identity = store::StoreIdentity { id, log_id, name: name.clone(), cluster };
+            let state = founds.then(|| raft_node::initial_state(id, &name, self.operator.keepers[i].address));
+            KeeperStore::create_with_backend(image, identity, state)
         } else {
-            Disk::open_on(image, &name)
+            KeeperStore::open_with_backend(image, &name)
         };
-        let opened = disk.map_err(KeeperError::Disk).and_then(|disk| {
+        let opened = disk.map_err(KeeperError::Store).and_then(|disk| {
             let identity = Rc::new(identity(&self.operator, &name, disk.identity().id));
             let shows = self.keepers[i].clock.shows(self.now);
-            Node::start(self.operator.clone(), identity, disk, shows, self.rng.u64(..))
+            RaftNode::start(self.operator.clone(), identity, disk, shows, self.rng.u64(..))
         });
         match opened {
             Ok(node) => {
@@ -352,7 +353,7 @@
 
     /// The place of the keeper that leads, if one does.
     pub fn leader(&self) -> Option<usize> {
-        let term = |k: &KeeperPart| k.node.as_ref().filter(|_| !k.stopped).and_then(Node::leader_term);
+        let term = |k: &KeeperPart| k.node.as_ref().filter(|_| !k.stopped).and_then(RaftNode::leader_term);
         (0..self.keepers.len())
             .filter(|i| term(&self.keepers[*i]).is_some())
             .max_by_key(|i| term(&self.keepers[*i]))
@@ -474,8 +475,10 @@
                 self.keepers[i].due = None;
                 self.feed(i, None);
             }
-            Ahead::Joined(i, _, answer) => self.feed(i, Some(Event::Joined(*answer))),
-            Ahead::Deliver(from, At::Keeper(i), _, say) => self.feed(i, Some(Event::Came(*say, Some(from)))),
+            Ahead::Joined(i, _, answer) => self.feed(i, Some(Event::JoinReply(*answer))),
+            Ahead::Deliver(from, At::Keeper(i), _, say) => {
+                self.feed(i, Some(Event::Received(*say, Some(from))))
+            }
             Ahead::Deliver(_, At::Proxy(i), _, say) => self.answered(i, *say),
             Ahead::Wake(i, _) => {
                 if self.now >= self.proxies[i].wakes {
@@ -497,7 +500,7 @@
         let Some(node) = &mut self.keepers[i].node else { return };
         let began = std::time::Instant::now();
         let done = node.handle(shows, event);
-        let due = node.due();
+        let due = node.next_call_at();
         self.counts.keepers_ns += began.elapsed().as_nanos() as u64;
         let actions = match done {
             Ok(actions) => actions,
@@ -515,19 +518,19 @@
         }
         for action in actions {
             match action {
-                Action::Answer(Some(to), say) => self.send(At::Keeper(i), to, say),
+                Action::Reply(Some(to), say) => self.send(At::Keeper(i), to, say),
                 Action::Send(id, say) => {
                     let place = |k: &KeeperPart| k.node.as_ref().is_some_and(|n| n.id() == id);
                     if let Some(to) = self.keepers.iter().position(place) {
                         self.send(At::Keeper(i), At::Keeper(to), say);
                     }
                 }
-                Action::AskToJoin(address, say) => {
+                Action::RequestJoin(address, say) => {
                     if let Some(to) = self.addresses.get(&address).copied() {
                         self.send(At::Keeper(i), At::Keeper(to), say);
                     }
                 }
-                Action::Answer(None, _) | Action::Peers(_) => {}
+                Action::Reply(None, _) | Action::SetPeers(_) => {}
             }
         }
     }
@@ -535,7 +538,7 @@
     fn send(&mut self, from: At, to: At, say: Envelope) {
         self.counts.messages += 1;
         self.counts.bytes += say.encoded_len() as u64;
-        self.counts.grants += u64::from(matches!(say.body, Some(Body::Granted(_))));
+        self.counts.grants += u64::from(matches!(say.body, Some(Body::LeaseGranted(_))));
         if self.cut.contains_key(&(from, to)) || self.rng.u64(0..100) < self.loss {
             return;
         }
@@ -546,7 +549,7 @@
                 span += self.rng.u64(0..1_500 * MS);
             }
             let ahead = match (to, &say.body) {
-                (At::Keeper(i), Some(Body::Done(_))) => {
+                (At::Keeper(i), Some(Body::OperatorReply(_))) => {
                     Ahead::Joined(i, self.keepers[i].life, Box::new(say.clone()))
                 }
                 (At::Keeper(i), _) => Ahead::Deliver(from, to, self.keepers[i].life, Box::new(say.clone())),
@@ -571,8 +574,13 @@
         if now >= due && now >= proxy.paused {
             let ask = proxy.holder.next_request(now);
             proxy.seeking.request_sent(now);
-            let body = Body::Ask(ProxyAsk { ask, version: String::new(), zone: String::new(), report: None });
-            let (say, to) = (proxy.identity.say(0, body), At::Keeper(proxy.seeking.current_keeper()));
+            let body = Body::LeaseRequest(LeaseRequest {
+                quota: ask,
+                version: String::new(),
+                zone: String::new(),
+                report: None,
+            });
+            let (say, to) = (proxy.identity.envelope(0, body), At::Keeper(proxy.seeking.current_keeper()));
             self.send(At::Proxy(i), to, say);
         }
         let proxy = &self.proxies[i];
@@ -593,16 +601,16 @@
         let proxy = &mut self.proxies[i];
         let now = proxy.clock.shows(self.now);
         match say.body {
-            Some(Body::Granted(granted)) => {
+            Some(Body::LeaseGranted(granted)) => {
                 let news = proxy.holder.apply_grant(now, granted.grant);
                 news.then(|| proxy.seeking.request_granted());
             }
-            Some(Body::Elsewhere(elsewhere)) => {
+            Some(Body::NotLeader(elsewhere)) => {
                 let leader = self.operator.keepers.iter().position(|k| k.name == elsewhere.leader);
                 proxy.paused = now + proxy.seeking.redirected(leader, self.rng.f64());
                 proxy.holder.request_at_once();
             }
-            Some(Body::Refused(refused))
+            Some(Body::LeaseRejected(refused))
                 if refused.superseded && refused.incarnation == proxy.identity.incarnation =>
             {
                 proxy.identity.incarnation = self.rng.u64(1..u64::MAX);
@@ -723,10 +731,10 @@
         self.operator.budgets.values_mut().for_each(|b| b.total = whole);
         self.bound = self.bound.max(whole);
         let Some(leader) = self.leader() else { return };
-        let declare = Some(node::declaration(&self.operator));
-        let body = Body::Operate(Operate { declare, ..Operate::default() });
-        let say = identity(&self.operator, "operators", 1).say(0, body);
-        self.feed(leader, Some(Event::Came(say, None)));
+        let declare = Some(Declaration::from(&self.operator));
+        let body = Body::OperatorRequest(OperatorRequest { declare, ..OperatorRequest::default() });
+        let say = identity(&self.operator, "operators", 1).envelope(0, body);
+        self.feed(leader, Some(Event::Received(say, None)));
     }
 }
 
@@ -747,7 +755,7 @@
     }
 }
 
-fn identity(operator: &Operator, name: &str, incarnation: u64) -> Identity {
+fn identity(operator: &Operator, name: &str, incarnation: u64) -> InstanceIdentity {
     let keepers = operator.keepers.iter().map(|k| k.name.clone()).collect();
-    Identity { cluster: operator.cluster.clone(), name: name.to_string(), incarnation, keepers }
+    InstanceIdentity { cluster: operator.cluster.clone(), name: name.to_string(), incarnation, keepers }
 }
--- a/src/fleet/tools.rs
+++ b/src/fleet/tools.rs
@@ -1,10 +1,9 @@
 //! What operators ask of a fleet from the command line: checks of their file, its state, and changes.
 
 use crate::cli::Fleet;
-use linenhill_cluster::link::{self, Identity};
-use linenhill_cluster::node::declaration;
-use linenhill_cluster::state::{OutageDoc, Wish};
-use linenhill_cluster::wire::{Body, Done, Operate, OutStatus, Status, StatusAsk};
+use linenhill_cluster::log_entry::{Declaration, DisruptionAction, DisruptionRequest};
+use linenhill_cluster::protocol::{Body, Empty, OperatorReply, OperatorRequest, Status, UnavailableStatus};
+use linenhill_cluster::transport::{self, InstanceIdentity};
 use linenhill_settings::operator::{self, Mistake, Operator};
 use miniserde::Serialize;
 use std::fmt::Write;
@@ -103,26 +102,30 @@
             Ok(if json { miniserde::json::to_string(&doc(from, status)) } else { text(&from, &status) })
         }
         Fleet::Remove { name, operator } => {
-            tell(&read(&operator)?, Operate { remove: name, ..Operate::default() }).await
+            tell(&read(&operator)?, OperatorRequest { remove: name, ..OperatorRequest::default() }).await
         }
         Fleet::Declare { operator } => {
             let operator = read(&operator)?;
-            let declare = Some(declaration(&operator));
-            tell(&operator, Operate { declare, ..Operate::default() }).await
+            let declare = Some(Declaration::from(&operator));
+            tell(&operator, OperatorRequest { declare, ..OperatorRequest::default() }).await
         }
         Fleet::Permit { thing, operator, reason, force } => {
-            wish(&operator, thing, Wish::Permit, reason, force).await
+            wish(&operator, thing, DisruptionAction::Permit, reason, force).await
+        }
+        Fleet::Back { thing, operator } => {
+            wish(&operator, thing, DisruptionAction::Return, String::new(), false).await
+        }
+        Fleet::Forget { thing, operator } => {
+            wish(&operator, thing, DisruptionAction::Forget, String::new(), false).await
         }
-        Fleet::Back { thing, operator } => wish(&operator, thing, Wish::Back, String::new(), false).await,
-        Fleet::Forget { thing, operator } => wish(&operator, thing, Wish::Forget, String::new(), false).await,
         Fleet::Replace { name, operator } => {
-            tell(&read(&operator)?, Operate { replace: name, ..Operate::default() }).await
+            tell(&read(&operator)?, OperatorRequest { replace: name, ..OperatorRequest::default() }).await
         }
     }
 }
 
-fn identity(operator: &Operator) -> Identity {
-    Identity {
+fn identity(operator: &Operator) -> InstanceIdentity {
+    InstanceIdentity {
         cluster: operator.cluster.clone(),
         name: "operators".to_string(),
         incarnation: 0,
@@ -136,7 +139,7 @@
     let keepers = operator.keepers.iter().map(|k| k.address);
     let all: Vec<SocketAddr> = at.map_or_else(|| keepers.collect(), |at| vec![at]);
     for address in all {
-        match link::call(address, identity.say(0, Body::StatusAsk(StatusAsk {}))).await {
+        match transport::call(address, identity.envelope(0, Body::StatusRequest(Empty {}))).await {
             Ok(envelope) => match envelope.body {
                 Some(Body::Status(status)) if status.role == "leader" => return Ok((envelope.from, status)),
                 Some(Body::Status(status)) => other = other.or(Some((envelope.from, status))),
@@ -148,9 +151,9 @@
     other.ok_or_else(|| problems.join("\n"))
 }
 
-async fn tell(operator: &Operator, operate: Operate) -> Result<String, String> {
-    let Done { ok, text, unconfirmed, .. } =
-        link::tell(&operator.keepers, &identity(operator), operate).await?;
+async fn tell(operator: &Operator, operate: OperatorRequest) -> Result<String, String> {
+    let reply = transport::send_to_leader(&operator.keepers, &identity(operator), operate).await;
+    let OperatorReply { ok, text, unconfirmed, .. } = reply.map_err(|error| error.to_string())?;
     let waits = if unconfirmed.is_empty() {
         String::new()
     } else {
@@ -160,35 +163,43 @@
 }
 
 /// A wish on something that may be out.
-async fn wish(file: &Path, thing: String, wish: Wish, reason: String, force: bool) -> Result<String, String> {
-    let outage = OutageDoc { thing, wish: wish as i32, by: "operators".into(), reason, force };
-    tell(&read(file)?, Operate { outage: Some(outage), ..Operate::default() }).await
+async fn wish(
+    file: &Path, thing: String, action: DisruptionAction, reason: String, force: bool,
+) -> Result<String, String> {
+    let outage = DisruptionRequest {
+        subject: thing,
+        action: action as i32,
+        requested_by: "operators".into(),
+        reason,
+        force,
+    };
+    tell(&read(file)?, OperatorRequest { disruption: Some(outage), ..OperatorRequest::default() }).await
 }
 
 fn doc(from: String, status: Status) -> StatusDoc {
-    let Status { role, leader, term, applied, keepers, seats, budgets, news_ms, out } = status;
-    let seat = |s: linenhill_cluster::wire::SeatStatus| SeatDoc {
+    let Status { role, leader, term, applied, keepers, sessions, budgets, log_age_ms, unavailable } = status;
+    let seat = |s: linenhill_cluster::protocol::SessionStatus| SeatDoc {
         name: s.name,
         incarnation: format!("{:016x}", s.incarnation),
         version: s.version,
         zone: s.zone,
-        heard_ms: s.heard_ms,
-        holds: s.holds,
+        heard_ms: s.last_request_age_ms,
+        holds: s.has_lease,
     };
-    let budget = |b: linenhill_cluster::wire::BudgetStatus| BudgetDoc {
+    let budget = |b: linenhill_cluster::protocol::BudgetStatus| BudgetDoc {
         name: b.name,
-        whole: b.whole,
-        counted: b.counted,
+        whole: b.total,
+        counted: b.committed,
         in_use: b.in_use,
     };
-    let instances = seats.into_iter().map(seat).collect();
+    let instances = sessions.into_iter().map(seat).collect();
     let budgets = budgets.into_iter().map(budget).collect();
-    let one = |o: OutStatus| {
-        let OutStatus { thing, cause, permit, by, reason, forced } = o;
-        OutDoc { thing, cause, permit, by, reason, forced }
+    let one = |o: UnavailableStatus| {
+        let UnavailableStatus { subject, cause, permit, requested_by, reason, forced } = o;
+        OutDoc { thing: subject, cause, permit, by: requested_by, reason, forced }
     };
-    let out = out.into_iter().map(one).collect();
-    StatusDoc { from, role, leader, term, applied, news_ms, keepers, instances, budgets, out }
+    let out = unavailable.into_iter().map(one).collect();
+    StatusDoc { from, role, leader, term, applied, news_ms: log_age_ms, keepers, instances, budgets, out }
 }
 
 fn text(from: &str, status: &Status) -> String {
@@ -198,30 +209,30 @@
         if status.leader.is_empty() { "unknown" } else { &status.leader },
         status.term,
         status.applied,
-        status.news_ms
+        status.log_age_ms
     );
     for (name, address) in &status.keepers {
         let _ = writeln!(text, "keeper  {name:<16} {address}");
     }
-    for seat in &status.seats {
-        let lease = if seat.holds { "holds" } else { "no lease" };
+    for seat in &status.sessions {
+        let lease = if seat.has_lease { "holds" } else { "no lease" };
         let _ = writeln!(
             text,
             "proxy   {:<16} {:016x} {} {} heard {} ms ago, {lease}",
-            seat.name, seat.incarnation, seat.version, seat.zone, seat.heard_ms
+            seat.name, seat.incarnation, seat.version, seat.zone, seat.last_request_age_ms
         );
     }
     for budget in &status.budgets {
-        let (counted, whole, used) = (budget.counted, budget.whole, budget.in_use);
+        let (counted, whole, used) = (budget.committed, budget.total, budget.in_use);
         let _ = writeln!(text, "budget  {:<24} whole {whole}, counted {counted}, in use {used}", budget.name);
     }
-    for o in &status.out {
+    for o in &status.unavailable {
         let forced = if o.forced { ", against the limits" } else { "" };
         let permit = match o.permit {
             0 => "no permit".to_string(),
-            number => format!("permit {number} of {}: {}{forced}", o.by, o.reason),
+            number => format!("permit {number} of {}: {}{forced}", o.requested_by, o.reason),
         };
-        let _ = writeln!(text, "out     {:<24} {}, {permit}", o.thing, o.cause);
+        let _ = writeln!(text, "out     {:<24} {}, {permit}", o.subject, o.cause);
     }
     text
 }
