--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -23,6 +23,10 @@
 pub mod maintenance;
 pub mod membership;
 pub mod outlier_recovery;
+#[expect(
+    clippy::too_many_lines,
+    reason = "policy is not finished by docs/CONTRIBUTING.md yet: docs/ROADMAP.md"
+)]
 pub mod policy;
 pub mod poll_schedule;
 pub mod quota;
