--- a/src/main.rs
+++ b/src/main.rs
@@ -6,7 +6,7 @@
 use linenhill::config::{Config, Reading};
 use linenhill::counters::Counters;
 use linenhill::fleet::{Shares, tools};
-use linenhill::proxy::{self, Listeners};
+use linenhill::proxy::{self, FleetMember, Listeners};
 use linenhill::takeover::inherit;
 use linenhill_cluster::client::FleetClient;
 use linenhill_cluster::keeper;
@@ -130,25 +130,27 @@
     Ok(())
 }
 
+/// Makes this process one of the fleet of the operators' file.
+async fn join_fleet(operator: Operator, config: &Config) -> Result<FleetMember, String> {
+    if config.name.is_empty() || config.name.len() > MAX_NAME_BYTES {
+        return Err(format!(
+            "a proxy of a fleet needs a name of 1 to {MAX_NAME_BYTES} bytes: 'name' or LB_NAME"
+        ));
+    }
+    let client = FleetClient::new(operator, &config.name, env!("CARGO_PKG_VERSION"));
+    let listener = match client.operator().listen {
+        None => None,
+        Some(at) => Some(TcpListener::bind(at).await.map_err(|e| format!("instance.listen {at}: {e}"))?),
+    };
+    let shares = Shares::new(client.clone(), &config.site.classes)?;
+    Ok(FleetMember { shares, client, listener })
+}
+
 async fn serve(config: Config, operator: Option<Operator>, signals: Signals) -> Result<(), String> {
     inject_fault()?;
-    let together = match operator {
+    let fleet = match operator {
         None => None,
-        Some(_) if config.name.is_empty() || config.name.len() > MAX_NAME_BYTES => {
-            return Err(format!(
-                "a proxy of a fleet needs a name of 1 to {MAX_NAME_BYTES} bytes: 'name' or LB_NAME"
-            ));
-        }
-        Some(operator) => {
-            let fleet = FleetClient::new(operator, &config.name, env!("CARGO_PKG_VERSION"));
-            let reached = match fleet.operator().listen {
-                None => None,
-                Some(at) => {
-                    Some(TcpListener::bind(at).await.map_err(|e| format!("instance.listen {at}: {e}"))?)
-                }
-            };
-            Some((Shares::new(fleet.clone(), &config.site.classes)?, fleet, reached))
-        }
+        Some(operator) => Some(join_fleet(operator, &config).await?),
     };
     let counters = Rc::new(Counters::default());
     let Signals { mut terminate, mut interrupt, mut print, mut hangup } = signals;
@@ -170,7 +172,7 @@
         // Without the folder it goes as well; only an upgrade then starts without what the old version knew.
         std::fs::create_dir_all(dir).unwrap_or_else(|e| warn!("{}: {e}", dir.display()));
     }
-    let listeners = Listeners { clients: listener, operators, together };
+    let listeners = Listeners { clients: listener, operators, fleet };
     let stop = async move {
         tokio::select! {
             _ = terminate.recv() => {}
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -1,7 +1,7 @@
 //! The parts put together: one thread, one driver of the decisions, and tasks for everything that waits.
 
 use crate::admin::{self, Controls, OPERATORS};
-use crate::api;
+use crate::api::{self, Span};
 use crate::clients::connection_gate::ConnectionGate;
 use crate::clients::lifecycle_driver::LifecycleDriver;
 use crate::clients::listener;
@@ -24,7 +24,7 @@
 use crate::stages::book::Book;
 use crate::stages::intake::Intake;
 use crate::stages::relay::Relay;
-use crate::stages::route::Route;
+use crate::stages::route::{Route, RouteParts};
 use crate::stages::send::Sender;
 use crate::takeover::maintenance_log::{self, MaintenanceLog};
 use crate::upstream::pool::Pool;
@@ -77,10 +77,20 @@
 pub struct Listeners {
     /// For clients.
     pub clients: TcpListener,
-    /// For operators, if there is a door for them.
+    /// For operators' calls, if `admin` is configured.
     pub operators: Option<TcpListener>,
-    /// For other instances of a fleet, with what this one may use of its budgets.
-    pub together: Option<(Shares, Rc<FleetClient>, Option<TcpListener>)>,
+    /// For other instances, if this process is one of a fleet.
+    pub fleet: Option<FleetMember>,
+}
+
+/// This process as one of a fleet.
+pub struct FleetMember {
+    /// What it may use of the fleet's budgets.
+    pub shares: Shares,
+    /// Its side of the keepers.
+    pub client: Rc<FleetClient>,
+    /// Where other instances reach it, if they may.
+    pub listener: Option<TcpListener>,
 }
 
 /// Serves until `stop` is ready and all that was taken is answered. `discovery` is where it is, and where it
@@ -92,36 +102,66 @@
     LocalSet::new().run_until(serve(config, listeners, counters, discovery, stop)).await
 }
 
+/// How many descriptors there are for clients and members, and how much memory for messages.
+struct Capacity {
+    sockets: usize,
+    /// The descriptors that are not kept for the process itself.
+    shared_sockets: usize,
+    memory: usize,
+}
+
+impl Capacity {
+    fn of(config: &Config, listeners: &Listeners) -> Capacity {
+        // A connection of each operator, the listener, and one more that waits to be accepted.
+        let operators = listeners.operators.as_ref().map_or(0, |_| OPERATORS + 2);
+        Capacity {
+            sockets: config.sockets,
+            shared_sockets: config.sockets.saturating_sub(OWN + operators),
+            memory: config.memory,
+        }
+    }
+
+    fn descriptors(&self, part: f64) -> usize {
+        (self.shared_sockets as f64 * part) as usize
+    }
+
+    fn admission_limits(&self, max_retry_after: Span) -> AdmissionLimits {
+        AdmissionLimits {
+            max_served: self.descriptors(SERVED_PART),
+            max_rejected: self.descriptors(REFUSED_PART),
+            max_closing: LEAVING,
+            max_request_connections: self.sockets / REQUESTS_PART,
+            max_retry_after,
+        }
+    }
+
+    fn admit(&self, max_open: usize) -> Admit {
+        let long_messages = (self.memory as f64 * LONG_PART) as usize;
+        Admit::new(max_open, self.memory / MESSAGES_PART, long_messages)
+    }
+}
+
 async fn serve(
     config: Config, listeners: Listeners, counters: Rc<Counters>, discovery: watch::Receiver<SocketAddr>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), DriverEnded> {
+    let capacity = Capacity::of(&config, &listeners);
     let Config { site, names, known, shared, .. } = config;
-    // A connection of each operator, the listener, and one more that waits to be let in.
-    let own = OWN + listeners.operators.as_ref().map_or(0, |_| OPERATORS + 2);
-    let share = |part: f64| (config.sockets.saturating_sub(own) as f64 * part) as usize;
     let clock = Clock::start();
     let limits = &site.settings.limits;
     let idle_close = Duration::from_micros(limits.idle_close.0);
     let connect = Duration::from_micros(limits.connect_timeout.0).max(Duration::from_millis(1));
-    let shares = listeners.together.as_ref().map(|(shares, ..)| shares.clone()).unwrap_or_default();
-    let pool = Pool::with_quota(share(MEMBERS_PART), idle_close, connect, counters.clone(), shares.clone());
+    let shares = listeners.fleet.as_ref().map(|fleet| fleet.shares.clone()).unwrap_or_default();
+    let max_connections = capacity.descriptors(MEMBERS_PART);
+    let pool = Pool::with_quota(max_connections, idle_close, connect, counters.clone(), shares.clone());
     let (inbox, events) = mpsc::unbounded_channel();
     let figures = Rc::new(Figures::new(site.class_names()));
     let book = Book::new(counters.clone(), figures.clone());
     let sender = Sender::new(pool.clone(), inbox.clone(), book.clone(), limits.max_attempts);
     let longest = Duration::from_micros(site.longest.0);
-    let admission_limits = AdmissionLimits {
-        max_served: share(SERVED_PART),
-        max_rejected: share(REFUSED_PART),
-        max_closing: LEAVING,
-        max_request_connections: config.sockets / REQUESTS_PART,
-        max_retry_after: limits.max_retry_after,
-    };
-    let connection_gate = ConnectionGate::new(admission_limits, clock);
+    let connection_gate = ConnectionGate::new(capacity.admission_limits(limits.max_retry_after), clock);
     let intake = Intake::new(&site, clock);
-    let admit =
-        Admit::new(site.max_open, config.memory / MESSAGES_PART, (config.memory as f64 * LONG_PART) as usize);
+    let admit = capacity.admit(site.max_open);
     let gateway = Rc::new(RequestGateway::new(intake, admit, book.clone(), inbox.clone()));
     let subscribe = Rc::new(Notify::new());
     let version = known.as_ref().map_or(0, |k| k.version);
@@ -134,19 +174,29 @@
         }
     };
     let router = Router::new(site.settings, config.seed, clock.now());
-    let relay = Relay::default();
     if let Some(known) = known {
         let _ = inbox.send(Input::List(ListEvent::Cached(known)));
     }
-    let (asked, maintenance) = (inbox.clone(), Rc::default());
+    let operators_inbox = inbox.clone();
+    let maintenance = Rc::default();
     let maintenance_log = MaintenanceLog::new(
         Rc::clone(&maintenance),
         shared.map(|dir| dir.join(maintenance_log::FILE_NAME)),
         clock,
         inbox.clone(),
     );
-    let route = Route::new(router, clock, events, sender, relay, pool.clone(), names, subscribe, maintenance)
-        .bound(shares);
+    let route = Route::new(RouteParts {
+        router,
+        clock,
+        inbox: events,
+        sender,
+        relay: Relay::default(),
+        pool: pool.clone(),
+        names,
+        subscribe,
+        maintenance,
+        shares,
+    });
     let driver = spawn_local(route.run());
     let discovery_client = DiscoveryClient {
         address: discovery,
@@ -163,34 +213,27 @@
     spawn_local(pool.clone().run_quota_enforcement());
     spawn_local(pool.run_sweeper());
     let lifecycle = LifecycleDriver::new(clock);
-    let together = listeners.together.as_ref().map(|(_, fleet, _)| fleet.clone());
-    if let Some((_, fleet, reached)) = listeners.together {
-        spawn_local(fleet.clone().run());
-        if fleet.limits_disruptions() {
-            spawn_local(outages::look_after(fleet.clone(), lifecycle.clone(), asked.clone()));
-        }
-        if let Some(reached) = reached {
-            spawn_local(fleet.serve(reached));
-        }
+    let fleet_client = listeners.fleet.as_ref().map(|fleet| fleet.client.clone());
+    if let Some(fleet) = listeners.fleet {
+        spawn_fleet(fleet, &lifecycle, &operators_inbox);
     }
     spawn_local(connection_gate.clone().run());
     spawn_local(lifecycle.clone().run());
-    let view = lifecycle.subscribe();
-    let mut serving =
-        spawn_local(listener::run(listeners.clients, gateway.clone(), connection_gate, view, counters));
+    let serving_state = lifecycle.subscribe();
+    let accepting =
+        listener::run(listeners.clients, gateway.clone(), connection_gate, serving_state, counters);
+    let mut serving = spawn_local(accepting);
     spawn_local(maintenance_log.clone().follow_file());
     if let Some(operators) = listeners.operators {
-        spawn_local(admin::run(
-            operators,
-            Rc::new(Controls {
-                lifecycle: lifecycle.clone(),
-                maintenance_log: maintenance_log.clone(),
-                figures,
-                status,
-                inbox: asked,
-                fleet: together,
-            }),
-        ));
+        let controls = Controls {
+            lifecycle: lifecycle.clone(),
+            maintenance_log: maintenance_log.clone(),
+            figures,
+            status,
+            inbox: operators_inbox,
+            fleet: fleet_client,
+        };
+        spawn_local(admin::run(operators, Rc::new(controls)));
     }
     tokio::select! {
         () = stop => {}
@@ -203,3 +246,14 @@
     info!("stopped, {}", if over { "all answered" } else { "some still held" });
     Ok(())
 }
+
+/// Starts what this process does as one of a fleet.
+fn spawn_fleet(fleet: FleetMember, lifecycle: &Rc<LifecycleDriver>, inbox: &mpsc::UnboundedSender<Input>) {
+    spawn_local(fleet.client.clone().run());
+    if fleet.client.limits_disruptions() {
+        spawn_local(outages::look_after(fleet.client.clone(), lifecycle.clone(), inbox.clone()));
+    }
+    if let Some(listener) = fleet.listener {
+        spawn_local(fleet.client.serve(listener));
+    }
+}
--- a/src/stages/route.rs
+++ b/src/stages/route.rs
@@ -47,37 +47,50 @@
     shares: Shares,
 }
 
+/// What the driver works with.
+pub struct RouteParts {
+    /// The decisions.
+    pub router: Router,
+    /// The clock of all events.
+    pub clock: Clock,
+    /// The events, in the order in which they are handled.
+    pub inbox: mpsc::UnboundedReceiver<Input>,
+    /// Starts and cancels attempts.
+    pub sender: Sender,
+    /// Gives final answers.
+    pub relay: Relay,
+    /// The connections to members.
+    pub pool: Pool,
+    /// The members' names and numbers.
+    pub names: IdentifierTable,
+    /// Notified when the decisions ask for a watch of the list.
+    pub subscribe: Rc<Notify>,
+    /// The members that are out by order of operators.
+    pub maintenance: Rc<RefCell<Maintenance>>,
+    /// This proxy's part of the fleet's budgets.
+    pub shares: Shares,
+}
+
 impl Route {
-    /// Drives `router` with what comes through `inbox`; a subscription is asked for through `subscribe`.
-    #[allow(clippy::too_many_arguments)]
-    pub fn new(
-        router: Router, clock: Clock, inbox: mpsc::UnboundedReceiver<Input>, sender: Sender, relay: Relay,
-        pool: Pool, names: IdentifierTable, subscribe: Rc<Notify>, maintenance: Rc<RefCell<Maintenance>>,
-    ) -> Route {
-        let (listed, timers, actions) = (BTreeMap::new(), BTreeSet::new(), Vec::new());
+    /// A driver that has heard of no member yet.
+    pub fn new(parts: RouteParts) -> Route {
         Route {
-            router,
-            clock,
-            inbox,
-            sender,
-            relay,
-            pool,
-            names,
-            subscribe,
-            maintenance,
-            listed,
-            timers,
-            actions,
-            shares: Shares::default(),
+            router: parts.router,
+            clock: parts.clock,
+            inbox: parts.inbox,
+            sender: parts.sender,
+            relay: parts.relay,
+            pool: parts.pool,
+            names: parts.names,
+            subscribe: parts.subscribe,
+            maintenance: parts.maintenance,
+            listed: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            actions: Vec::new(),
+            shares: parts.shares,
         }
     }
 
-    /// The same, within this proxy's shares of the fleet's budgets.
-    pub fn bound(mut self, shares: Shares) -> Route {
-        self.shares = shares;
-        self
-    }
-
     /// Runs until nobody can send events any more.
     pub async fn run(mut self) {
         loop {
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -21,6 +21,7 @@
 use linenhill::discovery::status::DiscoveryStatus;
 use linenhill::discovery::watch::{first_message_timeout, read_watch};
 use linenhill::figures::Figures;
+use linenhill::fleet::Shares;
 use linenhill::lifecycle::ServingState;
 use linenhill::maintenance::{ListedMember, Maintenance};
 use linenhill::policy::Router;
@@ -29,7 +30,7 @@
 use linenhill::stages::book::Book;
 use linenhill::stages::intake::Intake;
 use linenhill::stages::relay::Relay;
-use linenhill::stages::route::Route;
+use linenhill::stages::route::{Route, RouteParts};
 use linenhill::stages::send::Sender;
 use linenhill::stages::{Answer, Input};
 use linenhill::takeover::{maintenance_log::MaintenanceLog, saved};
@@ -730,8 +731,18 @@
     let sender = Sender::new(pool.clone(), inbox.clone(), book.clone(), 6);
     let router = Router::new(config.site.settings, 42, clock.now());
     let (relay, asked) = (Relay::default(), Rc::new(Notify::new()));
-    let route =
-        Route::new(router, clock, events, sender, relay, pool.clone(), config.names, asked, Rc::default());
+    let route = Route::new(RouteParts {
+        router,
+        clock,
+        inbox: events,
+        sender,
+        relay,
+        pool: pool.clone(),
+        names: config.names,
+        subscribe: asked,
+        maintenance: Rc::default(),
+        shares: Shares::default(),
+    });
     let list = |version: u64, id: &str| {
         let line = format!(
             r#"{{"version":{version},"full":true,"servers":[{{"id":"{id}","addr":"127.0.0.1:1",
