--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -200,9 +200,9 @@
     (got, reason)
 }
 
-// Guards against bad clients that are left without an error or an end, that hold a place, or that are served.
+/// Guards against bad clients that get no error, are not disconnected, keep a slot, or are served.
 #[tokio::test(start_paused = true)]
-async fn a_bad_client_gets_an_error_and_an_end() {
+async fn bad_clients_get_an_error_and_are_disconnected() {
     let protocol = |what: &str, bytes: Vec<u8>| (what.to_string(), bytes, "08P01", CloseReason::Protocol);
     let huge = [b"Q".as_slice(), &(9u32 << 20).to_be_bytes(), &vec![b'x'; 9 << 20]].concat();
     let unread: Vec<u8> = (0..8).flat_map(|_| query("", "list")).collect();
@@ -220,9 +220,9 @@
     assert!(got.contains("field c"), "{got:?}");
 }
 
-// Guards against a second request under the id of an open one, and against the first one's coming to harm.
+/// Guards against a second request under the id of an open one, and against harm to the first one.
 #[tokio::test(start_paused = true)]
-async fn the_id_of_an_open_request_is_taken() {
+async fn duplicate_id_of_an_open_request_is_rejected() {
     let (gateway, mut events) = gateway();
     let (connection_gate, ask) = (connection_gate(9), [STARTUP, &query("7", "list")].concat());
     let (mut first, serve_first, _tell) = before(&gateway, connection_gate.admit().expect("a place"));
@@ -251,9 +251,10 @@
     tokio::join!(serve_first, serve_second, play);
 }
 
-// Guards against requests that wait behind others for nothing, and against answers or writes out of order.
+/// Guards against requests that wait behind others without need, and against answers, or writes to one key, that are out
+/// of order.
 #[tokio::test(start_paused = true)]
-async fn requests_run_side_by_side_but_writes_to_a_key_and_answers_keep_their_order() {
+async fn pipelined_requests_run_concurrently_and_answer_in_order() {
     let (mut near, mut events, session, _tell) = session();
     let ask = |id: &str, class: &str| {
         let text = format!("/* id={id},c={class},d=900,cluster=1 */ SELECT val FROM s WHERE uid = 'a'\0");
@@ -287,9 +288,9 @@
     assert_eq!(reason, CloseReason::Terminated);
 }
 
-// Guards against messages that together take more memory than there is.
+/// Guards against messages that together take more memory than there is.
 #[tokio::test(start_paused = true)]
-async fn without_memory_for_its_message_a_client_is_refused() {
+async fn message_without_memory_is_rejected() {
     let (gateway, _events) = gateway();
     let connection_gate = connection_gate(9);
     let large = [STARTUP, b"Q", &(150u32 << 10).to_be_bytes(), b"/* "].concat();
@@ -309,9 +310,9 @@
     assert!(gateway.message_memory().enter_by(256 * 1024).is_some(), "all of it is given back");
 }
 
-// Guards against connections that cost a descriptor for ever and never say a word.
+/// Guards against connections that take a descriptor for good and send nothing.
 #[tokio::test(start_paused = true)]
-async fn a_client_without_a_startup_message_is_let_go() {
+async fn client_without_startup_message_is_disconnected() {
     let (near, _events, session, _tell) = session();
     assert_eq!(session.await, CloseReason::StartupTimeout);
     drop(near);
@@ -395,9 +396,9 @@
     assert!(made_room >= 32 && made_room == all_ended, "{made_room} of {all_ended}");
 }
 
-// Guards against a place that is not given back, and against a request lost to a newcomer.
+/// Guards against a slot that is not given back, and against a request that is lost when its connection makes room.
 #[tokio::test(start_paused = true)]
-async fn who_is_told_to_leave_leaves_between_requests() {
+async fn connection_asked_to_close_ends_between_requests() {
     let connection_gate = connection_gate(1);
     let (gateway, mut events) = gateway();
     let (mut near, session, _tell) = before(&gateway, connection_gate.admit().expect("a place"));
@@ -416,10 +417,10 @@
     assert_eq!(reason, CloseReason::MadeRoom);
 }
 
-// Guards against a request that is cut off since its connection has to make room when only its first bytes are read, and
-// against a place that is held by a message without an end.
+/// Guards against a request that is cut off because its connection has to make room when only its first bytes are read,
+/// and against a slot that is held by a message without an end.
 #[tokio::test(start_paused = true)]
-async fn who_is_told_to_leave_amid_a_message_is_waited_for_a_moment() {
+async fn connection_asked_to_close_finishes_its_message() {
     for (ends, spoken) in [(true, true), (false, true), (false, false)] {
         let connection_gate = connection_gate(1);
         let (gateway, mut events) = gateway();
@@ -448,10 +449,10 @@
     }
 }
 
-// Guards against a drain that turns a newcomer's first request back unheard, that keeps a connection after it, or that
-// says yes to the front.
+/// Guards against a drain that drops the first request of a new connection, that keeps the connection after it, or that
+/// still answers the platform's empty query with yes.
 #[tokio::test(start_paused = true)]
-async fn amid_a_drain_a_newcomer_is_served_once_and_the_front_is_told_no() {
+async fn drain_serves_one_request_of_a_new_connection() {
     let (mut near, mut events, session, tell) = session();
     let _ = tell.send(ServingState { reports_ready: false, closes_idle: true, ..SERVING });
     let client = async {
@@ -472,10 +473,10 @@
     assert_eq!(reason, CloseReason::Stopping);
 }
 
-// Guards against a request that is taken from a busy connection late in a stop, when the platform's end of the process
-// may come before its answer: it is refused, after the answer before it.
+/// Guards against accepting a request late in a stop, when the platform may end the process before its answer: it is
+/// rejected, after the answer before it.
 #[tokio::test(start_paused = true)]
-async fn late_in_a_stop_what_comes_behind_an_open_request_is_refused() {
+async fn late_requests_are_rejected_during_a_stop() {
     let (mut near, mut events, session, tell) = session();
     let client = async {
         near.write_all(&[STARTUP, &query("1", "list")].concat()).await.expect("written");
@@ -500,9 +501,9 @@
     assert_eq!(reason, CloseReason::Stopping);
 }
 
-// Guards against losing what was taken when the client's next bytes make no sense, or when a stop comes.
+/// Guards against losing accepted requests when the client's next bytes are no message, or when a stop comes.
 #[tokio::test(start_paused = true)]
-async fn what_was_taken_is_answered_before_the_connection_ends() {
+async fn accepted_requests_are_answered_before_the_end() {
     for broken in [true, false] {
         let (mut near, mut events, session, tell) = session();
         let client = async {
@@ -774,7 +775,7 @@
     tokio::task::LocalSet::new().run_until(run).await;
 }
 
-// Guards against a time limit kept long after its request is over, for a client that said it waits long.
+/// Guards against a time limit that is kept long after its request has ended.
 #[tokio::test(start_paused = true)]
 async fn nothing_is_due_once_it_is_answered() {
     let mut relay = Relay::default();
