--- a/crates/decisions/src/policy/members.rs
+++ b/crates/decisions/src/policy/members.rs
@@ -95,7 +95,7 @@
         m.zone.into_iter().for_each(|z| self.zone_health.record_answer(z, now));
         if let Some(ejected) = &mut m.ejected {
             if !answered && !ejected.unreachable {
-                return ejected.trial_ready = true; // A probe shows only that the process runs: a request may try.
+                return ejected.trial_ready = true; // Probes show only that the process runs: try a request.
             }
             // Back from the dead before the list told: it may be cold, but not after a cut of it alone.
             let gone = ejected.unreachable && ejected.restarted && now - ejected.since > 1_000 * MS;
