--- a/tests/pipeline.rs
+++ b/tests/pipeline.rs
@@ -51,6 +51,15 @@
     if answer.contains("SELECT 1") && answer.contains("other") { "other" } else { answer }
 }
 
+/// The same, once the first of its reads has reached a member.
+async fn flooding_client_under_way(at: SocketAddr, sent: &Cell<usize>) -> TcpStream {
+    let client = flooding_client(at).await;
+    while sent.get() == 0 {
+        tokio::task::yield_now().await;
+    }
+    client
+}
+
 /// The number of a read of the flood; none for other statements.
 fn number(statement: &str) -> Option<usize> {
     let (_, rest) = statement.split_once("id=f")?;
@@ -97,10 +106,7 @@
 fn a_flood_is_answered_in_order() {
     let (gate, sent) = (Rc::new(Semaphore::new(0)), Rc::new(Cell::new(0)));
     play("flood-read", gated(&gate, &sent), |at, program| async move {
-        let mut flooding = flooding_client(at).await;
-        while sent.get() == 0 {
-            tokio::task::yield_now().await;
-        }
+        let mut flooding = flooding_client_under_way(at, &sent).await;
         // Another client is not held up by what waits behind the flood.
         let mut other = client(at, &[READ]).await;
         assert_eq!(value(&answer(&mut other).await), "other");
@@ -138,10 +144,7 @@
 fn a_client_that_leaves_in_mid_flood_is_seen() {
     let (gate, sent) = (Rc::new(Semaphore::new(0)), Rc::new(Cell::new(0)));
     play("flood-left", gated(&gate, &sent), |at, program| async move {
-        let flooding = flooding_client(at).await;
-        while sent.get() == 0 {
-            tokio::task::yield_now().await;
-        }
+        let flooding = flooding_client_under_way(at, &sent).await;
         drop(flooding);
         program.says("code=client-gone").await;
         let before = sent.get();
@@ -160,10 +163,7 @@
 fn a_flood_is_answered_through_a_stop() {
     let (gate, sent) = (Rc::new(Semaphore::new(0)), Rc::new(Cell::new(0)));
     play("flood-stop", gated(&gate, &sent), |at, program| async move {
-        let mut flooding = flooding_client(at).await;
-        while sent.get() == 0 {
-            tokio::task::yield_now().await;
-        }
+        let mut flooding = flooding_client_under_way(at, &sent).await;
         program.signal("-TERM");
         program.says("stopping, ").await;
         gate.add_permits(FLOOD);
