--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # Build, test, lint and run. `make run` needs the toy of `make toy` in another terminal.
-.PHONY: build test lint doc run toy toy-fleet proof-budgets measure-budgets soak
+.PHONY: build test lint doc run toy toy-fleet proof-budgets measure-budgets same-decisions soak
 
 build:
 	cargo build --release --locked
@@ -40,6 +40,11 @@
 soak:
 	LINENHILL_SECONDS=$${LINENHILL_SECONDS:-120} LINENHILL_PROCESSES=$${LINENHILL_PROCESSES:-30} cargo test --locked --test soak -- --nocapture
 
+# The decisions in random histories must be those of revision REF; without it, those kept in docs/measurements. Both
+# revisions need the subcommand `digest-decisions`. SEEDS chooses how many histories.
+same-decisions:
+	.ci/same-decisions "$(REF)" $(or $(SEEDS),1000)
+
 # What budgets give and cost, under virtual time: the same figures every time, but for the real time they take.
 measure-budgets:
 	cargo run --release --locked -p linenhill-lab -- divide --proxies 10
--- /dev/null
+++ b/crates/lab/src/decision_digest/history.rs
@@ -0,0 +1,413 @@
+//! A random history: requests, faults of members, lists, gossip and time, until nothing is left to happen.
+
+use super::encoding::{DigestWriter, request_id};
+use super::members::{Condition, GROUPS, ModelMember, initial_members};
+use super::site::Site;
+use fastrand::Rng;
+use linenhill_decisions::api::{
+    Action, ClassId, Ended, Event, GroupId, ListUpdate, LoadReport, MemberId, MemberState, Outcome,
+    ReadLevel, Request, RequestId, SessionKey, Settings, Span, TenantId, Time, ZoneId,
+};
+use linenhill_decisions::policy::Router;
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::Arc;
+
+const MS: u64 = 1_000;
+const SECOND: u64 = 1_000 * MS;
+/// A moment of 2026, in microseconds of Unix time.
+const START: u64 = 1_780_000_000 * SECOND;
+/// Bursts of requests in a history.
+const ROUNDS: u32 = 9;
+/// Requests of a burst.
+const ROUND_REQUESTS: u32 = 36;
+/// Sessions that requests belong to.
+const SESSIONS: u64 = 6;
+
+/// What is going to happen.
+enum Scheduled {
+    RequestArrives,
+    AttemptEnds { id: RequestId, attempt: u32, member: MemberId, outcome: Outcome },
+    AttemptStarts(RequestId),
+    ClientLeaves(RequestId),
+    HealthCheckEnds(MemberId),
+    Timer(u64),
+    MembersChange,
+}
+
+struct ModelAttempt {
+    sent: u64,
+    has_ended: bool,
+}
+
+struct ModelRequest {
+    is_write: bool,
+    deadline: u64,
+    attempts: Vec<ModelAttempt>,
+    /// It has its final answer, or its client has left.
+    is_over: bool,
+}
+
+/// One history at one site.
+pub(super) struct History<'a> {
+    router: Router,
+    settings: Settings,
+    classes: usize,
+    tenants: usize,
+    writer: &'a mut DigestWriter,
+    rng: Rng,
+    now: u64,
+    sequence: u64,
+    schedule: BTreeMap<(u64, u64), Scheduled>,
+    members: Vec<ModelMember>,
+    requests: BTreeMap<RequestId, ModelRequest>,
+    next_request: u64,
+    /// Actions that are not carried out yet, in order.
+    actions: VecDeque<Action>,
+}
+
+impl<'a> History<'a> {
+    /// A history that has not begun.
+    pub(super) fn new(site: &Site, seed: u64, writer: &'a mut DigestWriter) -> History<'a> {
+        let mut rng = Rng::with_seed(seed);
+        let settings = site.settings(&mut rng);
+        History {
+            router: Router::new(settings.clone(), seed, Time(START)),
+            settings,
+            classes: site.classes,
+            tenants: site.tenants,
+            writer,
+            members: initial_members(&mut rng),
+            rng,
+            now: START,
+            sequence: 0,
+            schedule: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            next_request: 0,
+            actions: VecDeque::new(),
+        }
+    }
+
+    /// Plays it to its end.
+    pub(super) fn play(mut self) {
+        if self.rng.u32(..4) > 0 {
+            self.send_list(ListForm::Cached);
+        }
+        self.send_list(ListForm::Full);
+        for _ in 0..ROUNDS {
+            self.schedule_round();
+            let pause = self.pick(&[200 * MS, SECOND, 4 * SECOND, 12 * SECOND, 70 * SECOND]);
+            self.run_for(pause);
+            self.observe();
+        }
+        self.run_for(10 * SECOND);
+        self.observe();
+    }
+
+    fn schedule_round(&mut self) {
+        let spread = self.pick(&[20 * MS, 400 * MS, 3 * SECOND]);
+        for _ in 0..ROUND_REQUESTS {
+            let after = self.rng.u64(..spread);
+            self.schedule_in(after, Scheduled::RequestArrives);
+        }
+        for _ in 0..self.rng.u32(..4) {
+            let after = self.rng.u64(..spread);
+            self.schedule_in(after, Scheduled::MembersChange);
+        }
+    }
+
+    /// One of the durations, which must not be none.
+    fn pick(&mut self, durations: &[u64]) -> u64 {
+        durations[self.rng.usize(..durations.len())]
+    }
+
+    fn schedule_in(&mut self, after: u64, scheduled: Scheduled) {
+        self.sequence += 1;
+        self.schedule.insert((self.now + after, self.sequence), scheduled);
+    }
+
+    fn run_for(&mut self, duration: u64) {
+        let end = self.now + duration;
+        while let Some(entry) = self.schedule.first_entry() {
+            if entry.key().0 > end {
+                break;
+            }
+            let ((at, _), scheduled) = entry.remove_entry();
+            self.now = self.now.max(at);
+            self.happen(scheduled);
+        }
+        self.now = end;
+    }
+
+    fn happen(&mut self, scheduled: Scheduled) {
+        match scheduled {
+            Scheduled::RequestArrives => self.request_arrives(),
+            Scheduled::AttemptEnds { id, attempt, member, outcome } => {
+                self.attempt_ends(id, attempt, member, outcome)
+            }
+            Scheduled::AttemptStarts(id) => self.handle(Event::AttemptStarted { id }),
+            Scheduled::ClientLeaves(id) => self.client_leaves(id),
+            Scheduled::HealthCheckEnds(member) => self.health_check_ends(member),
+            Scheduled::Timer(token) => self.handle(Event::Timer { token }),
+            Scheduled::MembersChange => self.members_change(),
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.router.handle(Time(self.now), event, &mut actions);
+        for action in &actions {
+            self.writer.action(self.now, action);
+        }
+        self.actions.extend(actions);
+        while let Some(action) = self.actions.pop_front() {
+            self.carry_out(action);
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Send { id, member, .. } => self.start_attempt(id, member),
+            Action::Refuse { id, .. } | Action::Fail { id } => {
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.is_over = true;
+                }
+            }
+            Action::Cancel { id, attempt } => self.cancel_attempt(id, attempt),
+            Action::Timer { token, at } => {
+                self.schedule_in(at.0.saturating_sub(self.now), Scheduled::Timer(token));
+            }
+            Action::Probe { member } => {
+                let after = self.rng.u64(1..30) * MS;
+                self.schedule_in(after, Scheduled::HealthCheckEnds(member));
+            }
+            Action::Subscribe => {
+                if self.rng.u32(..3) > 0 {
+                    self.send_list(ListForm::Changes);
+                } else {
+                    self.send_list(ListForm::Failed);
+                }
+            }
+            Action::Tell { .. } | Action::Close { .. } => {}
+        }
+    }
+
+    fn request_arrives(&mut self) {
+        self.next_request += 1;
+        let id = request_id(self.next_request);
+        let class = self.rng.usize(..self.classes);
+        let give_up = self.pick(&[30 * MS, 200 * MS, 900 * MS, 3 * SECOND, 5 * SECOND]);
+        let left = 5 * MS + self.rng.u64(..give_up);
+        let is_write = self.settings.classes[class].read == ReadLevel::Write;
+        let request =
+            ModelRequest { is_write, deadline: self.now + left, attempts: Vec::new(), is_over: false };
+        self.requests.insert(id, request);
+        if self.rng.u32(..12) == 0 {
+            let after = self.rng.u64(..left);
+            self.schedule_in(after, Scheduled::ClientLeaves(id));
+        }
+        let tenant = (self.tenants > 0).then(|| TenantId(self.rng.usize(..self.tenants)));
+        let token_age = self.rng.bool().then(|| Span(self.rng.u64(..900) * MS));
+        let session = (self.rng.u32(..3) > 0).then(|| SessionKey(self.rng.u64(..SESSIONS)));
+        let group = GroupId(self.rng.u32(..GROUPS));
+        let left = Span(left);
+        let class = ClassId(class);
+        self.handle(Event::Request(Request { id, class, left, tenant, token_age, group, session }));
+    }
+
+    fn start_attempt(&mut self, id: RequestId, member: MemberId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let attempt = request.attempts.len() as u32;
+        request.attempts.push(ModelAttempt { sent: self.now, has_ended: false });
+        let remaining = request.deadline.saturating_sub(self.now);
+        let end = self.members[member.0 as usize].answer(request.is_write, &mut self.rng);
+        let (outcome, latency) = match end.latency {
+            Some(latency) if latency <= remaining => (end.outcome, latency),
+            _ => (Outcome::TimedOut, remaining),
+        };
+        if outcome == Outcome::Ok && self.rng.u32(..5) == 0 {
+            self.schedule_in(latency / 2, Scheduled::AttemptStarts(id));
+        }
+        self.schedule_in(latency, Scheduled::AttemptEnds { id, attempt, member, outcome });
+    }
+
+    fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
+        let scheduled = self.schedule.iter().find_map(|(key, scheduled)| match scheduled {
+            Scheduled::AttemptEnds { id: of, attempt: number, member, .. }
+                if *of == id && *number == attempt =>
+            {
+                Some((*key, *member))
+            }
+            _ => None,
+        });
+        let Some((key, member)) = scheduled else { return };
+        // Some answers cross the cancellation.
+        if self.rng.u32(..5) > 0 {
+            self.schedule.remove(&key);
+            let after = self.rng.u64(..3) * MS;
+            let outcome = Outcome::Cancelled;
+            self.schedule_in(after, Scheduled::AttemptEnds { id, attempt, member, outcome });
+        }
+    }
+
+    fn attempt_ends(&mut self, id: RequestId, attempt: u32, member: MemberId, outcome: Outcome) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let ended = &mut request.attempts[attempt as usize];
+        if std::mem::replace(&mut ended.has_ended, true) {
+            return;
+        }
+        let latency = Span(self.now - ended.sent);
+        request.is_over |= outcome == Outcome::Ok;
+        let closed = request.is_over;
+        let answering = &self.members[member.0 as usize];
+        let is_answer = matches!(outcome, Outcome::Ok | Outcome::Miss | Outcome::Failed | Outcome::QueueFull);
+        let speaks = is_answer && self.rng.u32(..5) > 0;
+        let position = speaks.then(|| answering.position(self.now));
+        let role = speaks.then(|| answering.role());
+        let report = if speaks && self.rng.bool() {
+            answering.report(self.now, &mut self.rng)
+        } else {
+            LoadReport::default()
+        };
+        let end = Ended { id, attempt, member, outcome, latency, closed, position, role, report };
+        self.handle(Event::AttemptEnded(end));
+    }
+
+    fn client_leaves(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if !std::mem::replace(&mut request.is_over, true) {
+            self.handle(Event::Lapsed { id });
+        }
+    }
+
+    fn health_check_ends(&mut self, member: MemberId) {
+        let answering = &self.members[member.0 as usize];
+        let outcome = match answering.condition {
+            Condition::Silent => Outcome::TimedOut,
+            Condition::RefusesConnections | Condition::Unreachable => Outcome::ConnectError,
+            Condition::Erratic => {
+                let outcomes = [Outcome::Reset, Outcome::Garbled, Outcome::Ignored, Outcome::Failed];
+                *self.rng.choice(&outcomes).unwrap_or(&Outcome::Reset)
+            }
+            _ => Outcome::Ok,
+        };
+        let report = answering.report(self.now, &mut self.rng);
+        self.handle(Event::Probed { member, outcome, report });
+    }
+
+    /// Something happens to members, and sometimes the list tells it.
+    fn members_change(&mut self) {
+        let index = self.rng.usize(..self.members.len());
+        match self.rng.u32(..12) {
+            0..4 => self.change_condition(index),
+            4 => self.zone_falls_silent(),
+            5 => self.restart(index),
+            6 => self.fail_over(index),
+            7 => self.drain_or_return(index),
+            8 => self.gossip(index),
+            9 => self.router.hold_part(self.rng.f64() - 0.3),
+            10 => self.members.iter_mut().for_each(|member| member.condition = Condition::Healthy),
+            _ => self.members[index].lag = self.rng.u64(..5_000) * MS,
+        }
+        let form = match self.rng.u32(..8) {
+            0 => ListForm::Full,
+            1..4 => ListForm::Changes,
+            4 => ListForm::Failed,
+            5 => ListForm::Partial,
+            _ => return,
+        };
+        self.send_list(form);
+    }
+
+    fn change_condition(&mut self, index: usize) {
+        let conditions = [
+            Condition::Silent,
+            Condition::RefusesConnections,
+            Condition::Unreachable,
+            Condition::Overloaded,
+            Condition::Slow,
+            Condition::Erratic,
+        ];
+        let condition = *self.rng.choice(&conditions).unwrap_or(&Condition::Silent);
+        self.members[index].condition = condition;
+        self.members[index].utilisation = self.rng.f64();
+    }
+
+    fn zone_falls_silent(&mut self) {
+        let zone = ZoneId(self.rng.usize(..3));
+        for member in self.members.iter_mut().filter(|member| member.zone == zone) {
+            member.condition = Condition::Silent;
+        }
+    }
+
+    fn restart(&mut self, index: usize) {
+        let member = &mut self.members[index];
+        member.started = Some(Time(self.now - self.rng.u64(..2 * SECOND)));
+        member.condition = Condition::Healthy;
+        member.utilisation = self.rng.f64();
+    }
+
+    fn fail_over(&mut self, index: usize) {
+        let group = self.members[index].group;
+        for member in self.members.iter_mut().filter(|member| member.group == group) {
+            member.is_primary = member.id.0 as usize == index;
+        }
+    }
+
+    fn drain_or_return(&mut self, index: usize) {
+        let states = [MemberState::InService, MemberState::Draining, MemberState::Gone];
+        self.members[index].state = *self.rng.choice(&states).unwrap_or(&MemberState::InService);
+    }
+
+    fn gossip(&mut self, index: usize) {
+        let member = &self.members[index];
+        let position = Time(member.position(self.now).0 + self.rng.u64(..20) * MS);
+        let event = Event::Told { member: member.id, position, primary: member.is_primary };
+        self.handle(event);
+    }
+
+    fn send_list(&mut self, form: ListForm) {
+        let is_partial = form == ListForm::Partial;
+        let chosen: Vec<ModelMember> =
+            self.members.iter().filter(|_| !is_partial || self.rng.u32(..4) > 0).cloned().collect();
+        let entries = chosen.iter().map(|member| member.list_entry(&mut self.rng)).collect();
+        let entries = Arc::new(entries);
+        let update = match form {
+            ListForm::Cached => ListUpdate::Cached(entries),
+            ListForm::Full | ListForm::Partial => ListUpdate::Full(entries),
+            ListForm::Changes => ListUpdate::Changes(entries),
+            ListForm::Failed => {
+                let quiet = self.rng.bool().then(|| Span(self.rng.u64(..7 * SECOND)));
+                ListUpdate::Failed { quiet }
+            }
+        };
+        self.handle(Event::List(update));
+    }
+
+    /// Asks the router what drivers ask of it.
+    fn observe(&mut self) {
+        for member in &self.members {
+            let (availability, is_primary) = self.router.sight(member.id);
+            let observed = [
+                u64::from(member.id.0),
+                availability as u64,
+                u64::from(is_primary),
+                u64::from(self.router.knows(member.id)),
+                u64::from(self.router.takes_new(member.id)),
+                u64::from(self.router.avoids(member.id)),
+            ];
+            self.writer.observation(Time(self.now), &observed);
+        }
+        self.writer.observation(Time(self.now), &[self.router.records() as u64]);
+    }
+}
+
+/// How a list is sent.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ListForm {
+    Cached,
+    Full,
+    /// A complete list that some members are missing from.
+    Partial,
+    Changes,
+    Failed,
+}
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -2,6 +2,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod decision_digest;
 pub mod disk;
 pub mod measure;
 pub mod together;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,6 +1,7 @@
 //! The laboratory's command line.
 
 use clap::{Parser, Subcommand};
+use linenhill_lab::decision_digest::digest;
 use linenhill_lab::measure::{Cost, Division, cost, divisions};
 
 /// Plays linenhill's deciders under virtual time.
@@ -25,6 +26,15 @@
         #[arg(long)]
         json: bool,
     },
+    /// Digests of the decisions in random histories: a line a seed, the same as long as the decisions are.
+    DigestDecisions {
+        /// The first seed.
+        #[arg(long, default_value_t = 0)]
+        first: u64,
+        /// How many seeds.
+        #[arg(long, default_value_t = 1_000)]
+        seeds: u64,
+    },
     /// What agreeing on budgets costs.
     Cost {
         /// Draws the network, the clocks and the start of each process.
@@ -59,6 +69,9 @@
                 println!("{case:<34} {leases:>7.3} {parts:>7.3} {within:>8} {most:>5} of {whole}");
             }
         }
+        Command::DigestDecisions { first, seeds } => {
+            (first..first.saturating_add(seeds)).for_each(|seed| println!("{}", digest(seed)));
+        }
         Command::Cost { seed, proxies, seconds, lease, json } => {
             let Cost { messages, bytes, grants, keepers_busy, us_per_grant, in_use, .. } = {
                 let done = cost(seed, proxies.max(1), seconds, lease.max(1)).map_err(|e| e.to_string())?;
