--- a/crates/decisions/src/outlier_recovery.rs
+++ b/crates/decisions/src/outlier_recovery.rs
@@ -6,10 +6,12 @@
 //! it alive; and each router of the fleet tries it for itself. So the more routers there are, the rarer are
 //! their trials of such a member.
 
-/// The gap after a first failure; it doubles up to [`LONGEST_GAP`]. Microseconds.
-const FIRST_GAP: u64 = 250_000;
-/// The longest gap between trials. Microseconds.
-const LONGEST_GAP: u64 = 2_000_000;
+use crate::api::{Micros, Time};
+
+/// The gap after a first failure; it doubles up to [`LONGEST_GAP`].
+const FIRST_GAP: Micros = Micros::from_millis(250);
+/// The longest gap between trials.
+const LONGEST_GAP: Micros = Micros::from_millis(2_000);
 /// From this many routers on, the gaps of members that accept work and don't answer grow with the fleet.
 const SMALL_FLEET: u64 = 16;
 
@@ -17,8 +19,8 @@
 /// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EjectedMember {
-    /// When it was ejected. Microseconds on the caller's clock, as are all times here.
-    pub since: u64,
+    /// When it was ejected.
+    pub since: Time,
     /// It can't be reached, so a trial is a probe.
     pub unreachable: bool,
     /// Its return counts as a restart: a connection failed at once because nobody listened, or its whole zone
@@ -28,21 +30,21 @@
     /// One request may try it.
     pub trial_ready: bool,
     /// When the next trial is due.
-    pub trial_at: u64,
-    backoff: u64,
+    pub trial_at: Time,
+    backoff: Micros,
     fleet_size: u64,
 }
 
 impl EjectedMember {
     /// Ejected now, by one router of a fleet of this size.
-    pub fn new(now: u64, fleet_size: u32) -> EjectedMember {
+    pub fn new(now: Time, fleet_size: u32) -> EjectedMember {
         EjectedMember {
             since: now,
             unreachable: false,
             restarted: false,
             trial_ready: false,
             trial_at: now,
-            backoff: 0,
+            backoff: Micros(0),
             fleet_size: u64::from(fleet_size),
         }
     }
@@ -53,29 +55,29 @@
     /// A first silence may be a lost answer, so a probe is due at once. Otherwise the next trial comes after
     /// the backoff. That of an unreachable member is multiplied by `jitter` (0.5 to 1.5), since hundreds of
     /// routers lose it together.
-    pub fn failed(&mut self, now: u64, unreachable: bool, restarted: bool, jitter: f64) {
+    pub fn failed(&mut self, now: Time, unreachable: bool, restarted: bool, jitter: f64) {
         self.unreachable |= unreachable;
         self.restarted |= restarted;
         self.trial_ready = false;
-        let is_first = self.backoff == 0;
-        self.backoff = (self.backoff * 2).clamp(self.scaled(FIRST_GAP), self.scaled(LONGEST_GAP));
+        let is_first = self.backoff == Micros(0);
+        self.backoff = Micros(self.backoff.0 * 2).clamp(self.scaled(FIRST_GAP), self.scaled(LONGEST_GAP));
         self.trial_at = match (self.unreachable, is_first) {
-            (true, _) => now + (self.backoff as f64 * jitter) as u64,
+            (true, _) => now + Micros::from_f64(self.backoff.as_f64() * jitter),
             (false, true) => now,
             (false, false) => now + self.backoff,
         };
     }
 
     /// One request was sent to try it.
-    pub fn trial_sent(&mut self, now: u64) {
+    pub fn trial_sent(&mut self, now: Time) {
         self.trial_ready = false;
         self.trial_at = now + self.backoff;
-        self.backoff = (self.backoff * 2).min(self.scaled(LONGEST_GAP));
+        self.backoff = Micros(self.backoff.0 * 2).min(self.scaled(LONGEST_GAP));
     }
 
     /// Whether a trial is due; if so, the one after it is scheduled. Where `probes` are not allowed, a
     /// request may try it at once.
-    pub fn take_due_trial(&mut self, now: u64, probes: bool) -> bool {
+    pub fn take_due_trial(&mut self, now: Time, probes: bool) -> bool {
         let is_due = now >= self.trial_at && !self.trial_ready;
         if is_due {
             self.trial_at = now + self.backoff;
@@ -85,10 +87,10 @@
     }
 
     /// The gap that one router keeps so that the trials of the whole fleet stay few.
-    fn scaled(&self, gap: u64) -> u64 {
+    fn scaled(&self, gap: Micros) -> Micros {
         if self.unreachable {
             return gap;
         }
-        gap.max(gap.saturating_mul(self.fleet_size) / SMALL_FLEET)
+        gap.max(Micros(gap.0.saturating_mul(self.fleet_size) / SMALL_FLEET))
     }
 }
--- a/crates/decisions/src/policy/arrival.rs
+++ b/crates/decisions/src/policy/arrival.rs
@@ -37,7 +37,7 @@
 
     /// What an answer in time earns, by the site's objective and the tenant's quota.
     fn priority_weight(&mut self, class: ClassId, tenant: Option<TenantId>) -> f64 {
-        let weight = self.service_objective.request_arrived(self.now.0, class.0);
+        let weight = self.service_objective.request_arrived(self.now, class);
         if tenant.is_some_and(|tenant| self.exceeds_quota(tenant)) {
             return weight * self.settings.over_quota_weight;
         }
@@ -46,7 +46,7 @@
 
     fn exceeds_quota(&mut self, tenant: TenantId) -> bool {
         let rate = self.fleet_divisor.part_of(self.settings.tenants[tenant.0].allowance_per_s);
-        self.tenant_limits.get_mut(tenant.0).is_some_and(|limiter| limiter.exceeds(self.now.0, rate))
+        self.tenant_limits.get_mut(tenant.0).is_some_and(|limiter| limiter.exceeds(self.now, rate))
     }
 
     fn queued_request(&mut self, request: &Request, weight: f64) -> QueuedRequest {
@@ -71,7 +71,7 @@
             has_reached_member: false,
             attempts_started: 0,
             attempts_in_flight: Vec::new(),
-            failed_at: BTreeMap::new(),
+            last_failures: BTreeMap::new(),
         }
     }
 
--- a/crates/decisions/src/policy/attempt_outcome.rs
+++ b/crates/decisions/src/policy/attempt_outcome.rs
@@ -11,7 +11,7 @@
 use crate::api::{Action, AttemptEnd, GroupId, LogPosition, MemberId, Micros, Outcome, ReadLevel, Role};
 
 /// What a member says of its role in an answer is as old as this at most.
-const ROLE_AGE: Micros = Micros::from_millis(2);
+const ANSWERED_ROLE_AGE_MAX: Micros = Micros::from_millis(2);
 /// Sessions whose commits are kept for a group: a bound on memory. What is dropped still counts for all.
 const SESSIONS_MAX: usize = 50_000;
 
@@ -77,8 +77,8 @@
         let id = ended.end.member;
         let is_served = ended.end.outcome == Outcome::Ok;
         self.record_response(id, if is_served { Response::Served } else { Response::Alive });
-        self.record_connection_cost(ended);
-        self.record_utilisation(id, ended.end.report.utilisation);
+        self.record_connect_latency(ended);
+        self.record_cpu_utilisation(id, ended.end.report.utilisation);
         let now = self.now;
         let Some(member) = self.members.get_mut(&id) else { return };
         member.connections.consecutive_failures = 0;
@@ -91,7 +91,7 @@
     }
 
     /// A read that needed a new connection shows what connecting costs; what a write takes varies more.
-    fn record_connection_cost(&mut self, ended: &EndedAttempt) {
+    fn record_connect_latency(&mut self, ended: &EndedAttempt) {
         let Some(member) = self.members.get(&ended.end.member) else { return };
         if member.connections.last_connected.is_some() || ended.is_write {
             return;
@@ -103,7 +103,7 @@
     fn record_position_and_role(&mut self, ended: &EndedAttempt, out: &mut Vec<Action>) {
         let id = ended.end.member;
         let role = ended.role();
-        let as_of = self.now.saturating_sub(ROLE_AGE);
+        let as_of = self.now.saturating_sub(ANSWERED_ROLE_AGE_MAX);
         let role_report = RoleReport { role, primary_as_of: as_of, replica_as_of: self.now };
         self.record_report(id, ended.applied_position(), role_report);
         if let (Some(member), Some(role)) = (self.members.get_mut(&id), role) {
@@ -189,7 +189,7 @@
         let Some(request) = self.requests.get_mut(&end.id) else { return };
         request.attempts_in_flight.retain(|attempt| attempt.number != end.attempt);
         if end.outcome != Outcome::Ok {
-            request.failed_at.insert(end.member, now);
+            request.last_failures.insert(end.member, now);
         }
         if ended.may_have_run() {
             let sent = ended.sent.sent;
--- a/crates/decisions/src/policy/concurrency_limit.rs
+++ b/crates/decisions/src/policy/concurrency_limit.rs
@@ -6,7 +6,7 @@
 use super::fleet_divisor::FleetDivisor;
 use super::member::{ConcurrencyLimit, Member};
 use super::router::Router;
-use super::slow_start::TARGET_UTILISATION;
+use super::slow_start::TARGET_CPU_UTILISATION;
 use super::{MEMBER_SMOOTHING, TICK};
 use crate::api::{ClassId, MemberId, Micros, RequestId, Time};
 
@@ -38,7 +38,7 @@
 /// What was learned of a member is replaced after about this long without an answer, in microseconds.
 const FADE: f64 = 6_000_000.0;
 /// Weight of one more report of a member's utilisation.
-const UTILISATION_SMOOTHING: f64 = 0.2;
+const CPU_UTILISATION_SMOOTHING: f64 = 0.2;
 
 /// The first limit of a member.
 pub(super) fn first_limit(fleet_divisor: FleetDivisor) -> f64 {
@@ -52,10 +52,10 @@
 
 impl ConcurrencyLimit {
     /// Smooths in the utilisation that the member reports, if it does.
-    pub(super) fn record_utilisation(&mut self, reported: Option<f64>) {
+    pub(super) fn record_cpu_utilisation(&mut self, reported: Option<f64>) {
         let Some(reported) = reported else { return };
-        let smoothed = |utilisation: f64| utilisation + UTILISATION_SMOOTHING * (reported - utilisation);
-        self.utilisation = Some(self.utilisation.map_or(reported, smoothed));
+        let smoothed = |utilisation: f64| utilisation + CPU_UTILISATION_SMOOTHING * (reported - utilisation);
+        self.cpu_utilisation = Some(self.cpu_utilisation.map_or(reported, smoothed));
     }
 
     /// Pauses so long after an attempt that took `taken` that the member is in use for its limit's part of the time, if
@@ -68,7 +68,7 @@
     /// Many routers with one attempt in flight each make a queue at a member that is idle by its own report: such a
     /// member is not busy.
     fn is_busy(&self) -> bool {
-        self.utilisation.is_none_or(|utilisation| utilisation > TARGET_UTILISATION)
+        self.cpu_utilisation.is_none_or(|utilisation| utilisation > TARGET_CPU_UTILISATION)
     }
 }
 
@@ -116,7 +116,7 @@
         let class = &self.settings.classes[request.class.0];
         let is_late = self.now > request.objective_at;
         let weight = if is_late { class.late_weight } else { 1.0 };
-        self.service_objective.request_served(request.class.0, weight);
+        self.service_objective.request_served(request.class, weight);
     }
 
     /// An attempt timed out or was cancelled: it took at least `latency`.
--- a/crates/decisions/src/policy/cost_budget.rs
+++ b/crates/decisions/src/policy/cost_budget.rs
@@ -5,12 +5,12 @@
 use crate::api::Costs;
 
 /// The part of the result that health checks in the background may cost.
-const HEALTH_CHECK_SPEND: f64 = 0.004;
+const HEALTH_CHECK_SPEND_PER_REQUEST: f64 = 0.004;
 /// The most health checks that are saved up, by one router and by the fleet.
 const HEALTH_CHECKS_SAVED_MAX: f64 = 20.0;
 const HEALTH_CHECKS_SAVED_BY_FLEET: f64 = 60.0;
 /// The part of the result that gossip may cost, and the most messages that are saved up.
-const GOSSIP_SPEND: f64 = 0.015;
+const GOSSIP_SPEND_PER_REQUEST: f64 = 0.015;
 const GOSSIP_SAVED_MAX: f64 = 1_000.0;
 /// Where an action costs nothing, it is accounted with this cost.
 const COST_MIN: f64 = 1e-6;
@@ -54,7 +54,7 @@
     pub(super) fn accrue_for_request(&mut self, costs: &Costs, fleet_divisor: FleetDivisor) {
         let saved_max =
             fleet_divisor.part_of(HEALTH_CHECKS_SAVED_BY_FLEET).clamp(1.0, HEALTH_CHECKS_SAVED_MAX);
-        self.health_checks.accrue(HEALTH_CHECK_SPEND, costs.health_check, saved_max);
-        self.gossip.accrue(GOSSIP_SPEND, costs.gossip, GOSSIP_SAVED_MAX);
+        self.health_checks.accrue(HEALTH_CHECK_SPEND_PER_REQUEST, costs.health_check, saved_max);
+        self.gossip.accrue(GOSSIP_SPEND_PER_REQUEST, costs.gossip, GOSSIP_SAVED_MAX);
     }
 }
--- a/crates/decisions/src/policy/deadline.rs
+++ b/crates/decisions/src/policy/deadline.rs
@@ -44,7 +44,7 @@
         let half_time = request.arrived.0.midpoint(request.deadline.0);
         let is_past_half = (self.now + ANSWER_MARGIN + ANSWER_MARGIN).0 >= half_time;
         let primary = self.usable_primary(request.group).and_then(|primary| self.members.get(&primary));
-        let is_primary_away = primary.is_none_or(|primary| primary.slow_start.since.is_some());
+        let is_primary_away = primary.is_none_or(|primary| primary.slow_start.warming_since.is_some());
         is_past_half && !request.has_reached_member && is_primary_away
     }
 
--- a/crates/decisions/src/policy/dispatch.rs
+++ b/crates/decisions/src/policy/dispatch.rs
@@ -79,13 +79,13 @@
     /// Starts the next attempt of a request.
     pub(super) fn send(&mut self, id: RequestId, member: MemberId, out: &mut Vec<Action>) {
         let Some(class) = self.requests.get(&id).map(|request| request.class) else { return };
-        if self.members.get(&member).is_some_and(|member| member.slow_start.since.is_some()) {
+        if self.members.get(&member).is_some_and(|member| member.slow_start.warming_since.is_some()) {
             self.schedule_slow_start_send(member, self.latencies.mean(class));
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(receiver) = self.members.get_mut(&member) else { return };
         if let Some(ejected) = &mut receiver.ejected {
-            ejected.trial_sent(self.now.0);
+            ejected.trial_sent(self.now);
         }
         let number = request.attempts_started;
         let sent = SentAttempt { sent: self.now, class: request.class, session: request.session };
--- a/crates/decisions/src/policy/group.rs
+++ b/crates/decisions/src/policy/group.rs
@@ -69,7 +69,7 @@
     }
 
     /// Sessions kept.
-    pub(super) fn len(&self) -> usize {
+    pub(super) fn session_count(&self) -> usize {
         self.by_session.len()
     }
 
--- a/crates/decisions/src/policy/health_checks.rs
+++ b/crates/decisions/src/policy/health_checks.rs
@@ -39,7 +39,7 @@
         let is_allowed = self.settings.limits.health_checks;
         let Some(member) = self.members.get_mut(&id) else { return };
         if let Some(ejected) = &mut member.ejected
-            && ejected.take_due_trial(now.0, is_allowed)
+            && ejected.take_due_trial(now, is_allowed)
         {
             return self.check_health(id, out);
         }
--- a/crates/decisions/src/policy/hedging.rs
+++ b/crates/decisions/src/policy/hedging.rs
@@ -112,7 +112,7 @@
             return self.usual_latencies_waited_at_primary(request, attempt);
         }
         let member = self.members.get(&attempt.member)?;
-        let was_ejected_since = member.ejected.as_ref().is_some_and(|ejected| attempt.sent.0 < ejected.since);
+        let was_ejected_since = member.ejected.as_ref().is_some_and(|ejected| attempt.sent < ejected.since);
         if was_ejected_since {
             return Some(f64::INFINITY);
         }
--- a/crates/decisions/src/policy/member.rs
+++ b/crates/decisions/src/policy/member.rs
@@ -19,7 +19,7 @@
 /// What slow start knows of a member.
 pub(super) struct SlowStart {
     /// It has been warming up since then; `None` once it is warm.
-    pub(super) since: Option<Time>,
+    pub(super) warming_since: Option<Time>,
     /// This router's next send; `None` until one is scheduled.
     pub(super) next_send: Option<Time>,
     /// How much faster than others it is given requests, by the utilisation it reports.
@@ -28,8 +28,8 @@
 
 impl SlowStart {
     /// Warming up since then, or warm, with nothing scheduled.
-    pub(super) fn new(since: Option<Time>) -> SlowStart {
-        SlowStart { since, next_send: None, pace: 1.0 }
+    pub(super) fn new(warming_since: Option<Time>) -> SlowStart {
+        SlowStart { warming_since, next_send: None, pace: 1.0 }
     }
 }
 
@@ -78,7 +78,7 @@
     /// Latency as a part of the latency objective, smoothed.
     pub(super) overload_pressure: f64,
     /// Share of its processors that it reports in use, smoothed; `None` where it does not report.
-    pub(super) utilisation: Option<f64>,
+    pub(super) cpu_utilisation: Option<f64>,
     /// An attempt was last served then.
     pub(super) last_served: Time,
 }
@@ -92,7 +92,7 @@
             paced_until: Time::default(),
             latency_ratio: 1.0,
             overload_pressure: 0.0,
-            utilisation: None,
+            cpu_utilisation: None,
             last_served: Time::default(),
         }
     }
@@ -198,7 +198,7 @@
             Some(zone_health::InFlightAttempt {
                 zone: self.zone?,
                 member: id,
-                sent: attempt.sent.0,
+                sent: attempt.sent,
                 usual: usual(attempt.class),
             })
         })
--- a/crates/decisions/src/policy/member_health.rs
+++ b/crates/decisions/src/policy/member_health.rs
@@ -6,7 +6,7 @@
 use super::member::Member;
 use super::router::Router;
 use super::{MEMBER_CHECK_INTERVAL, RECENT_RESPONSE};
-use crate::api::{Action, MemberId, MemberState, Micros, Time, ZoneId};
+use crate::api::{Action, MemberId, MemberState, Micros, ZoneId};
 use crate::outlier_recovery::EjectedMember;
 
 /// A member is silent without an answer for so many of its usual latencies ...
@@ -61,7 +61,7 @@
             member.last_response = now;
         }
         if let Some(zone) = member.zone {
-            self.zone_health.record_answer(zone, now.0);
+            self.zone_health.record_answer(zone, now);
         }
         let Some(ejected) = &mut member.ejected else { return };
         if response == Response::Alive && !ejected.unreachable {
@@ -71,8 +71,8 @@
         }
         // Back before the list tells of a restart: it may have to warm up, but not after it was only cut off.
         let was_restarted = ejected.unreachable && ejected.restarted;
-        let was_away_long = now - Time(ejected.since) > RESTART_TIME_MIN;
-        let is_warm = member.slow_start.since.is_none_or(|since| since + slow_start < now);
+        let was_away_long = now - ejected.since > RESTART_TIME_MIN;
+        let is_warm = member.slow_start.warming_since.is_none_or(|since| since + slow_start < now);
         if was_restarted && was_away_long && is_warm {
             Router::begin_slow_start(member, now);
         }
@@ -83,7 +83,7 @@
     /// Takes a member out of ordinary use, or puts off the next trial of one that is out already.
     pub(super) fn eject(&mut self, id: MemberId, ejection: Ejection) {
         let jitter = 0.5 + self.rng.get_mut().f64();
-        let now = self.now.0;
+        let now = self.now;
         let fleet_size = self.settings.fleet_size;
         let Some(member) = self.members.get_mut(&id) else { return };
         let ejected = member.ejected.get_or_insert_with(|| EjectedMember::new(now, fleet_size));
@@ -143,7 +143,7 @@
         let latencies = &self.latencies;
         let in_flight =
             self.members.iter().flat_map(|(id, member)| member.in_flight(*id, |class| latencies.mean(class)));
-        for zone in self.zone_health.silent_zones(self.now.0, in_flight) {
+        for zone in self.zone_health.silent_zones(self.now, in_flight) {
             for member in self.members_lost_with(zone) {
                 self.eject(member, Ejection::ZONE_SILENT);
                 out.push(Action::CloseIdleConnections { member });
--- a/crates/decisions/src/policy/primary_tracking.rs
+++ b/crates/decisions/src/policy/primary_tracking.rs
@@ -61,7 +61,8 @@
     ) -> Option<MemberId> {
         let is_candidate = |id: &&MemberId| {
             let member = self.members.get(*id);
-            !request.failed_at.contains_key(*id) && member.is_some_and(|member| self.may_be_primary(member))
+            !request.last_failures.contains_key(*id)
+                && member.is_some_and(|member| self.may_be_primary(member))
         };
         let candidates: Vec<&MemberId> = group.members.iter().filter(is_candidate).collect();
         let has_attempts_left = request.attempts_started < CANDIDATE_ATTEMPTS_MAX;
@@ -79,7 +80,7 @@
     fn is_primary_lost(&self, group: &Group) -> bool {
         let Some(primary) = group.primary.and_then(|primary| self.members.get(&primary)) else { return true };
         let is_out_for_long =
-            primary.ejected.as_ref().is_none_or(|ejected| Time(ejected.since) + RECENT_RESPONSE < self.now);
+            primary.ejected.as_ref().is_none_or(|ejected| ejected.since + RECENT_RESPONSE < self.now);
         !primary.may_receive_trial() && is_out_for_long
     }
 
@@ -126,7 +127,7 @@
         let alive_at = position.saturating_sub(REPORT_DELAY_MAX).as_time();
         let Some(primary) = self.groups.get(&group).and_then(|group| group.primary) else { return };
         let Some(primary) = self.members.get_mut(&primary) else { return };
-        let is_seen_alive = |ejected: &EjectedMember| !ejected.unreachable && Time(ejected.since) < alive_at;
+        let is_seen_alive = |ejected: &EjectedMember| !ejected.unreachable && ejected.since < alive_at;
         if primary.ejected.as_ref().is_some_and(is_seen_alive) {
             primary.ejected = None;
             primary.last_response = self.now;
--- a/crates/decisions/src/policy/replica_selection.rs
+++ b/crates/decisions/src/policy/replica_selection.rs
@@ -114,7 +114,7 @@
     ) -> ReplicaDraw<'a> {
         let is_any_read = self.class(request.class).read_level == ReadLevel::Any;
         let healthy = self.replicas(group).map(|(_, replica)| replica).filter(|replica| replica.is_healthy());
-        let furthest_behind = healthy.map(|replica| self.behind(replica)).max().unwrap_or_default();
+        let furthest_behind = healthy.map(|replica| self.current_lag(replica)).max().unwrap_or_default();
         let furthest_behind = Micros(furthest_behind.0.max(1)).as_f64();
         let is_far_behind = furthest_behind > POSITION_WAIT_MAX.as_f64();
         ReplicaDraw {
@@ -128,19 +128,21 @@
     }
 
     /// How far a member is behind now, as far as is known.
-    fn behind(&self, member: &Member) -> Micros {
+    fn current_lag(&self, member: &Member) -> Micros {
         self.now.saturating_since(member.replication.position.as_time())
     }
 
     fn takes_part(&self, draw: &ReplicaDraw, id: MemberId, replica: &Member) -> bool {
-        let failed_at = draw.request.failed_at.get(&id);
-        let has_paused = failed_at.is_none_or(|failed_at| self.now >= *failed_at + REJECTED_READ_PAUSE);
+        let last_failure = draw.request.last_failures.get(&id);
+        let has_paused =
+            last_failure.is_none_or(|last_failure| self.now >= *last_failure + REJECTED_READ_PAUSE);
         let is_usable = if draw.only_healthy {
             replica.may_receive_trial()
         } else {
             replica.state == MemberState::InService
         };
-        let is_too_fresh = draw.gathers_behind && self.behind(replica).as_f64() < draw.furthest_behind / 2.0;
+        let is_too_fresh =
+            draw.gathers_behind && self.current_lag(replica).as_f64() < draw.furthest_behind / 2.0;
         has_paused
             && is_usable
             && !draw.request.is_in_flight_at(id)
@@ -153,7 +155,7 @@
     /// replica, and spread out such reads would keep all of them behind. The price is that this one is slow to promote.
     fn draw_weight(&self, draw: &ReplicaDraw, replica: &Member) -> f64 {
         let cost = self.draw_cost(replica);
-        let lag = self.behind(replica).as_f64() / draw.furthest_behind;
+        let lag = self.current_lag(replica).as_f64() / draw.furthest_behind;
         let weight = if draw.is_any_read {
             lag.powi(GATHER_EXPONENT) / cost
         } else {
--- a/crates/decisions/src/policy/request.rs
+++ b/crates/decisions/src/policy/request.rs
@@ -39,7 +39,7 @@
     pub(super) attempts_started: u32,
     pub(super) attempts_in_flight: Vec<InFlightAttempt>,
     /// When the latest unsuccessful attempt at each member ended.
-    pub(super) failed_at: BTreeMap<MemberId, Time>,
+    pub(super) last_failures: BTreeMap<MemberId, Time>,
 }
 
 impl QueuedRequest {
--- a/crates/decisions/src/policy/router.rs
+++ b/crates/decisions/src/policy/router.rs
@@ -91,10 +91,10 @@
             latencies: ClassLatencies::new(&settings.classes),
             client_retries: ClientRetryEstimator::new(client_timeouts),
             service_objective: ServiceObjective::new(settings.objective_weights, class_weights),
-            tenant_limits: vec![TenantRateLimiter::new(now.0); settings.tenants.len()],
+            tenant_limits: vec![TenantRateLimiter::new(now); settings.tenants.len()],
             hedging: HedgeBudget::default(),
             connection_cost: ConnectionCost::default(),
-            fleet_pace: FleetPace::default(),
+            fleet_pace: FleetPace::neutral(),
             zone_health: ZoneHealth::default(),
             budgets: CostBudgets::default(),
             polls,
@@ -182,7 +182,8 @@
     /// How a member is seen: why it is out, if it is, and whether it is its group's primary.
     pub fn observed_health(&self, member: MemberId) -> ObservedHealth {
         let Some(member) = self.members.get(&member) else { return ObservedHealth::default() };
-        let warming_until = member.slow_start.since.map(|since| since + self.settings.rules.slow_start);
+        let warming_until =
+            member.slow_start.warming_since.map(|since| since + self.settings.rules.slow_start);
         let availability = if member.state != MemberState::InService {
             Availability::Delisted
         } else if member.ejected.is_some() {
@@ -202,7 +203,7 @@
 
     /// How many members, groups, requests and sessions are kept.
     pub fn record_count(&self) -> usize {
-        let sessions: usize = self.groups.values().map(|group| group.session_commits.len()).sum();
+        let sessions: usize = self.groups.values().map(|group| group.session_commits.session_count()).sum();
         self.members.len() + self.groups.len() + self.requests.len() + sessions
     }
 }
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -8,9 +8,9 @@
 use crate::api::{MemberId, Micros, Time};
 
 /// The utilisation of its processors that a member in slow start is brought to.
-pub(super) const TARGET_UTILISATION: f64 = 0.85;
+pub(super) const TARGET_CPU_UTILISATION: f64 = 0.85;
 /// The least utilisation that a report counts as.
-const UTILISATION_MIN: f64 = 0.1;
+const CPU_UTILISATION_MIN: f64 = 0.1;
 /// The most by which its own reports change the pace of a member.
 const MEMBER_PACE_MAX: f64 = 2.0;
 /// The part of that which counts for all members in slow start, and the most by which theirs changes.
@@ -26,17 +26,17 @@
     pace: f64,
 }
 
-impl Default for FleetPace {
+impl FleetPace {
     /// Nothing is learned yet.
-    fn default() -> FleetPace {
+    pub(super) fn neutral() -> FleetPace {
         FleetPace { pace: 1.0 }
     }
 }
 
 impl SlowStart {
     /// Learns from a report of the member's utilisation.
-    fn record_utilisation(&mut self, utilisation: f64, fleet_pace: &mut FleetPace) {
-        let wanted = TARGET_UTILISATION / utilisation.max(UTILISATION_MIN);
+    fn record_cpu_utilisation(&mut self, utilisation: f64, fleet_pace: &mut FleetPace) {
+        let wanted = TARGET_CPU_UTILISATION / utilisation.max(CPU_UTILISATION_MIN);
         self.pace = wanted.clamp(1.0 / MEMBER_PACE_MAX, MEMBER_PACE_MAX);
         let pace = fleet_pace.pace * self.pace.powf(FLEET_PACE_EXPONENT);
         fleet_pace.pace = pace.clamp(1.0 / FLEET_PACE_MAX, FLEET_PACE_MAX);
@@ -46,7 +46,7 @@
 impl Router {
     /// How much of its full capacity a member has at least, by the rules' slowest ramp: from 0 to 1.
     pub(super) fn warmth(&self, member: &Member) -> f64 {
-        let Some(since) = member.slow_start.since else { return 1.0 };
+        let Some(since) = member.slow_start.warming_since else { return 1.0 };
         let rules = &self.settings.rules;
         let elapsed = self.now.saturating_since(since).as_f64();
         let part = elapsed / rules.slow_start.0.max(1) as f64;
@@ -54,20 +54,20 @@
     }
 
     /// A member reported its utilisation.
-    pub(super) fn record_utilisation(&mut self, member: MemberId, reported: Option<f64>) {
+    pub(super) fn record_cpu_utilisation(&mut self, member: MemberId, reported: Option<f64>) {
         let Some(member) = self.members.get_mut(&member) else { return };
-        member.concurrency.record_utilisation(reported);
+        member.concurrency.record_cpu_utilisation(reported);
         if let Some(utilisation) = reported
-            && member.slow_start.since.is_some()
+            && member.slow_start.warming_since.is_some()
         {
-            member.slow_start.record_utilisation(utilisation, &mut self.fleet_pace);
+            member.slow_start.record_cpu_utilisation(utilisation, &mut self.fleet_pace);
         }
     }
 
     /// The pace learned from members in slow start ends with the last of them.
     pub(super) fn reset_fleet_pace_if_all_warm(&mut self) {
         if self.members.values().all(|member| self.warmth(member) >= 1.0) {
-            self.fleet_pace = FleetPace::default();
+            self.fleet_pace = FleetPace::neutral();
         }
     }
 
@@ -89,7 +89,7 @@
     fn mean_slow_start_gap(&self, member: &Member, work: f64) -> f64 {
         let rules = &self.settings.rules;
         let load = self.fleet_divisor.slow_start_part_of(rules.overload_multiple * CORES_USED);
-        let since = member.slow_start.since.unwrap_or(self.now);
+        let since = member.slow_start.warming_since.unwrap_or(self.now);
         let elapsed = self.now.saturating_since(since).as_f64();
         // A member that has just started does not have the pace of others yet.
         let pace_max = 1.0 + FLEET_PACE_MAX * elapsed / rules.overload_duration.0.max(1) as f64;
@@ -102,11 +102,11 @@
         let Some(member) = self.members.get(&id) else { return };
         let is_warm = self.warmth(member) >= 1.0;
         let turn = member.slow_start.next_send.unwrap_or_default();
-        let is_warming = member.slow_start.since.is_some() && !is_warm;
+        let is_warming = member.slow_start.warming_since.is_some() && !is_warm;
         if is_warming && self.now >= turn + self.settings.rules.overload_duration {
             self.schedule_slow_start_send(id, self.latencies.overall_mean());
         } else if is_warm && let Some(member) = self.members.get_mut(&id) {
-            member.slow_start.since = None;
+            member.slow_start.warming_since = None;
         }
     }
 
--- a/crates/decisions/src/service_objective.rs
+++ b/crates/decisions/src/service_objective.rs
@@ -5,7 +5,7 @@
 //! objective weighs the worst-served class, its requests gain rank the worse it is served, until other
 //! classes are served as badly.
 
-use crate::api::ObjectiveWeights;
+use crate::api::{ClassId, ObjectiveWeights, Time};
 
 /// Requested and served weights decay with this time constant. Microseconds. The objective looks at whole
 /// days, but members change within seconds.
@@ -40,35 +40,35 @@
 pub struct ServiceObjective {
     weights: ObjectiveWeights,
     classes: Vec<ClassTotals>,
-    /// When the totals last decayed. Microseconds.
-    decayed_at: u64,
+    /// When the totals last decayed.
+    decayed_at: Time,
 }
 
 impl ServiceObjective {
     /// Nothing has arrived yet; `class_weights` are those of one request of each class.
     pub fn new(weights: ObjectiveWeights, class_weights: impl Iterator<Item = f64>) -> ServiceObjective {
         let classes = class_weights.map(|weight| ClassTotals { weight, ..ClassTotals::default() }).collect();
-        ServiceObjective { weights, classes, decayed_at: 0 }
+        ServiceObjective { weights, classes, decayed_at: Time::default() }
     }
 
-    /// Counts a request of a class that arrived at `now` microseconds, and returns its priority weight; 0 for
+    /// Counts a request of a class that arrived at `now`, and returns its priority weight; 0 for
     /// an unknown class.
-    pub fn request_arrived(&mut self, now: u64, class: usize) -> f64 {
+    pub fn request_arrived(&mut self, now: Time, class: ClassId) -> f64 {
         self.decay(now);
-        let Some(totals) = self.classes.get_mut(class) else { return 0.0 };
+        let Some(totals) = self.classes.get_mut(class.0) else { return 0.0 };
         totals.requested += totals.weight;
         totals.weight * self.priority_factor(class)
     }
 
     /// Counts a request of a class that was served with this share (0 to 1) of its weight.
-    pub fn request_served(&mut self, class: usize, share: f64) {
-        if let Some(totals) = self.classes.get_mut(class) {
+    pub fn request_served(&mut self, class: ClassId, share: f64) {
+        if let Some(totals) = self.classes.get_mut(class.0) {
             totals.served += totals.weight * share;
         }
     }
 
-    fn decay(&mut self, now: u64) {
-        let kept = (-(now.saturating_sub(self.decayed_at) as f64) / DECAY).exp();
+    fn decay(&mut self, now: Time) {
+        let kept = (-now.saturating_since(self.decayed_at).as_f64() / DECAY).exp();
         self.decayed_at = now;
         for totals in &mut self.classes {
             totals.requested *= kept;
@@ -77,9 +77,9 @@
     }
 
     /// How many times its own weight a request of a class counts.
-    fn priority_factor(&self, class: usize) -> f64 {
+    fn priority_factor(&self, class: ClassId) -> f64 {
         let weighs_worst = self.weights.total > 0.0;
-        let totals = self.classes.get(class).filter(|totals| weighs_worst && totals.is_judged());
+        let totals = self.classes.get(class.0).filter(|totals| weighs_worst && totals.is_judged());
         let Some(totals) = totals else { return 1.0 };
         let judged = || self.classes.iter().filter(|totals| totals.is_judged());
         let worst_share = judged().map(ClassTotals::served_share).fold(f64::INFINITY, f64::min);
--- a/crates/decisions/src/zone_health.rs
+++ b/crates/decisions/src/zone_health.rs
@@ -7,7 +7,7 @@
 //! the probability that none was falls with the sum of the times they have waited, each in units of its usual
 //! time.
 
-use crate::api::{MemberId, ZoneId};
+use crate::api::{MemberId, Time, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A zone counts as silent from this sum of relative waits on: by chance alone, one silence in about 3,000
@@ -27,16 +27,16 @@
     pub zone: ZoneId,
     /// The member it was sent to.
     pub member: MemberId,
-    /// When it was sent. Microseconds.
-    pub sent: u64,
+    /// When it was sent.
+    pub sent: Time,
     /// How long an answer usually takes. Microseconds.
     pub usual: f64,
 }
 
-/// When each zone last answered. All times are in microseconds on the caller's clock.
+/// When each zone last answered.
 #[derive(Debug, Default)]
 pub struct ZoneHealth {
-    last_answers: BTreeMap<ZoneId, u64>,
+    last_answers: BTreeMap<ZoneId, Time>,
 }
 
 /// What the attempts in flight in one zone say against it.
@@ -62,7 +62,7 @@
 
 impl ZoneHealth {
     /// A member of the zone answered.
-    pub fn record_answer(&mut self, zone: ZoneId, now: u64) {
+    pub fn record_answer(&mut self, zone: ZoneId, now: Time) {
         let last_answer = self.last_answers.entry(zone).or_default();
         *last_answer = (*last_answer).max(now);
         if self.last_answers.len() > ZONES_MAX {
@@ -74,11 +74,11 @@
     /// The zones that are silent, judged by the attempts in flight. A zone is judged only if it has ever
     /// answered, and if another zone has answered since: where no zone answers at all, the fault lies nearer
     /// by.
-    pub fn silent_zones(&self, now: u64, in_flight: impl Iterator<Item = InFlightAttempt>) -> Vec<ZoneId> {
+    pub fn silent_zones(&self, now: Time, in_flight: impl Iterator<Item = InFlightAttempt>) -> Vec<ZoneId> {
         let mut suspicions: BTreeMap<ZoneId, Suspicion> = BTreeMap::new();
         for attempt in in_flight {
             let Some(last_answer) = self.last_answers.get(&attempt.zone) else { continue };
-            let waited = now.saturating_sub(attempt.sent.max(*last_answer)) as f64;
+            let waited = now.saturating_since(attempt.sent.max(*last_answer)).as_f64();
             let suspicion = suspicions.entry(attempt.zone).or_default();
             suspicion.add(attempt.member, waited / attempt.usual.max(1.0));
         }
--- a/crates/decisions/tests/outlier_recovery.rs
+++ b/crates/decisions/tests/outlier_recovery.rs
@@ -12,9 +12,9 @@
 fn trials_stay_few_over_the_fleet() {
     for (fleet, unreachable, most) in [(2, false, 1.1), (FLEET, false, 12.0), (FLEET, true, 70.0)] {
         let mut trials = 0;
-        let mut ejected = EjectedMember::new(0, fleet);
-        ejected.failed(0, unreachable, false, 1.0);
-        for now in (0..60_000).step_by(10).map(|ms| ms * MS) {
+        let mut ejected = EjectedMember::new(Time(0), fleet);
+        ejected.failed(Time(0), unreachable, false, 1.0);
+        for now in (0..60_000).step_by(10).map(|ms| Time(ms * MS)) {
             if ejected.take_due_trial(now, true) {
                 trials += 1;
                 if unreachable { ejected.failed(now, true, false, 1.0) } else { ejected.trial_sent(now) }
--- a/crates/decisions/tests/service_objective.rs
+++ b/crates/decisions/tests/service_objective.rs
@@ -1,6 +1,6 @@
 //! The class that is served worst gains rank as far as the site's objective weighs it, and no further.
 
-use linenhill_decisions::api::ObjectiveWeights;
+use linenhill_decisions::api::{ClassId, ObjectiveWeights, Time};
 use linenhill_decisions::service_objective::ServiceObjective;
 
 const SECOND: u64 = 1_000_000;
@@ -11,13 +11,13 @@
     let mut objective = ServiceObjective::new(goal, [1.0, 2.0, 3.0].into_iter());
     for n in 0..6_000u64 {
         for (class, part) in served.iter().enumerate() {
-            objective.request_arrived(n * SECOND / 100, class);
+            objective.request_arrived(Time(n * SECOND / 100), ClassId(class));
             if n * 37 % 100 < *part {
-                objective.request_served(class, 1.0);
+                objective.request_served(ClassId(class), 1.0);
             }
         }
     }
-    [0, 1, 2].map(|class| objective.request_arrived(60 * SECOND, class))
+    [0, 1, 2].map(|class| objective.request_arrived(Time(60 * SECOND), ClassId(class)))
 }
 
 /// Guards against an objective without the worst class that changes any rank, and against settings that lack
@@ -49,20 +49,22 @@
     let goal = ObjectiveWeights { total: 0.5, worst_class: 0.5 };
     let mut objective = ServiceObjective::new(goal, [1.0, 1.0].into_iter());
     for n in 0..15 {
-        assert_eq!(objective.request_arrived(n, 0), 1.0);
+        assert_eq!(objective.request_arrived(Time(n), ClassId(0)), 1.0);
     }
     for n in 0..2_000 {
-        objective.request_arrived(n * SECOND / 100, 0);
-        objective.request_arrived(n * SECOND / 100, 1);
-        objective.request_served(1, 1.0);
+        objective.request_arrived(Time(n * SECOND / 100), ClassId(0));
+        objective.request_arrived(Time(n * SECOND / 100), ClassId(1));
+        objective.request_served(ClassId(1), 1.0);
     }
-    assert!(objective.request_arrived(20 * SECOND, 0) > 1.5);
+    assert!(objective.request_arrived(Time(20 * SECOND), ClassId(0)) > 1.5);
     // Minutes later both are served.
     for n in 0..12_000 {
-        (0..2).for_each(|class| _ = objective.request_arrived((20 + n / 100) * SECOND, class));
-        (0..2).for_each(|class| objective.request_served(class, 1.0));
+        (0..2).for_each(|class| _ = objective.request_arrived(Time((20 + n / 100) * SECOND), ClassId(class)));
+        (0..2).for_each(|class| objective.request_served(ClassId(class), 1.0));
     }
-    let (first, second) =
-        (objective.request_arrived(140 * SECOND, 0), objective.request_arrived(140 * SECOND, 1));
+    let (first, second) = (
+        objective.request_arrived(Time(140 * SECOND), ClassId(0)),
+        objective.request_arrived(Time(140 * SECOND), ClassId(1)),
+    );
     assert!((first - second).abs() < 0.5, "{first} {second}");
 }
--- a/crates/decisions/tests/zone_health.rs
+++ b/crates/decisions/tests/zone_health.rs
@@ -13,17 +13,17 @@
     let attempt = |member, sent: u64| InFlightAttempt {
         zone: ZoneId(1),
         member: MemberId(member),
-        sent: sent * MS,
+        sent: Time(sent * MS),
         usual: 1e5,
     };
     let four =
         |members: u32, sent| -> Vec<InFlightAttempt> { (0..4).map(|n| attempt(n % members, sent)).collect() };
     let is_silent = |zones: &ZoneHealth, in_flight: Vec<InFlightAttempt>| {
-        !zones.silent_zones(1_300 * MS, in_flight.into_iter()).is_empty()
+        !zones.silent_zones(Time(1_300 * MS), in_flight.into_iter()).is_empty()
     };
-    (0..2).for_each(|zone| zones.record_answer(ZoneId(zone), 1_000 * MS));
+    (0..2).for_each(|zone| zones.record_answer(ZoneId(zone), Time(1_000 * MS)));
     assert!(!is_silent(&zones, four(4, 1_000)), "no other zone has answered since");
-    zones.record_answer(ZoneId(0), 1_200 * MS);
+    zones.record_answer(ZoneId(0), Time(1_200 * MS));
     assert!(is_silent(&zones, four(4, 1_000)), "4 x 3 usual times");
     assert!(!is_silent(&zones, four(2, 1_000)), "two members");
     assert!(!is_silent(&zones, four(4, 1_150)), "too soon");
@@ -32,7 +32,7 @@
         "one that takes long"
     );
     // A list can name any number of zones; those that answered last are kept.
-    (2..1_000).for_each(|zone| zones.record_answer(ZoneId(zone), 1_201 * MS));
+    (2..1_000).for_each(|zone| zones.record_answer(ZoneId(zone), Time(1_201 * MS)));
     assert!(!is_silent(&zones, four(4, 1_000)), "forgotten");
 }
 
