--- /dev/null
+++ b/crates/settings/src/operator/document.rs
@@ -0,0 +1,117 @@
+//! The operators' file as `proto/operator.proto` lays it out, before anything is checked.
+//!
+//! Field names and tags are those of the schema and never change: operators' files and the schema rely on them. What the
+//! fields are called elsewhere in the program is decided in [`super::check`].
+
+use prost::Message;
+
+/// The whole file.
+#[derive(Clone, PartialEq, Message)]
+pub struct FileDoc {
+    #[prost(string, tag = "1")]
+    pub cluster: String,
+    #[prost(message, optional, tag = "2")]
+    pub instance: Option<InstanceDoc>,
+    #[prost(message, repeated, tag = "3")]
+    pub keeper: Vec<KeeperDoc>,
+    #[prost(message, optional, tag = "4")]
+    pub terms: Option<TermsDoc>,
+    #[prost(message, repeated, tag = "5")]
+    pub budget: Vec<BudgetDoc>,
+    #[prost(uint64, tag = "6")]
+    pub revision: u64,
+    #[prost(message, optional, tag = "7")]
+    pub outages: Option<OutagesDoc>,
+}
+
+/// What may be out of service at once.
+#[derive(Clone, PartialEq, Message)]
+pub struct OutagesDoc {
+    #[prost(message, optional, tag = "1")]
+    pub proxies: Option<CapDoc>,
+    #[prost(message, optional, tag = "2")]
+    pub zone: Option<CapDoc>,
+    #[prost(uint64, tag = "3")]
+    pub least: u64,
+    #[prost(message, optional, tag = "4")]
+    pub members: Option<CapDoc>,
+    #[prost(uint64, tag = "5")]
+    pub members_least: u64,
+}
+
+/// A limit; where both are given, the smaller one counts.
+#[derive(Clone, PartialEq, Message)]
+pub struct CapDoc {
+    #[prost(uint64, optional, tag = "1")]
+    pub count: Option<u64>,
+    #[prost(uint64, optional, tag = "2")]
+    pub percent: Option<u64>,
+}
+
+/// The instance that reads the file.
+#[derive(Clone, PartialEq, Message)]
+pub struct InstanceDoc {
+    #[prost(string, tag = "1")]
+    pub listen: String,
+    #[prost(string, repeated, tag = "2")]
+    pub allow: Vec<String>,
+    #[prost(string, tag = "3")]
+    pub zone: String,
+    #[prost(string, tag = "4")]
+    pub store: String,
+}
+
+/// One keeper.
+#[derive(Clone, PartialEq, Message)]
+pub struct KeeperDoc {
+    #[prost(string, tag = "1")]
+    pub name: String,
+    #[prost(string, tag = "2")]
+    pub address: String,
+}
+
+/// Durations of leases and of membership, and the bound on clocks.
+#[derive(Clone, PartialEq, Message)]
+pub struct TermsDoc {
+    #[prost(uint64, tag = "1")]
+    pub lease_ms: u64,
+    #[prost(uint64, tag = "2")]
+    pub membership_ms: u64,
+    #[prost(uint64, tag = "3")]
+    pub drift_ppm: u64,
+}
+
+/// One budget; either `held` or `rate` is given, by what it bounds.
+#[derive(Clone, PartialEq, Message)]
+pub struct BudgetDoc {
+    #[prost(string, tag = "1")]
+    pub name: String,
+    #[prost(int32, tag = "2")]
+    pub what: i32,
+    #[prost(string, tag = "3")]
+    pub class: String,
+    #[prost(message, optional, tag = "4")]
+    pub held: Option<HeldDoc>,
+    #[prost(message, optional, tag = "5")]
+    pub rate: Option<RateDoc>,
+    #[prost(uint64, tag = "6")]
+    pub floor: u64,
+}
+
+/// Units that are held and released.
+#[derive(Clone, PartialEq, Message)]
+pub struct HeldDoc {
+    #[prost(uint64, tag = "1")]
+    pub units: u64,
+    #[prost(uint64, tag = "2")]
+    pub outlives_ms: u64,
+}
+
+/// Units that are spent.
+#[derive(Clone, PartialEq, Message)]
+pub struct RateDoc {
+    #[prost(uint64, tag = "1")]
+    pub per_second: u64,
+    #[prost(uint64, tag = "2")]
+    pub burst: u64,
+}
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -6,7 +6,7 @@
 use crate::api::ClassId;
 use linenhill_cluster::client::FleetClient;
 use linenhill_decisions::quota::lease_holder::AcquireDecision;
-use linenhill_settings::operator::What;
+use linenhill_settings::operator::BudgetKind;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -40,20 +40,20 @@
 impl Shares {
     /// Those of the operator's file, which names classes as the settings do; else the first class that they don't know.
     pub fn new(fleet: Rc<FleetClient>, classes: &BTreeMap<String, ClassId>) -> Result<Shares, String> {
-        let named = |what: What| -> Vec<String> {
+        let named = |kind: BudgetKind| -> Vec<String> {
             let bindings = fleet.operator().bindings.iter();
-            bindings.filter(|b| b.what == what).map(|b| b.budget.clone()).collect()
+            bindings.filter(|b| b.kind == kind).map(|b| b.budget.clone()).collect()
         };
         let mut admissions: BTreeMap<ClassId, Vec<String>> = BTreeMap::new();
-        for binding in fleet.operator().bindings.iter().filter(|b| b.what == What::Admissions) {
+        for binding in fleet.operator().bindings.iter().filter(|b| b.kind == BudgetKind::Admissions) {
             let class = binding.class.as_deref().unwrap_or_default();
             let class =
                 classes.get(class).ok_or_else(|| format!("budget {}: no class '{class}'", binding.budget))?;
             admissions.entry(*class).or_default().push(binding.budget.clone());
         }
-        let (connections, attempts) = (named(What::Connections), named(What::Attempts));
-        let (repeats, probes) = (named(What::Repeats), named(What::Probes));
-        let load = named(What::Load).into_iter().next().and_then(|name| {
+        let (connections, attempts) = (named(BudgetKind::Connections), named(BudgetKind::Attempts));
+        let (repeats, probes) = (named(BudgetKind::Repeats), named(BudgetKind::Probes));
+        let load = named(BudgetKind::Load).into_iter().next().and_then(|name| {
             let whole = fleet.operator().budgets.get(&name)?.total;
             Some((name, whole))
         });
