--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,13 +4,16 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod json;
+mod name_interner;
 pub mod operator;
 
+pub use json::{FormError, parse, required};
+pub use name_interner::NameInterner;
+
 use linenhill_decisions::api::*;
 use miniserde::Deserialize;
-use miniserde::json::{self, Array, Object, Value};
 use std::collections::BTreeMap;
-use std::fmt;
 
 /// Bytes of a word to peers: the member, then milliseconds x 2 + 1 if it is primary.
 pub const WORD_BYTES: usize = 10;
@@ -19,91 +22,6 @@
 /// soon harms nobody.
 pub const DRAIN_GRACE: Span = Span(250_000);
 
-/// Why a JSON text can't be taken.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FormError {
-    /// No JSON at all.
-    NotJson,
-    /// A field that must be there is not.
-    Missing(String),
-    /// A field holds something else than it should.
-    Wrong(String),
-    /// A field holds what can't be served, and what was expected.
-    Unserved(String, &'static str),
-}
-
-impl fmt::Display for FormError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            FormError::NotJson => write!(f, "the text is not JSON"),
-            FormError::Missing(field) => write!(f, "field '{field}' is missing"),
-            FormError::Wrong(field) => write!(f, "field '{field}' has a wrong value"),
-            FormError::Unserved(field, expected) => {
-                write!(f, "field '{field}' has a wrong value: expected {expected}")
-            }
-        }
-    }
-}
-
-impl std::error::Error for FormError {}
-
-/// Reads a JSON text whose fields are all optional, naming the first field of a wrong type.
-pub fn parse<T: Deserialize>(text: &str) -> Result<T, FormError> {
-    json::from_str(text).map_err(|_| match json::from_str::<Value>(text) {
-        Err(_) => FormError::NotJson,
-        Ok(root) => FormError::Wrong(culprit::<T>(&root)),
-    })
-}
-
-/// miniserde doesn't say where it stopped: the field that fails also when it stands alone is at fault.
-fn culprit<T: Deserialize>(root: &Value) -> String {
-    enum Step<'a> {
-        Key(&'a str),
-        Place(usize),
-    }
-    let alone = |path: &[Step], leaf: &Value| {
-        path.iter().rev().fold(leaf.clone(), |inner, step| match step {
-            Step::Key(key) => {
-                let mut object = Object::new();
-                object.insert((*key).to_string(), inner);
-                Value::Object(object)
-            }
-            Step::Place(_) => {
-                let mut array = Array::new();
-                array.push(inner);
-                Value::Array(array)
-            }
-        })
-    };
-    let (mut path, mut at) = (Vec::new(), root);
-    loop {
-        let children: Vec<(Step, &Value)> = match at {
-            Value::Object(o) => o.iter().map(|(k, v)| (Step::Key(k), v)).collect(),
-            Value::Array(a) => a.iter().enumerate().map(|(i, v)| (Step::Place(i), v)).collect(),
-            _ => Vec::new(),
-        };
-        let found = children.into_iter().find_map(|(step, child)| {
-            path.push(step);
-            let fails = json::from_str::<T>(&json::to_string(&alone(&path, child))).is_err();
-            let step = path.pop();
-            step.filter(|_| fails).map(|s| (s, child))
-        });
-        let Some((step, child)) = found else { break };
-        path.push(step);
-        at = child;
-    }
-    path.iter().fold(String::new(), |name, step| match step {
-        Step::Key(key) if name.is_empty() => (*key).to_string(),
-        Step::Key(key) => format!("{name}.{key}"),
-        Step::Place(i) => format!("{name}[{i}]"),
-    })
-}
-
-/// The value of a field that must be there.
-pub fn need<T>(field: &str, value: Option<T>) -> Result<T, FormError> {
-    value.ok_or_else(|| FormError::Missing(field.to_string()))
-}
-
 /// A count of microseconds; 0 when absent.
 fn span(field: &str, value: Option<f64>) -> Result<Span, FormError> {
     let v = value.unwrap_or(0.0);
@@ -116,32 +34,6 @@
     if (0.0..=1.0).contains(&v) { Ok(v) } else { Err(FormError::Wrong(field.to_string())) }
 }
 
-/// Numbers for names, in the order of their first appearance; a name keeps its number until it is dropped, and
-/// no number is used twice.
-#[derive(Default)]
-pub struct Names {
-    numbers: BTreeMap<String, usize>,
-    next: usize,
-}
-
-impl Names {
-    /// The number of a name, new or known.
-    pub fn number(&mut self, name: &str) -> usize {
-        if let Some(n) = self.numbers.get(name) {
-            return *n;
-        }
-        let next = self.next;
-        self.next += 1;
-        self.numbers.insert(name.to_string(), next);
-        next
-    }
-
-    /// Drops the names whose numbers are not to be kept.
-    pub fn retain(&mut self, keep: impl Fn(usize) -> bool) {
-        self.numbers.retain(|_, n| keep(*n));
-    }
-}
-
 /// The settings in the form operators write them.
 #[derive(Deserialize)]
 pub struct Profile {
@@ -281,21 +173,21 @@
 
 impl Profile {
     /// Checks every field and numbers the zones by `zones`.
-    pub fn site(self, zones: &mut Names) -> Result<Site, FormError> {
+    pub fn site(self, zones: &mut NameInterner) -> Result<Site, FormError> {
         let unserved = |field: &str, expected| FormError::Unserved(field.to_string(), expected);
-        let specifics = need("specifics", self.specifics)?;
-        let levels = need("specifics.readLevel", specifics.read_level)?;
+        let specifics = required("specifics", self.specifics)?;
+        let levels = required("specifics.readLevel", specifics.read_level)?;
         let bounds = specifics.class_bound.unwrap_or_default();
         let (mut classes, mut names, mut longest) = (Vec::new(), BTreeMap::new(), Span(0));
-        for (i, c) in need("classes", self.classes)?.into_iter().enumerate() {
+        for (i, c) in required("classes", self.classes)?.into_iter().enumerate() {
             let at = |field: &str| format!("classes[{i}].{field}");
-            let level = need("specifics.readLevel", levels.get(i))?;
+            let level = required("specifics.readLevel", levels.get(i))?;
             let read = match level.as_str() {
                 "mutate" => ReadLevel::Write,
                 "strong" => ReadLevel::Fresh,
                 "causal" => ReadLevel::Session,
                 "lag_bound" => {
-                    let bound = need("specifics.classBound", bounds.get(i).copied())?;
+                    let bound = required("specifics.classBound", bounds.get(i).copied())?;
                     ReadLevel::Bounded(span("specifics.classBound", Some(bound))?)
                 }
                 "eventual" => ReadLevel::Any,
@@ -308,7 +200,7 @@
                 Some("all") => RepeatScope::All,
                 _ => RepeatScope::Group,
             };
-            let effect = match need(&at("semantics"), c.semantics)?.as_str() {
+            let effect = match required(&at("semantics"), c.semantics)?.as_str() {
                 "read_like" => Effect::Safe,
                 "idempotency_key" => Effect::Keyed { scope, window: span(&at("window"), c.window)? },
                 "non_idempotent" => Effect::Unsafe,
@@ -317,11 +209,11 @@
                     return Err(unserved(&at("semantics"), expected));
                 }
             };
-            let aim = span(&at("slo"), Some(need(&at("slo"), c.slo)?))?;
-            let worth = need(&at("points"), c.points)?;
+            let aim = span(&at("slo"), Some(required(&at("slo"), c.slo)?))?;
+            let worth = required(&at("points"), c.points)?;
             let give_up = span(&at("giveUp"), c.give_up)?;
             longest = longest.max(give_up);
-            if names.insert(need(&at("name"), c.name)?, ClassId(i)).is_some() {
+            if names.insert(required(&at("name"), c.name)?, ClassId(i)).is_some() {
                 return Err(unserved(&at("name"), "a name that no class before it has"));
             }
             classes.push(Class {
@@ -335,21 +227,21 @@
         }
         let (mut tenants, mut tenant_names) = (Vec::new(), BTreeMap::new());
         for (i, t) in self.tenants.unwrap_or_default().into_iter().enumerate() {
-            let allowance_per_s = need(&format!("tenants[{i}].allowancePerS"), t.allowance_per_s)?;
+            let allowance_per_s = required(&format!("tenants[{i}].allowancePerS"), t.allowance_per_s)?;
             tenants.push(Tenant { allowance_per_s });
-            tenant_names.insert(need(&format!("tenants[{i}].name"), t.name)?, TenantId(i));
+            tenant_names.insert(required(&format!("tenants[{i}].name"), t.name)?, TenantId(i));
         }
-        let limits = need("limits", self.limits)?;
+        let limits = required("limits", self.limits)?;
         let prices = self.prices.unwrap_or_default();
-        let rules = need("rules", self.rules)?;
+        let rules = required("rules", self.rules)?;
         let settings = Settings {
             tick: span("tick", self.tick)?,
-            fleet_size: match need("fleetSize", self.fleet_size)? {
+            fleet_size: match required("fleetSize", self.fleet_size)? {
                 0 => return Err(unserved("fleetSize", "1 or more")),
                 proxies => proxies,
             },
             me: self.me,
-            zone: ZoneId(zones.number(&need("zone", self.zone)?)),
+            zone: ZoneId(zones.intern(&required("zone", self.zone)?)),
             classes,
             tenants,
             over_share_worth: self.over_share_worth.unwrap_or(0.0),
@@ -360,7 +252,7 @@
                     worst_class: portion("goal.worstClass", doc.worst_class)?,
                 },
             },
-            discovery: match need("discovery", self.discovery)?.as_str() {
+            discovery: match required("discovery", self.discovery)?.as_str() {
                 "pushed" => Discovery::Pushed,
                 "on_request" => Discovery::OnRequest,
                 _ => return Err(unserved("discovery", "pushed or on_request")),
@@ -371,7 +263,7 @@
                 peers: limits.peers.unwrap_or(false),
                 second_copies: limits.second_copies.unwrap_or(false),
                 // With none nothing would ever be sent.
-                max_attempts: match need("limits.maxAttempts", limits.max_attempts)? {
+                max_attempts: match required("limits.maxAttempts", limits.max_attempts)? {
                     0 => return Err(unserved("limits.maxAttempts", "1 or more")),
                     most => most,
                 },
@@ -394,24 +286,24 @@
                     None => DRAIN_GRACE,
                     given => span("rules.drainGrace", given)?,
                 },
-                cold_from: need("rules.coldFrom", rules.cold_from)?,
-                cold: span("rules.cold", Some(need("rules.cold", rules.cold)?))?,
-                fall_multiple: need("rules.fallMultiple", rules.fall_multiple)?,
-                fall: span("rules.fall", Some(need("rules.fall", rules.fall)?))?,
+                cold_from: required("rules.coldFrom", rules.cold_from)?,
+                cold: span("rules.cold", Some(required("rules.cold", rules.cold)?))?,
+                fall_multiple: required("rules.fallMultiple", rules.fall_multiple)?,
+                fall: span("rules.fall", Some(required("rules.fall", rules.fall)?))?,
                 removal_stays_open: rules.dropped_stay_open.unwrap_or(false),
             },
-            check: match need("specifics.serverChecks", specifics.server_checks)?.as_str() {
+            check: match required("specifics.serverChecks", specifics.server_checks)?.as_str() {
                 "off" => ReplicaCheck::None,
                 "bounce" => ReplicaCheck::Refuse,
                 "await" => ReplicaCheck::Wait(span("specifics.wait", specifics.wait)?),
                 _ => return Err(unserved("specifics.serverChecks", "off, bounce or await")),
             },
-            tokens: match need("specifics.writeMarks", specifics.write_marks)?.as_str() {
+            tokens: match required("specifics.writeMarks", specifics.write_marks)?.as_str() {
                 "brought" => Tokens::Carried,
                 "kept" => Tokens::Remembered,
                 _ => return Err(unserved("specifics.writeMarks", "brought or kept")),
             },
-            list_names_primary: match need("specifics.showsRole", specifics.shows_role)?.as_str() {
+            list_names_primary: match required("specifics.showsRole", specifics.shows_role)?.as_str() {
                 "off" => false,
                 "trailing" | "static" => true,
                 _ => return Err(unserved("specifics.showsRole", "off, trailing or static")),
--- a/src/bin/linenhill-benchlink/wire.rs
+++ b/src/bin/linenhill-benchlink/wire.rs
@@ -4,7 +4,7 @@
 use base64::engine::general_purpose::STANDARD;
 use linenhill::api::*;
 use linenhill::policy::Router;
-use linenhill::settings::{self, Names, Profile, WORD_BYTES};
+use linenhill::settings::{self, NameInterner, Profile, WORD_BYTES};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::Arc;
@@ -21,8 +21,8 @@
 pub struct Host {
     slots: BTreeMap<u64, Slot>,
     lists: BTreeMap<u64, Arc<Vec<ListEntry>>>,
-    zones: Names,
-    kinds: Names,
+    zones: NameInterner,
+    kinds: NameInterner,
     batch: Option<(u64, u64)>,
     current: Option<u64>,
     filling: Option<(u64, usize, Vec<ListEntry>)>,
@@ -187,8 +187,8 @@
             return Err("MEMBER outside a CENSUS".into());
         };
         let member = MemberId(p.number("member")?);
-        let zone = ZoneId(self.zones.number(p.raw("site")?));
-        let kind = KindId(self.kinds.number(p.raw("shape")?));
+        let zone = ZoneId(self.zones.intern(p.raw("site")?));
+        let kind = KindId(self.kinds.intern(p.raw("shape")?));
         let group = GroupId(p.real("group", 0.0)? as u32);
         let state = match p.raw("stageState")? {
             "in_service" => MemberState::InService,
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,17 +1,24 @@
-//! What a proxy is told at its start: a JSON file, and variables that stand above it.
+//! What a proxy is configured with at its start: a JSON file, and environment variables that take precedence over it.
+//!
+//! Reading changes nothing: no socket is bound, no descriptor is taken and no directory is made here.
 
 use crate::discovery::list::{EndpointList, IdentifierTable, ListDoc};
-use crate::settings::{self, FormError, Profile, Site, need};
+use crate::settings::{self, FormError, Profile, Site, required};
 use miniserde::Deserialize;
+use std::error::Error;
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 /// Descriptors assumed where the configuration names no limit.
-const SOCKETS: u64 = 1_024;
-/// Memory in MB assumed where the configuration names no limit.
-const MEMORY_MB: u64 = 192;
+const DEFAULT_SOCKETS: u64 = 1_024;
+/// Memory assumed where the configuration names no limit. MiB.
+const DEFAULT_MEMORY_MB: u64 = 192;
+/// Of a proxy's name, the characters that its directory's name has.
+const MAX_DIRECTORY_NAME: usize = 64;
+/// Descriptors up to this one are the standard ones, never a listening socket.
+const LAST_STANDARD_DESCRIPTOR: i32 = 2;
 
 #[derive(Deserialize)]
 struct ConfigDoc {
@@ -25,7 +32,7 @@
     settings: Option<Profile>,
 }
 
-#[derive(Deserialize)]
+#[derive(Default, Deserialize)]
 struct LimitsDoc {
     memory_mb: Option<u64>,
     sockets: Option<u64>,
@@ -33,44 +40,44 @@
 
 /// The configuration, checked.
 pub struct Config {
-    /// The proxy's name.
+    /// The proxy's name; empty where none is given.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where operators call; none: the door for them is off.
+    /// The address of the operators' calls; `None` turns them off.
     pub admin: Option<SocketAddr>,
     /// The descriptor of the clients' listening socket, where the platform holds it.
-    pub inherited: Option<i32>,
-    /// The folder that two versions of an upgrade share: a file's part of `TMPDIR`, where upgrades or operators are.
-    pub shared: Option<PathBuf>,
-    /// For random numbers.
+    pub inherited_descriptor: Option<i32>,
+    /// The directory that two versions share in an upgrade: a part of `TMPDIR`, where upgrades or operators are.
+    pub shared_directory: Option<PathBuf>,
+    /// The seed of random numbers.
     pub seed: u64,
     /// Descriptors that this process may hold.
     pub sockets: usize,
     /// Memory that this process may use, in bytes.
     pub memory: usize,
-    /// The list as it was last known.
+    /// The endpoint list as it was last known.
     pub known: Option<EndpointList>,
     /// The settings.
     pub site: Site,
-    /// Numbers of names, those of the settings' zones among them.
+    /// The numbers of names; those of the settings' zones are among them.
     pub names: IdentifierTable,
 }
 
-/// Why there is no configuration; printed as one line.
+/// Why there is no configuration; prints as one line.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// The variable that names the file is not set.
+    /// `LB_CONFIG` is not set.
     NoFile,
     /// The file can't be read.
     Unreadable(PathBuf, io::Error),
-    /// The file's text can't be taken.
+    /// The file's text can't be used.
     Malformed(PathBuf, FormError),
-    /// A variable holds something else than it should.
+    /// This variable holds no address.
     Variable(&'static str),
-    /// A variable names no descriptor beyond the standard ones.
+    /// This variable names no descriptor beyond the standard ones.
     Descriptor(&'static str),
 }
 
@@ -78,17 +85,49 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ConfigError::NoFile => write!(f, "LB_CONFIG names no file"),
-            ConfigError::Unreadable(path, e) => write!(f, "{}: {e}", path.display()),
-            ConfigError::Malformed(path, e) => write!(f, "{}: {e}", path.display()),
+            ConfigError::Unreadable(path, error) => write!(f, "{}: {error}", path.display()),
+            ConfigError::Malformed(path, error) => write!(f, "{}: {error}", path.display()),
             ConfigError::Variable(name) => write!(f, "{name} is not an address"),
             ConfigError::Descriptor(name) => write!(f, "{name} is not the number of a descriptor over 2"),
         }
     }
 }
 
-impl std::error::Error for ConfigError {}
+impl Error for ConfigError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            ConfigError::Unreadable(_, error) => Some(error),
+            ConfigError::Malformed(_, error) => Some(error),
+            ConfigError::NoFile | ConfigError::Variable(_) | ConfigError::Descriptor(_) => None,
+        }
+    }
+}
+
+/// What is wrong with a value, before it is known which file it came from.
+enum ValueError {
+    Form(FormError),
+    Variable(&'static str),
+    Descriptor(&'static str),
+}
+
+impl From<FormError> for ValueError {
+    fn from(error: FormError) -> ValueError {
+        ValueError::Form(error)
+    }
+}
+
+impl ValueError {
+    /// The error of a configuration whose file is at `path`.
+    fn in_file(self, path: &Path) -> ConfigError {
+        match self {
+            ValueError::Form(error) => ConfigError::Malformed(path.to_path_buf(), error),
+            ValueError::Variable(name) => ConfigError::Variable(name),
+            ValueError::Descriptor(name) => ConfigError::Descriptor(name),
+        }
+    }
+}
 
-/// The variables that stand above the file.
+/// The variables that take precedence over the file.
 #[derive(Clone, Default)]
 pub struct Variables {
     /// `LB_NAME`.
@@ -100,112 +139,141 @@
     /// `LB_ADMIN`.
     pub admin: Option<String>,
     /// `LB_INHERITED_FD`.
-    pub inherited: Option<String>,
+    pub inherited_descriptor: Option<String>,
     /// `TMPDIR`.
-    pub temporary: Option<String>,
+    pub temporary_directory: Option<String>,
+}
+
+impl Variables {
+    /// Those of this process.
+    fn from_environment() -> Variables {
+        Variables {
+            name: variable("LB_NAME"),
+            listen: variable("LB_LISTEN"),
+            discovery: variable("LB_DISCOVERY"),
+            admin: variable("LB_ADMIN"),
+            inherited_descriptor: variable("LB_INHERITED_FD"),
+            temporary_directory: variable("TMPDIR"),
+        }
+    }
 }
 
 /// On what occasion the file is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reading {
-    /// At the start: the variables stand above the file.
+    /// At the start: the variables take precedence over the file.
     Start,
-    /// Once more: the file's `discovery` is news and stands above its variable.
+    /// Once more, on SIGHUP: the file's `discovery` is newer than its variable and takes precedence over it.
     Again,
 }
 
-/// A name of a proxy as that of a folder.
-fn file_name(name: &str) -> String {
-    let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
-    format!("linenhill-{}", name.chars().take(64).map(plain).collect::<String>())
-}
-
 impl Config {
     /// Reads the file that `LB_CONFIG` names, and the other variables.
+    ///
+    /// # Errors
+    ///
+    /// See [`ConfigError`]: the first thing that is wrong.
     pub fn from_environment(reading: Reading) -> Result<Config, ConfigError> {
-        let variable = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
         let path = PathBuf::from(variable("LB_CONFIG").ok_or(ConfigError::NoFile)?);
-        let text = std::fs::read_to_string(&path).map_err(|e| ConfigError::Unreadable(path.clone(), e))?;
-        let variables = Variables {
-            name: variable("LB_NAME"),
-            listen: variable("LB_LISTEN"),
-            discovery: variable("LB_DISCOVERY"),
-            admin: variable("LB_ADMIN"),
-            inherited: variable("LB_INHERITED_FD"),
-            temporary: variable("TMPDIR"),
-        };
-        Config::parse(&text, &path, variables, reading)
+        let text =
+            std::fs::read_to_string(&path).map_err(|error| ConfigError::Unreadable(path.clone(), error))?;
+        Config::parse(&text, &path, Variables::from_environment(), reading)
     }
 
-    /// Checks the file's text.
+    /// Checks the text of the file at `path`, which is used in errors alone.
+    ///
+    /// # Errors
+    ///
+    /// See [`ConfigError`]: the first thing that is wrong.
     pub fn parse(
         text: &str, path: &Path, variables: Variables, reading: Reading,
     ) -> Result<Config, ConfigError> {
-        let form = |e: FormError| ConfigError::Malformed(path.to_path_buf(), e);
-        let doc: ConfigDoc = settings::parse(text).map_err(form)?;
-        let address = |given: Option<String>, variable: &'static str, held: Option<String>, field: &str| {
-            if let Some(given) = given {
-                return given.parse().map_err(|_| ConfigError::Variable(variable));
-            }
-            let held = need(field, held).map_err(form)?;
-            held.parse::<SocketAddr>().map_err(|_| form(FormError::Wrong(field.to_string())))
-        };
-        let listen = address(variables.listen, "LB_LISTEN", doc.listen, "listen")?;
-        let told = variables.discovery.filter(|_| reading == Reading::Start || doc.discovery.is_none());
-        let discovery = address(told, "LB_DISCOVERY", doc.discovery, "discovery")?;
-        let admin = match (&variables.admin, &doc.admin) {
-            (None, None) => None,
-            _ => Some(address(variables.admin, "LB_ADMIN", doc.admin, "admin")?),
-        };
-        let descriptor = |text: String| text.parse().ok().filter(|fd: &i32| *fd > 2);
-        let inherited = variables
-            .inherited
-            .map(|text| descriptor(text).ok_or(ConfigError::Descriptor("LB_INHERITED_FD")));
-        let inherited = inherited.transpose()?;
-        let seed = need("seed", doc.seed).map_err(form)?;
-        let seed = u64::from_str_radix(&seed, 16).map_err(|_| form(FormError::Wrong("seed".to_string())))?;
-        let inside = |part: &'static str| {
-            move |e: FormError| {
-                form(match e {
-                    FormError::NotJson => FormError::NotJson,
-                    FormError::Missing(field) => FormError::Missing(format!("{part}.{field}")),
-                    FormError::Wrong(field) => FormError::Wrong(format!("{part}.{field}")),
-                    FormError::Unserved(field, expected) => {
-                        FormError::Unserved(format!("{part}.{field}"), expected)
-                    }
-                })
-            }
-        };
-        let known = doc.known.map(|k| k.into_list().map_err(inside("known"))).transpose()?;
+        let document = settings::parse(text).map_err(ValueError::from);
+        document
+            .and_then(|document| Config::from_document(document, variables, reading))
+            .map_err(|error| error.in_file(path))
+    }
+
+    fn from_document(
+        document: ConfigDoc, variables: Variables, reading: Reading,
+    ) -> Result<Config, ValueError> {
+        let discovery_variable =
+            variables.discovery.filter(|_| reading == Reading::Start || document.discovery.is_none());
+        let listen = address("LB_LISTEN", variables.listen, "listen", document.listen)?;
+        let discovery = address("LB_DISCOVERY", discovery_variable, "discovery", document.discovery)?;
+        let has_admin = variables.admin.is_some() || document.admin.is_some();
+        let admin =
+            has_admin.then(|| address("LB_ADMIN", variables.admin, "admin", document.admin)).transpose()?;
+        let inherited_descriptor = variables.inherited_descriptor.as_deref().map(descriptor).transpose()?;
+        let seed = seed(&required("seed", document.seed)?)?;
+        let known = document.known.map(ListDoc::into_list).transpose().map_err(|e| e.within("known"))?;
         let mut names = IdentifierTable::default();
-        let profile = need("settings", doc.settings).map_err(form)?;
-        let site = profile.site(&mut names.zones).map_err(inside("settings"))?;
-        // Without time no connection would come up; the adapter has none to open.
-        if site.settings.limits.connect_timeout.0 == 0 {
-            let field = "settings.limits.connectTimeout".to_string();
-            return Err(form(FormError::Unserved(field, "microseconds, 1 or more")));
-        }
-        let limits = doc.limits.unwrap_or(LimitsDoc { memory_mb: None, sockets: None });
-        let size = |n: u64| usize::try_from(n).unwrap_or(usize::MAX);
-        let sockets = size(limits.sockets.unwrap_or(SOCKETS));
-        let memory = size(limits.memory_mb.unwrap_or(MEMORY_MB)).saturating_mul(1 << 20);
-        let name = variables.name.or(doc.name).unwrap_or_default();
+        let site = site(required("settings", document.settings)?, &mut names)?;
+        let limits = document.limits.unwrap_or_default();
+        let name = variables.name.or(document.name).unwrap_or_default();
         // Without operators and upgrades nothing is written anywhere.
-        let shares = admin.is_some() || inherited.is_some();
-        let shared = variables.temporary.filter(|_| shares).map(|dir| Path::new(&dir).join(file_name(&name)));
+        let is_shared = admin.is_some() || inherited_descriptor.is_some();
+        let temporary_directory = variables.temporary_directory.filter(|_| is_shared);
         Ok(Config {
+            shared_directory: temporary_directory.map(|path| Path::new(&path).join(directory_name(&name))),
             name,
             listen,
             discovery,
             admin,
-            inherited,
-            shared,
+            inherited_descriptor,
             seed,
-            sockets,
-            memory,
+            sockets: saturating_usize(limits.sockets.unwrap_or(DEFAULT_SOCKETS)),
+            memory: saturating_usize(limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB)).saturating_mul(1 << 20),
             known,
             site,
             names,
         })
     }
 }
+
+/// The value of a variable; one that is empty counts as not set.
+fn variable(name: &str) -> Option<String> {
+    std::env::var(name).ok().filter(|value| !value.is_empty())
+}
+
+/// The address that a variable holds; else the one in a field of the file.
+fn address(
+    variable: &'static str, variable_value: Option<String>, field: &str, field_value: Option<String>,
+) -> Result<SocketAddr, ValueError> {
+    if let Some(text) = variable_value {
+        return text.parse().map_err(|_| ValueError::Variable(variable));
+    }
+    let text = required(field, field_value)?;
+    text.parse().map_err(|_| FormError::Wrong(field.to_string()).into())
+}
+
+fn descriptor(text: &str) -> Result<i32, ValueError> {
+    let number = text.parse().ok().filter(|number| *number > LAST_STANDARD_DESCRIPTOR);
+    number.ok_or(ValueError::Descriptor("LB_INHERITED_FD"))
+}
+
+/// A seed in hexadecimal digits, as the platform gives it.
+fn seed(text: &str) -> Result<u64, FormError> {
+    u64::from_str_radix(text, 16).map_err(|_| FormError::Wrong("seed".to_string()))
+}
+
+/// Checks the settings, also for what a proxy on real sockets needs beyond the adapter.
+fn site(profile: Profile, names: &mut IdentifierTable) -> Result<Site, FormError> {
+    let site = profile.site(&mut names.zones).map_err(|error| error.within("settings"))?;
+    // Without time no connection would come up; the adapter has none to open.
+    if site.settings.limits.connect_timeout.0 == 0 {
+        let field = "settings.limits.connectTimeout".to_string();
+        return Err(FormError::Unserved(field, "microseconds, 1 or more"));
+    }
+    Ok(site)
+}
+
+/// The name of a proxy's shared directory: what is no letter, digit or hyphen in the proxy's name is an underscore here.
+fn directory_name(name: &str) -> String {
+    let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
+    format!("linenhill-{}", name.chars().take(MAX_DIRECTORY_NAME).map(plain).collect::<String>())
+}
+
+fn saturating_usize(number: u64) -> usize {
+    usize::try_from(number).unwrap_or(usize::MAX)
+}
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -2,7 +2,7 @@
 //! in it may cause a panic, and one bad entry of a watch must never hide the others.
 
 use crate::api::{GroupId, KindId, ListEntry, MemberId, MemberState, Span, Time, ZoneId};
-use crate::settings::{self, FormError, need};
+use crate::settings::{self, FormError, required};
 use miniserde::Deserialize;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -96,11 +96,11 @@
 pub fn decode(line: &[u8]) -> Result<DecodedList, FormError> {
     let text = std::str::from_utf8(line).map_err(|_| FormError::NotJson)?;
     let doc = settings::parse::<ListDoc>(text)?;
-    let version = need("version", doc.version)?;
-    let is_full = need("full", doc.full)?;
+    let version = required("version", doc.version)?;
+    let is_full = required("full", doc.full)?;
     let mut endpoints = Vec::new();
     let mut skipped = Vec::new();
-    for (index, entry) in need("servers", doc.servers)?.into_iter().enumerate() {
+    for (index, entry) in required("servers", doc.servers)?.into_iter().enumerate() {
         match entry.into_endpoint(index) {
             Ok(endpoint) => endpoints.push(endpoint),
             Err(problem) => skipped.push(problem),
@@ -112,10 +112,10 @@
 impl ListDoc {
     /// Checks a list of the configuration, of which every entry must be readable.
     pub fn into_list(self) -> Result<EndpointList, FormError> {
-        let entries = need("servers", self.servers)?.into_iter().enumerate();
+        let entries = required("servers", self.servers)?.into_iter().enumerate();
         let endpoints = entries.map(|(index, entry)| entry.into_endpoint(index)).collect::<Result<_, _>>()?;
-        let version = need("version", self.version)?;
-        let is_full = need("full", self.full)?;
+        let version = required("version", self.version)?;
+        let is_full = required("full", self.full)?;
         Ok(EndpointList { version, is_full, endpoints })
     }
 }
@@ -125,9 +125,9 @@
     fn into_endpoint(self, index: usize) -> Result<Endpoint, FormError> {
         let path = |field: &str| format!("servers[{index}].{field}");
         let wrong = |field: &str| FormError::Wrong(path(field));
-        let id = need(&path("id"), self.id)?;
-        let state = parse_state(&need(&path("state"), self.state)?).ok_or_else(|| wrong("state"))?;
-        let address = match need(&path("addr"), self.addr)?.parse() {
+        let id = required(&path("id"), self.id)?;
+        let state = parse_state(&required(&path("state"), self.state)?).ok_or_else(|| wrong("state"))?;
+        let address = match required(&path("addr"), self.addr)?.parse() {
             Ok(address) => address,
             // Nothing is sent to a leaving member, so its address does not matter; that it leaves does.
             Err(_) if state != MemberState::InService => UNKNOWN_ADDRESS,
@@ -173,10 +173,10 @@
 /// The numbers by which the decisions know members, kinds and zones; the same over all lists.
 #[derive(Default)]
 pub struct IdentifierTable {
-    members: settings::Names,
-    kinds: settings::Names,
+    members: settings::NameInterner,
+    kinds: settings::NameInterner,
     /// The zones, also those of the settings.
-    pub zones: settings::Names,
+    pub zones: settings::NameInterner,
 }
 
 impl IdentifierTable {
@@ -188,9 +188,9 @@
     /// The entry for the decisions, and the member's address.
     pub fn entry(&mut self, endpoint: Endpoint) -> (ListEntry, SocketAddr) {
         let entry = ListEntry {
-            member: MemberId(self.members.number(&endpoint.id) as u32),
-            zone: ZoneId(self.zones.number(&endpoint.zone)),
-            kind: KindId(self.kinds.number(&endpoint.kind)),
+            member: MemberId(self.members.intern(&endpoint.id) as u32),
+            zone: ZoneId(self.zones.intern(&endpoint.zone)),
+            kind: KindId(self.kinds.intern(&endpoint.kind)),
             group: GroupId(endpoint.group),
             state: endpoint.state,
             weight: endpoint.weight,
--- a/src/main.rs
+++ b/src/main.rs
@@ -155,7 +155,7 @@
     let counters = Rc::new(Counters::default());
     let Signals { mut terminate, mut interrupt, mut print, mut hangup } = signals;
     let listen = config.listen;
-    let listener = match config.inherited {
+    let listener = match config.inherited_descriptor {
         Some(fd) => inherit::listener(fd).map_err(|e| format!("LB_INHERITED_FD: {e}"))?,
         None => TcpListener::bind(listen).await.map_err(|e| format!("listen on {listen}: {e}"))?,
     };
@@ -168,7 +168,7 @@
         info!("operators call at {at}");
     }
     info!("{} listens on {listen}", config.name);
-    if let Some(dir) = &config.shared {
+    if let Some(dir) = &config.shared_directory {
         // Without the folder it goes as well; only an upgrade then starts without what the old version knew.
         std::fs::create_dir_all(dir).unwrap_or_else(|e| warn!("{}: {e}", dir.display()));
     }
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -148,7 +148,7 @@
     stop: impl Future<Output = ()>,
 ) -> Result<(), DriverEnded> {
     let capacity = Capacity::of(&config, &listeners);
-    let Config { site, names, known, shared, .. } = config;
+    let Config { site, names, known, shared_directory, .. } = config;
     let clock = Clock::start();
     let limits = &site.settings.limits;
     let idle_close = Duration::from_micros(limits.idle_close.0);
@@ -192,7 +192,7 @@
     let maintenance = Rc::default();
     let maintenance_log = MaintenanceLog::new(
         Rc::clone(&maintenance),
-        shared.map(|dir| dir.join(maintenance_log::FILE_NAME)),
+        shared_directory.map(|dir| dir.join(maintenance_log::FILE_NAME)),
         clock,
         inbox.clone(),
     );
