--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,7 @@
-//! The command line. Bare `linenhill` serves, as the platform starts it.
+//! The command line as clap reads it. Bare `linenhill` serves, as the platform starts it.
+//!
+//! The comments on commands and arguments are the program's help text. Commands and flags are used in scripts and never change
+//! their names; nothing is carried out here.
 
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
@@ -13,16 +16,16 @@
     command: Option<Command>,
 }
 
-/// What can be asked of the program.
+/// A command of the program.
 #[derive(Clone, Debug, PartialEq, Eq, Subcommand)]
 pub enum Command {
     /// Serve by the configuration that LB_CONFIG names, until SIGTERM; the same as no command at all.
     Serve {
-        /// The operators' file: this proxy is one of a fleet, and its budgets bind here.
+        /// The operators' file: the proxy joins its fleet and is bound by its budgets.
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
     },
-    /// Keep what a fleet agrees on, on a disk: one of three or five processes.
+    /// Run a keeper, one of three or five processes that keep a fleet's agreed log on their disks.
     Keep {
         /// The operators' file.
         #[arg(long, value_name = "FILE")]
@@ -30,11 +33,11 @@
         /// This keeper's name in that file.
         #[arg(long)]
         name: String,
-        /// Begin a new fleet, of which this is the first keeper.
+        /// Found a new fleet, with this as its first keeper.
         #[arg(long)]
         found: bool,
     },
-    /// Check an operators' file and name all that is wrong with it.
+    /// Check an operators' file and print all its mistakes.
     Check {
         /// The file.
         file: PathBuf,
@@ -42,81 +45,84 @@
         #[arg(long)]
         json: bool,
     },
-    /// Ask a fleet, or tell it something.
+    /// Show the state of a fleet, or change it.
     Fleet {
-        /// What.
+        /// The request.
         #[command(subcommand)]
-        ask: Fleet,
+        command: FleetCommand,
     },
-    /// Write a shell's completions to standard output.
+    /// Write a shell's completion script to standard output.
     Completions {
         /// The shell.
         shell: Shell,
     },
 }
 
-/// What can be asked of a fleet.
+/// A request to a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Subcommand)]
-pub enum Fleet {
-    /// Print who is there, who leads, and what is held of each budget.
+pub enum FleetCommand {
+    /// Print the fleet's instances, its leader, and how much of each budget is in use.
     Status {
         /// The operators' file; its keepers are asked in turn.
         #[arg(long, value_name = "FILE")]
         operator: PathBuf,
-        /// Ask this instance instead.
+        /// Ask the instance at this address instead.
         #[arg(long, value_name = "ADDRESS")]
         at: Option<std::net::SocketAddr>,
         /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Take a proxy off that is gone for good; what it holds ends by itself.
+    /// Remove a proxy that will not come back; its quotas expire.
     Remove {
-        /// Its name.
+        /// The proxy's name.
         name: String,
         /// The operators' file.
         #[arg(long, value_name = "FILE")]
         operator: PathBuf,
     },
-    /// Ask for leave for a thing to be out: `proxy/NAME` or `member/ID`.
+    /// Request a permit to take a proxy or member out of service.
     Permit {
-        /// The thing.
-        thing: String,
+        /// `proxy/NAME` or `member/ID`.
+        #[arg(value_name = "THING")]
+        subject: String,
         /// The operators' file.
         #[arg(long, value_name = "FILE")]
         operator: PathBuf,
-        /// What for.
+        /// The reason, shown in the fleet's status.
         #[arg(long, default_value = "by hand")]
         reason: String,
-        /// Against the limits; it counts all the same.
+        /// Grant it even beyond the limits; it counts towards them.
         #[arg(long)]
         force: bool,
     },
-    /// A thing is to come back: its permit ends once it is seen in service.
+    /// Return a proxy or member to service: its permit ends once it is seen in service.
     Back {
-        /// The thing.
-        thing: String,
+        /// `proxy/NAME` or `member/ID`.
+        #[arg(value_name = "THING")]
+        subject: String,
         /// The operators' file.
         #[arg(long, value_name = "FILE")]
         operator: PathBuf,
     },
-    /// A thing is no more: it counts no longer, and its permit ends.
+    /// Forget a proxy or member that no longer exists: it is not counted any more, and its permit ends.
     Forget {
-        /// The thing.
-        thing: String,
+        /// `proxy/NAME` or `member/ID`.
+        #[arg(value_name = "THING")]
+        subject: String,
         /// The operators' file.
         #[arg(long, value_name = "FILE")]
         operator: PathBuf,
     },
-    /// Declare a file's terms and budgets in the place of those agreed on; its revision must be higher.
+    /// Replace the agreed terms and budgets by those of a file with a higher revision.
     Declare {
         /// The operators' file.
         #[arg(long, value_name = "FILE")]
         operator: PathBuf,
     },
-    /// Let another store of a keeper's name in: its disk is lost.
+    /// Accept a new store of a keeper whose disk is lost.
     Replace {
-        /// Its name.
+        /// The keeper's name.
         name: String,
         /// The operators' file.
         #[arg(long, value_name = "FILE")]
@@ -125,13 +131,13 @@
 }
 
 impl Cli {
-    /// What the command line asks for.
+    /// The command; to serve if none is given.
     pub fn command(self) -> Command {
         self.command.unwrap_or(Command::Serve { operator: None })
     }
 }
 
-/// Writes the completions of a shell.
-pub fn completions(shell: Shell, out: &mut impl io::Write) {
+/// Writes the completion script of a shell.
+pub fn write_completions(shell: Shell, out: &mut impl io::Write) {
     clap_complete::generate(shell, &mut <Cli as CommandFactory>::command(), "linenhill", out);
 }
--- a/src/fleet/tools.rs
+++ b/src/fleet/tools.rs
@@ -1,6 +1,6 @@
 //! What operators ask of a fleet from the command line: checks of their file, its state, and changes.
 
-use crate::cli::Fleet;
+use crate::cli::FleetCommand;
 use linenhill_cluster::log_entry::{Declaration, DisruptionAction, DisruptionRequest};
 use linenhill_cluster::protocol::{Body, Empty, OperatorReply, OperatorRequest, Status, UnavailableStatus};
 use linenhill_cluster::transport::{self, InstanceIdentity};
@@ -94,31 +94,31 @@
 }
 
 /// Asks a fleet, or tells it something: what is to be printed, or what went wrong.
-pub async fn ask(ask: Fleet) -> Result<String, String> {
-    match ask {
-        Fleet::Status { operator, at, json } => {
+pub async fn ask(command: FleetCommand) -> Result<String, String> {
+    match command {
+        FleetCommand::Status { operator, at, json } => {
             let operator = read(&operator)?;
             let (from, status) = status(&operator, at).await?;
             Ok(if json { miniserde::json::to_string(&doc(from, status)) } else { text(&from, &status) })
         }
-        Fleet::Remove { name, operator } => {
+        FleetCommand::Remove { name, operator } => {
             tell(&read(&operator)?, OperatorRequest { remove: name, ..OperatorRequest::default() }).await
         }
-        Fleet::Declare { operator } => {
+        FleetCommand::Declare { operator } => {
             let operator = read(&operator)?;
             let declare = Some(Declaration::from(&operator));
             tell(&operator, OperatorRequest { declare, ..OperatorRequest::default() }).await
         }
-        Fleet::Permit { thing, operator, reason, force } => {
+        FleetCommand::Permit { subject: thing, operator, reason, force } => {
             wish(&operator, thing, DisruptionAction::Permit, reason, force).await
         }
-        Fleet::Back { thing, operator } => {
+        FleetCommand::Back { subject: thing, operator } => {
             wish(&operator, thing, DisruptionAction::Return, String::new(), false).await
         }
-        Fleet::Forget { thing, operator } => {
+        FleetCommand::Forget { subject: thing, operator } => {
             wish(&operator, thing, DisruptionAction::Forget, String::new(), false).await
         }
-        Fleet::Replace { name, operator } => {
+        FleetCommand::Replace { name, operator } => {
             tell(&read(&operator)?, OperatorRequest { replace: name, ..OperatorRequest::default() }).await
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -27,6 +27,7 @@
 pub mod invariants;
 pub mod peek;
 pub mod pg;
+pub mod process;
 pub mod proxy;
 pub mod request;
 pub mod stages;
--- /dev/null
+++ b/src/process/keep.rs
@@ -0,0 +1,37 @@
+//! A keeper's process: it keeps the fleet's agreed log on its disk.
+
+use super::signals::stream;
+use super::{ProcessError, bind, bound_address, inject_fault, runtime};
+use crate::fleet::tools;
+use linenhill_cluster::keeper::{self, KeeperError};
+use log::info;
+use std::path::Path;
+use tokio::signal::unix::SignalKind;
+use tokio::task::LocalSet;
+
+const LISTEN: &str = "listen on";
+
+/// Runs the keeper of this name until SIGTERM. `founds_fleet` makes it the first keeper of a new fleet.
+///
+/// # Errors
+///
+/// The operators' file or the store can't be used, the socket can't be bound, or the disk fails while it runs.
+pub fn keep(operator_file: &Path, name: &str, founds_fleet: bool) -> Result<(), ProcessError> {
+    let operator = tools::read(operator_file).map_err(|error| ProcessError::OperatorFile(error.into()))?;
+    inject_fault()?;
+    let store = keeper::open_store(&operator, name, founds_fleet)?;
+    let asked = operator.listen.ok_or(KeeperError::MissingSetting("instance.listen"))?;
+    runtime()?.block_on(LocalSet::new().run_until(async move {
+        let listener = bind(LISTEN, asked).await?;
+        let address = bound_address(LISTEN, asked, &listener)?;
+        info!("keeper {name} listens on {address}");
+        let mut terminate = stream(SignalKind::terminate())?;
+        tokio::select! {
+            ended = keeper::run(operator, name, store, listener) => Ok(ended?),
+            _ = terminate.recv() => {
+                info!("keeper {name} stops");
+                Ok(())
+            }
+        }
+    }))
+}
