--- /dev/null
+++ b/crates/settings/tests/profile.rs
@@ -0,0 +1,152 @@
+//! The platform's settings: the exact message of each mistake, and which one comes first where there are several.
+
+use linenhill_settings::{NameInterner, Profile, parse};
+
+/// Settings with every field, for a site of the platform's first kind.
+const PROFILE: &str = r#"{
+    "tick": 5000, "fleetSize": 100, "me": 7, "zone": "a", "overShareWorth": 0.25, "discovery": "on_request",
+    "classes": [
+        {"name": "list", "giveUp": 3000000, "slo": 800000, "semantics": "read_like", "group": "all",
+         "window": 5000000, "points": 3.0, "lateWorth": 0.5},
+        {"name": "order", "giveUp": 5000000, "slo": 500000, "semantics": "idempotency_key", "group": "cell",
+         "window": 4000000, "points": 4.0, "lateWorth": 0.7}],
+    "tenants": [{"name": "t1", "allowancePerS": 10.5}],
+    "goal": {"whole": 0.75, "worstClass": 0.125},
+    "limits": {"cancel": true, "mayProbe": true, "peers": true, "secondCopies": true, "maxAttempts": 6,
+        "maxOpen": 20000, "connectTimeout": 250000, "idleClose": 15000000, "retryAfter": true,
+        "maxRetryAfter": 2000000},
+    "prices": {"crossZone": 0.04, "probe": 0.011, "peer": 0.256},
+    "rules": {"askWithin": 10000000, "drainGrace": 2000000, "coldFrom": 0.17, "cold": 16000000,
+        "fallMultiple": 3.0, "fall": 3000001, "droppedStayOpen": true},
+    "specifics": {"readLevel": ["lag_bound", "mutate"], "classBound": [3000000, 0], "serverChecks": "await",
+        "wait": 50000, "writeMarks": "brought", "countedFrom": 1000, "showsRole": "trailing"}}"#;
+
+/// What these settings are refused with; empty if they are not.
+fn refusal(text: &str) -> String {
+    let profile = parse::<Profile>(text);
+    let site = profile.and_then(|profile| profile.site(&mut NameInterner::default()));
+    site.err().map(|error| error.to_string()).unwrap_or_default()
+}
+
+/// Each case replaces one text of the settings by another and tells the message that this must give.
+fn assert_refused(cases: &[(&str, &str, &str)]) {
+    assert_eq!(refusal(PROFILE), "");
+    for (from, to, expected) in cases {
+        assert!(PROFILE.contains(from), "the settings lack {from}");
+        assert_eq!(refusal(&PROFILE.replacen(from, to, 1)), *expected, "{from} -> {to}");
+    }
+}
+
+// Guards against a mistake that is taken, or named otherwise than operators' scripts know; so do the tests after this one.
+#[test]
+fn mistakes_in_classes_and_tenants_are_named() {
+    let level = "field 'specifics.readLevel' has a wrong value: expected mutate, strong, causal, lag_bound or eventual";
+    let semantics = "field 'classes[0].semantics' has a wrong value: \
+        expected read_like, idempotency_key or non_idempotent";
+    let name = "field 'classes[1].name' has a wrong value: expected a name that no class before it has";
+    assert_refused(&[
+        ("\"classes\"", "\"x\"", "field 'classes' is missing"),
+        ("\"readLevel\"", "\"x\"", "field 'specifics.readLevel' is missing"),
+        ("[\"lag_bound\", \"mutate\"]", "[\"lag_bound\"]", "field 'specifics.readLevel' is missing"),
+        ("\"mutate\"", "\"x\"", level),
+        ("\"classBound\"", "\"x\"", "field 'specifics.classBound' is missing"),
+        ("[3000000, 0]", "[-1, 0]", "field 'specifics.classBound' has a wrong value"),
+        ("\"semantics\"", "\"x\"", "field 'classes[0].semantics' is missing"),
+        ("read_like", "x", semantics),
+        ("\"window\": 4000000", "\"window\": -1", "field 'classes[1].window' has a wrong value"),
+        ("\"slo\"", "\"x\"", "field 'classes[0].slo' is missing"),
+        ("\"slo\": 800000", "\"slo\": -1", "field 'classes[0].slo' has a wrong value"),
+        ("\"points\"", "\"x\"", "field 'classes[0].points' is missing"),
+        ("\"giveUp\": 5000000", "\"giveUp\": -1", "field 'classes[1].giveUp' has a wrong value"),
+        ("\"name\": \"list\"", "\"x\": 0", "field 'classes[0].name' is missing"),
+        ("\"name\": \"order\"", "\"name\": \"list\"", name),
+        ("\"allowancePerS\"", "\"x\"", "field 'tenants[0].allowancePerS' is missing"),
+        ("\"name\": \"t1\"", "\"x\": 0", "field 'tenants[0].name' is missing"),
+    ]);
+}
+
+#[test]
+fn mistakes_in_limits_and_rules_are_named() {
+    assert_refused(&[
+        ("\"limits\"", "\"x\"", "field 'limits' is missing"),
+        ("\"maxAttempts\"", "\"x\"", "field 'limits.maxAttempts' is missing"),
+        (
+            "\"maxAttempts\": 6",
+            "\"maxAttempts\": 0",
+            "field 'limits.maxAttempts' has a wrong value: expected 1 or more",
+        ),
+        ("250000,", "-1,", "field 'limits.connectTimeout' has a wrong value"),
+        ("15000000", "-1", "field 'limits.idleClose' has a wrong value"),
+        (
+            "\"maxRetryAfter\": 2000000",
+            "\"maxRetryAfter\": -1",
+            "field 'limits.maxRetryAfter' has a wrong value",
+        ),
+        ("\"rules\"", "\"x\"", "field 'rules' is missing"),
+        ("\"askWithin\": 10000000", "\"askWithin\": -1", "field 'rules.askWithin' has a wrong value"),
+        ("\"drainGrace\": 2000000", "\"drainGrace\": -1", "field 'rules.drainGrace' has a wrong value"),
+        ("\"coldFrom\"", "\"x\"", "field 'rules.coldFrom' is missing"),
+        ("\"cold\"", "\"x\"", "field 'rules.cold' is missing"),
+        ("16000000", "-1", "field 'rules.cold' has a wrong value"),
+        ("\"fallMultiple\"", "\"x\"", "field 'rules.fallMultiple' is missing"),
+        ("\"fall\"", "\"x\"", "field 'rules.fall' is missing"),
+        ("3000001", "-1", "field 'rules.fall' has a wrong value"),
+    ]);
+}
+
+#[test]
+fn mistakes_in_the_rest_are_named() {
+    assert_refused(&[
+        ("\"specifics\"", "\"x\"", "field 'specifics' is missing"),
+        ("\"tick\": 5000", "\"tick\": -1", "field 'tick' has a wrong value"),
+        ("\"tick\": 5000", "\"tick\": \"x\"", "field 'tick' has a wrong value"),
+        ("\"fleetSize\"", "\"x\"", "field 'fleetSize' is missing"),
+        ("\"fleetSize\": 100", "\"fleetSize\": 0", "field 'fleetSize' has a wrong value: expected 1 or more"),
+        ("\"zone\"", "\"x\"", "field 'zone' is missing"),
+        ("\"whole\": 0.75", "\"whole\": 1.5", "field 'goal.whole' has a wrong value"),
+        ("\"worstClass\": 0.125", "\"worstClass\": -1", "field 'goal.worstClass' has a wrong value"),
+        ("\"discovery\"", "\"x\"", "field 'discovery' is missing"),
+        ("on_request", "x", "field 'discovery' has a wrong value: expected pushed or on_request"),
+        ("\"serverChecks\"", "\"x\"", "field 'specifics.serverChecks' is missing"),
+        (
+            "\"await\"",
+            "\"x\"",
+            "field 'specifics.serverChecks' has a wrong value: expected off, bounce or await",
+        ),
+        ("\"wait\": 50000", "\"wait\": -1", "field 'specifics.wait' has a wrong value"),
+        ("\"writeMarks\"", "\"x\"", "field 'specifics.writeMarks' is missing"),
+        ("brought", "x", "field 'specifics.writeMarks' has a wrong value: expected brought or kept"),
+        ("\"showsRole\"", "\"x\"", "field 'specifics.showsRole' is missing"),
+        (
+            "\"trailing\"",
+            "\"x\"",
+            "field 'specifics.showsRole' has a wrong value: expected off, trailing or static",
+        ),
+        ("\"countedFrom\": 1000", "\"countedFrom\": -1", "field 'specifics.countedFrom' has a wrong value"),
+        ("{", "", "the text is not JSON"),
+    ]);
+}
+
+// Guards against scripts that see another one of several mistakes than before.
+#[test]
+fn the_first_of_several_mistakes_is_named() {
+    let mut text = PROFILE.to_string();
+    for (from, to, expected) in [
+        ("\"showsRole\"", "\"x\"", "field 'specifics.showsRole' is missing"),
+        ("\"serverChecks\"", "\"x\"", "field 'specifics.serverChecks' is missing"),
+        ("\"coldFrom\"", "\"x\"", "field 'rules.coldFrom' is missing"),
+        ("\"maxAttempts\"", "\"x\"", "field 'limits.maxAttempts' is missing"),
+        ("on_request", "x", "field 'discovery' has a wrong value: expected pushed or on_request"),
+        ("\"zone\"", "\"x\"", "field 'zone' is missing"),
+        ("\"tick\": 5000", "\"tick\": -1", "field 'tick' has a wrong value"),
+        ("\"rules\"", "\"x\"", "field 'rules' is missing"),
+        ("\"limits\"", "\"x\"", "field 'limits' is missing"),
+        ("\"allowancePerS\"", "\"x\"", "field 'tenants[0].allowancePerS' is missing"),
+        ("\"slo\"", "\"x\"", "field 'classes[0].slo' is missing"),
+        ("\"readLevel\"", "\"x\"", "field 'specifics.readLevel' is missing"),
+        ("\"specifics\"", "\"x\"", "field 'specifics' is missing"),
+    ] {
+        text = text.replacen(from, to, 1);
+        assert_eq!(refusal(&text), expected, "after {from} -> {to}");
+    }
+}
