--- /dev/null
+++ b/crates/settings/src/profile/classes.rs
@@ -0,0 +1,93 @@
+//! Converts the classes of requests. Their read levels and bounds stand beside them, in `specifics`, in the same order.
+
+use super::document::{ClassDoc, SpecificsDoc};
+use super::values::{micros, micros_or_zero, required_micros, unserved};
+use crate::json::{FormError, required};
+use linenhill_decisions::api::{Class, ClassId, DeduplicationScope, Idempotency, Micros, ReadLevel};
+use std::collections::BTreeMap;
+
+/// The classes of a site, in the order of their numbers, and their numbers by name.
+#[derive(Default)]
+pub struct Classes {
+    pub list: Vec<Class>,
+    pub ids: BTreeMap<String, ClassId>,
+}
+
+impl Classes {
+    /// The longest that clients of any class wait.
+    pub fn max_client_timeout(&self) -> Micros {
+        self.list.iter().map(|class| class.client_timeout).max().unwrap_or_default()
+    }
+}
+
+/// Converts all classes.
+///
+/// # Errors
+///
+/// The first field that is missing or wrong, or the second class of a name.
+pub fn convert_classes(
+    documents: Option<Vec<ClassDoc>>, specifics: &SpecificsDoc,
+) -> Result<Classes, FormError> {
+    let read_levels = required("specifics.readLevel", specifics.read_level.as_deref())?;
+    let bounds = specifics.class_bound.as_deref().unwrap_or_default();
+    let mut classes = Classes::default();
+    for (index, document) in required("classes", documents)?.into_iter().enumerate() {
+        let level = required("specifics.readLevel", read_levels.get(index))?;
+        let read_level = read_level(level, bounds.get(index).copied())?;
+        let path = |field: &str| format!("classes[{index}].{field}");
+        let class = class(&document, read_level, path)?;
+        let name = required(&path("name"), document.name)?;
+        if classes.ids.insert(name, ClassId(index)).is_some() {
+            return Err(unserved(&path("name"), "a name that no class before it has"));
+        }
+        classes.list.push(class);
+    }
+    Ok(classes)
+}
+
+fn class(
+    document: &ClassDoc, read_level: ReadLevel, path: impl Fn(&str) -> String,
+) -> Result<Class, FormError> {
+    Ok(Class {
+        idempotency: idempotency(document, &path)?,
+        latency_objective: required_micros(&path("slo"), document.slo)?,
+        priority_weight: required(&path("points"), document.points)?,
+        client_timeout: micros_or_zero(&path("giveUp"), document.give_up)?,
+        late_weight: document.late_worth.unwrap_or(0.0),
+        read_level,
+    })
+}
+
+fn read_level(level: &str, bound: Option<f64>) -> Result<ReadLevel, FormError> {
+    match level {
+        "mutate" => Ok(ReadLevel::Write),
+        "strong" => Ok(ReadLevel::Fresh),
+        "causal" => Ok(ReadLevel::Session),
+        "lag_bound" => {
+            let field = "specifics.classBound";
+            Ok(ReadLevel::Bounded(micros(field, required(field, bound)?)?))
+        }
+        "eventual" => Ok(ReadLevel::Any),
+        _ => Err(unserved("specifics.readLevel", "mutate, strong, causal, lag_bound or eventual")),
+    }
+}
+
+fn idempotency(document: &ClassDoc, path: impl Fn(&str) -> String) -> Result<Idempotency, FormError> {
+    match required(&path("semantics"), document.semantics.as_deref())? {
+        "read_like" => Ok(Idempotency::Idempotent),
+        "idempotency_key" => Ok(Idempotency::Keyed {
+            scope: deduplication_scope(document.group.as_deref()),
+            window: micros_or_zero(&path("window"), document.window)?,
+        }),
+        "non_idempotent" => Ok(Idempotency::NotIdempotent),
+        _ => Err(unserved(&path("semantics"), "read_like, idempotency_key or non_idempotent")),
+    }
+}
+
+/// The narrower scope unless all members are named: a repeat that only its group's members recognise must stay there.
+fn deduplication_scope(group: Option<&str>) -> DeduplicationScope {
+    match group {
+        Some("all") => DeduplicationScope::All,
+        _ => DeduplicationScope::Group,
+    }
+}
--- a/crates/settings/tests/profile.rs
+++ b/crates/settings/tests/profile.rs
@@ -1,6 +1,11 @@
-//! The platform's settings: the exact message of each mistake, and which one comes first where there are several.
+//! The platform's settings: what each field comes to, the exact message of each mistake, and which one comes first where there are
+//! several.
 
-use linenhill_settings::{NameInterner, Profile, parse};
+use linenhill_decisions::api::{
+    ClassId, DeduplicationScope, Discovery, Idempotency, Micros, PositionCheck, ReadLevel, SessionPositions,
+    TenantId,
+};
+use linenhill_settings::{DEFAULT_DRAIN_GRACE, NameInterner, Profile, Site, parse};
 
 /// Settings with every field, for a site of the platform's first kind.
 const PROFILE: &str = r#"{
@@ -21,6 +26,12 @@
     "specifics": {"readLevel": ["lag_bound", "mutate"], "classBound": [3000000, 0], "serverChecks": "await",
         "wait": 50000, "writeMarks": "brought", "countedFrom": 1000, "showsRole": "trailing"}}"#;
 
+/// What these settings come to.
+fn site(text: &str) -> Site {
+    let profile = parse::<Profile>(text).expect("the form of settings");
+    profile.site(&mut NameInterner::default()).expect("settings without a mistake")
+}
+
 /// What these settings are refused with; empty if they are not.
 fn refusal(text: &str) -> String {
     let profile = parse::<Profile>(text);
@@ -37,6 +48,120 @@
     }
 }
 
+// Guards against a field of a class that is read as another one, or in another unit.
+#[test]
+fn classes_and_tenants_are_read_field_by_field() {
+    let site = site(PROFILE);
+    let [list, order] = &site.settings.classes[..] else { panic!("two classes") };
+    assert_eq!((list.latency_objective, list.client_timeout), (Micros(800_000), Micros(3_000_000)));
+    assert_eq!((list.priority_weight, list.late_weight), (3.0, 0.5));
+    assert_eq!(list.read_level, ReadLevel::Bounded(Micros(3_000_000)));
+    assert_eq!(list.idempotency, Idempotency::Idempotent);
+    assert_eq!(order.read_level, ReadLevel::Write);
+    let (scope, window) = (DeduplicationScope::Group, Micros(4_000_000));
+    assert_eq!(order.idempotency, Idempotency::Keyed { scope, window });
+    assert_eq!(site.class_names(), ["list", "order"]);
+    assert_eq!(site.classes.get("order"), Some(&ClassId(1)));
+    assert_eq!(site.settings.tenants[0].allowance_per_s, 10.5);
+    assert_eq!(site.tenants.get("t1"), Some(&TenantId(0)));
+    assert_eq!(site.max_client_timeout, Micros(5_000_000));
+    assert_eq!((site.max_open_requests, site.position_origin), (20_000, 1_000));
+}
+
+// Guards against a field of the other tables that is read as another one, or in another unit.
+#[test]
+fn the_other_tables_are_read_field_by_field() {
+    let settings = site(PROFILE).settings;
+    assert_eq!((settings.tick, settings.fleet_size, settings.fleet_index), (Micros(5_000), 100, Some(7)));
+    assert_eq!((settings.zone.0, settings.over_quota_weight), (0, 0.25));
+    let weights = settings.objective_weights;
+    assert_eq!((weights.total, weights.worst_class), (0.75, 0.125));
+    assert_eq!(settings.discovery, Discovery::OnRequest);
+    let limits = &settings.limits;
+    assert!(limits.cancel && limits.health_checks && limits.gossip && limits.hedging && limits.retry_after);
+    assert_eq!((limits.max_attempts, limits.connect_timeout), (6, Micros(250_000)));
+    assert_eq!((limits.idle_close, limits.max_retry_after), (Micros(15_000_000), Micros(2_000_000)));
+    let costs = &settings.costs;
+    assert_eq!((costs.cross_zone, costs.health_check, costs.gossip), (0.04, 0.011, 0.01));
+    let rules = &settings.rules;
+    assert_eq!((rules.poll_within, rules.drain_grace), (Micros(10_000_000), Micros(2_000_000)));
+    assert_eq!((rules.slow_start_floor, rules.slow_start), (0.17, Micros(16_000_000)));
+    assert_eq!((rules.overload_multiple, rules.overload_duration), (3.0, Micros(3_000_001)));
+    assert!(rules.removed_members_stay_usable && settings.list_names_primary);
+    assert_eq!(settings.position_check, PositionCheck::Wait(Micros(50_000)));
+    assert_eq!(settings.session_positions, SessionPositions::CarriedByRequest);
+}
+
+// Guards against a choice between words that comes to another one of its values.
+#[test]
+fn each_word_of_a_choice_has_its_value() {
+    let changed = |from: &str, to: &str| site(&PROFILE.replacen(from, to, 1)).settings;
+    for (word, level) in [
+        ("strong", ReadLevel::Fresh),
+        ("causal", ReadLevel::Session),
+        ("eventual", ReadLevel::Any),
+        ("mutate", ReadLevel::Write),
+    ] {
+        assert_eq!(changed("lag_bound", word).classes[0].read_level, level, "{word}");
+    }
+    let unsafe_class = changed("read_like", "non_idempotent").classes.remove(0);
+    assert_eq!(unsafe_class.idempotency, Idempotency::NotIdempotent);
+    let (scope, window) = (DeduplicationScope::All, Micros(5_000_000));
+    let keyed_class = changed("read_like", "idempotency_key").classes.remove(0);
+    assert_eq!(keyed_class.idempotency, Idempotency::Keyed { scope, window });
+    assert_eq!(changed("on_request", "pushed").discovery, Discovery::Pushed);
+    assert_eq!(changed("await", "off").position_check, PositionCheck::None);
+    assert_eq!(changed("await", "bounce").position_check, PositionCheck::Reject);
+    assert_eq!(changed("brought", "kept").session_positions, SessionPositions::Remembered);
+    for (word, is_named) in [("off", false), ("static", true)] {
+        assert_eq!(changed("trailing", word).list_names_primary, is_named, "{word}");
+    }
+}
+
+// Guards against a site that lacks what is optional and gets another default than before.
+#[test]
+fn what_is_optional_has_its_default() {
+    let mut text = PROFILE.to_string();
+    for field in [
+        "me",
+        "overShareWorth",
+        "goal",
+        "prices",
+        "tenants",
+        "cancel",
+        "mayProbe",
+        "peers",
+        "secondCopies",
+        "maxOpen",
+        "retryAfter",
+        "askWithin",
+        "drainGrace",
+        "droppedStayOpen",
+        "connectTimeout",
+        "countedFrom",
+    ] {
+        text = text.replacen(&format!("\"{field}\":"), "\"x\":", 1);
+    }
+    let site = site(&text);
+    let settings = &site.settings;
+    assert_eq!((settings.fleet_index, settings.over_quota_weight), (None, 0.0));
+    let weights = settings.objective_weights;
+    assert_eq!((weights.total, weights.worst_class), (1.0, 0.0));
+    let costs = &settings.costs;
+    assert_eq!((costs.cross_zone, costs.health_check, costs.gossip), (0.0, 0.0, 0.0));
+    let limits = &settings.limits;
+    assert!(
+        !(limits.cancel || limits.health_checks || limits.gossip || limits.hedging || limits.retry_after)
+    );
+    assert_eq!(limits.connect_timeout, Micros(0));
+    assert_eq!(
+        (settings.rules.poll_within, settings.rules.drain_grace),
+        (Micros(u64::MAX), DEFAULT_DRAIN_GRACE)
+    );
+    assert!(!settings.rules.removed_members_stay_usable && settings.tenants.is_empty());
+    assert_eq!((site.max_open_requests, site.position_origin), (usize::MAX, 0));
+}
+
 // Guards against a mistake that is taken, or named otherwise than operators' scripts know; so do the tests after this one.
 #[test]
 fn mistakes_in_classes_and_tenants_are_named() {
--- a/src/bin/linenhill-benchlink/wire.rs
+++ b/src/bin/linenhill-benchlink/wire.rs
@@ -4,7 +4,7 @@
 use base64::engine::general_purpose::STANDARD;
 use linenhill::api::*;
 use linenhill::policy::Router;
-use linenhill::settings::{self, NameInterner, Profile, WORD_BYTES};
+use linenhill::settings::{self, GOSSIP_MESSAGE_BYTES, NameInterner, Profile};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::Arc;
@@ -223,7 +223,7 @@
         let now = Time(self.batch.unwrap_or_default().0);
         let site = profile.site(&mut self.zones).map_err(|e| format!("ATTACH: profileData: {e}"))?;
         let router = Router::new(site.settings, seed, now);
-        let slot = Slot { router, classes: site.classes, tenants: site.tenants, zero: site.zero };
+        let slot = Slot { router, classes: site.classes, tenants: site.tenants, zero: site.position_origin };
         self.slots.insert(id, slot);
         Ok(())
     }
@@ -315,7 +315,7 @@
                 let _who: i64 = p.number("who")?;
                 let octets = p.opt("octets")?.unwrap_or("");
                 let bytes = STANDARD.decode(octets).map_err(|_| p.bad("octets", octets))?;
-                let Ok(bytes) = <[u8; WORD_BYTES]>::try_from(bytes) else { return Ok(()) };
+                let Ok(bytes) = <[u8; GOSSIP_MESSAGE_BYTES]>::try_from(bytes) else { return Ok(()) };
                 let word = bytes[4..].iter().fold(0u64, |w, b| w << 8 | u64::from(*b));
                 let member = MemberId(u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]));
                 Event::PositionGossiped {
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -170,10 +170,10 @@
     let (inbox, events) = mpsc::unbounded_channel();
     let book = Book::new(counters.clone(), figures.clone());
     let sender = Sender::new(pool.clone(), inbox.clone(), book.clone(), limits);
-    let longest = Duration::from_micros(site.longest.0);
+    let longest = Duration::from_micros(site.max_client_timeout.0);
     let connection_gate = ConnectionGate::new(capacity.admission_limits(limits.max_retry_after), clock);
     let intake = Intake::new(&site, clock);
-    let admit = capacity.admit(site.max_open);
+    let admit = capacity.admit(site.max_open_requests);
     let gateway = Rc::new(RequestGateway::new(intake, admit, book.clone(), inbox.clone(), guard.clone()));
     let subscribe = Rc::new(Notify::new());
     let first_message_timeout = first_message_timeout(site.settings.discovery);
