--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,10 +1,38 @@
 //! The command line, on the program itself.
 
+use std::net::TcpListener;
+use std::path::PathBuf;
 use std::process::{Command, Output};
 
+const CONFIG: &str = include_str!("../examples/config.json");
+const OPERATOR_FILE: &str = include_str!("../deploy/operator.textproto");
+
 fn linenhill(args: &[&str]) -> Output {
+    linenhill_with(args, &[])
+}
+
+/// Runs the program with these variables alone out of those that configure it.
+fn linenhill_with(args: &[&str], variables: &[(&str, &str)]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_linenhill"));
-    command.args(args).env_remove("LB_CONFIG").output().expect("the program")
+    for name in ["LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_ADMIN", "LB_INHERITED_FD"] {
+        command.env_remove(name);
+    }
+    command.args(args).envs(variables.iter().copied()).output().expect("the program")
+}
+
+/// A file of this test's own.
+fn file(name: &str, text: &str) -> PathBuf {
+    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&path, text).expect("a file");
+    path
+}
+
+/// Runs the program and asserts that it fails to start, and with this message.
+fn assert_fails_to_start(args: &[&str], variables: &[(&str, &str)], message: &str) {
+    let run = linenhill_with(args, variables);
+    assert_eq!(run.status.code(), Some(1), "{args:?} {variables:?}");
+    let log = text(&run.stderr);
+    assert!(log.contains(&format!("] {message}")), "{args:?} {variables:?}: {log}");
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -40,3 +68,80 @@
         assert!(run.status.success() && text(&run.stdout).contains("completions"));
     }
 }
+
+// Guards against a start that fails with another message than operators' scripts know, or that does not fail.
+#[test]
+fn a_proxy_that_can_not_start_says_why() {
+    let taken = TcpListener::bind("127.0.0.1:0").expect("a socket");
+    let taken = taken.local_addr().expect("its address").to_string();
+    let config = file("cli.json", CONFIG);
+    let nameless = file("cli-nameless.json", &CONFIG.replace("\"name\": \"toy\",", ""));
+    let operator_text = OPERATOR_FILE.replace("listen: \"127.0.0.1:7401\"", &format!("listen: \"{taken}\""));
+    let operator = file("cli.textproto", &operator_text);
+    let config = ("LB_CONFIG", config.to_str().expect("a path"));
+    let nameless = ("LB_CONFIG", nameless.to_str().expect("a path"));
+    let operator = operator.to_str().expect("a path");
+    let (serve, listen) = (&["serve", "--operator", operator][..], ("LB_LISTEN", "127.0.0.1:0"));
+    let in_use = |purpose: &str| format!("{purpose} {taken}: Address already in use (os error 98)");
+    assert_fails_to_start(
+        &["serve"],
+        &[("LB_CONFIG", "none.json")],
+        "none.json: No such file or directory (os error 2)",
+    );
+    assert_fails_to_start(&["serve"], &[config, ("LB_LISTEN", "x")], "LB_LISTEN is not an address");
+    assert_fails_to_start(&["serve"], &[config, ("LB_LISTEN", &taken)], &in_use("listen on"));
+    assert_fails_to_start(&["serve"], &[config, listen, ("LB_ADMIN", &taken)], &in_use("operators at"));
+    assert_fails_to_start(
+        &["serve"],
+        &[config, listen, ("LB_INHERITED_FD", "99")],
+        "LB_INHERITED_FD: descriptor 99 is not open",
+    );
+    assert_fails_to_start(serve, &[config, listen], &in_use("instance.listen"));
+    let name_expected = "a proxy of a fleet needs a name of 1 to 64 bytes: 'name' or LB_NAME";
+    assert_fails_to_start(serve, &[nameless, listen], name_expected);
+    assert_fails_to_start(
+        &["serve", "--operator", "none.textproto"],
+        &[config, listen],
+        "none.textproto: No such file or directory (os error 2)",
+    );
+}
+
+// Guards against budgets of a class that no request has, which would never bind.
+#[test]
+fn a_budget_of_an_unknown_class_ends_the_start() {
+    let text = OPERATOR_FILE
+        .replace("what: REPEATS", "what: ADMISSIONS class: \"none\"")
+        .replace("listen: \"127.0.0.1:7401\"", "");
+    let operator = file("cli-class.textproto", &text);
+    let config = file("cli-class.json", CONFIG);
+    assert_fails_to_start(
+        &["serve", "--operator", operator.to_str().expect("a path")],
+        &[("LB_CONFIG", config.to_str().expect("a path")), ("LB_LISTEN", "127.0.0.1:0")],
+        "budget repeats: no class 'none'",
+    );
+}
+
+// Guards against a keeper that starts without an address or on another one's, and against mistakes that share a line.
+#[test]
+fn a_keeper_that_can_not_start_says_why() {
+    let taken = TcpListener::bind("127.0.0.1:0").expect("a socket");
+    let taken = taken.local_addr().expect("its address").to_string();
+    let store = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("cli-store");
+    let with_listen = |name: &str, listen: &str| {
+        let _ = std::fs::remove_dir_all(&store);
+        let text = OPERATOR_FILE
+            .replace("listen: \"127.0.0.1:7401\"", listen)
+            .replace("/tmp/linenhill-k1", store.to_str().expect("a path"));
+        file(name, &text).to_str().expect("a path").to_string()
+    };
+    let keep = |operator: &str, message: &str| {
+        assert_fails_to_start(&["keep", "--operator", operator, "--name", "k1", "--found"], &[], message);
+    };
+    keep(&with_listen("cli-silent.textproto", ""), "the operator's file lacks instance.listen");
+    let operator = with_listen("cli-taken.textproto", &format!("listen: \"{taken}\""));
+    keep(&operator, &format!("listen on {taken}: Address already in use (os error 98)"));
+    let wrong = OPERATOR_FILE.replace("lease_ms: 3000", "lease_ms: 1").replace("burst: 100", "burst: 0");
+    let wrong = file("cli-wrong.textproto", &wrong).to_str().expect("a path").to_string();
+    keep(&wrong, &format!("{wrong}: line 24: terms.lease_ms: 100 to 60000 is expected"));
+    keep(&wrong, &format!("{wrong}: line 39: budget[1].rate.burst: at least 1 is expected"));
+}
