--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -76,7 +76,7 @@
     Index(usize),
 }
 
-/// The path of the innermost value that `T` does not accept, empty for the document itself. miniserde does not say where it
+/// The path of the innermost value that `T` does not accept, empty for the document itself. miniserde does not report where it
 /// stopped, so each value is tried with nothing beside it.
 fn first_wrong_field<T: Deserialize>(root: &Value) -> String {
     let is_wrong = |path: &[PathStep], value: &Value| {
--- a/crates/settings/src/profile/tables.rs
+++ b/crates/settings/src/profile/tables.rs
@@ -33,7 +33,7 @@
     Ok(tenants)
 }
 
-/// How the result is weighted; everything that is served counts alike where the settings don't tell.
+/// How the result is weighted; everything that is served counts alike where the settings give no goal.
 pub fn convert_goal(goal: Option<&GoalDoc>) -> Result<ObjectiveWeights, FormError> {
     let Some(goal) = goal else {
         return Ok(ObjectiveWeights { total: 1.0, worst_class: 0.0 });
--- a/crates/settings/tests/profile.rs
+++ b/crates/settings/tests/profile.rs
@@ -39,7 +39,7 @@
     site.err().map(|error| error.to_string()).unwrap_or_default()
 }
 
-/// Each case replaces one text of the settings by another and tells the message that this must give.
+/// Each case replaces one text of the settings by another and gives the message that must come.
 fn assert_refused(cases: &[(&str, &str, &str)]) {
     assert_eq!(refusal(PROFILE), "");
     for (from, to, expected) in cases {
@@ -92,17 +92,17 @@
     assert_eq!(settings.session_positions, SessionPositions::CarriedByRequest);
 }
 
-// Guards against a choice between words that comes to another one of its values.
+// Guards against a choice of values that is read as another one.
 #[test]
-fn each_word_of_a_choice_has_its_value() {
+fn each_value_of_a_choice_is_read_as_its_own() {
     let changed = |from: &str, to: &str| site(&PROFILE.replacen(from, to, 1)).settings;
-    for (word, level) in [
+    for (value, level) in [
         ("strong", ReadLevel::Fresh),
         ("causal", ReadLevel::Session),
         ("eventual", ReadLevel::Any),
         ("mutate", ReadLevel::Write),
     ] {
-        assert_eq!(changed("lag_bound", word).classes[0].read_level, level, "{word}");
+        assert_eq!(changed("lag_bound", value).classes[0].read_level, level, "{value}");
     }
     let unsafe_class = changed("read_like", "non_idempotent").classes.remove(0);
     assert_eq!(unsafe_class.idempotency, Idempotency::NotIdempotent);
@@ -113,8 +113,8 @@
     assert_eq!(changed("await", "off").position_check, PositionCheck::None);
     assert_eq!(changed("await", "bounce").position_check, PositionCheck::Reject);
     assert_eq!(changed("brought", "kept").session_positions, SessionPositions::Remembered);
-    for (word, is_named) in [("off", false), ("static", true)] {
-        assert_eq!(changed("trailing", word).list_names_primary, is_named, "{word}");
+    for (value, is_named) in [("off", false), ("static", true)] {
+        assert_eq!(changed("trailing", value).list_names_primary, is_named, "{value}");
     }
 }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -158,13 +158,13 @@
     }
 }
 
-/// On what occasion the file is read.
+/// Why the configuration is read, which decides what takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
+pub enum LoadReason {
     /// At the start: the variables take precedence over the file.
     Start,
     /// Once more, on SIGHUP: the file's `discovery` is newer than its variable and takes precedence over it.
-    Again,
+    Reload,
 }
 
 impl Config {
@@ -173,11 +173,11 @@
     /// # Errors
     ///
     /// See [`ConfigError`]: the first thing that is wrong.
-    pub fn from_environment(reading: Reading) -> Result<Config, ConfigError> {
+    pub fn from_environment(reason: LoadReason) -> Result<Config, ConfigError> {
         let path = PathBuf::from(variable("LB_CONFIG").ok_or(ConfigError::NoFile)?);
         let text =
             std::fs::read_to_string(&path).map_err(|error| ConfigError::Unreadable(path.clone(), error))?;
-        Config::parse(&text, &path, Variables::from_environment(), reading)
+        Config::parse(&text, &path, Variables::from_environment(), reason)
     }
 
     /// Checks the text of the file at `path`, which is used in errors alone.
@@ -186,19 +186,19 @@
     ///
     /// See [`ConfigError`]: the first thing that is wrong.
     pub fn parse(
-        text: &str, path: &Path, variables: Variables, reading: Reading,
+        text: &str, path: &Path, variables: Variables, reason: LoadReason,
     ) -> Result<Config, ConfigError> {
         let document = settings::parse(text).map_err(ValueError::from);
         document
-            .and_then(|document| Config::from_document(document, variables, reading))
+            .and_then(|document| Config::from_document(document, variables, reason))
             .map_err(|error| error.in_file(path))
     }
 
     fn from_document(
-        document: ConfigDoc, variables: Variables, reading: Reading,
+        document: ConfigDoc, variables: Variables, reason: LoadReason,
     ) -> Result<Config, ValueError> {
         let discovery_variable =
-            variables.discovery.filter(|_| reading == Reading::Start || document.discovery.is_none());
+            variables.discovery.filter(|_| reason == LoadReason::Start || document.discovery.is_none());
         let listen = address("LB_LISTEN", variables.listen, "listen", document.listen)?;
         let discovery = address("LB_DISCOVERY", discovery_variable, "discovery", document.discovery)?;
         let has_admin = variables.admin.is_some() || document.admin.is_some();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,8 @@
 //! a request, when, and what happens after failures.
 //!
 //! The decisions do no I/O: a driver feeds [`api::Event`]s to [`policy::Router::handle`] with the current
-//! time, and carries out the [`api::Action`]s it pushes. [`proxy`] is that driver on real sockets; the
-//! adapter `linenhill-benchlink` is one on a simulator's wire.
+//! time, and carries out the [`api::Action`]s it pushes. [`proxy`] puts that driver together on real sockets, and
+//! [`process`] starts it; the adapter `linenhill-benchlink` is a driver on a simulator's wire.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/src/process/error.rs
+++ b/src/process/error.rs
@@ -31,7 +31,7 @@
         purpose: &'static str,
         /// The address that was asked for.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
     /// The descriptor of `LB_INHERITED_FD` can't be used.
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! The processes that the program can be until it is told to stop: a proxy and a keeper. Each reads its configuration, binds
+//! The program's long-running processes, a proxy and a keeper. Each reads its configuration, binds
 //! its sockets and runs.
 //!
 //! Nothing here decides anything or knows a protocol. What fails before the process serves ends it with one error, which the
--- a/src/process/serve.rs
+++ b/src/process/serve.rs
@@ -2,7 +2,7 @@
 
 use super::signals::{ControlRequest, ControlSignals, Signals};
 use super::{ProcessError, bind, bound_address, inject_fault, runtime};
-use crate::config::{Config, Reading};
+use crate::config::{Config, LoadReason};
 use crate::counters::Counters;
 use crate::fleet::{Shares, tools};
 use crate::proxy::{self, FleetMember, Listeners};
@@ -32,7 +32,7 @@
     runtime()?.block_on(async {
         // First of all: a reload that comes while the configuration is read must neither end the process nor get lost.
         let signals = Signals::receive()?;
-        let config = Config::from_environment(Reading::Start)?;
+        let config = Config::from_environment(LoadReason::Start)?;
         let operator = operator_file.map(tools::read).transpose();
         let operator = operator.map_err(|error| ProcessError::OperatorFile(error.into()))?;
         inject_fault()?;
@@ -111,7 +111,7 @@
 
 /// Reads the configuration once more and moves to the discovery that it names; a wrong file changes nothing.
 fn reload(discovery_address: &watch::Sender<SocketAddr>) {
-    match Config::from_environment(Reading::Again) {
+    match Config::from_environment(LoadReason::Reload) {
         Ok(config) => {
             info!("reload: discovery is at {}", config.discovery);
             discovery_address.send_replace(config.discovery);
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -3,7 +3,7 @@
 
 use bytes::{Bytes, BytesMut};
 use linenhill::admin::call::{self, Call, CallCodec};
-use linenhill::config::{Config, Reading, Variables};
+use linenhill::config::{Config, LoadReason, Variables};
 use linenhill::discovery::http::WatchCodec;
 use linenhill::discovery::list;
 use linenhill::pg::backend::{Backend, BackendCodec};
@@ -120,7 +120,7 @@
     let config = include_bytes!("../examples/config.json");
     let parse = |text: &[u8]| {
         let text = String::from_utf8_lossy(text);
-        let config = Config::parse(&text, Path::new("config.json"), Variables::default(), Reading::Start);
+        let config = Config::parse(&text, Path::new("config.json"), Variables::default(), LoadReason::Start);
         config.map(|c| c.sockets).map_err(|e| e.to_string())
     };
     assert_eq!(parse(config), Ok(1_024));
@@ -222,7 +222,7 @@
     ] {
         let text = config.replace(from, to);
         let problem =
-            Config::parse(&text, Path::new("config.json"), Variables::default(), Reading::Start).err();
+            Config::parse(&text, Path::new("config.json"), Variables::default(), LoadReason::Start).err();
         let problem = problem.map(|p| p.to_string()).unwrap_or_default();
         assert!(problem.starts_with("config.json: ") && problem.contains(field), "{field}: {problem}");
         assert!(!problem.contains('\n'));
@@ -274,11 +274,11 @@
 fn at_a_reload_the_files_discovery_stands_above_its_variable() {
     let config = include_str!("../examples/config.json");
     let without = config.replace("\"discovery\": \"127.0.0.1:8500\",", "");
-    let read = |text: &str, reading| {
+    let read = |text: &str, reason| {
         let variables = Variables { discovery: Some("127.0.0.1:1".into()), ..Variables::default() };
-        Config::parse(text, Path::new("config.json"), variables, reading).map(|c| c.discovery.port()).ok()
+        Config::parse(text, Path::new("config.json"), variables, reason).map(|c| c.discovery.port()).ok()
     };
-    assert_eq!(read(config, Reading::Start), Some(1));
-    assert_eq!(read(config, Reading::Again), Some(8500));
-    assert_eq!(read(&without, Reading::Again), Some(1));
+    assert_eq!(read(config, LoadReason::Start), Some(1));
+    assert_eq!(read(config, LoadReason::Reload), Some(8500));
+    assert_eq!(read(&without, LoadReason::Reload), Some(1));
 }
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -14,7 +14,7 @@
 use linenhill::clients::session;
 use linenhill::clock::Clock;
 use linenhill::close_reason::CloseReason;
-use linenhill::config::{Config, Reading, Variables};
+use linenhill::config::{Config, LoadReason, Variables};
 use linenhill::connection_admission::AdmissionLimits;
 use linenhill::counters::Counters;
 use linenhill::discovery::list::{self, DecodedList, ListEvent};
@@ -134,7 +134,7 @@
 /// A gateway whose events are at hand.
 fn gateway() -> (Rc<RequestGateway>, Events) {
     let text = include_str!("../examples/config.json");
-    let config = Config::parse(text, Path::new("config.json"), Variables::default(), Reading::Start)
+    let config = Config::parse(text, Path::new("config.json"), Variables::default(), LoadReason::Start)
         .expect("a configuration");
     let (inbox, events) = mpsc::unbounded_channel();
     let intake = Intake::new(&config.site, Clock::start());
@@ -798,7 +798,7 @@
 #[tokio::test(start_paused = true)]
 async fn forgotten_members_are_dropped_everywhere() {
     let text = include_str!("../examples/config.json");
-    let config = Config::parse(text, Path::new("config.json"), Variables::default(), Reading::Start)
+    let config = Config::parse(text, Path::new("config.json"), Variables::default(), LoadReason::Start)
         .expect("a configuration");
     let counters = Rc::new(Counters::default());
     let second = Duration::from_secs(1);
--- a/tests/pushed.rs
+++ b/tests/pushed.rs
@@ -5,7 +5,7 @@
 
 use harness::{Act, HEAD, Program, answer, client, file, peer, program, start, tell, watched};
 use linenhill::api::{Discovery, Micros};
-use linenhill::config::{Config, Reading, Variables};
+use linenhill::config::{Config, LoadReason, Variables};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -17,7 +17,7 @@
 /// What a configuration comes to: the grace of drains, or the line that names what is wrong.
 fn read(config: &str) -> Result<Micros, String> {
     let read =
-        Config::parse(config, std::path::Path::new("pushed.json"), Variables::default(), Reading::Start);
+        Config::parse(config, std::path::Path::new("pushed.json"), Variables::default(), LoadReason::Start);
     let config = read.map_err(|e| e.to_string())?;
     assert_eq!(config.site.settings.discovery, Discovery::Pushed);
     Ok(config.site.settings.rules.drain_grace)
