--- a/crates/lab/src/decision_digest/site.rs
+++ b/crates/lab/src/decision_digest/site.rs
@@ -2,7 +2,7 @@
 
 use fastrand::Rng;
 use linenhill_decisions::api::Settings;
-use linenhill_settings::{Names, Profile};
+use linenhill_settings::{NameInterner, Profile};
 
 /// Settings of one site, as JSON.
 pub(super) struct Site {
@@ -44,7 +44,7 @@
             text = text.replace("\"mayProbe\": true", "\"mayProbe\": false");
         }
         let profile: Profile = linenhill_settings::parse(&text).expect("a site's settings are JSON");
-        profile.site(&mut Names::default()).expect("a site's settings are valid").settings
+        profile.site(&mut NameInterner::default()).expect("a site's settings are valid").settings
     }
 }
 
