--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -148,7 +148,7 @@
     stop: impl Future<Output = ()>,
 ) -> Result<(), DriverEnded> {
     let capacity = Capacity::of(&config, &listeners);
-    let Config { site, names, known, shared, .. } = config;
+    let Config { site, names, known, shared_directory, .. } = config;
     let clock = Clock::start();
     let limits = &site.settings.limits;
     let idle_close = Duration::from_micros(limits.idle_close.0);
@@ -170,10 +170,10 @@
     let (inbox, events) = mpsc::unbounded_channel();
     let book = Book::new(counters.clone(), figures.clone());
     let sender = Sender::new(pool.clone(), inbox.clone(), book.clone(), limits);
-    let longest = Duration::from_micros(site.longest.0);
+    let longest = Duration::from_micros(site.max_client_timeout.0);
     let connection_gate = ConnectionGate::new(capacity.admission_limits(limits.max_retry_after), clock);
     let intake = Intake::new(&site, clock);
-    let admit = capacity.admit(site.max_open);
+    let admit = capacity.admit(site.max_open_requests);
     let gateway = Rc::new(RequestGateway::new(intake, admit, book.clone(), inbox.clone(), guard.clone()));
     let subscribe = Rc::new(Notify::new());
     let first_message_timeout = first_message_timeout(site.settings.discovery);
@@ -192,7 +192,7 @@
     let maintenance = Rc::default();
     let maintenance_log = MaintenanceLog::new(
         Rc::clone(&maintenance),
-        shared.map(|dir| dir.join(maintenance_log::FILE_NAME)),
+        shared_directory.map(|dir| dir.join(maintenance_log::FILE_NAME)),
         clock,
         inbox.clone(),
     );
