--- a/examples/toy/peer.rs
+++ b/examples/toy/peer.rs
@@ -2,7 +2,7 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
-use linenhill::pg::frontend::{Answer, Frontend, FrontendCodec};
+use linenhill::pg::frontend::{FrontendCodec, FrontendMessage, Reply};
 use std::future::Future;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -34,16 +34,16 @@
     out.freeze()
 }
 
-fn parameter(name: &str, value: &str) -> Answer {
-    Answer::Raw(message(b'S', format!("{name}\0{value}\0").as_bytes()))
+fn parameter(name: &str, value: &str) -> Reply {
+    Reply::Raw(message(b'S', format!("{name}\0{value}\0").as_bytes()))
 }
 
-fn row(value: &str) -> [Answer; 3] {
+fn row(value: &str) -> [Reply; 3] {
     let column = [b"\0\x01val\0".as_slice(), &[0; 6], &17u32.to_be_bytes(), &[0xff; 6], &[0, 1]].concat();
     let length = (value.len() as u32).to_be_bytes();
     let data = [b"\0\x01".as_slice(), &length, value.as_bytes()].concat();
     [(b'T', column), (b'D', data), (b'C', b"SELECT 1\0".to_vec())]
-        .map(|(kind, body)| Answer::Raw(message(kind, &body)))
+        .map(|(kind, body)| Reply::Raw(message(kind, &body)))
 }
 
 /// Plays one member: every statement is handed to `act`.
@@ -76,8 +76,8 @@
     while let Ok(Some(Ok(got))) = timeout(idle, framed.next()).await {
         let mut answers = Vec::new();
         match got {
-            Frontend::Startup => answers.push(Answer::Welcome),
-            Frontend::Query(text) => {
+            FrontendMessage::Startup => answers.push(Reply::SessionOpened),
+            FrontendMessage::Query(text) => {
                 let text = String::from_utf8_lossy(&text).into_owned();
                 let now = SystemTime::now().duration_since(UNIX_EPOCH).ok()?.as_millis() as u64;
                 let health = format!("x0={}.{:03},x1={}", now / 1_000, now % 1_000, u8::from(primary));
@@ -86,12 +86,12 @@
                     Act::Row(value) => answers.extend(row(&value)),
                     Act::Error(code) => {
                         let (message, detail) = ("scripted".into(), None);
-                        answers.push(Answer::Error { fatal: false, code, message, detail });
+                        answers.push(Reply::Error { fatal: false, code, message, detail });
                     }
                     Act::Break => return None,
                     Act::Torn(value) => {
                         for part in row(&value).into_iter().take(2) {
-                            let Answer::Raw(raw) = part else { return None };
+                            let Reply::Raw(raw) = part else { return None };
                             framed
                                 .get_mut()
                                 .write_all(&raw[..raw.len().div_ceil(2).max(64).min(raw.len())])
@@ -110,14 +110,14 @@
                 answers.push(parameter("lsn_ms", &now.to_string()));
                 answers.push(parameter("health", &health));
             }
-            Frontend::Announced(length) => {
+            FrontendMessage::LongQueryAnnounced(length) => {
                 let memory = Arc::new(Semaphore::new(length));
-                framed.codec_mut().grant(memory.acquire_many_owned(length as u32).await.ok()?);
+                framed.codec_mut().grant_long_message(memory.acquire_many_owned(length as u32).await.ok()?);
                 continue;
             }
             _ => return None,
         }
-        answers.push(Answer::Ready);
+        answers.push(Reply::ReadyForQuery);
         for answer in answers {
             framed.feed(answer).await.ok()?;
         }
--- a/src/clients/pipeline.rs
+++ b/src/clients/pipeline.rs
@@ -3,11 +3,9 @@
 
 use super::request_gateway::{OpenRequest, PendingRequest};
 use crate::api::Span;
-use crate::budget::Place;
-use crate::pg::frontend::Answer as Reply;
+use crate::pg::frontend::{MessageMemory, Reply};
 use crate::stages::Answer;
 use std::collections::VecDeque;
-use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
 /// Messages of one connection that wait for their turn behind the request that is answered. Beyond this its input stays
@@ -40,10 +38,8 @@
     pub order: RequestOrder,
     /// Whether it runs already.
     pub state: RequestState,
-    /// Its part of the memory for messages.
-    pub memory: Option<Place>,
-    /// The same for a long message.
-    pub long_memory: Option<OwnedSemaphorePermit>,
+    /// The memory of its message.
+    pub memory: MessageMemory,
 }
 
 /// How far a request has come.
--- a/src/clients/session/accept.rs
+++ b/src/clients/session/accept.rs
@@ -3,74 +3,61 @@
 
 use super::replies;
 use super::{InputEnd, Session};
-use crate::budget::Place;
 use crate::clients::connection_gate::AdmissionMode;
 use crate::clients::pipeline::{ClientMessage, PipelinedRequest, RequestOrder, RequestState};
 use crate::clients::request_gateway::OpenRequest;
 use crate::close_reason::CloseReason;
 use crate::pg::PgError;
-use crate::pg::frontend::Frontend;
-use crate::pg::statement::{self, Statement, StatementError};
-use crate::request::{Incoming, Payload};
+use crate::pg::frontend::{FrontendMessage, MessageMemory};
+use crate::pg::statement::{self, StatementError};
 use crate::stages::admit::Edge;
 use crate::stages::intake::IntakeError;
 use bytes::Bytes;
-use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
 /// So many malformed statements in a row end a connection.
 const MAX_MALFORMED_IN_ROW: u32 = 8;
 
-/// The request of a statement. Only the time that is left is written anew for each attempt.
-fn incoming(statement: Statement) -> Incoming {
-    let Statement { id, class, wait_ms, group, key, after_ms, whole, wait_at } = statement;
-    let payload = Payload::cut(&whole, wait_at);
-    Incoming { id, class, wait_ms, group, key, after_ms, payload }
-}
-
 impl<S: super::ClientStream> Session<S> {
     /// Decodes a message, and submits it if it is a request that depends on no earlier one of its connection.
-    pub(super) fn accept(&mut self, message: Frontend) -> ClientMessage {
+    pub(super) fn accept(&mut self, message: FrontendMessage) -> ClientMessage {
         self.has_sent_message = true;
-        let memory = self.framed.codec_mut().share();
-        let long_memory = self.framed.codec_mut().share_long();
+        let memory = self.framed.codec_mut().take_message_memory();
         match message {
-            Frontend::Sync => {
+            FrontendMessage::Sync => {
                 self.skips_to_sync = false;
                 ClientMessage::Sync
             }
-            Frontend::Terminate => ClientMessage::Terminate,
+            FrontendMessage::Terminate => ClientMessage::Terminate,
             _ if self.skips_to_sync => ClientMessage::Ignored,
-            Frontend::Extended(_) => {
+            FrontendMessage::Extended(_) => {
                 self.skips_to_sync = true;
                 ClientMessage::Extended
             }
-            Frontend::Query(statement) if statement::is_empty(&statement) => ClientMessage::Empty,
-            Frontend::Query(statement) => self.accept_statement(&statement, memory, long_memory),
-            Frontend::Encryption
-            | Frontend::Cancel
-            | Frontend::Startup
-            | Frontend::Idle
-            | Frontend::Announced(_) => ClientMessage::Ignored,
+            FrontendMessage::Query(statement) if statement::is_empty(&statement) => ClientMessage::Empty,
+            FrontendMessage::Query(statement) => self.accept_statement(&statement, memory),
+            FrontendMessage::EncryptionRequest
+            | FrontendMessage::CancelRequest
+            | FrontendMessage::Startup
+            | FrontendMessage::Copy
+            | FrontendMessage::LongQueryAnnounced(_) => ClientMessage::Ignored,
         }
     }
 
     /// Decodes a statement. The memory of its message is held as long as the request is open.
-    fn accept_statement(
-        &mut self, statement: &Bytes, memory: Option<Place>, long_memory: Option<OwnedSemaphorePermit>,
-    ) -> ClientMessage {
+    fn accept_statement(&mut self, statement: &Bytes, memory: MessageMemory) -> ClientMessage {
         if let AdmissionMode::Reject(retry_after) = self.connection.mode() {
             let class = statement::parse(statement).ok().map(|statement| statement.class);
             return ClientMessage::ConnectionRefused(retry_after, class);
         }
         let incoming = match statement::parse(statement) {
-            Ok(statement) => incoming(statement),
+            Ok(incoming) => incoming,
             Err(problem) => {
                 let is_wrong = matches!(problem, StatementError::Wrong(_));
                 return self.malformed(if is_wrong { "22023" } else { "42601" }, problem, None);
             }
         };
-        let key = incoming.key.clone();
+        let key = incoming.session_key.clone();
         let class = incoming.class.clone();
         let request = match self.gateway.open(incoming) {
             Ok(request) => request,
@@ -82,7 +69,7 @@
         self.malformed_in_row = 0;
         let order = RequestOrder { key, writes: request.writes() };
         let state = self.submit(request, &order);
-        ClientMessage::Request(Box::new(PipelinedRequest { order, state, memory, long_memory }))
+        ClientMessage::Request(Box::new(PipelinedRequest { order, state, memory }))
     }
 
     /// Submits a request, unless it depends on an earlier one of its connection.
@@ -113,11 +100,15 @@
     }
 
     /// Takes in what came behind the request that is being answered.
-    pub(super) fn read_ahead(&mut self, next: Option<Result<Frontend, PgError>>) -> Result<(), CloseReason> {
+    pub(super) fn read_ahead(
+        &mut self, next: Option<Result<FrontendMessage, PgError>>,
+    ) -> Result<(), CloseReason> {
         match next {
             None | Some(Err(PgError::Io(_))) => return Err(CloseReason::ClientGone),
-            Some(Ok(Frontend::Announced(length))) => self.announced_behind(length),
-            Some(Ok(Frontend::Terminate)) if self.pipeline.is_empty() => return Err(CloseReason::ClientGone),
+            Some(Ok(FrontendMessage::LongQueryAnnounced(length))) => self.announced_behind(length),
+            Some(Ok(FrontendMessage::Terminate)) if self.pipeline.is_empty() => {
+                return Err(CloseReason::ClientGone);
+            }
             Some(Ok(message)) => {
                 let message = self.accept(message);
                 self.pipeline.push(message);
@@ -135,7 +126,7 @@
             .long_message_memory(length)
             .and_then(|(memory, permits)| memory.try_acquire_many_owned(permits).ok());
         match granted {
-            Some(granted) => self.framed.codec_mut().grant(granted),
+            Some(granted) => self.framed.codec_mut().grant_long_message(granted),
             None => self.announced_length = Some(length),
         }
     }
--- a/src/clients/session/input.rs
+++ b/src/clients/session/input.rs
@@ -7,7 +7,7 @@
 use crate::clients::request_gateway::RETRY_AFTER;
 use crate::close_reason::CloseReason;
 use crate::pg::PgError;
-use crate::pg::frontend::{Frontend, FrontendCodec};
+use crate::pg::frontend::{FrontendCodec, FrontendMessage};
 use crate::pg::statement;
 use crate::stages::admit::Edge;
 use bytes::Bytes;
@@ -33,7 +33,7 @@
 /// What reading brought.
 pub(super) enum InputEvent {
     /// A message, or why there is none; nothing at the end of the input.
-    Message(Option<Result<Frontend, PgError>>),
+    Message(Option<Result<FrontendMessage, PgError>>),
     /// The first bytes of a message, which is not complete.
     Begun,
 }
@@ -50,7 +50,7 @@
         }
         // An announced message is still the one that is coming in.
         let is_next = match &polled {
-            Poll::Ready(Some(Ok(message))) => !matches!(message, Frontend::Announced(_)),
+            Poll::Ready(Some(Ok(message))) => !matches!(message, FrontendMessage::LongQueryAnnounced(_)),
             _ => false,
         };
         let has_begun = progress.observe(Instant::now(), framed.read_buffer().len(), is_next);
@@ -66,7 +66,7 @@
 impl<S: ClientStream> Session<S> {
     /// The next message between requests; none at the end of the input. A drain, a stop or a request to make room ends
     /// the connection here, but not in the middle of a message, and not before a new client could send its first one.
-    pub(super) async fn read_message(&mut self) -> Result<Option<Frontend>, CloseReason> {
+    pub(super) async fn read_message(&mut self) -> Result<Option<FrontendMessage>, CloseReason> {
         match self.input_end.take() {
             Some(InputEnd::Violation(problem)) => return Err(self.reject_input(problem).await),
             Some(InputEnd::Malformed) => return Err(CloseReason::Protocol),
@@ -102,7 +102,7 @@
                 biased;
                 next = next_input(&mut self.framed, &mut self.unread_since, &mut self.input_progress) => match next {
                     InputEvent::Begun => {}
-                    InputEvent::Message(Some(Ok(Frontend::Announced(length)))) => {
+                    InputEvent::Message(Some(Ok(FrontendMessage::LongQueryAnnounced(length)))) => {
                         self.reserve_memory(length).await?;
                     }
                     InputEvent::Message(next) => return self.checked(next).await,
@@ -132,7 +132,7 @@
 
     /// When the message that is coming in is overdue, if one is.
     fn overdue_at(&self) -> Option<Instant> {
-        self.input_progress.overdue_at(self.framed.codec().reads_long())
+        self.input_progress.overdue_at(self.framed.codec().is_reading_long_message())
     }
 
     fn is_overdue(&self) -> bool {
@@ -141,8 +141,8 @@
 
     /// The message, or why the connection ends instead.
     async fn checked(
-        &mut self, next: Option<Result<Frontend, PgError>>,
-    ) -> Result<Option<Frontend>, CloseReason> {
+        &mut self, next: Option<Result<FrontendMessage, PgError>>,
+    ) -> Result<Option<FrontendMessage>, CloseReason> {
         match next {
             Some(Err(problem)) => Err(self.reject_input(problem).await),
             Some(Ok(message)) => Ok(Some(message)),
@@ -192,7 +192,7 @@
             return Err(self.reject_long_message().await);
         };
         match timeout(MEMORY_TIMEOUT, memory.acquire_many_owned(permits)).await {
-            Ok(Ok(granted)) => self.framed.codec_mut().grant(granted),
+            Ok(Ok(granted)) => self.framed.codec_mut().grant_long_message(granted),
             _ => return Err(self.reject_long_message().await),
         }
         Ok(())
--- a/src/clients/session/mod.rs
+++ b/src/clients/session/mod.rs
@@ -23,7 +23,7 @@
 use crate::invariants::Invariant;
 use crate::lifecycle::ServingState;
 use crate::pg::PgError;
-use crate::pg::frontend::{Answer as Reply, Frontend, FrontendCodec};
+use crate::pg::frontend::{FrontendCodec, FrontendMessage, Reply};
 use crate::stages::admit::Edge;
 use crate::timeouts::timeout_with_last_look;
 use progress::InputProgress;
@@ -141,12 +141,12 @@
             let message = timeout_with_last_look(time_left, self.read_message()).await;
             match message.map_err(|_| CloseReason::StartupTimeout)?? {
                 None => return Err(CloseReason::PeerClosed),
-                Some(Frontend::Encryption) => self.send([Reply::NoEncryption]).await?,
-                Some(Frontend::Cancel) => return Err(CloseReason::CancelRequest),
+                Some(FrontendMessage::EncryptionRequest) => self.send([Reply::NoEncryption]).await?,
+                Some(FrontendMessage::CancelRequest) => return Err(CloseReason::CancelRequest),
                 Some(_) => {
                     self.is_started = true;
                     self.connection.mark_started();
-                    return self.send([Reply::Welcome, Reply::Ready]).await;
+                    return self.send([Reply::SessionOpened, Reply::ReadyForQuery]).await;
                 }
             }
         }
@@ -176,9 +176,9 @@
             let holds = self.gateway.may_report_ready() || self.serving_state.borrow().is_stopping;
             let ids = format_args!("the front's empty query was answered");
             self.gateway.invariants().check(Invariant::ReadyWithList, holds, ids);
-            self.send([Reply::Empty, Reply::Ready]).await
+            self.send([Reply::EmptyQueryResponse, Reply::ReadyForQuery]).await
         } else {
-            self.send([replies::error("57P03", "standing by"), Reply::Ready]).await
+            self.send([replies::error("57P03", "standing by"), Reply::ReadyForQuery]).await
         }
     }
 
@@ -186,7 +186,7 @@
     async fn respond(&mut self, message: ClientMessage) -> Result<(), CloseReason> {
         match message {
             ClientMessage::Terminate | ClientMessage::Ignored => Ok(()),
-            ClientMessage::Sync => self.send([Reply::Ready]).await,
+            ClientMessage::Sync => self.send([Reply::ReadyForQuery]).await,
             ClientMessage::Empty => {
                 self.wait_until_started().await?;
                 self.answer_empty().await
@@ -205,7 +205,7 @@
                 self.connection.mark_idle();
                 answered
             }
-            ClientMessage::Malformed(error) => self.send([error, Reply::Ready]).await,
+            ClientMessage::Malformed(error) => self.send([error, Reply::ReadyForQuery]).await,
         }
     }
 }
--- a/src/clients/session/replies.rs
+++ b/src/clients/session/replies.rs
@@ -2,7 +2,7 @@
 
 use crate::close_reason::CloseReason;
 use crate::pg::PgError;
-use crate::pg::frontend::Answer as Reply;
+use crate::pg::frontend::Reply;
 use crate::stages::Answer;
 
 /// An error after which the connection goes on. `code` is its SQLSTATE.
--- a/src/clients/session/respond.rs
+++ b/src/clients/session/respond.rs
@@ -8,7 +8,7 @@
 use crate::clients::pipeline::{PipelinedRequest, RequestState};
 use crate::clients::request_gateway::PendingRequest;
 use crate::close_reason::CloseReason;
-use crate::pg::frontend::Answer as Reply;
+use crate::pg::frontend::Reply;
 use crate::stages::{Answer, Flow, Passed};
 use bytes::BytesMut;
 use futures_util::SinkExt;
@@ -35,7 +35,7 @@
     /// One request, to its answer.
     pub(super) async fn answer_request(&mut self, request: Box<PipelinedRequest>) -> Result<(), CloseReason> {
         // The memory of its message is held up to the end of its answer.
-        let PipelinedRequest { order, state, memory: _memory, long_memory: _long_memory } = *request;
+        let PipelinedRequest { order, state, memory: _memory } = *request;
         self.pipeline.begin(order);
         let submitted = match state {
             RequestState::Submitted(submitted) => submitted,
@@ -49,7 +49,7 @@
             Err(answer) => answer,
         };
         self.pipeline.finish();
-        self.send([replies::final_answer(answer, false), Reply::Ready]).await?;
+        self.send([replies::final_answer(answer, false), Reply::ReadyForQuery]).await?;
         self.shrink_buffers();
         Ok(())
     }
@@ -113,7 +113,7 @@
                 Some(Passed::Whole(end)) => {
                     pending.streamed(true);
                     self.note_nothing_unread();
-                    self.send([Reply::Raw(end), Reply::Ready]).await?;
+                    self.send([Reply::Raw(end), Reply::ReadyForQuery]).await?;
                     self.pipeline.finish();
                     return Ok(());
                 }
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -1,13 +1,16 @@
-//! The comment that opens a client's statement, taken apart. What becomes of it is the front's work.
+//! Decodes a client's statement: the comment that opens it makes it a request. What is not written there is not guessed,
+//! and nothing of the statement but its timeout is ever changed.
 
+use crate::request::{IncomingRequest, Payload};
 use bytes::Bytes;
 use std::fmt;
 use std::ops::Range;
+use std::str::FromStr;
 
-/// What is wrong with a statement, by the name of the field.
+/// What is wrong with a statement, by the name of the comment's field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementError {
-    /// No `/* ... */` in front.
+    /// The statement does not begin with a comment.
     NoComment,
     /// A field that must be there is not.
     Missing(&'static str),
@@ -27,85 +30,108 @@
 
 impl std::error::Error for StatementError {}
 
-/// A statement and what its comment says of it.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Statement {
-    /// The client's id for the request.
-    pub id: String,
-    /// The class's name.
-    pub class: String,
-    /// How long the client waits, in milliseconds.
-    pub wait_ms: u64,
-    /// The group.
-    pub group: u32,
-    /// The first quoted text of the statement, which names the session.
-    pub key: Option<String>,
-    /// The position that the read must see, in Unix milliseconds.
-    pub after_ms: Option<u64>,
-    /// All of it.
-    pub whole: Bytes,
-    /// Where in it the time that the client waits is written.
-    pub wait_at: Range<usize>,
-}
+const COMMENT_START: &[u8] = b"/*";
+const COMMENT_END: &[u8] = b"*/";
 
-fn find(bytes: &[u8], what: &[u8]) -> Option<usize> {
-    bytes.windows(what.len()).position(|w| w == what)
+/// Whether a statement has nothing to run.
+pub fn is_empty(statement: &[u8]) -> bool {
+    statement.iter().all(|byte| byte.is_ascii_whitespace() || *byte == b';')
 }
 
-/// Whether a statement holds nothing to run.
-pub fn is_empty(statement: &[u8]) -> bool {
-    statement.iter().all(|b| b.is_ascii_whitespace() || *b == b';')
+/// Decodes a statement as a request. Its comment has the fields `id`, `c` (class), `d` (timeout in milliseconds),
+/// `cluster` (group; 0 when absent) and `after` (position that a read must see); others are the members' own.
+pub fn parse(statement: &Bytes) -> Result<IncomingRequest, StatementError> {
+    let comment = find_comment(statement)?;
+    let sql = &statement[comment.end + COMMENT_END.len()..];
+    let fields = CommentFields::parse(&statement[comment.clone()], comment.start)?;
+    let id = fields.id.ok_or(StatementError::Missing("id"))?;
+    let timeout = fields.timeout.ok_or(StatementError::Missing("d"))?;
+    let class = fields.class.ok_or(StatementError::Missing("c"))?;
+    Ok(IncomingRequest {
+        id: id.to_string(),
+        class: class.to_string(),
+        timeout_ms: timeout.ms,
+        group: fields.group.unwrap_or(0),
+        session_key: first_quoted(sql),
+        required_position_ms: fields.position_ms.filter(|ms| *ms > 0),
+        payload: Payload::cut(statement, timeout.range),
+    })
 }
 
-/// Takes a statement apart.
-pub fn parse(statement: &Bytes) -> Result<Statement, StatementError> {
-    let open = find(statement, b"/*").ok_or(StatementError::NoComment)?;
-    if !is_empty(&statement[..open]) {
+/// Where the text of the opening comment is.
+fn find_comment(statement: &[u8]) -> Result<Range<usize>, StatementError> {
+    let opening = find(statement, COMMENT_START).ok_or(StatementError::NoComment)?;
+    if !is_empty(&statement[..opening]) {
         return Err(StatementError::NoComment);
     }
-    let length = find(&statement[open + 2..], b"*/").ok_or(StatementError::NoComment)?;
-    let (from, to) = (open + 2, open + 2 + length);
-    let comment = std::str::from_utf8(&statement[from..to]).map_err(|_| StatementError::NoComment)?;
-    let (mut id, mut class, mut wait, mut group, mut after, mut at) = (None, None, None, None, None, from);
-    for pair in comment.split(',') {
-        let start = at;
-        at += pair.len() + 1;
-        let Some((name, value)) = pair.split_once('=') else { continue };
+    let start = opening + COMMENT_START.len();
+    let length = find(&statement[start..], COMMENT_END).ok_or(StatementError::NoComment)?;
+    Ok(start..start + length)
+}
+
+fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+    bytes.windows(pattern.len()).position(|window| window == pattern)
+}
+
+/// The field `d`.
+struct Timeout {
+    ms: u64,
+    /// Where in the statement the number is.
+    range: Range<usize>,
+}
+
+/// The fields of a comment. Of a field that is there several times the last one counts.
+#[derive(Default)]
+struct CommentFields<'a> {
+    id: Option<&'a str>,
+    class: Option<&'a str>,
+    timeout: Option<Timeout>,
+    group: Option<u32>,
+    position_ms: Option<u64>,
+}
+
+impl<'a> CommentFields<'a> {
+    /// Parses the text of a comment, which begins at `offset` of its statement.
+    fn parse(comment: &'a [u8], offset: usize) -> Result<CommentFields<'a>, StatementError> {
+        let comment = std::str::from_utf8(comment).map_err(|_| StatementError::NoComment)?;
+        let mut fields = CommentFields::default();
+        let mut pair_start = offset;
+        for pair in comment.split(',') {
+            if let Some((name, value)) = pair.split_once('=') {
+                let value_start = pair_start + name.len() + 1;
+                fields.set(name.trim(), value, value_start)?;
+            }
+            pair_start += pair.len() + 1;
+        }
+        Ok(fields)
+    }
+
+    /// Sets a field; `value_start` is where in the statement its untrimmed value begins.
+    fn set(&mut self, name: &str, value: &'a str, value_start: usize) -> Result<(), StatementError> {
         let trimmed = value.trim();
-        match name.trim() {
-            "id" => id = Some(trimmed).filter(|v| !v.is_empty()),
-            "c" => class = Some(trimmed).filter(|v| !v.is_empty()),
+        match name {
+            "id" => self.id = Some(trimmed).filter(|id| !id.is_empty()),
+            "c" => self.class = Some(trimmed).filter(|class| !class.is_empty()),
             "d" => {
-                let begin = start + name.len() + 1 + (value.len() - value.trim_start().len());
-                let number = trimmed.parse::<u64>().map_err(|_| StatementError::Wrong("d"))?;
-                wait = Some((number, begin, begin + trimmed.len()));
-            }
-            "cluster" => {
-                group = Some(trimmed.parse::<u32>().map_err(|_| StatementError::Wrong("cluster"))?);
-            }
-            "after" => {
-                after = Some(trimmed.parse::<u64>().map_err(|_| StatementError::Wrong("after"))?);
+                let start = value_start + (value.len() - value.trim_start().len());
+                let range = start..start + trimmed.len();
+                self.timeout = Some(Timeout { ms: parse_number("d", trimmed)?, range });
             }
+            "cluster" => self.group = Some(parse_number("cluster", trimmed)?),
+            "after" => self.position_ms = Some(parse_number("after", trimmed)?),
             _ => {}
         }
+        Ok(())
     }
-    let id = id.ok_or(StatementError::Missing("id"))?.to_string();
-    let (wait_ms, begin, end) = wait.ok_or(StatementError::Missing("d"))?;
-    Ok(Statement {
-        id,
-        class: class.ok_or(StatementError::Missing("c"))?.to_string(),
-        wait_ms,
-        group: group.unwrap_or(0),
-        key: quoted(&statement[to + 2..]),
-        after_ms: after.filter(|a| *a > 0),
-        whole: statement.clone(),
-        wait_at: begin..end,
-    })
 }
 
-/// The first quoted text of the statement itself.
-fn quoted(sql: &[u8]) -> Option<String> {
-    let open = sql.iter().position(|b| *b == b'\'')?;
-    let length = sql[open + 1..].iter().position(|b| *b == b'\'')?;
-    std::str::from_utf8(&sql[open + 1..open + 1 + length]).ok().map(str::to_string)
+fn parse_number<T: FromStr>(field: &'static str, text: &str) -> Result<T, StatementError> {
+    text.parse().map_err(|_| StatementError::Wrong(field))
+}
+
+/// The first quoted text of the SQL behind the comment: it names the session.
+fn first_quoted(sql: &[u8]) -> Option<String> {
+    let start = sql.iter().position(|byte| *byte == b'\'')? + 1;
+    let length = sql[start..].iter().position(|byte| *byte == b'\'')?;
+    std::str::from_utf8(&sql[start..start + length]).ok().map(str::to_string)
 }
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -10,7 +10,7 @@
 use crate::fleet::Unit;
 use crate::peek::{Unread, unread};
 use crate::pg::PgError;
-use crate::pg::backend::{Backend, BackendCodec, Command};
+use crate::pg::backend::{BackendCodec, BackendMessage, Command};
 use crate::upstream::reply::{ReplyAssembler, ReplyProgress, StatementReply, outcome_of};
 use crate::upstream::send_guard::SendPermit;
 use bytes::{Bytes, BytesMut};
@@ -119,8 +119,10 @@
         self.framed.send(Command::Startup).await.map_err(|_| SessionError::BROKEN)?;
         loop {
             match self.framed.next().await {
-                Some(Ok(Backend::Ready)) => return Ok(()),
-                Some(Ok(Backend::Error(sqlstate))) => return Err(SessionError::rejected(&sqlstate)),
+                Some(Ok(BackendMessage::ReadyForQuery)) => return Ok(()),
+                Some(Ok(BackendMessage::ErrorResponse(sqlstate))) => {
+                    return Err(SessionError::rejected(&sqlstate));
+                }
                 Some(Ok(_)) => {}
                 Some(Err(_)) | None => return Err(SessionError::BROKEN),
             }
@@ -227,7 +229,7 @@
 
     /// The next message of a reply. The first one may take any time; once bytes of the reply have arrived, others
     /// must follow within [`ANSWER_GAP`].
-    async fn next_message(&mut self, has_begun: bool) -> Option<Result<Backend, PgError>> {
+    async fn next_message(&mut self, has_begun: bool) -> Option<Result<BackendMessage, PgError>> {
         let mut buffered = self.framed.read_buffer().len();
         loop {
             if let Ok(message) = timeout(ANSWER_GAP, self.framed.next()).await {
@@ -255,12 +257,12 @@
                 Some(Err(_)) | None => return self.break_stream(CloseReason::Reset),
             };
             match message {
-                Backend::Part(bytes) => return StreamEvent::Chunk(bytes),
-                Backend::Complete(bytes) => return StreamEvent::End(bytes),
-                Backend::Ready if self.check_usable() => return StreamEvent::Ready,
+                BackendMessage::ValueChunk(bytes) => return StreamEvent::Chunk(bytes),
+                BackendMessage::CommandComplete(bytes) => return StreamEvent::End(bytes),
+                BackendMessage::ReadyForQuery if self.check_usable() => return StreamEvent::Ready,
                 // The member sent more than it was asked for.
-                Backend::Ready => return StreamEvent::Broken,
-                Backend::Parameter { .. } | Backend::Other => {}
+                BackendMessage::ReadyForQuery => return StreamEvent::Broken,
+                BackendMessage::ParameterStatus { .. } | BackendMessage::Ignored => {}
                 _ => return self.break_stream(CloseReason::Protocol),
             }
         }
--- a/src/upstream/reply.rs
+++ b/src/upstream/reply.rs
@@ -6,7 +6,7 @@
 use crate::api::{LoadReport, Outcome, Role, Time};
 use crate::close_reason::CloseReason;
 use crate::pg::PgError;
-use crate::pg::backend::Backend;
+use crate::pg::backend::BackendMessage;
 use crate::upstream::report;
 use bytes::{Bytes, BytesMut};
 
@@ -111,7 +111,7 @@
     }
 
     /// Takes the next message of the connection; `None` is its end.
-    pub(super) fn push(&mut self, message: Option<Result<Backend, PgError>>) -> ReplyProgress {
+    pub(super) fn push(&mut self, message: Option<Result<BackendMessage, PgError>>) -> ReplyProgress {
         match message {
             Some(Ok(message)) => self.push_message(message),
             None | Some(Err(PgError::Io(_))) => ReplyProgress::Broken(Outcome::Reset, CloseReason::Reset),
@@ -119,36 +119,40 @@
         }
     }
 
-    fn push_message(&mut self, message: Backend) -> ReplyProgress {
+    fn push_message(&mut self, message: BackendMessage) -> ReplyProgress {
         match (self.expected, message) {
-            (ExpectedMessage::Description, Backend::Description(bytes)) => {
+            (ExpectedMessage::Description, BackendMessage::RowDescription(bytes)) => {
                 self.expected = ExpectedMessage::Row;
                 self.raw.extend_from_slice(&bytes);
             }
-            (ExpectedMessage::Row, Backend::Row { raw: bytes, value }) => {
+            (ExpectedMessage::Row, BackendMessage::DataRow { raw: bytes, value }) => {
                 self.expected = ExpectedMessage::Completion;
                 self.reply.column = Some(value);
                 self.raw.extend_from_slice(&bytes);
             }
-            (ExpectedMessage::Row, Backend::RowBegins(bytes)) => {
+            (ExpectedMessage::Row, BackendMessage::LongRowHead(bytes)) => {
                 self.raw.extend_from_slice(&bytes);
                 self.reply.is_streaming = true;
                 return ReplyProgress::Streaming;
             }
-            (ExpectedMessage::Completion, Backend::Complete(bytes)) => {
+            (ExpectedMessage::Completion, BackendMessage::CommandComplete(bytes)) => {
                 self.expected = ExpectedMessage::Readiness(Outcome::Ok);
                 self.raw.extend_from_slice(&bytes);
             }
             // A command without a row has run, but gives nothing to relay.
-            (ExpectedMessage::Description, Backend::Complete(_)) => {
+            (ExpectedMessage::Description, BackendMessage::CommandComplete(_)) => {
                 self.expected = ExpectedMessage::Readiness(Outcome::Failed);
             }
-            (ExpectedMessage::Description, Backend::Error(sqlstate)) => {
+            (ExpectedMessage::Description, BackendMessage::ErrorResponse(sqlstate)) => {
                 self.expected = ExpectedMessage::Readiness(outcome_of(&sqlstate));
             }
-            (ExpectedMessage::Readiness(outcome), Backend::Ready) => return ReplyProgress::Complete(outcome),
-            (_, Backend::Parameter { name, value }) => self.reply.record_parameter(&name, &value),
-            (_, Backend::Other) => {}
+            (ExpectedMessage::Readiness(outcome), BackendMessage::ReadyForQuery) => {
+                return ReplyProgress::Complete(outcome);
+            }
+            (_, BackendMessage::ParameterStatus { name, value }) => {
+                self.reply.record_parameter(&name, &value)
+            }
+            (_, BackendMessage::Ignored) => {}
             _ => return ReplyProgress::Broken(Outcome::Garbled, CloseReason::Protocol),
         }
         ReplyProgress::Incomplete
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -6,10 +6,9 @@
 use linenhill::config::{Config, Reading, Variables};
 use linenhill::discovery::http::WatchCodec;
 use linenhill::discovery::list;
-use linenhill::pg::backend::{Backend, BackendCodec};
+use linenhill::pg::backend::{BackendCodec, BackendMessage};
 use linenhill::pg::frontend::FrontendCodec;
 use linenhill::pg::statement;
-use linenhill::request::Payload;
 use linenhill::takeover::saved;
 use linenhill::upstream::report;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -139,9 +138,7 @@
     fn same(before: u32, left: u64, k: u64) -> bool {
         let text = |d: u64| format!("/* id=a,c=order,d={d},k={k:x},cluster=2 */ INSERT 'x' 'd=1'");
         let read = statement::parse(&Bytes::from(text(u64::from(before))));
-        read.is_ok_and(|r| {
-            r.wait_ms == u64::from(before) && Payload::cut(&r.whole, r.wait_at).render(left) == text(left)
-        })
+        read.is_ok_and(|r| r.timeout_ms == u64::from(before) && r.payload.render(left) == text(left))
     }
     let mut random = QuickCheck::new().rng(Gen::from_size_and_seed(64, 8)).tests(200);
     random.quickcheck(same as fn(u32, u64, u64) -> bool);
@@ -175,12 +172,12 @@
             buffer.extend_from_slice(cut);
             while let Some(item) = codec.decode(&mut buffer).expect("well formed") {
                 match item {
-                    Backend::RowBegins(head) => assert_eq!(head[..], row[..11]),
-                    Backend::Part(part) => {
+                    BackendMessage::LongRowHead(head) => assert_eq!(head[..], row[..11]),
+                    BackendMessage::ValueChunk(part) => {
                         largest = largest.max(part.len());
                         got.extend_from_slice(&part);
                     }
-                    item => ready = item == Backend::Ready,
+                    item => ready = item == BackendMessage::ReadyForQuery,
                 }
             }
         }
