--- a/src/clients/listener.rs
+++ b/src/clients/listener.rs
@@ -39,7 +39,8 @@
         self.unlogged += 1;
         if self.logged_at.is_none_or(|at| at.elapsed() >= ACCEPT_LOG_INTERVAL) {
             warn!("accept: {problem}, {} since the last line", self.unlogged);
-            (self.logged_at, self.unlogged) = (Some(Instant::now()), 0);
+            self.logged_at = Some(Instant::now());
+            self.unlogged = 0;
         }
         if concerns_one_connection(problem) && self.in_row < MAX_ERRORS_IN_ROW {
             tokio::task::yield_now().await;
--- a/src/clients/request_gateway.rs
+++ b/src/clients/request_gateway.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Time after which to retry, told to clients that are rejected for want of memory or of room among the requests held.
+/// Time after which to retry, sent to clients that are rejected for want of memory or of room among the requests held.
 pub const RETRY_AFTER: Span = Span(250_000);
 
 /// The entry to the stages that all sessions share.
--- a/src/clients/session/input.rs
+++ b/src/clients/session/input.rs
@@ -38,8 +38,20 @@
     Begun,
 }
 
+/// Why the wait for the next message is over.
+enum Wakeup {
+    /// Something was read.
+    Input(InputEvent),
+    /// The process closes idle connections, and a new client has had its time.
+    Drained,
+    /// The connection was asked to close.
+    CloseRequested,
+    /// The message that is coming in should be complete by now.
+    Overdue,
+}
+
 /// Reads until a message is there, or one has begun. `unread_since` is cleared once everything that has arrived is read,
-/// and `progress` is told of each read.
+/// and `progress` observes each read.
 pub(super) async fn next_input<S: ClientStream>(
     framed: &mut Framed<S, FrontendCodec>, unread_since: &mut Option<Instant>, progress: &mut InputProgress,
 ) -> InputEvent {
@@ -75,61 +87,81 @@
         if let Some(length) = self.announced_length.take() {
             self.reserve_memory(length).await?;
         }
-        let mut serving_state = self.serving_state.clone();
-        let mut close_by = None;
         let first_message_by = match self.has_sent_message {
             true => Instant::now(),
             false => self.accepted_at + FIRST_MESSAGE_TIMEOUT,
         };
+        let mut close_by = None;
         loop {
-            let is_incomplete = !self.framed.read_buffer().is_empty();
-            let was_asked = self.close_requested;
-            let drained = async {
-                let _ = serving_state.wait_for(|state| state.closes_idle).await;
-                sleep_until(first_message_by).await;
-            };
-            // A message may begin or grow while this waits: looked at again then.
-            let overdue_at = self.overdue_at().unwrap_or_else(Instant::now);
-            let overdue = sleep_until(overdue_at);
-            let asked_to_close = async {
-                match close_by.filter(|_| is_incomplete) {
-                    Some(close_by) => sleep_until(close_by).await,
-                    None if was_asked => {}
-                    None => self.connection.close_requested().await,
+            match self.wait_for_input(first_message_by, close_by).await {
+                Wakeup::Input(InputEvent::Begun) => {}
+                Wakeup::Input(InputEvent::Message(Some(Ok(FrontendMessage::LongQueryAnnounced(length))))) => {
+                    self.reserve_memory(length).await?;
                 }
-            };
-            tokio::select! {
-                biased;
-                next = next_input(&mut self.framed, &mut self.unread_since, &mut self.input_progress) => match next {
-                    InputEvent::Begun => {}
-                    InputEvent::Message(Some(Ok(FrontendMessage::LongQueryAnnounced(length)))) => {
-                        self.reserve_memory(length).await?;
-                    }
-                    InputEvent::Message(next) => return self.checked(next).await,
-                },
-                () = drained, if !is_incomplete => {
+                Wakeup::Input(InputEvent::Message(next)) => return self.checked(next).await,
+                Wakeup::Drained => {
                     if !self.has_begun_message().await {
                         return Err(CloseReason::Stopping);
                     }
                 }
-                () = asked_to_close => {
+                Wakeup::CloseRequested => {
                     self.close_requested = true;
                     let close_by = *close_by.get_or_insert_with(|| Instant::now() + CLOSE_GRACE);
-                    let is_over = !self.is_started || Instant::now() >= close_by;
-                    if is_over || !self.has_begun_message().await {
-                        return Err(CloseReason::MadeRoom);
-                    }
-                }
-                () = overdue, if is_incomplete => {
-                    // After a hold-up the timer fires before what arrived meanwhile is read.
-                    if self.is_overdue() && !self.has_unread_bytes().await {
-                        return Err(self.reject_input(PgError::Body("it does not end")).await);
-                    }
+                    self.close_for_room(close_by).await?;
                 }
+                Wakeup::Overdue => self.close_if_overdue().await?,
             }
         }
     }
 
+    /// Waits until something is read, or until one of the reasons to end the connection has to be examined. New clients
+    /// have until `first_message_by` in a drain; `close_by` is set once the connection was asked to close.
+    async fn wait_for_input(&mut self, first_message_by: Instant, close_by: Option<Instant>) -> Wakeup {
+        let is_incomplete = !self.framed.read_buffer().is_empty();
+        let was_asked = self.close_requested;
+        let mut serving_state = self.serving_state.clone();
+        let drained = async {
+            let _ = serving_state.wait_for(|state| state.closes_idle).await;
+            sleep_until(first_message_by).await;
+        };
+        // A message may begin or grow during the wait, so the deadline is examined again when it fires.
+        let overdue = sleep_until(self.overdue_at().unwrap_or_else(Instant::now));
+        let asked_to_close = async {
+            match close_by.filter(|_| is_incomplete) {
+                Some(close_by) => sleep_until(close_by).await,
+                None if was_asked => {}
+                None => self.connection.close_requested().await,
+            }
+        };
+        tokio::select! {
+            biased;
+            event = next_input(&mut self.framed, &mut self.unread_since, &mut self.input_progress) => {
+                Wakeup::Input(event)
+            }
+            () = drained, if !is_incomplete => Wakeup::Drained,
+            () = asked_to_close => Wakeup::CloseRequested,
+            () = overdue, if is_incomplete => Wakeup::Overdue,
+        }
+    }
+
+    /// Ends a connection that was asked to close, unless a message is coming in: that one has until `close_by`.
+    async fn close_for_room(&mut self, close_by: Instant) -> Result<(), CloseReason> {
+        let is_over = !self.is_started || Instant::now() >= close_by;
+        if is_over || !self.has_begun_message().await {
+            return Err(CloseReason::MadeRoom);
+        }
+        Ok(())
+    }
+
+    /// Ends the connection if the message that is coming in is overdue. After a hold-up the timer fires before what
+    /// arrived meanwhile is read, so unread bytes are read first.
+    async fn close_if_overdue(&mut self) -> Result<(), CloseReason> {
+        if self.is_overdue() && !self.has_unread_bytes().await {
+            return Err(self.reject_input(PgError::Body("it does not end")).await);
+        }
+        Ok(())
+    }
+
     /// When the message that is coming in is overdue, if one is.
     fn overdue_at(&self) -> Option<Instant> {
         self.input_progress.overdue_at(self.framed.codec().is_reading_long_message())
--- a/src/clients/session/mod.rs
+++ b/src/clients/session/mod.rs
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Returns once the process knows which members there are, or that nobody can tell.
+    /// Returns once the process has a list of members, or no longer waits for one.
     async fn wait_until_started(&mut self) -> Result<(), CloseReason> {
         let mut serving_state = self.serving_state.clone();
         if !serving_state.borrow().is_starting {
--- a/src/clients/session/progress.rs
+++ b/src/clients/session/progress.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a session may take, once it knows that a client has stopped, to say so and to close.
+/// What a session may take, once it knows that a client has stopped, to answer with an error and to close.
 const ENDING_TAKES: Duration = Duration::from_millis(250);
 /// A message that has begun must be complete, and a long one must have grown, within this time. A client may spend 2 s
 /// on a message.
--- a/src/clients/session/replies.rs
+++ b/src/clients/session/replies.rs
@@ -19,7 +19,7 @@
 pub(super) fn final_answer(answer: Answer, fatal: bool) -> Reply {
     match answer {
         Answer::Served(raw) => Reply::Raw(raw),
-        // The rest is streamed by whoever holds it.
+        // The session streams the rest.
         Answer::Passing(flow) => Reply::Raw(flow.first),
         Answer::Refused { retry_after } => Reply::Error {
             fatal,
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -65,7 +65,7 @@
     pub address: watch::Receiver<SocketAddr>,
     /// What opens the next watch.
     pub trigger: WatchTrigger,
-    /// Told of each message and list.
+    /// Records each message and list.
     pub status: Rc<DiscoveryStatus>,
     /// Where list events go.
     pub inbox: mpsc::UnboundedSender<Input>,
--- a/src/discovery/status.rs
+++ b/src/discovery/status.rs
@@ -13,7 +13,7 @@
 /// How often the silence is checked.
 const CHECK_EVERY: Duration = Duration::from_secs(1);
 
-/// The version of the list in use, and the age of the news.
+/// The version of the list in use, and the time since the last message.
 pub struct DiscoveryStatus {
     list_version: Cell<u64>,
     monitor: RefCell<StalenessMonitor>,
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -24,7 +24,6 @@
 /// The longest time in which a connection comes up and the call is written.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The longest silence of a watch: a living one sends at least an empty line every 2 s.
-///
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// The longest time until the first message, where one service answers the calls of all proxies in turn. The watch may
 /// have fallen silent right after the call, and what it misses then counts as notified 6 s later. A call that is given
@@ -71,7 +70,7 @@
     Ok(stream)
 }
 
-/// Reads a watch until it ends; returns why it did. Lists go to `inbox`, and `status` is told of each message. The
+/// Reads a watch until it ends; returns why it did. Lists go to `inbox`, and `status` records each message. The
 /// first message must arrive within `first_message_timeout`.
 pub async fn read_watch(
     stream: impl AsyncRead + Unpin, status: &DiscoveryStatus, inbox: &mpsc::UnboundedSender<Input>,
