--- /dev/null
+++ b/src/bin/linenhill-benchlink/adapter.rs
@@ -0,0 +1,208 @@
+//! The instances of one run, and the batch that is being read: hands each event to its instance at once, and collects
+//! what the instances do until the batch ends. It must never reorder events or actions: the simulator replays them.
+
+use crate::decode::{InstanceNames, MemberList, MemberNames, decode_event, decode_member};
+use crate::encode::{encode_action, encode_batch_end, encode_instance};
+use crate::error::MessageError;
+use crate::fields::MessageFields;
+use linenhill::api::{Action, ListEntry, Time};
+use linenhill::policy::Router;
+use linenhill::settings::{self, Profile};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// Entries of a list for which memory is reserved at once, whatever length the list announces.
+const MAX_RESERVED_ENTRIES: usize = 4_096;
+
+/// How far the batch has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BatchState {
+    /// More messages follow.
+    Incomplete,
+    /// The reply is complete.
+    Complete,
+}
+
+/// The decisions of one proxy.
+struct Instance {
+    router: Router,
+    names: InstanceNames,
+}
+
+/// A batch of messages, all of one moment.
+#[derive(Clone, Copy)]
+struct Batch {
+    now: Time,
+    number: u64,
+}
+
+/// A list of which entries are still to come.
+struct IncompleteList {
+    number: u64,
+    /// Its entries, once it is complete.
+    length: usize,
+    entries: Vec<ListEntry>,
+}
+
+/// The instances and the batch that is being read.
+#[derive(Default)]
+pub struct Adapter {
+    instances: BTreeMap<u64, Instance>,
+    lists: BTreeMap<u64, MemberList>,
+    member_names: MemberNames,
+    /// The batch that is being read; none between batches.
+    batch: Option<Batch>,
+    /// For which instance the next messages of the batch are.
+    current_instance: Option<u64>,
+    incomplete_list: Option<IncompleteList>,
+    /// Of the last event; kept for its memory.
+    actions: Vec<Action>,
+    reply: String,
+    /// Whose actions were written last in this batch.
+    reply_instance: Option<u64>,
+}
+
+impl Adapter {
+    /// Handles one message, without the end of its line.
+    pub fn handle_line(&mut self, line: &str) -> Result<BatchState, MessageError> {
+        let mut fields = MessageFields::new(line);
+        let message = fields.message();
+        if self.incomplete_list.is_some() && message != "MEMBER" {
+            return Err(MessageError::IncompleteList(message.to_string()));
+        }
+        if message == "TURN" {
+            self.begin_batch(&mut fields)?;
+            return Ok(BatchState::Incomplete);
+        }
+        let Some(batch) = self.batch else {
+            return Err(MessageError::OutsideBatch(message.to_string()));
+        };
+        match message {
+            "GO" => {
+                self.end_batch(batch);
+                return Ok(BatchState::Complete);
+            }
+            "INSTANCE" => self.current_instance = Some(fields.number("driverId")?),
+            "CENSUS" => self.begin_list(&mut fields)?,
+            "MEMBER" => self.add_member(&mut fields)?,
+            "ATTACH" => self.attach(line, batch.now)?,
+            "CRASH_NOW" => {
+                let instance = self.current_instance_for(message)?;
+                self.instances.remove(&instance);
+            }
+            _ => self.handle_event(&mut fields, batch.now)?,
+        }
+        Ok(BatchState::Incomplete)
+    }
+
+    /// Whether a batch has begun and not ended.
+    pub fn is_in_batch(&self) -> bool {
+        self.batch.is_some()
+    }
+
+    /// The reply so far.
+    pub fn reply(&self) -> &str {
+        &self.reply
+    }
+
+    /// Clears the reply for the next batch.
+    pub fn clear_reply(&mut self) {
+        self.reply.clear();
+    }
+
+    /// Handles TURN.
+    fn begin_batch(&mut self, fields: &mut MessageFields) -> Result<(), MessageError> {
+        if self.batch.is_some() {
+            return Err(MessageError::NestedBatch);
+        }
+        let now = Time(fields.number("time")?);
+        let number = fields.number("batch")?;
+        self.batch = Some(Batch { now, number });
+        Ok(())
+    }
+
+    /// Handles GO.
+    fn end_batch(&mut self, batch: Batch) {
+        encode_batch_end(batch.number, &mut self.reply);
+        self.batch = None;
+        self.current_instance = None;
+        self.reply_instance = None;
+    }
+
+    /// The instance for which a message is.
+    fn current_instance_for(&self, message: &str) -> Result<u64, MessageError> {
+        self.current_instance.ok_or_else(|| MessageError::NoInstance(message.to_string()))
+    }
+
+    /// Handles CENSUS, which announces the length of a list.
+    fn begin_list(&mut self, fields: &mut MessageFields) -> Result<(), MessageError> {
+        let number = fields.number("sheet")?;
+        let length: usize = fields.number("lines")?;
+        if length == 0 {
+            self.lists.insert(number, MemberList::default());
+        } else {
+            let entries = Vec::with_capacity(length.min(MAX_RESERVED_ENTRIES));
+            self.incomplete_list = Some(IncompleteList { number, length, entries });
+        }
+        Ok(())
+    }
+
+    /// Handles MEMBER, an entry of the list that is being read.
+    fn add_member(&mut self, fields: &mut MessageFields) -> Result<(), MessageError> {
+        let Some(mut list) = self.incomplete_list.take() else {
+            return Err(MessageError::MemberOutsideList);
+        };
+        list.entries.push(decode_member(fields, &mut self.member_names)?);
+        if list.entries.len() == list.length {
+            self.lists.insert(list.number, Arc::new(list.entries));
+        } else {
+            self.incomplete_list = Some(list);
+        }
+        Ok(())
+    }
+
+    /// Handles ATTACH, which starts an instance. Its settings are the rest of the line: they may contain tabs.
+    fn attach(&mut self, line: &str, now: Time) -> Result<(), MessageError> {
+        let instance = self.current_instance_for("ATTACH")?;
+        let missing = |field| MessageError::MissingField { message: "ATTACH".to_string(), field };
+        let mut fields = line.splitn(3, '\t').skip(1);
+        let seed = fields.next().ok_or_else(|| missing("prng"))?;
+        let profile = fields.next().ok_or_else(|| missing("profileData"))?;
+        let seed = parse_seed(seed)?;
+        let profile: Profile = settings::parse(profile).map_err(MessageError::MalformedProfile)?;
+        let site = profile.site(&mut self.member_names.zones).map_err(MessageError::UnusableProfile)?;
+        let router = Router::new(site.settings, seed, now);
+        let names = InstanceNames { classes: site.classes, tenants: site.tenants, position_zero: site.zero };
+        self.instances.insert(instance, Instance { router, names });
+        Ok(())
+    }
+
+    /// Handles a message for an instance, and appends its actions to the reply.
+    fn handle_event(&mut self, fields: &mut MessageFields, now: Time) -> Result<(), MessageError> {
+        let number = self.current_instance_for(fields.message())?;
+        let not_attached =
+            || MessageError::NotAttached { message: fields.message().to_string(), instance: number };
+        let instance = self.instances.get_mut(&number).ok_or_else(not_attached)?;
+        let Some(event) = decode_event(fields, &self.lists, &instance.names)? else { return Ok(()) };
+        self.actions.clear();
+        instance.router.handle(now, event, &mut self.actions);
+        if !self.actions.is_empty() && self.reply_instance != Some(number) {
+            encode_instance(number, &mut self.reply);
+            self.reply_instance = Some(number);
+        }
+        for action in &self.actions {
+            encode_action(action, &mut self.reply);
+        }
+        Ok(())
+    }
+}
+
+/// A seed of any sign, of which the lowest 64 bits count.
+fn parse_seed(text: &str) -> Result<u64, MessageError> {
+    let seed = text.parse::<i128>().map_err(|_| MessageError::WrongValue {
+        message: "ATTACH".to_string(),
+        field: "prng",
+        value: text.to_string(),
+    })?;
+    Ok(seed as u64)
+}
--- /dev/null
+++ b/src/bin/linenhill-benchlink/decode.rs
@@ -0,0 +1,175 @@
+//! Decodes messages: an entry of a list, or an event of the decisions. The simulator's names of messages, fields and
+//! values end here; a field that is read and not used is still checked.
+
+use crate::MICROS_PER_MILLI;
+use crate::error::MessageError;
+use crate::fields::{IS_PRIMARY, MessageFields};
+use crate::gossip::PositionGossip;
+use base64::Engine;
+use base64::engine::general_purpose::STANDARD;
+use linenhill::api::{
+    ClassId, Ended, Event, GroupId, KindId, ListEntry, ListUpdate, MemberId, MemberState, Request, Role,
+    SessionKey, Span, TenantId, Time, ZoneId,
+};
+use linenhill::settings::Names;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// A list of members, which many events may refer to.
+pub type MemberList = Arc<Vec<ListEntry>>;
+
+/// The numbers by which the decisions know zones and kinds of members; the same for all instances.
+#[derive(Default)]
+pub struct MemberNames {
+    /// The zones, also those of the instances' settings.
+    pub zones: Names,
+    kinds: Names,
+}
+
+/// What an instance's settings say of the fields of its messages.
+pub struct InstanceNames {
+    /// The classes by their names.
+    pub classes: BTreeMap<String, ClassId>,
+    /// The tenants by their names.
+    pub tenants: BTreeMap<String, TenantId>,
+    /// The Unix time from which the simulator counts positions, in microseconds.
+    pub position_zero: u64,
+}
+
+/// Decodes MEMBER, an entry of a list.
+pub fn decode_member(fields: &mut MessageFields, names: &mut MemberNames) -> Result<ListEntry, MessageError> {
+    let member = MemberId(fields.number("member")?);
+    let zone = ZoneId(names.zones.number(fields.text("site")?));
+    let kind = KindId(names.kinds.number(fields.text("shape")?));
+    let group = decode_group(fields, "group")?;
+    let state = match fields.text("stageState")? {
+        "in_service" => MemberState::InService,
+        "terminating" => MemberState::Draining,
+        "terminated" => MemberState::Gone,
+        text => return Err(fields.wrong_value("stageState", text)),
+    };
+    let weight = fields.finite_or("heft", 1.0)?;
+    let started_at = fields.number_or::<i64>("born", 0)?;
+    let started = u64::try_from(started_at).ok().filter(|micros| *micros > 0).map(Time);
+    let primary_hint = fields.finite_or("writer", 0.0)? >= IS_PRIMARY;
+    Ok(ListEntry { member, zone, kind, group, state, weight, started, primary_hint })
+}
+
+/// Decodes a message for an instance; `None` if it carries nothing that an instance understands.
+pub fn decode_event(
+    fields: &mut MessageFields, lists: &BTreeMap<u64, MemberList>, names: &InstanceNames,
+) -> Result<Option<Event>, MessageError> {
+    match fields.message() {
+        "DISCOVERY" => decode_list_update(fields, lists).map(|update| Some(Event::List(update))),
+        "QUERY" => decode_request(fields, names).map(|request| Some(Event::Request(request))),
+        "FIRST_BYTE" => Ok(Some(Event::AttemptStarted { id: fields.request_id()? })),
+        "RETURNED" => decode_attempt_end(fields, names).map(|end| Some(Event::AttemptEnded(end))),
+        "LAPSED" => Ok(Some(Event::Lapsed { id: fields.request_id()? })),
+        "DEADLINE_HIT" => Ok(Some(Event::Timer { token: fields.number("nonce")? })),
+        "CHECK_RESULT" => decode_health_check(fields, names).map(Some),
+        "PEER_DATA" => decode_gossip(fields),
+        message => Err(MessageError::UnknownMessage(message.to_string())),
+    }
+}
+
+/// Decodes DISCOVERY: how a list became known, or that it did not.
+fn decode_list_update(
+    fields: &mut MessageFields, lists: &BTreeMap<u64, MemberList>,
+) -> Result<ListUpdate, MessageError> {
+    let number = fields.number_or("sheet", 0)?;
+    let kind = fields.text("how")?;
+    let _epoch: i64 = fields.number_or("epoch", 0)?;
+    let list = || lists.get(&number).cloned().ok_or(MessageError::UnknownList(number));
+    match kind {
+        "diff" => Ok(ListUpdate::Changes(list()?)),
+        "snapshot" => Ok(ListUpdate::Full(list()?)),
+        "disk" => Ok(ListUpdate::Cached(list()?)),
+        "error" => Ok(ListUpdate::Failed { quiet: None }),
+        text => Err(fields.wrong_value("how", text)),
+    }
+}
+
+/// Decodes QUERY: a client's request.
+fn decode_request(fields: &mut MessageFields, names: &InstanceNames) -> Result<Request, MessageError> {
+    let id = fields.request_id()?;
+    let class_name = fields.text("grade")?;
+    let class = names.classes.get(class_name).copied();
+    let class = class.ok_or_else(|| fields.wrong_value("grade", class_name))?;
+    let left = fields.duration("left")?;
+    let tenant_name = fields.optional_text("owner")?;
+    let tenant = tenant_name.and_then(|name| names.tenants.get(name).copied());
+    let _flags: u64 = fields.number_or("flags", 0)?;
+    let token_age = decode_token_age(fields)?;
+    let _predicted = fields.finite_or("predicted", 0.0)?;
+    let group = decode_group(fields, "partitionNo")?;
+    let session = decode_session(fields)?;
+    Ok(Request { id, class, left, tenant, token_age, group, session })
+}
+
+/// The number of a group, which the simulator writes as any finite number; 0 when absent.
+fn decode_group(fields: &mut MessageFields, field: &'static str) -> Result<GroupId, MessageError> {
+    Ok(GroupId(fields.finite_or(field, 0.0)? as u32))
+}
+
+/// The age of the session's last write; `None` if there was none, which a negative number says as well.
+fn decode_token_age(fields: &mut MessageFields) -> Result<Option<Span>, MessageError> {
+    let age_ms = fields.finite_or("tokenAgeMs", -1.0)?;
+    Ok((age_ms >= 0.0).then_some(Span((age_ms * MICROS_PER_MILLI as f64) as u64)))
+}
+
+/// The key of a session, in hexadecimal.
+fn decode_session(fields: &mut MessageFields) -> Result<Option<SessionKey>, MessageError> {
+    let Some(text) = fields.optional_text("connKey")? else { return Ok(None) };
+    let key = u64::from_str_radix(text, 16).map_err(|_| fields.wrong_value("connKey", text))?;
+    Ok(Some(SessionKey(key)))
+}
+
+/// Decodes RETURNED: the end of an attempt.
+fn decode_attempt_end(fields: &mut MessageFields, names: &InstanceNames) -> Result<Ended, MessageError> {
+    let id = fields.request_id()?;
+    let attempt = fields.number("hop")?;
+    let member = MemberId(fields.number("member")?);
+    let outcome = fields.outcome()?;
+    let latency = fields.duration("latency")?;
+    let closed = fields.flag("final")?;
+    let mark = fields.number_or("mark", 0)?;
+    let (position, role) = split_mark(mark, names.position_zero);
+    let report = fields.load_report(names.position_zero)?;
+    Ok(Ended { id, attempt, member, outcome, latency, closed, position, role, report })
+}
+
+/// The position and the role that a mark carries. The mark is four times the position in milliseconds since
+/// `position_zero`, in which 0 stands for none, and the role.
+fn split_mark(mark: u64, position_zero: u64) -> (Option<Time>, Option<Role>) {
+    let position_ms = mark / 4;
+    let position =
+        (position_ms > 0).then(|| Time(position_zero.saturating_add(position_ms * MICROS_PER_MILLI)));
+    let role = match mark % 4 {
+        1 => Some(Role::Primary),
+        2 => Some(Role::Replica),
+        _ => None,
+    };
+    (position, role)
+}
+
+/// Decodes CHECK_RESULT: the end of a health check.
+fn decode_health_check(fields: &mut MessageFields, names: &InstanceNames) -> Result<Event, MessageError> {
+    let outcome = fields.outcome()?;
+    let _latency = fields.duration("latency")?;
+    let member = MemberId(fields.number("member")?);
+    let report = fields.load_report(names.position_zero)?;
+    Ok(Event::Probed { member, outcome, report })
+}
+
+/// Decodes PEER_DATA: what another instance told of a member.
+fn decode_gossip(fields: &mut MessageFields) -> Result<Option<Event>, MessageError> {
+    let _sender: i64 = fields.number("who")?;
+    let text = fields.optional_text("octets")?.unwrap_or_default();
+    let bytes = STANDARD.decode(text).map_err(|_| fields.wrong_value("octets", text))?;
+    let gossip = PositionGossip::decode(&bytes);
+    Ok(gossip.map(|PositionGossip { member, position, is_primary }| Event::Told {
+        member,
+        position,
+        primary: is_primary,
+    }))
+}
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,8 +1,12 @@
-//! The adapter binary: one exchange on the wire, and plain words on malformed input.
+//! The simulator's adapter as a program: what it answers on the wire, and that it names what is wrong with its input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// What the adapter writes before each error.
+const ERROR_PREFIX: &str = "linenhill-benchlink: ";
+const REQUEST_ID: &str = "5d3a91c4-d5c0-47f4-affb-84fa938da30b";
+/// The settings of an instance.
 const PROFILE: &str = r#"{"classes":[{"giveUp":3000000,"group":"all","lateWorth":0.7,"name":"w","points":3.0,
 "semantics":"non_idempotent","slo":600000,"stream":false,"window":5000000},{"giveUp":1000000,"group":"all",
 "lateWorth":0.0,"name":"r","points":1.0,"semantics":"read_like","slo":400000,"stream":false,"window":5000000}],
@@ -11,7 +15,8 @@
 "fallMultiple":4.0},"specifics":{"classBound":[0,0],"countedFrom":1000,"readLevel":["mutate","eventual"],
 "serverChecks":"await","showsRole":"off","wait":50000,"writeMarks":"brought"},"tick":5000,"zone":"a"}"#;
 
-fn run(input: &str) -> Output {
+/// What the adapter makes of this input.
+fn run(input: impl AsRef<[u8]>) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_linenhill-benchlink"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -19,11 +24,20 @@
         .spawn()
         .expect("the adapter starts");
     // The adapter may stop reading at the first malformed line.
-    let _ = child.stdin.take().expect("a pipe").write_all(input.as_bytes());
+    let _ = child.stdin.take().expect("a pipe").write_all(input.as_ref());
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn start() -> String {
+/// The error that ends a run with this input.
+fn error_of(input: impl AsRef<[u8]>) -> String {
+    let run = run(input);
+    assert!(!run.status.success(), "the run succeeded");
+    let errors = String::from_utf8(run.stderr).expect("UTF-8");
+    errors.strip_prefix(ERROR_PREFIX).expect("the adapter's own error").trim_end().to_string()
+}
+
+/// A first batch: an instance with its settings, a list of two members, and a health check of one.
+fn first_batch() -> String {
     let profile = PROFILE.replace('\n', "");
     format!(
         "TURN\t5000000\t1\nINSTANCE\t3\nATTACH\t99\t{profile}\nCENSUS\t0\t2\n\
@@ -32,71 +46,110 @@
     )
 }
 
+// Guards against a request that is not sent where the list and the health check say, and against a batch without its end.
 #[test]
-fn an_exchange() {
-    let id = "5d3a91c4-d5c0-47f4-affb-84fa938da30b";
-    let input = start()
+fn a_request_is_sent_to_the_primary_and_each_batch_is_answered() {
+    let id = REQUEST_ID;
+    let input = first_batch()
         + &format!(
             "TURN\t5010000\t2\nINSTANCE\t3\nQUERY\t{id}\tw\t3000000\t-\t4\t-\t-\t4\t91f03b7c55d20a64\nGO\n"
         )
         + &format!("TURN\t5100000\t3\nINSTANCE\t3\nRETURNED\t{id}\t0\t51\tOk\t90000\t1\t20397\t-\nGO\n")
         + "TURN\t5200000\t4\nINSTANCE\t3\nCRASH_NOW\nGO\n";
-    let done = run(&input);
-    let text = String::from_utf8(done.stdout).expect("UTF-8");
-    assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
-    assert!(text.contains(&format!("BY\t3\nHAND_OFF\t{id}\t51\t0\n")), "{text}");
-    let ends: Vec<&str> = text.lines().filter(|l| l.starts_with("DONE")).collect();
-    assert_eq!(ends, ["DONE\t1", "DONE\t2", "DONE\t3", "DONE\t4"]);
+    let output = run(&input);
+    let reply = String::from_utf8(output.stdout).expect("UTF-8");
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(reply.contains(&format!("BY\t3\nHAND_OFF\t{id}\t51\t0\n")), "{reply}");
+    let batch_ends: Vec<&str> = reply.lines().filter(|line| line.starts_with("DONE")).collect();
+    assert_eq!(batch_ends, ["DONE\t1", "DONE\t2", "DONE\t3", "DONE\t4"]);
 }
 
+// Guards against gossip that other instances decode as another position, or that costs more than its ten bytes.
 #[test]
-fn words_to_peers_are_priced_by_their_bytes() {
-    let id = "5d3a91c4-d5c0-47f4-affb-84fa938da30b";
-    let first = start()
+fn gossip_is_a_member_a_position_and_a_role_in_ten_bytes() {
+    let id = REQUEST_ID;
+    let first = first_batch()
         .replace("\"fleetSize\":1", "\"fleetSize\":3,\"prices\":{\"peer\":0.0256}")
         .replace("\"mayProbe\":true", "\"mayProbe\":true,\"peers\":true");
     let input = first
         + &format!("TURN\t5010000\t2\nINSTANCE\t3\nQUERY\t{id}\tw\t3000000\t-\t4\t-\t-\t4\t-\nGO\n")
         + "TURN\t5050000\t3\nINSTANCE\t3\nCHECK_RESULT\tOk\t900\t52\tx0:5.0,x1:0\nGO\n";
-    let text = String::from_utf8(run(&input).stdout).expect("UTF-8");
+    let reply = String::from_utf8(run(&input).stdout).expect("UTF-8");
     // Member 52 at 4,999 ms after zero (1 ms): twice 5,000, and not primary.
-    assert!(text.contains("POST\t*\tAAAANAAAAAAnEA==\n"), "{text}");
+    assert!(reply.contains("POST\t*\tAAAANAAAAAAnEA==\n"), "{reply}");
 }
 
+// Guards against a run that goes on after a line that it can't use, and against an error that leaves its reader to guess.
 #[test]
 fn malformed_input_is_named_and_ends_the_run() {
-    let cases = [
-        ("HELLO\n", "HELLO"),
-        ("TURN\tx\t1\n", "time"),
-        ("TURN\t1\n", "batch"),
-        ("TURN\t1\t1\nINSTANCE\t3\nWHAT\t1\nGO\n", "instance 3"),
-        ("TURN\t1\t1\nINSTANCE\t3\nATTACH\t1\t{}\n", "profileData"),
-        ("TURN\t1\t1\nCENSUS\t0\t1\nGO\n", "MEMBER"),
-        ("TURN\t1\t1\n", "inside a batch"),
+    let cases: [(&[u8], &str); 11] = [
+        (b"HELLO\n", "line 1: 'HELLO' outside a batch"),
+        (b"GO\n", "line 1: 'GO' outside a batch"),
+        (b"TURN\tx\t1\n", "line 1: TURN: field 'time' has a wrong value 'x'"),
+        (b"TURN\t1\n", "line 1: TURN: field 'batch' is missing"),
+        (b"TURN\t1\t1\nINSTANCE\t3\nWHAT\t1\nGO\n", "line 3: WHAT: instance 3 is not attached"),
+        (
+            b"TURN\t1\t1\nINSTANCE\t3\nATTACH\t1\t{}\n",
+            "line 3: ATTACH: profileData: field 'specifics' is missing",
+        ),
+        (b"TURN\t1\t1\nCENSUS\t0\t1\nGO\n", "line 3: 'GO' where a MEMBER line is due"),
+        (b"TURN\t1\t1\nATTACH\t1\t{}\n", "line 2: ATTACH before any INSTANCE"),
+        (b"TURN\t1\t1\nCRASH_NOW\n", "line 2: CRASH_NOW before any INSTANCE"),
+        (b"TURN\t1\t1\n\xff\n", "line 2: not UTF-8"),
+        (b"TURN\t1\t1\n", "input ended inside a batch"),
     ];
-    for (input, word) in cases {
-        let done = run(input);
-        let said = String::from_utf8_lossy(&done.stderr).into_owned();
-        assert!(!done.status.success(), "{input:?}");
-        assert!(said.contains(word) && !said.contains("panicked"), "{input:?}: {said}");
+    for (input, error) in cases {
+        assert_eq!(error_of(input), error, "{:?}", String::from_utf8_lossy(input));
     }
-    let tail = [
-        ("QUERY\tshort\tw\t1\t-\t0\t-\t-\t4\t-\n", "ref"),
-        ("QUERY\t5d3a91c4-d5c0-47f4-affb-84fa938da30b\tnone\t1\t-\t0\t-\t-\t4\t-\n", "grade"),
-        ("RETURNED\t5d3a91c4-d5c0-47f4-affb-84fa938da30b\t0\t51\tSplendid\t1\t1\t0\t-\n", "Splendid"),
-        ("NOSUCH\t1\n", "NOSUCH"),
-        ("DISCOVERY\t9\tsnapshot\t1\n", "list 9"),
+}
+
+// Guards against an error in the middle of a run whose line, message or field is another one than the input's.
+#[test]
+fn errors_in_a_second_batch_name_the_message_and_the_field() {
+    let cases = [
+        ("QUERY\tshort\tw\t1\t-\t0\t-\t-\t4\t-", "QUERY: field 'ref' has a wrong value 'short'"),
+        ("QUERY\tID\tnone\t1\t-\t0\t-\t-\t4\t-", "QUERY: field 'grade' has a wrong value 'none'"),
+        ("QUERY\tID\tw\t1\t-\t4\tinf\t-\t4\t-", "QUERY: field 'tokenAgeMs' has a wrong value 'inf'"),
+        ("QUERY\tID\tw\t1\t-\t4\t-\t-\t4\tkey", "QUERY: field 'connKey' has a wrong value 'key'"),
+        ("QUERY\tID\tw\t1\t-\t4\t-\t-\t4", "QUERY: field 'connKey' is missing"),
+        ("RETURNED\tID\t0\t51\tSplendid\t1\t1\t0\t-", "RETURNED: field 'code' has a wrong value 'Splendid'"),
+        ("RETURNED\tID\t0\t51\tOk\t1\t2\t0\t-", "RETURNED: field 'final' has a wrong value '2'"),
+        ("RETURNED\tID\t0\t51\tOk\t1\t1\t0\tx0:1,x1", "RETURNED: field 'pressure' has a wrong value 'x1'"),
+        ("CHECK_RESULT\tOk\t1\t51\tx0:NaN", "CHECK_RESULT: field 'pressure' has a wrong value 'x0:NaN'"),
+        ("PEER_DATA\t3\t=", "PEER_DATA: field 'octets' has a wrong value '='"),
+        ("DEADLINE_HIT\tx", "DEADLINE_HIT: field 'nonce' has a wrong value 'x'"),
+        ("DISCOVERY\t0\tpush\t1", "DISCOVERY: field 'how' has a wrong value 'push'"),
+        ("DISCOVERY\t9\tsnapshot\t1", "DISCOVERY: list 9 was never set up"),
+        ("CENSUS\t1", "CENSUS: field 'lines' is missing"),
+        ("MEMBER\t51\ta\tstd\t4\tin_service\t1\t-\t0", "MEMBER outside a CENSUS"),
+        ("ATTACH\t1", "ATTACH: field 'profileData' is missing"),
+        ("ATTACH\tx\t{}", "ATTACH: field 'prng' has a wrong value 'x'"),
+        ("ATTACH\t1\t{", "ATTACH: field 'profileData': the text is not JSON"),
+        ("TURN\t5010000\t2", "TURN inside a batch"),
+        ("NOSUCH\t1", "unknown message 'NOSUCH'"),
     ];
-    for (line, word) in tail {
-        let done = run(&format!("{}TURN\t5010000\t2\nINSTANCE\t3\n{line}GO\n", start()));
-        let said = String::from_utf8_lossy(&done.stderr).into_owned();
-        assert!(!done.status.success() && said.contains(word), "{line:?}: {said}");
+    let first_batch = first_batch();
+    let line_number = first_batch.lines().count() + 3;
+    for (line, error) in cases {
+        let line = line.replace("ID", REQUEST_ID);
+        let input = format!("{first_batch}TURN\t5010000\t2\nINSTANCE\t3\n{line}\nGO\n");
+        assert_eq!(error_of(&input), format!("line {line_number}: {error}"), "{line}");
     }
 }
 
+// Guards against an instance that acts after its crash.
+#[test]
+fn a_crashed_instance_is_not_attached_any_more() {
+    let input =
+        first_batch() + &format!("TURN\t5010000\t2\nINSTANCE\t3\nCRASH_NOW\nFIRST_BYTE\t{REQUEST_ID}\nGO\n");
+    let line_number = input.lines().count() - 1;
+    assert_eq!(error_of(&input), format!("line {line_number}: FIRST_BYTE: instance 3 is not attached"));
+}
+
+// Guards against an end between batches that is taken for a failure.
 #[test]
 fn end_of_input_is_a_clean_exit() {
-    let done = run("TURN\t1\t1\nGO\n");
-    assert!(done.status.success());
-    assert_eq!(done.stdout, b"DONE\t1\n");
+    let output = run("TURN\t1\t1\nGO\n");
+    assert!(output.status.success());
+    assert_eq!(output.stdout, b"DONE\t1\n");
 }
