--- /dev/null
+++ b/tests/pg_codecs.rs
@@ -0,0 +1,203 @@
+//! The bytes that the codecs of PostgreSQL's protocol write, and the errors for what they refuse to read: clients and
+//! members of any version rely on both.
+
+use bytes::{BufMut, Bytes, BytesMut};
+use linenhill::pg::backend::{BackendCodec, BackendMessage, Command};
+use linenhill::pg::frontend::{FrontendCodec, FrontendMessage, Reply};
+use linenhill::pg::{
+    MAX_BUFFERED_VALUE_BYTES, MAX_MESSAGE_BYTES, MAX_ORDINARY_MESSAGE_BYTES, MAX_VALUE_BYTES,
+};
+use std::fmt::Debug;
+use tokio_util::codec::{Decoder, Encoder};
+
+const STARTUP: &[u8] = b"\0\0\0\x08\0\x03\0\0";
+
+fn message(kind: u8, body: &[u8]) -> Vec<u8> {
+    let mut message = vec![kind];
+    message.put_u32(4 + body.len() as u32);
+    message.put_slice(body);
+    message
+}
+
+fn reply_bytes(reply: Reply) -> Vec<u8> {
+    let mut bytes = BytesMut::new();
+    FrontendCodec::default().encode(reply, &mut bytes).expect("encoded");
+    bytes.to_vec()
+}
+
+fn command_bytes(command: Command) -> Vec<u8> {
+    let mut bytes = BytesMut::new();
+    BackendCodec::default().encode(command, &mut bytes).expect("encoded");
+    bytes.to_vec()
+}
+
+/// All messages in `input`, and the text of the error that ends it, if one does.
+fn decode_all<D>(mut codec: D, input: &[u8]) -> (Vec<D::Item>, Option<String>)
+where
+    D: Decoder,
+    D::Error: ToString,
+{
+    let mut buffer = BytesMut::from(input);
+    let mut messages = Vec::new();
+    loop {
+        match codec.decode(&mut buffer) {
+            Ok(Some(message)) => messages.push(message),
+            Ok(None) => return (messages, None),
+            Err(error) => return (messages, Some(error.to_string())),
+        }
+    }
+}
+
+/// The text of the error that `input` alone ends in.
+fn error_of<D>(codec: D, input: &[u8]) -> String
+where
+    D: Decoder,
+    D::Item: Debug,
+    D::Error: ToString,
+{
+    let (messages, error) = decode_all(codec, input);
+    error.unwrap_or_else(|| panic!("{input:?} gives {messages:?} and no error"))
+}
+
+fn client_error(message: &[u8]) -> String {
+    error_of(FrontendCodec::default(), &[STARTUP, message].concat())
+}
+
+fn member_error(message: &[u8]) -> String {
+    error_of(BackendCodec::default(), message)
+}
+
+// Guards against a reply that clients of the protocol can't read.
+#[test]
+fn replies_are_written_byte_for_byte() {
+    assert_eq!(reply_bytes(Reply::NoEncryption), b"N");
+    assert_eq!(
+        reply_bytes(Reply::SessionOpened),
+        [
+            b"R\0\0\0\x08\0\0\0\0".as_slice(),
+            b"S\0\0\0\x18server_version\x0015.0\0",
+            b"S\0\0\0\x19client_encoding\0UTF8\0",
+            b"S\0\0\0\x17DateStyle\0ISO, MDY\0",
+            b"K\0\0\0\x0c\0\0\0\0\0\0\0\0",
+        ]
+        .concat()
+    );
+    assert_eq!(reply_bytes(Reply::ReadyForQuery), b"Z\0\0\0\x05I");
+    assert_eq!(reply_bytes(Reply::EmptyQueryResponse), b"I\0\0\0\x04");
+    assert_eq!(reply_bytes(Reply::Raw(Bytes::from_static(b"as it is"))), b"as it is");
+    let error = |fatal, detail: Option<&str>| {
+        let (message, detail) = ("refused".to_string(), detail.map(str::to_string));
+        reply_bytes(Reply::Error { fatal, code: "53300", message, detail })
+    };
+    let without_detail = message(b'E', b"SERROR\0VERROR\0C53300\0Mrefused\0\0");
+    assert_eq!(error(false, None), without_detail);
+    let with_detail = message(b'E', b"SFATAL\0VFATAL\0C53300\0Mrefused\0D250\0\0");
+    assert_eq!(error(true, Some("250")), with_detail);
+}
+
+// Guards against a command that members can't read.
+#[test]
+fn commands_are_written_byte_for_byte() {
+    let startup = b"\0\0\0\x26\0\x03\0\0user\0linenhill\0database\0core\0\0";
+    assert_eq!(command_bytes(Command::Startup), startup);
+    let query = command_bytes(Command::Query(Bytes::from_static(b"SHOW health")));
+    assert_eq!(query, b"Q\0\0\0\x10SHOW health\0");
+}
+
+// Guards against an error whose text, which clients are sent, changes or no longer says what is wrong.
+#[test]
+fn errors_of_clients_messages_say_what_is_wrong() {
+    for (startup, error) in [
+        (&b"\0\0\0\x07"[..], "invalid message length 7"),
+        (b"\0\0\x27\x11", "invalid message length 10001"),
+        (b"\0\0\0\x08\0\x02\0\0", "malformed message: unsupported protocol version"),
+    ] {
+        assert_eq!(error_of(FrontendCodec::default(), startup), error);
+    }
+    let too_long = |kind: u8, length: usize| [&[kind], &(length as u32).to_be_bytes()[..]].concat();
+    for (message, error) in [
+        (message(b'z', b""), "invalid message type 122".to_string()),
+        (message(b'X', b"x"), "invalid message length 5".to_string()),
+        (message(b'Q', b"SELECT 1"), "malformed message: unterminated text".to_string()),
+        (message(b'Q', b"a\0b\0"), "malformed message: more than one text in a query".to_string()),
+        (too_long(b'Q', MAX_MESSAGE_BYTES + 1), format!("invalid message length {}", MAX_MESSAGE_BYTES + 1)),
+        (
+            too_long(b'P', MAX_ORDINARY_MESSAGE_BYTES + 1),
+            format!("invalid message length {}", MAX_ORDINARY_MESSAGE_BYTES + 1),
+        ),
+    ] {
+        assert_eq!(client_error(&message), error);
+    }
+}
+
+// Guards against a member's malformed message that is forwarded, or that counts as an answer.
+#[test]
+fn errors_of_members_messages_say_what_is_wrong() {
+    let long_value = MAX_BUFFERED_VALUE_BYTES as u32 + 1;
+    let row_length = (10 + long_value).to_be_bytes();
+    let two_columns = [b"D", &row_length[..], b"\0\x02", &long_value.to_be_bytes()].concat();
+    let value_too_long = [b"D", &(11 + MAX_VALUE_BYTES as u32).to_be_bytes()[..]].concat();
+    for (message, error) in [
+        (message(b'q', b""), "invalid message type 113"),
+        (message(b'Z', b""), "invalid message length 4"),
+        (value_too_long, "invalid message length 4194315"),
+        (message(b'R', &[0, 0, 0, 3]), "malformed message: a password is asked for"),
+        (message(b'T', b"\0\x02a\0"), "malformed message: a description of other than one column"),
+        (message(b'T', b"\0\x01val"), "malformed message: unterminated text"),
+        (message(b'D', b"\0\x02\0\0\0\0"), "malformed message: a row of other than one column"),
+        (message(b'D', b"\0\x01\xff\xff\xff\xff"), "malformed message: a column that does not fill its row"),
+        (two_columns, "malformed message: a row of other than one column that fills it"),
+        (message(b'C', b"\0"), "malformed message: a completion that is no text"),
+        (message(b'E', b"SERROR\0\0"), "malformed message: an error without a code"),
+        (message(b'E', b"C53300\0\0x"), "malformed message: an error without a code"),
+        (message(b'Z', b"T"), "malformed message: ready amid a transaction"),
+    ] {
+        assert_eq!(member_error(&message), error);
+    }
+}
+
+// Guards against messages of a client that end its session where the protocol lets it go on.
+#[test]
+fn messages_of_clients_are_distinguished() {
+    let kinds = [
+        (b'P', FrontendMessage::Extended(b'P')),
+        (b'H', FrontendMessage::Extended(b'H')),
+        (b'F', FrontendMessage::Extended(b'F')),
+        (b'S', FrontendMessage::Sync),
+        (b'd', FrontendMessage::Copy),
+        (b'c', FrontendMessage::Copy),
+        (b'f', FrontendMessage::Copy),
+        (b'X', FrontendMessage::Terminate),
+    ];
+    let input: Vec<u8> = kinds.iter().flat_map(|(kind, _)| message(*kind, b"")).collect();
+    let (messages, error) = decode_all(FrontendCodec::default(), &[STARTUP, &input].concat());
+    assert_eq!(error, None);
+    let expected: Vec<FrontendMessage> = kinds.into_iter().map(|(_, message)| message).collect();
+    assert_eq!(messages[0], FrontendMessage::Startup);
+    assert_eq!(messages[1..], expected[..]);
+    for code in [80_877_103u32, 80_877_104] {
+        let request = [&8u32.to_be_bytes()[..], &code.to_be_bytes()].concat();
+        let (messages, error) = decode_all(FrontendCodec::default(), &request);
+        assert_eq!((messages, error), (vec![FrontendMessage::EncryptionRequest], None));
+    }
+    let cancel = b"\0\0\0\x10\x04\xd2\x16\x2e\0\0\0\0\0\0\0\0";
+    let (messages, _) = decode_all(FrontendCodec::default(), cancel);
+    assert_eq!(messages, [FrontendMessage::CancelRequest]);
+}
+
+// Guards against a parameter that can't be read, or a notice, which breaks a member's connection.
+#[test]
+fn messages_of_members_that_are_not_used_are_ignored() {
+    let input = [
+        message(b'S', b"lsn_ms\0"),
+        message(b'S', b"a\0b\0c"),
+        message(b'N', b"anything"),
+        message(b'K', &[0; 8]),
+        message(b'I', b""),
+        message(b'A', b""),
+        message(b'v', b""),
+    ]
+    .concat();
+    let (messages, error) = decode_all(BackendCodec::default(), &input);
+    assert_eq!((messages, error), (vec![BackendMessage::Ignored; 7], None));
+}
