--- a/src/bin/linenhill-benchlink/decode.rs
+++ b/src/bin/linenhill-benchlink/decode.rs
@@ -8,8 +8,8 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use linenhill::api::{
-    ClassId, Ended, Event, GroupId, KindId, ListEntry, ListUpdate, MemberId, MemberState, Request, Role,
-    SessionKey, Span, TenantId, Time, ZoneId,
+    AttemptEnd, ClassId, Event, GroupId, KindId, ListEntry, ListUpdate, LogPosition, MemberId, MemberState,
+    Micros, Request, Role, SessionKey, TenantId, Time, ZoneId,
 };
 use linenhill::settings::Names;
 use std::collections::BTreeMap;
@@ -60,12 +60,12 @@
     fields: &mut MessageFields, lists: &BTreeMap<u64, MemberList>, names: &InstanceNames,
 ) -> Result<Option<Event>, MessageError> {
     match fields.message() {
-        "DISCOVERY" => decode_list_update(fields, lists).map(|update| Some(Event::List(update))),
-        "QUERY" => decode_request(fields, names).map(|request| Some(Event::Request(request))),
+        "DISCOVERY" => decode_list_update(fields, lists).map(|update| Some(Event::ListUpdated(update))),
+        "QUERY" => decode_request(fields, names).map(|request| Some(Event::RequestArrived(request))),
         "FIRST_BYTE" => Ok(Some(Event::AttemptStarted { id: fields.request_id()? })),
         "RETURNED" => decode_attempt_end(fields, names).map(|end| Some(Event::AttemptEnded(end))),
-        "LAPSED" => Ok(Some(Event::Lapsed { id: fields.request_id()? })),
-        "DEADLINE_HIT" => Ok(Some(Event::Timer { token: fields.number("nonce")? })),
+        "LAPSED" => Ok(Some(Event::ClientGone { id: fields.request_id()? })),
+        "DEADLINE_HIT" => Ok(Some(Event::TimerDue { token: fields.number("nonce")? })),
         "CHECK_RESULT" => decode_health_check(fields, names).map(Some),
         "PEER_DATA" => decode_gossip(fields),
         message => Err(MessageError::UnknownMessage(message.to_string())),
@@ -84,7 +84,7 @@
         "diff" => Ok(ListUpdate::Changes(list()?)),
         "snapshot" => Ok(ListUpdate::Full(list()?)),
         "disk" => Ok(ListUpdate::Cached(list()?)),
-        "error" => Ok(ListUpdate::Failed { quiet: None }),
+        "error" => Ok(ListUpdate::Failed { silent_for: None }),
         text => Err(fields.wrong_value("how", text)),
     }
 }
@@ -95,15 +95,15 @@
     let class_name = fields.text("grade")?;
     let class = names.classes.get(class_name).copied();
     let class = class.ok_or_else(|| fields.wrong_value("grade", class_name))?;
-    let left = fields.duration("left")?;
+    let time_left = fields.duration("left")?;
     let tenant_name = fields.optional_text("owner")?;
     let tenant = tenant_name.and_then(|name| names.tenants.get(name).copied());
     let _flags: u64 = fields.number_or("flags", 0)?;
-    let token_age = decode_token_age(fields)?;
+    let last_write_age = decode_last_write_age(fields)?;
     let _predicted = fields.finite_or("predicted", 0.0)?;
     let group = decode_group(fields, "partitionNo")?;
     let session = decode_session(fields)?;
-    Ok(Request { id, class, left, tenant, token_age, group, session })
+    Ok(Request { id, class, time_left, tenant, last_write_age, group, session })
 }
 
 /// The number of a group, which the simulator writes as any finite number; 0 when absent.
@@ -112,9 +112,9 @@
 }
 
 /// The age of the session's last write; `None` if there was none, which a negative number says as well.
-fn decode_token_age(fields: &mut MessageFields) -> Result<Option<Span>, MessageError> {
+fn decode_last_write_age(fields: &mut MessageFields) -> Result<Option<Micros>, MessageError> {
     let age_ms = fields.finite_or("tokenAgeMs", -1.0)?;
-    Ok((age_ms >= 0.0).then_some(Span((age_ms * MICROS_PER_MILLI as f64) as u64)))
+    Ok((age_ms >= 0.0).then_some(Micros((age_ms * MICROS_PER_MILLI as f64) as u64)))
 }
 
 /// The key of a session, in hexadecimal.
@@ -125,25 +125,25 @@
 }
 
 /// Decodes RETURNED: the end of an attempt.
-fn decode_attempt_end(fields: &mut MessageFields, names: &InstanceNames) -> Result<Ended, MessageError> {
+fn decode_attempt_end(fields: &mut MessageFields, names: &InstanceNames) -> Result<AttemptEnd, MessageError> {
     let id = fields.request_id()?;
     let attempt = fields.number("hop")?;
     let member = MemberId(fields.number("member")?);
     let outcome = fields.outcome()?;
     let latency = fields.duration("latency")?;
-    let closed = fields.flag("final")?;
+    let is_request_over = fields.flag("final")?;
     let mark = fields.number_or("mark", 0)?;
     let (position, role) = split_mark(mark, names.position_zero);
     let report = fields.load_report(names.position_zero)?;
-    Ok(Ended { id, attempt, member, outcome, latency, closed, position, role, report })
+    Ok(AttemptEnd { id, attempt, member, outcome, latency, is_request_over, position, role, report })
 }
 
 /// The position and the role that a mark carries. The mark is four times the position in milliseconds since
 /// `position_zero`, in which 0 stands for none, and the role.
-fn split_mark(mark: u64, position_zero: u64) -> (Option<Time>, Option<Role>) {
+fn split_mark(mark: u64, position_zero: u64) -> (Option<LogPosition>, Option<Role>) {
     let position_ms = mark / 4;
     let position =
-        (position_ms > 0).then(|| Time(position_zero.saturating_add(position_ms * MICROS_PER_MILLI)));
+        (position_ms > 0).then(|| LogPosition(position_zero.saturating_add(position_ms * MICROS_PER_MILLI)));
     let role = match mark % 4 {
         1 => Some(Role::Primary),
         2 => Some(Role::Replica),
@@ -158,18 +158,18 @@
     let _latency = fields.duration("latency")?;
     let member = MemberId(fields.number("member")?);
     let report = fields.load_report(names.position_zero)?;
-    Ok(Event::Probed { member, outcome, report })
+    Ok(Event::HealthCheckEnded { member, outcome, report })
 }
 
-/// Decodes PEER_DATA: what another instance told of a member.
+/// Decodes PEER_DATA: what another instance sent about a member.
 fn decode_gossip(fields: &mut MessageFields) -> Result<Option<Event>, MessageError> {
     let _sender: i64 = fields.number("who")?;
     let text = fields.optional_text("octets")?.unwrap_or_default();
     let bytes = STANDARD.decode(text).map_err(|_| fields.wrong_value("octets", text))?;
     let gossip = PositionGossip::decode(&bytes);
-    Ok(gossip.map(|PositionGossip { member, position, is_primary }| Event::Told {
+    Ok(gossip.map(|PositionGossip { member, position, is_primary }| Event::PositionGossiped {
         member,
         position,
-        primary: is_primary,
+        is_primary,
     }))
 }
--- a/src/bin/linenhill-benchlink/encode.rs
+++ b/src/bin/linenhill-benchlink/encode.rs
@@ -3,7 +3,7 @@
 use crate::gossip::PositionGossip;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use linenhill::api::{Action, RequestId, Span};
+use linenhill::api::{Action, Micros, RequestId};
 use std::fmt::Write;
 
 /// The name of all other instances as the recipient of a message.
@@ -26,7 +26,7 @@
             let timeout = micros_or_zero(*timeout);
             push_line(reply, format_args!("HAND_OFF\t{}\t{}\t{timeout}", id_text(id), member.0));
         }
-        Action::Refuse { id, retry_after } => {
+        Action::Reject { id, retry_after } => {
             let retry_after = micros_or_zero(*retry_after);
             push_line(reply, format_args!("TURN_AWAY\t{}\t{retry_after}", id_text(id)));
         }
@@ -34,15 +34,15 @@
         Action::Cancel { id, attempt } => {
             push_line(reply, format_args!("RECALL\t{}\t{attempt}", id_text(id)));
         }
-        Action::Timer { token, at } => push_line(reply, format_args!("TIMER\t{token}\t{}", at.0)),
-        Action::Probe { member } => push_line(reply, format_args!("POLL\t{}", member.0)),
+        Action::SetTimer { token, at } => push_line(reply, format_args!("TIMER\t{token}\t{}", at.0)),
+        Action::CheckHealth { member } => push_line(reply, format_args!("POLL\t{}", member.0)),
         Action::Subscribe => push_line(reply, format_args!("WATCH\t1")),
-        Action::Tell { member, position, primary } => {
-            let gossip = PositionGossip { member: *member, position: *position, is_primary: *primary };
+        Action::GossipPosition { member, position, is_primary } => {
+            let gossip = PositionGossip { member: *member, position: *position, is_primary: *is_primary };
             let bytes = STANDARD.encode(gossip.encode());
             push_line(reply, format_args!("POST\t{ALL_INSTANCES}\t{bytes}"));
         }
-        Action::Close { member } => push_line(reply, format_args!("CLOSE\t{}", member.0)),
+        Action::CloseIdleConnections { member } => push_line(reply, format_args!("CLOSE\t{}", member.0)),
     }
 }
 
@@ -52,7 +52,7 @@
 }
 
 /// A duration in microseconds; 0 stands for none.
-fn micros_or_zero(duration: Option<Span>) -> u64 {
+fn micros_or_zero(duration: Option<Micros>) -> u64 {
     duration.map_or(0, |duration| duration.0)
 }
 
--- a/src/bin/linenhill-benchlink/fields.rs
+++ b/src/bin/linenhill-benchlink/fields.rs
@@ -2,7 +2,7 @@
 //! name that a reader gives it is for errors.
 
 use crate::error::MessageError;
-use linenhill::api::{LoadReport, Outcome, RequestId, Role, Span, Time};
+use linenhill::api::{LoadReport, LogPosition, Micros, Outcome, RequestId, Role};
 use std::str::{FromStr, Split};
 
 /// What stands for a field without a value.
@@ -83,9 +83,9 @@
     }
 
     /// The next field as a duration in microseconds; a negative one, or none, is 0.
-    pub fn duration(&mut self, field: &'static str) -> Result<Span, MessageError> {
+    pub fn duration(&mut self, field: &'static str) -> Result<Micros, MessageError> {
         let micros = self.number_or::<i64>(field, 0)?;
-        Ok(Span(u64::try_from(micros).unwrap_or(0)))
+        Ok(Micros(u64::try_from(micros).unwrap_or(0)))
     }
 
     /// The next field as the outcome of an attempt or of a health check.
@@ -98,8 +98,8 @@
             "ConnectError" => Ok(Outcome::ConnectError),
             "ResetByPeer" => Ok(Outcome::Reset),
             "Canceled" => Ok(Outcome::Cancelled),
-            "Ignored" => Ok(Outcome::Ignored),
-            "Miss" => Ok(Outcome::Miss),
+            "Ignored" => Ok(Outcome::NotSent),
+            "Miss" => Ok(Outcome::NotApplicable),
             text => Err(self.wrong_value("code", text)),
         }
     }
@@ -114,11 +114,11 @@
             match name {
                 "x0" => {
                     let micros = (value * MICROS_PER_SECOND).floor() as i64;
-                    report.position = Some(Time(position_zero.saturating_add_signed(micros)));
+                    report.position = Some(LogPosition(position_zero.saturating_add_signed(micros)));
                 }
                 "x1" => report.role = Some(if value >= IS_PRIMARY { Role::Primary } else { Role::Replica }),
                 "busy_reqs" | "pending" => report.load = Some(value),
-                "cpu_share" => report.util = Some(value.clamp(0.0, 1.0)),
+                "cpu_share" => report.utilisation = Some(value.clamp(0.0, 1.0)),
                 _ => {}
             }
         }
--- a/src/bin/linenhill-benchlink/gossip.rs
+++ b/src/bin/linenhill-benchlink/gossip.rs
@@ -1,8 +1,8 @@
-//! What instances tell each other of a member, as the bytes that a message between them carries. Its length is what
+//! What instances send each other about a member, as the bytes that a message between them carries. Its length is what
 //! such a message costs, so it is fixed.
 
 use crate::MICROS_PER_MILLI;
-use linenhill::api::{MemberId, Time};
+use linenhill::api::{LogPosition, MemberId};
 use linenhill::settings::WORD_BYTES;
 
 /// Bytes of the member's number, which come first.
@@ -15,7 +15,7 @@
     /// The member.
     pub member: MemberId,
     /// The position; its part below a millisecond is not sent.
-    pub position: Time,
+    pub position: LogPosition,
     /// Whether the member was the primary.
     pub is_primary: bool,
 }
@@ -34,7 +34,7 @@
         let state = state.iter().fold(0, |state, byte| state << 8 | u64::from(*byte));
         Some(PositionGossip {
             member: MemberId(u32::from_be_bytes(*member)),
-            position: Time(state / 2 * MICROS_PER_MILLI),
+            position: LogPosition(state / 2 * MICROS_PER_MILLI),
             is_primary: state % 2 == 1,
         })
     }
--- a/src/bin/linenhill-benchlink/main.rs
+++ b/src/bin/linenhill-benchlink/main.rs
@@ -1,7 +1,7 @@
 //! Connects a simulator to the decisions: reads its messages on standard input, one a line, and answers each batch on
 //! standard output, for many instances of the proxy's decisions at once.
 //!
-//! - `fields`: the fields of one message; `gossip`: what instances tell each other of a member;
+//! - `fields`: the fields of one message; `gossip`: what instances send each other about a member;
 //! - `decode`: a message becomes an event of the decisions; `encode`: an action becomes a message;
 //! - `adapter`: the instances, and the batch that is being read;
 //! - `error`: why a message can't be used.
--- a/src/pg/frontend.rs
+++ b/src/pg/frontend.rs
@@ -24,7 +24,7 @@
 const CANCEL_REQUEST: u32 = 80_877_102;
 /// The major version of the protocol.
 const PROTOCOL_VERSION: u32 = 3;
-/// The parameters that a client is told when its session opens.
+/// The parameters that a client is sent when its session opens.
 const SESSION_PARAMETERS: [(&str, &str); 3] =
     [("server_version", "15.0"), ("client_encoding", "UTF8"), ("DateStyle", "ISO, MDY")];
 
