--- a/src/bin/linenhill-benchlink/main.rs
+++ b/src/bin/linenhill-simulator-adapter/main.rs
@@ -65,7 +65,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("linenhill-benchlink: {problem}");
+            eprintln!("linenhill-simulator-adapter: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! The decisions do no I/O: a driver feeds [`api::Event`]s to [`policy::Router::handle`] with the current
 //! time, and carries out the [`api::Action`]s it pushes. [`proxy`] is that driver on real sockets; the
-//! adapter `linenhill-benchlink` is one on a simulator's wire.
+//! adapter `linenhill-simulator-adapter` is one on a simulator's wire.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 /// What the adapter writes before each error.
-const ERROR_PREFIX: &str = "linenhill-benchlink: ";
+const ERROR_PREFIX: &str = "linenhill-simulator-adapter: ";
 const REQUEST_ID: &str = "5d3a91c4-d5c0-47f4-affb-84fa938da30b";
 /// The settings of an instance.
 const PROFILE: &str = r#"{"classes":[{"giveUp":3000000,"group":"all","lateWorth":0.7,"name":"w","points":3.0,
@@ -17,7 +17,7 @@
 
 /// What the adapter makes of this input.
 fn run(input: impl AsRef<[u8]>) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_linenhill-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_linenhill-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
