--- a/src/clients/pipeline.rs
+++ b/src/clients/pipeline.rs
@@ -3,8 +3,8 @@
 
 use super::request_gateway::{OpenRequest, PendingRequest};
 use crate::api::Span;
-use crate::budget::Place;
 use crate::pg::frontend::Answer as Reply;
+use crate::resource_limit::ResourcePermit;
 use crate::stages::Answer;
 use std::collections::VecDeque;
 use tokio::sync::OwnedSemaphorePermit;
@@ -41,7 +41,7 @@
     /// Whether it runs already.
     pub state: RequestState,
     /// Its part of the memory for messages.
-    pub memory: Option<Place>,
+    pub memory: Option<ResourcePermit>,
     /// The same for a long message.
     pub long_memory: Option<OwnedSemaphorePermit>,
 }
--- a/src/clients/request_gateway.rs
+++ b/src/clients/request_gateway.rs
@@ -2,9 +2,9 @@
 //! protocol. Every request that it opens is counted with exactly one end.
 
 use crate::api::{ClassId, ReadLevel, RequestId, Span};
-use crate::budget::{Budget, Place};
 use crate::invariants::InvariantMonitor;
 use crate::request::Incoming;
+use crate::resource_limit::{ResourceLimit, ResourcePermit};
 use crate::stages::admit::{Admit, Edge};
 use crate::stages::book::{Book, Ticket};
 use crate::stages::intake::{Intake, IntakeError, OpenId};
@@ -53,7 +53,7 @@
     answer: oneshot::Receiver<Answer>,
     ticket: Option<Ticket>,
     inbox: mpsc::UnboundedSender<Input>,
-    _place: Place,
+    _place: ResourcePermit,
     _open_id: OpenId,
 }
 
@@ -137,7 +137,7 @@
     }
 
     /// The memory that clients' messages share, in bytes.
-    pub fn message_memory(&self) -> Budget {
+    pub fn message_memory(&self) -> ResourceLimit {
         self.admit.memory()
     }
 
--- a/src/clients/session/accept.rs
+++ b/src/clients/session/accept.rs
@@ -3,7 +3,6 @@
 
 use super::replies;
 use super::{InputEnd, Session};
-use crate::budget::Place;
 use crate::clients::connection_gate::AdmissionMode;
 use crate::clients::pipeline::{ClientMessage, PipelinedRequest, RequestOrder, RequestState};
 use crate::clients::request_gateway::OpenRequest;
@@ -12,6 +11,7 @@
 use crate::pg::frontend::Frontend;
 use crate::pg::statement::{self, Statement, StatementError};
 use crate::request::{Incoming, Payload};
+use crate::resource_limit::ResourcePermit;
 use crate::stages::admit::Edge;
 use crate::stages::intake::IntakeError;
 use bytes::Bytes;
@@ -57,7 +57,8 @@
 
     /// Decodes a statement. The memory of its message is held as long as the request is open.
     fn accept_statement(
-        &mut self, statement: &Bytes, memory: Option<Place>, long_memory: Option<OwnedSemaphorePermit>,
+        &mut self, statement: &Bytes, memory: Option<ResourcePermit>,
+        long_memory: Option<OwnedSemaphorePermit>,
     ) -> ClientMessage {
         if let AdmissionMode::Reject(retry_after) = self.connection.mode() {
             let class = statement::parse(statement).ok().map(|statement| statement.class);
--- a/src/clients/session/stream.rs
+++ b/src/clients/session/stream.rs
@@ -1,7 +1,7 @@
 //! What a session needs of its connection beyond reading and writing: to see its end without reading.
 
-use crate::peek::{Unread, unread};
 use crate::platform_bounds::CLIENT_GONE_WITHIN;
+use crate::socket_state::{PendingInput, pending_input};
 use futures_util::FutureExt;
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -36,7 +36,7 @@
     }
 
     fn has_unread_bytes(&self) -> bool {
-        unread(self) == Unread::Bytes
+        pending_input(self) == PendingInput::Bytes
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,7 +14,6 @@
 pub use linenhill_settings as settings;
 
 pub mod admin;
-pub mod budget;
 pub mod cli;
 pub mod clients;
 pub mod clock;
@@ -24,13 +23,14 @@
 pub mod discovery;
 pub mod figures;
 pub mod fleet;
+pub mod hot_restart;
 pub mod invariants;
-pub mod peek;
 pub mod pg;
 pub mod proxy;
 pub mod request;
+pub mod resource_limit;
+pub mod socket_state;
 pub mod stages;
-pub mod takeover;
 pub mod timeouts;
 pub mod upstream;
 
--- a/src/pg/frontend.rs
+++ b/src/pg/frontend.rs
@@ -1,7 +1,7 @@
 //! The client-facing side: what clients send, decoded, and what they are answered, encoded.
 
 use super::{LONG_MOST, MESSAGE_MOST, PgError, header, take, text};
-use crate::budget::{Budget, Place};
+use crate::resource_limit::{ResourceLimit, ResourcePermit};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use tokio::sync::OwnedSemaphorePermit;
 use tokio_util::codec::{Decoder, Encoder};
@@ -64,10 +64,10 @@
 /// The codec; the first message has no type.
 pub struct FrontendCodec {
     started: bool,
-    memory: Budget,
+    memory: ResourceLimit,
     /// Memory for the message that is coming in, and for the one returned last.
-    coming: Option<Place>,
-    returned: Option<Place>,
+    coming: Option<ResourcePermit>,
+    returned: Option<ResourcePermit>,
     /// The same for a long message; whether one was announced.
     long: Option<OwnedSemaphorePermit>,
     long_returned: Option<OwnedSemaphorePermit>,
@@ -76,13 +76,13 @@
 
 impl Default for FrontendCodec {
     fn default() -> FrontendCodec {
-        FrontendCodec::new(Budget::new(usize::MAX))
+        FrontendCodec::new(ResourceLimit::new(usize::MAX))
     }
 }
 
 impl FrontendCodec {
     /// A codec whose messages share `memory`, in bytes, with those of others.
-    pub fn new(memory: Budget) -> FrontendCodec {
+    pub fn new(memory: ResourceLimit) -> FrontendCodec {
         FrontendCodec {
             started: false,
             memory,
@@ -95,7 +95,7 @@
     }
 
     /// The memory of the message returned last, to be kept as long as the message.
-    pub fn share(&mut self) -> Option<Place> {
+    pub fn share(&mut self) -> Option<ResourcePermit> {
         self.returned.take()
     }
 
@@ -140,7 +140,7 @@
             return Ok(first.then_some(Frontend::Announced(length)));
         }
         if !long && self.coming.is_none() {
-            self.coming = Some(self.memory.enter_by(length).ok_or(PgError::Memory(length))?);
+            self.coming = Some(self.memory.acquire_weighted(length).ok_or(PgError::Memory(length))?);
         }
         let Some(mut body) = take(src, length) else {
             // Exactly what was granted: doubling would take twice that.
--- a/src/stages/admit.rs
+++ b/src/stages/admit.rs
@@ -1,6 +1,6 @@
 //! Admits a request or refuses it before the decisions see it, by what this process may hold.
 
-use crate::budget::{Budget, Place};
+use crate::resource_limit::{ResourceLimit, ResourcePermit};
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
@@ -19,8 +19,8 @@
 
 /// The stage.
 pub struct Admit {
-    held: Budget,
-    memory: Budget,
+    held: ResourceLimit,
+    memory: ResourceLimit,
     long: Arc<Semaphore>,
     long_most: usize,
 }
@@ -31,7 +31,7 @@
     pub fn new(requests: usize, bytes: usize, long_most: usize) -> Admit {
         let long_most = long_most.min(u32::MAX as usize >> 3);
         let long = Arc::new(Semaphore::new(long_most));
-        Admit { held: Budget::new(requests), memory: Budget::new(bytes), long, long_most }
+        Admit { held: ResourceLimit::new(requests), memory: ResourceLimit::new(bytes), long, long_most }
     }
 
     /// The memory for long messages, granted in the order of asking; none for what could never be granted.
@@ -41,17 +41,17 @@
     }
 
     /// A place for a request until its answer, or why there is none.
-    pub fn request(&self) -> Result<Place, Edge> {
-        self.held.enter().ok_or(Edge::Held)
+    pub fn request(&self) -> Result<ResourcePermit, Edge> {
+        self.held.acquire().ok_or(Edge::Held)
     }
 
     /// The memory for messages, for whoever reads them.
-    pub fn memory(&self) -> Budget {
+    pub fn memory(&self) -> ResourceLimit {
         self.memory.clone()
     }
 
     /// Requests held now.
     pub fn held(&self) -> usize {
-        self.held.held()
+        self.held.in_use()
     }
 }
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -5,12 +5,12 @@
 //! reusable on which anything is still to come. Its end is logged once, under the reason set last.
 
 use crate::api::Outcome;
-use crate::budget::Place;
 use crate::close_reason::{CloseReason, Side, log_close};
 use crate::fleet::Unit;
-use crate::peek::{Unread, unread};
 use crate::pg::PgError;
 use crate::pg::backend::{Backend, BackendCodec, Command};
+use crate::resource_limit::ResourcePermit;
+use crate::socket_state::{PendingInput, pending_input};
 use crate::upstream::reply::{ReplyAssembler, ReplyProgress, StatementReply, outcome_of};
 use crate::upstream::send_guard::SendPermit;
 use bytes::{Bytes, BytesMut};
@@ -41,7 +41,7 @@
     framed: Framed<TcpStream, BackendCodec>,
     address: SocketAddr,
     close_reason: Rc<Cell<CloseReason>>,
-    _descriptor: Place,
+    _descriptor: ResourcePermit,
     _permit: Unit,
 }
 
@@ -88,7 +88,7 @@
     /// Opens a connection and waits until the member is ready for a statement, at most `connect_timeout` in all. An
     /// error is the outcome of the attempt that needed the connection.
     pub async fn open(
-        address: SocketAddr, descriptor: Place, connect_timeout: Duration,
+        address: SocketAddr, descriptor: ResourcePermit, connect_timeout: Duration,
     ) -> Result<MemberConnection, Outcome> {
         let deadline = Instant::now() + connect_timeout;
         let stream = connect(address, deadline).await?;
@@ -159,10 +159,10 @@
     /// Like [`Self::unusable_reason`], but asks the kernel too: the runtime does not know of what arrived since it
     /// last polled. To be checked right before a statement is written.
     pub fn unusable_reason_now(&self) -> Option<CloseReason> {
-        self.unusable_reason().or_else(|| match unread(self.framed.get_ref()) {
-            Unread::Nothing => None,
-            Unread::Bytes => Some(CloseReason::Protocol),
-            Unread::End => Some(CloseReason::PeerClosed),
+        self.unusable_reason().or_else(|| match pending_input(self.framed.get_ref()) {
+            PendingInput::Empty => None,
+            PendingInput::Bytes => Some(CloseReason::Protocol),
+            PendingInput::Closed => Some(CloseReason::PeerClosed),
         })
     }
 
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -5,10 +5,10 @@
 //! fleet's budgets. The pool must never hand out a connection that is too old, not silent, or beyond the quota.
 
 use crate::api::MemberId;
-use crate::budget::{Budget, Place};
 use crate::close_reason::CloseReason;
 use crate::counters::Counters;
 use crate::fleet::{Shares, Unit};
+use crate::resource_limit::{ResourceLimit, ResourcePermit};
 use crate::upstream::connection::MemberConnection;
 use crate::upstream::send_guard::SendGuard;
 use std::cell::RefCell;
@@ -54,7 +54,7 @@
 
 struct Inner {
     slots: RefCell<BTreeMap<MemberId, MemberSlot>>,
-    descriptors: Budget,
+    descriptors: ResourceLimit,
     /// The age at which an idle connection is retired.
     retire_after: Duration,
     connect_timeout: Duration,
@@ -83,7 +83,7 @@
     ) -> Pool {
         Pool(Rc::new(Inner {
             slots: RefCell::default(),
-            descriptors: Budget::new(max_connections),
+            descriptors: ResourceLimit::new(max_connections),
             retire_after: idle_close.mul_f64(RETIRE_PART),
             connect_timeout,
             counters,
@@ -253,10 +253,10 @@
 
     /// Reserves the descriptor of one more connection. If none is left, the connection that was idle longest is
     /// closed.
-    pub fn reserve_descriptor(&self) -> Option<Place> {
-        let descriptor = self.0.descriptors.enter().or_else(|| {
+    pub fn reserve_descriptor(&self) -> Option<ResourcePermit> {
+        let descriptor = self.0.descriptors.acquire().or_else(|| {
             self.close_longest_idle();
-            self.0.descriptors.enter()
+            self.0.descriptors.acquire()
         })?;
         self.0.counters.links.add();
         Some(descriptor)
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -7,7 +7,6 @@
 use bytes::Bytes;
 use futures_util::FutureExt;
 use linenhill::api::{Discovery, GroupId, MemberId, MemberState, Outcome, RequestId, Span, Time};
-use linenhill::budget::Budget;
 use linenhill::clients::connection_gate::{AdmittedConnection, ConnectionGate};
 use linenhill::clients::listener;
 use linenhill::clients::request_gateway::RequestGateway;
@@ -22,10 +21,12 @@
 use linenhill::discovery::watch::{first_message_timeout, read_watch};
 use linenhill::figures::Figures;
 use linenhill::fleet::Shares;
+use linenhill::hot_restart::{maintenance_log::MaintenanceLog, saved};
 use linenhill::lifecycle::ServingState;
 use linenhill::maintenance::{ListedMember, Maintenance};
 use linenhill::policy::Router;
 use linenhill::request::Payload;
+use linenhill::resource_limit::ResourceLimit;
 use linenhill::stages::admit::Admit;
 use linenhill::stages::book::Book;
 use linenhill::stages::intake::Intake;
@@ -33,7 +34,6 @@
 use linenhill::stages::route::{Route, RouteParts};
 use linenhill::stages::send::Sender;
 use linenhill::stages::{Answer, Input};
-use linenhill::takeover::{maintenance_log::MaintenanceLog, saved};
 use linenhill::upstream::attempt::{self, AttemptRequest};
 use linenhill::upstream::connection::MemberConnection;
 use linenhill::upstream::pool::Pool;
@@ -368,7 +368,7 @@
         drop(first);
     };
     tokio::join!(serve_first, serve_second, play);
-    assert!(gateway.message_memory().enter_by(256 * 1024).is_some(), "all of it is given back");
+    assert!(gateway.message_memory().acquire_weighted(256 * 1024).is_some(), "all of it is given back");
 }
 
 /// Guards against connections that take a descriptor for good and send nothing.
@@ -732,7 +732,7 @@
     };
     let proxy = async {
         let long = Duration::from_secs(60);
-        let descriptor = Budget::new(1).enter().expect("a descriptor");
+        let descriptor = ResourceLimit::new(1).acquire().expect("a descriptor");
         let Ok(mut connection) = MemberConnection::open(at, descriptor, long).await else {
             panic!("no connection")
         };
