--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -9,11 +9,11 @@
 use crate::clients::lifecycle_driver::LifecycleDriver;
 use crate::close_reason::{CloseReason, Side, log_close};
 use crate::discovery::status::{DiscoveryStatus, seconds};
-use crate::figures::Figures;
 use crate::fleet::outages::{self, No};
 use crate::hot_restart::maintenance_log::MaintenanceLog;
 use crate::lifecycle::Event;
 use crate::maintenance::OrderRejected;
+use crate::metrics::Metrics;
 use crate::stages::Input;
 use call::{Call, CallCodec, CallError};
 use futures_util::StreamExt;
@@ -55,7 +55,7 @@
     /// What operators say of members.
     pub maintenance_log: Rc<MaintenanceLog>,
     /// What they may read.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
     /// What discovery was last heard to say.
     pub status: Rc<DiscoveryStatus>,
     /// Where the driver of the decisions is asked of members.
@@ -174,11 +174,15 @@
         let _ = self.inbox.send(Input::Asked(ask));
         // Figures that are a moment old are better than none.
         if let Ok(Ok((listed, avoided))) = timeout(ASK_WITHIN, asked).await {
-            self.figures.members(listed, avoided);
+            self.metrics.record_members(listed, avoided);
         }
         let silence = seconds(self.status.silence());
-        self.figures.news(silence, self.status.list_age().map(seconds), self.status.list_version());
-        match self.figures.text() {
+        self.metrics.record_discovery(
+            silence,
+            self.status.list_age().map(seconds),
+            self.status.list_version(),
+        );
+        match self.metrics.text() {
             Ok(text) => Answer { status: 200, kind: OPEN_METRICS, text },
             Err(_) => said(500, "the figures can't be written"),
         }
--- a/src/clients/request_gateway.rs
+++ b/src/clients/request_gateway.rs
@@ -3,7 +3,7 @@
 
 use crate::api::{ClassId, ReadLevel, RequestId, Span};
 use crate::invariants::InvariantMonitor;
-use crate::request::Incoming;
+use crate::request::IncomingRequest;
 use crate::resource_limit::{ResourceLimit, ResourcePermit};
 use crate::stages::admit::{Admit, Edge};
 use crate::stages::book::{Book, Ticket};
@@ -32,7 +32,7 @@
 
 /// A request whose id is open, from its last byte to its answer.
 pub struct OpenRequest {
-    incoming: Incoming,
+    incoming: IncomingRequest,
     class: ClassId,
     writes: bool,
     id: OpenId,
@@ -151,7 +151,7 @@
     ///
     /// # Errors
     /// The class is unknown, or a request with this id is open.
-    pub fn open(&self, incoming: Incoming) -> Result<OpenRequest, IntakeError> {
+    pub fn open(&self, incoming: IncomingRequest) -> Result<OpenRequest, IntakeError> {
         let class = self.intake.class(&incoming)?;
         let id = self.intake.open(&incoming)?;
         let writes = self.intake.level(class) == ReadLevel::Write;
@@ -178,7 +178,7 @@
     pub fn submit(&self, request: OpenRequest, waited: Duration) -> Result<PendingRequest, Answer> {
         let OpenRequest { mut incoming, class, id: open_id, ticket, .. } = request;
         let waited_ms = u64::try_from(waited.as_millis()).unwrap_or(u64::MAX);
-        incoming.wait_ms = incoming.wait_ms.saturating_sub(waited_ms);
+        incoming.client_timeout_ms = incoming.client_timeout_ms.saturating_sub(waited_ms);
         let request = self.intake.take(&incoming, class);
         let place = match self.admit.request() {
             Ok(place) => place,
@@ -189,7 +189,7 @@
         let id = request.id;
         debug!(
             "request {id} is the client's {}, class {}, waits {} ms",
-            incoming.id, class.0, incoming.wait_ms
+            incoming.id, class.0, incoming.client_timeout_ms
         );
         let taken = Taken { request, payload: incoming.payload, deadline, reply };
         // Without a driver the channel is closed, and the answer is that it failed.
--- a/src/clients/session/accept.rs
+++ b/src/clients/session/accept.rs
@@ -10,7 +10,7 @@
 use crate::pg::PgError;
 use crate::pg::frontend::Frontend;
 use crate::pg::statement::{self, Statement, StatementError};
-use crate::request::{Incoming, Payload};
+use crate::request::{IncomingRequest, Payload};
 use crate::resource_limit::ResourcePermit;
 use crate::stages::admit::Edge;
 use crate::stages::intake::IntakeError;
@@ -22,10 +22,18 @@
 const MAX_MALFORMED_IN_ROW: u32 = 8;
 
 /// The request of a statement. Only the time that is left is written anew for each attempt.
-fn incoming(statement: Statement) -> Incoming {
+fn incoming(statement: Statement) -> IncomingRequest {
     let Statement { id, class, wait_ms, group, key, after_ms, whole, wait_at } = statement;
-    let payload = Payload::cut(&whole, wait_at);
-    Incoming { id, class, wait_ms, group, key, after_ms, payload }
+    let payload = Payload::without_time_left(&whole, wait_at);
+    IncomingRequest {
+        id,
+        class,
+        client_timeout_ms: wait_ms,
+        group,
+        session_key: key,
+        read_after_ms: after_ms,
+        payload,
+    }
 }
 
 impl<S: super::ClientStream> Session<S> {
@@ -71,7 +79,7 @@
                 return self.malformed(if is_wrong { "22023" } else { "42601" }, problem, None);
             }
         };
-        let key = incoming.key.clone();
+        let key = incoming.session_key.clone();
         let class = incoming.class.clone();
         let request = match self.gateway.open(incoming) {
             Ok(request) => request,
--- a/src/clients/session/mod.rs
+++ b/src/clients/session/mod.rs
@@ -25,7 +25,7 @@
 use crate::pg::PgError;
 use crate::pg::frontend::{Answer as Reply, Frontend, FrontendCodec};
 use crate::stages::admit::Edge;
-use crate::timeouts::timeout_with_last_look;
+use crate::timeouts::timeout_with_final_poll;
 use progress::InputProgress;
 use std::rc::Rc;
 use std::time::Duration;
@@ -138,7 +138,7 @@
         let deadline = Instant::now() + STARTUP_TIMEOUT;
         loop {
             let time_left = deadline.saturating_duration_since(Instant::now());
-            let message = timeout_with_last_look(time_left, self.read_message()).await;
+            let message = timeout_with_final_poll(time_left, self.read_message()).await;
             match message.map_err(|_| CloseReason::StartupTimeout)?? {
                 None => return Err(CloseReason::PeerClosed),
                 Some(Frontend::Encryption) => self.send([Reply::NoEncryption]).await?,
--- a/src/close_reason.rs
+++ b/src/close_reason.rs
@@ -1,24 +1,36 @@
-//! Why a connection ended: one log line for each, with a code.
+//! Why a connection closed: one log line for each, with a code. The codes are read by operators' scripts and must keep
+//! their form.
 
 use log::info;
 use std::fmt;
 
-/// The side on which a connection ended.
+/// The kind of peer at the other end of a connection, printed as in the log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// A client's.
+    /// A client.
     Client,
-    /// A member's.
+    /// A member.
     Member,
-    /// Discovery's.
+    /// The discovery service or agent.
     Discovery,
-    /// An operator's.
+    /// An operator.
     Operator,
 }
 
+impl fmt::Display for Side {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Side::Client => "client",
+            Side::Member => "member",
+            Side::Discovery => "discovery",
+            Side::Operator => "operator",
+        })
+    }
+}
+
 macro_rules! reasons {
     ($($(#[$doc:meta])* $name:ident = $code:literal),* $(,)?) => {
-        /// The reason, printed as its code.
+        /// Why a connection closed, printed as its code.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum CloseReason {
             $($(#[$doc])* $name,)*
@@ -40,19 +52,19 @@
 reasons! {
     /// The peer closed between requests.
     PeerClosed = "peer-closed",
-    /// The peer said goodbye.
+    /// The peer sent its terminate message.
     Terminated = "terminated",
-    /// The client left while a request of it was held.
+    /// The client left while a request of it was open.
     ClientGone = "client-gone",
     /// The peer broke the protocol.
     Protocol = "protocol",
     /// No startup message came in time.
     StartupTimeout = "startup-timeout",
-    /// A cancel request: there is nothing to cancel that way.
+    /// A cancel request, which this proxy does not support.
     CancelRequest = "cancel-request",
-    /// It held no open request, and a newcomer needed its place.
+    /// It had no open request, and a new connection needed its slot.
     MadeRoom = "made-room",
-    /// All places for clients are taken.
+    /// All connection slots are taken.
     EdgeFull = "edge-full",
     /// The connection failed.
     Io = "io",
@@ -62,9 +74,9 @@
     Stopping = "stopping",
     /// An idle connection was retired before the member would close it.
     Retired = "retired",
-    /// An idle connection was given back.
+    /// An idle connection was closed because its descriptor or its part of the quota is needed, or its member left.
     GivenBack = "given-back",
-    /// The attempt was called off.
+    /// The attempt was cancelled by this proxy.
     Cancelled = "cancelled",
     /// The attempt was not answered in time.
     TimedOut = "timed-out",
@@ -72,26 +84,26 @@
     ConnectTimeout = "connect-timeout",
     /// The connection was refused.
     Refused = "refused",
-    /// The connection broke while an attempt was out.
+    /// The connection broke while an attempt was in flight.
     Reset = "reset",
     /// The member turned the connection away.
     TurnedAway = "turned-away",
-    /// Discovery has moved.
+    /// The discovery address has changed.
     Moved = "moved",
     /// Discovery answered with an error.
     Status = "status",
-    /// The watch fell silent.
+    /// The watch sent nothing within its time limit.
     Silent = "silent",
     /// The watch ended.
     WatchEnded = "watch-ended",
-    /// The long answer that was passed on broke off.
+    /// A streamed response broke off.
     CutOff = "cut-off",
-    /// The operator's call was answered.
+    /// The operator's call was answered, and one call is all that a connection carries.
     Answered = "answered",
 }
 
 impl CloseReason {
-    /// Whether a client's connection ended because its client closed it, broke it, or does not read.
+    /// Whether a client's connection closed because its client closed it, broke it, or does not read.
     pub fn is_by_peer(self) -> bool {
         use CloseReason as Reason;
         matches!(
@@ -106,13 +118,7 @@
     }
 }
 
-/// Writes the one line.
+/// Logs that the connection to `peer` closed.
 pub fn log_close(side: Side, peer: impl fmt::Display, reason: CloseReason) {
-    let side = match side {
-        Side::Client => "client",
-        Side::Member => "member",
-        Side::Discovery => "discovery",
-        Side::Operator => "operator",
-    };
     info!("closed {side} {peer} code={reason}");
 }
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,10 +1,11 @@
-//! Counters of what the proxy takes in, sends and answers.
+//! Counters of what the proxy accepts, sends and answers, printed in its log. Their names are read by operators' scripts
+//! and must keep their form.
 
 use crate::close_reason::CloseReason;
 use std::cell::Cell;
 use std::fmt;
 
-/// One counter.
+/// One counter, from 0 at the start of the process.
 #[derive(Default)]
 pub struct Counter(Cell<u64>);
 
@@ -20,50 +21,53 @@
     }
 }
 
-/// Connections by the reason for which they ended; printed as `ended_CODE=count` pairs of those seen.
+/// Closed connections by reason; printed as `ended_CODE=count` pairs of those that occurred.
 #[derive(Default)]
-pub struct Ends([Counter; CloseReason::ALL.len()]);
+pub struct CloseCounts([Counter; CloseReason::ALL.len()]);
 
-impl Ends {
+impl CloseCounts {
     /// Counts one more for this reason.
     pub fn add(&self, reason: CloseReason) {
         self.0[reason as usize].add();
     }
 
-    /// How many ended for this reason.
+    /// How many closed for this reason.
     pub fn get(&self, reason: CloseReason) -> u64 {
         self.0[reason as usize].get()
     }
 
-    /// How many ended.
-    pub fn sum(&self) -> u64 {
+    /// How many closed, for any reason.
+    pub fn total(&self) -> u64 {
         self.0.iter().map(Counter::get).sum()
     }
 }
 
-impl fmt::Display for Ends {
+impl fmt::Display for CloseCounts {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let seen = CloseReason::ALL.iter().map(|r| (r, self.get(*r))).filter(|(_, count)| *count > 0);
-        seen.into_iter().try_for_each(|(reason, count)| {
-            write!(f, " ended_{}={count}", reason.to_string().replace('-', "_"))
-        })
+        for reason in CloseReason::ALL {
+            let count = self.get(*reason);
+            if count > 0 {
+                write!(f, " ended_{}={count}", reason.to_string().replace('-', "_"))?;
+            }
+        }
+        Ok(())
     }
 }
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
-        /// All of them; printed as `name=count` pairs.
+        /// All counters of one process; printed as `name=count` pairs in the order of their declaration.
         #[derive(Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: Counter,)*
-            /// Client connections by the reason for which they ended.
-            pub ended: Ends,
+            /// Closed connections of clients by reason.
+            pub ended: CloseCounts,
         }
 
         impl fmt::Display for Counters {
             fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 let pairs = [$((stringify!($name), self.$name.get())),*];
-                let text: Vec<String> = pairs.iter().map(|(n, c)| format!("{n}={c}")).collect();
+                let text: Vec<String> = pairs.iter().map(|(name, count)| format!("{name}={count}")).collect();
                 write!(f, "{}{}", text.join(" "), self.ended)
             }
         }
@@ -71,17 +75,17 @@
 }
 
 counters! {
-    /// Requests taken in.
+    /// Requests accepted.
     taken,
-    /// Statements that could not be read.
+    /// Statements that could not be parsed.
     malformed,
     /// Attempts sent to members.
     sent,
-    /// Probes sent to members.
+    /// Health checks sent to members.
     probes,
     /// Final answers: served.
     served,
-    /// Final answers: refused.
+    /// Final answers: rejected.
     refused,
     /// Final answers: failed.
     failed,
@@ -89,31 +93,31 @@
     lapsed,
     /// Attempts that were served.
     ok,
-    /// Attempts turned away untouched by role or position.
+    /// Attempts that a member turned away by its role or position, without an effect.
     miss,
-    /// Attempts that ended in an error.
+    /// Attempts that a member answered with an error.
     error,
-    /// Attempts turned away unseen.
+    /// Attempts that a member turned away because its queue was full.
     turned_away,
-    /// Attempts without a connection.
+    /// Attempts for which no connection came up.
     not_connected,
     /// Attempts whose connection broke.
     reset,
-    /// Attempts whose answer could not be read.
+    /// Attempts whose reply was malformed.
     garbled,
     /// Attempts that were not answered in time.
     timed_out,
-    /// Attempts called off.
+    /// Attempts cancelled by this proxy.
     cancelled,
-    /// Attempts never sent.
+    /// Attempts that were decided on and never sent.
     ignored,
-    /// Of those refused: there was no place at the door.
+    /// Rejected requests: no connection slot was left.
     refused_door,
-    /// Of those refused: too many requests were held.
+    /// Rejected requests: too many were open.
     refused_held,
-    /// Of those refused: no memory was left for the message.
+    /// Rejected requests: no memory was left for the message.
     refused_memory,
-    /// Of those refused: the process was stopping.
+    /// Rejected requests: the process was stopping.
     refused_stopping,
     /// Client connections accepted.
     clients,
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -9,7 +9,7 @@
 use crate::discovery::list::ListEvent;
 use crate::discovery::status::{DiscoveryStatus, seconds};
 use crate::discovery::watch::open_watch;
-use crate::figures::Figures;
+use crate::metrics::Metrics;
 use crate::stages::Input;
 use crate::watch_schedule::WatchSchedule;
 use log::info;
@@ -72,7 +72,7 @@
     /// Counts the calls.
     pub counters: Rc<Counters>,
     /// Counts how calls ended.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
     /// The longest time until the first message of a watch, from the start of the call.
     pub first_message_timeout: Duration,
     /// Spreads the watches of proxies that lose their agent together.
@@ -122,7 +122,7 @@
                 () = address_changed(&mut self.address) => None,
             };
             let reason = failure.unwrap_or(CloseReason::Moved);
-            self.figures.discovery_call_ended(reason);
+            self.metrics.record_discovery_call_end(reason);
             let lasted = seconds(Span(clock.now().0.saturating_sub(opened_at.0)));
             let silent = seconds(self.status.silence());
             info!(
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -9,7 +9,7 @@
 use crate::discovery::status::DiscoveryStatus;
 use crate::settings::FormError;
 use crate::stages::Input;
-use crate::timeouts::timeout_with_last_look;
+use crate::timeouts::timeout_with_final_poll;
 use futures_util::StreamExt;
 use log::warn;
 use std::io;
@@ -81,7 +81,7 @@
     let mut reader = WatchReader { status, inbox, has_received_line: false, has_accepted_list: false };
     let mut message_timeout = first_message_timeout;
     loop {
-        let Ok(part) = timeout_with_last_look(message_timeout, parts.next()).await else {
+        let Ok(part) = timeout_with_final_poll(message_timeout, parts.next()).await else {
             return CloseReason::Silent;
         };
         message_timeout = SILENCE_TIMEOUT;
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -14,12 +14,12 @@
 use crate::discovery::list::ListEvent;
 use crate::discovery::status::DiscoveryStatus;
 use crate::discovery::watch::first_message_timeout;
-use crate::figures::Figures;
 use crate::fleet::Shares;
 use crate::fleet::outages;
 use crate::hot_restart::maintenance_log::{self, MaintenanceLog};
 use crate::lifecycle::Event;
 use crate::list_lease::ListLease;
+use crate::metrics::Metrics;
 use crate::policy::Router;
 use crate::stages::Input;
 use crate::stages::admit::Admit;
@@ -155,10 +155,10 @@
     let connect = Duration::from_micros(limits.connect_timeout.0).max(Duration::from_millis(1));
     let shares = listeners.fleet.as_ref().map(|fleet| fleet.shares.clone()).unwrap_or_default();
     let max_connections = capacity.descriptors(MEMBERS_PART);
-    let figures = Rc::new(Figures::new(site.class_names()));
+    let metrics = Rc::new(Metrics::new(site.class_names()));
     let version = known.as_ref().map_or(0, |k| k.version);
     let lease = ListLease::new(clock.now(), site.settings.discovery, site.settings.rules.drain_grace);
-    let guard = SendGuard::new(lease, version, clock, figures.invariants());
+    let guard = SendGuard::new(lease, version, clock, metrics.invariants());
     let pool = Pool::with_quota(
         max_connections,
         idle_close,
@@ -168,7 +168,7 @@
         guard.clone(),
     );
     let (inbox, events) = mpsc::unbounded_channel();
-    let book = Book::new(counters.clone(), figures.clone());
+    let book = Book::new(counters.clone(), metrics.clone());
     let sender = Sender::new(pool.clone(), inbox.clone(), book.clone(), limits);
     let longest = Duration::from_micros(site.longest.0);
     let connection_gate = ConnectionGate::new(capacity.admission_limits(limits.max_retry_after), clock);
@@ -215,7 +215,7 @@
         status: status.clone(),
         inbox,
         counters: counters.clone(),
-        figures: figures.clone(),
+        metrics: metrics.clone(),
         first_message_timeout,
         rng: fastrand::Rng::with_seed(config.seed),
     };
@@ -245,7 +245,7 @@
         let controls = Controls {
             lifecycle: lifecycle.clone(),
             maintenance_log: maintenance_log.clone(),
-            figures,
+            metrics,
             status,
             inbox: operators_inbox,
             fleet: fleet_client,
--- a/src/stages/book.rs
+++ b/src/stages/book.rs
@@ -5,13 +5,13 @@
 use crate::api::ClassId;
 use crate::api::Outcome;
 use crate::counters::Counters;
-use crate::figures::{End, Figures};
 use crate::invariants::InvariantMonitor;
+use crate::metrics::{Metrics, RequestEnd};
 use std::rc::Rc;
 
 /// The stage.
 #[derive(Clone)]
-pub struct Book(Rc<Counters>, Rc<Figures>);
+pub struct Book(Rc<Counters>, Rc<Metrics>);
 
 /// A request from its last byte to its one end. Dropped before that, its client has left.
 pub struct Ticket {
@@ -32,15 +32,15 @@
     fn drop(&mut self) {
         if !self.ended {
             self.book.0.lapsed.add();
-            self.book.1.ended(self.class.0, None);
+            self.book.1.record_ended(self.class.0, None);
         }
     }
 }
 
 impl Book {
-    /// Books into these counters and figures.
-    pub fn new(counters: Rc<Counters>, figures: Rc<Figures>) -> Book {
-        Book(counters, figures)
+    /// Books into these counters and metrics.
+    pub fn new(counters: Rc<Counters>, metrics: Rc<Metrics>) -> Book {
+        Book(counters, metrics)
     }
 
     /// What counts violated invariants.
@@ -51,13 +51,13 @@
     /// A request was taken in.
     pub fn take(&self, class: ClassId) -> Ticket {
         self.0.taken.add();
-        self.1.taken();
+        self.1.record_accepted();
         Ticket { book: self.clone(), class, ended: false }
     }
 
     /// An attempt was written whole.
     pub fn written(&self) {
-        self.1.written();
+        self.1.record_written_attempt();
     }
 
     /// A request could not be read.
@@ -77,12 +77,12 @@
 
     fn answered(&self, class: ClassId, answer: &Answer) {
         let (count, end) = match answer {
-            Answer::Served(_) | Answer::Passing(_) => (&self.0.served, End::Completed),
-            Answer::Refused { .. } => (&self.0.refused, End::Rejected),
-            Answer::Failed => (&self.0.failed, End::Failed),
+            Answer::Served(_) | Answer::Passing(_) => (&self.0.served, RequestEnd::Completed),
+            Answer::Refused { .. } => (&self.0.refused, RequestEnd::Rejected),
+            Answer::Failed => (&self.0.failed, RequestEnd::Failed),
         };
         count.add();
-        self.1.ended(class.0, Some(end));
+        self.1.record_ended(class.0, Some(end));
     }
 
     /// A request whose class nobody knows was refused.
--- a/src/stages/intake.rs
+++ b/src/stages/intake.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{ClassId, GroupId, ReadLevel, Request, RequestId, SessionKey, Span};
 use crate::clock::Clock;
-use crate::request::Incoming;
+use crate::request::IncomingRequest;
 use crate::settings::Site;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -70,7 +70,7 @@
     }
 
     /// The class's number.
-    pub fn class(&self, incoming: &Incoming) -> Result<ClassId, IntakeError> {
+    pub fn class(&self, incoming: &IncomingRequest) -> Result<ClassId, IntakeError> {
         self.named(&incoming.class).ok_or(IntakeError::UnknownClass)
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// Opens a request's id, from its last byte to its answer: a second request must not run under it.
-    pub fn open(&self, incoming: &Incoming) -> Result<OpenId, IntakeError> {
+    pub fn open(&self, incoming: &IncomingRequest) -> Result<OpenId, IntakeError> {
         let id = incoming.id.clone();
         if !self.open.borrow_mut().insert(id.clone()) {
             return Err(IntakeError::IdInUse);
@@ -94,7 +94,7 @@
     }
 
     /// The request as the decisions know it, under an id of our own: clients' ids need not be fresh.
-    pub fn take(&self, incoming: &Incoming, class: ClassId) -> Request {
+    pub fn take(&self, incoming: &IncomingRequest, class: ClassId) -> Request {
         let level = self.level(class);
         let sessions = matches!(level, ReadLevel::Write | ReadLevel::Session);
         let now = self.clock.now().0;
@@ -106,11 +106,11 @@
         Request {
             id: RequestId(id),
             class,
-            left: Span(incoming.wait_ms.min(LONGEST_WAIT_MS) * 1_000),
+            left: Span(incoming.client_timeout_ms.min(LONGEST_WAIT_MS) * 1_000),
             tenant: None,
-            token_age: incoming.after_ms.filter(|_| level == ReadLevel::Session).map(age),
+            token_age: incoming.read_after_ms.filter(|_| level == ReadLevel::Session).map(age),
             group: GroupId(incoming.group),
-            session: incoming.key.as_deref().filter(|_| sessions).map(session),
+            session: incoming.session_key.as_deref().filter(|_| sessions).map(session),
         }
     }
 }
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -192,7 +192,7 @@
     let render = || {
         let time_left = deadline.saturating_duration_since(Instant::now());
         let time_left_ms = time_left.as_millis() as u64;
-        payload.pieces(time_left_ms.max(1))
+        payload.render_in_parts(time_left_ms.max(1))
     };
     let intent = SendIntent { member, purpose, deadline, is_request_over };
     let exchange = Exchange { pool: &pool, intent: &intent, progress: &progress };
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -140,7 +140,8 @@
         let text = |d: u64| format!("/* id=a,c=order,d={d},k={k:x},cluster=2 */ INSERT 'x' 'd=1'");
         let read = statement::parse(&Bytes::from(text(u64::from(before))));
         read.is_ok_and(|r| {
-            r.wait_ms == u64::from(before) && Payload::cut(&r.whole, r.wait_at).render(left) == text(left)
+            r.wait_ms == u64::from(before)
+                && Payload::without_time_left(&r.whole, r.wait_at).render(left) == text(left)
         })
     }
     let mut random = QuickCheck::new().rng(Gen::from_size_and_seed(64, 8)).tests(200);
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -19,11 +19,11 @@
 use linenhill::discovery::list::{self, DecodedList, ListEvent};
 use linenhill::discovery::status::DiscoveryStatus;
 use linenhill::discovery::watch::{first_message_timeout, read_watch};
-use linenhill::figures::Figures;
 use linenhill::fleet::Shares;
 use linenhill::hot_restart::{maintenance_log::MaintenanceLog, saved};
 use linenhill::lifecycle::ServingState;
 use linenhill::maintenance::{ListedMember, Maintenance};
+use linenhill::metrics::Metrics;
 use linenhill::policy::Router;
 use linenhill::request::Payload;
 use linenhill::resource_limit::ResourceLimit;
@@ -138,14 +138,14 @@
         .expect("a configuration");
     let (inbox, events) = mpsc::unbounded_channel();
     let intake = Intake::new(&config.site, Clock::start());
-    let book = Book::new(Rc::new(Counters::default()), figures());
+    let book = Book::new(Rc::new(Counters::default()), metrics());
     let admit = Admit::new(9, 256 * 1024, 1 << 20);
     let guard = SendGuard::without_list();
     (Rc::new(RequestGateway::new(intake, admit, book, inbox, guard)), events)
 }
 
-fn figures() -> Rc<Figures> {
-    Rc::new(Figures::new(["list", "own", "order"]))
+fn metrics() -> Rc<Metrics> {
+    Rc::new(Metrics::new(["list", "own", "order"]))
 }
 
 fn admission_limits(max_served: usize) -> AdmissionLimits {
@@ -453,7 +453,7 @@
     let done = local.run_until(timeout(Duration::from_secs(20), asking)).await;
     assert!(done.is_ok(), "after {} connections no more could be opened", counters.clients.get());
     let made_room = counters.ended.get(CloseReason::MadeRoom);
-    let all_ended = counters.ended.sum();
+    let all_ended = counters.ended.total();
     assert!(made_room >= 32 && made_room == all_ended, "{made_room} of {all_ended}");
 }
 
@@ -675,7 +675,7 @@
         for drains in [true, false] {
             pool.set_address(m, listener.local_addr().expect("an address"));
             pool.set_accepting(|_| true);
-            let payload = Payload::cut(&Bytes::from_static(b"/* d=9 */ SELECT 1"), 5..6);
+            let payload = Payload::without_time_left(&Bytes::from_static(b"/* d=9 */ SELECT 1"), 5..6);
             let attempt_request = AttemptRequest {
                 member: m,
                 payload,
@@ -804,7 +804,7 @@
     let second = Duration::from_secs(1);
     let pool = Pool::new(9, second, second, counters.clone());
     let (inbox, events) = mpsc::unbounded_channel();
-    let (clock, book) = (Clock::start(), Book::new(counters, figures()));
+    let (clock, book) = (Clock::start(), Book::new(counters, metrics()));
     let sender = Sender::new(pool.clone(), inbox.clone(), book.clone(), &config.site.settings.limits);
     let router = Router::new(config.site.settings, 42, clock.now());
     let (relay, asked) = (Relay::default(), Rc::new(Notify::new()));
--- a/tests/send_guard.rs
+++ b/tests/send_guard.rs
@@ -4,9 +4,9 @@
 use linenhill::api::{Discovery, MemberId, RequestId, Span};
 use linenhill::clock::Clock;
 use linenhill::counters::Counters;
-use linenhill::figures::Figures;
 use linenhill::fleet::Shares;
 use linenhill::list_lease::{ListLease, Withheld};
+use linenhill::metrics::Metrics;
 use linenhill::upstream::pool::Pool;
 use linenhill::upstream::send_guard::{Purpose, SendGuard, SendIntent};
 use std::rc::Rc;
@@ -18,10 +18,10 @@
 const GRACE: Span = Span(2_000_000);
 
 /// A guard and a pool with one member that accepts.
-fn guarded(figures: &Figures) -> (SendGuard, Pool) {
+fn guarded(metrics: &Metrics) -> (SendGuard, Pool) {
     let clock = Clock::start();
     let lease = ListLease::new(clock.now(), Discovery::OnRequest, GRACE);
-    let guard = SendGuard::new(lease, 7, clock, figures.invariants());
+    let guard = SendGuard::new(lease, 7, clock, metrics.invariants());
     let long = Duration::from_secs(60);
     let counters = Rc::new(Counters::default());
     let pool = Pool::with_quota(1, long, long, counters, Shares::default(), guard.clone());
@@ -45,8 +45,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn no_permit_without_what_it_rests_on() {
-    let figures = Figures::new(["list"]);
-    let (guard, pool) = guarded(&figures);
+    let metrics = Metrics::new(["list"]);
+    let (guard, pool) = guarded(&metrics);
     assert!(guard.permit(&pool, intent(MS)).await.is_some());
     assert!(guard.permit(&pool, intent(Duration::ZERO)).await.is_none(), "its deadline has passed");
     let over = intent(MS);
@@ -67,8 +67,8 @@
 /// Guards against sends of a process that was stopped, before it has read what arrived meanwhile.
 #[tokio::test(start_paused = true)]
 async fn permit_waits_while_the_process_catches_up() {
-    let figures = Figures::new(["list"]);
-    let (guard, pool) = guarded(&figures);
+    let metrics = Metrics::new(["list"]);
+    let (guard, pool) = guarded(&metrics);
     guard.list_confirmed();
     run(&guard, 1_000 * MS).await;
     advance(3_000 * MS).await;
@@ -93,10 +93,10 @@
 /// what is still so is not.
 #[tokio::test(start_paused = true)]
 async fn write_without_what_its_permit_rested_on_is_counted() {
-    let figures = Figures::new(["list"]);
-    let (guard, pool) = guarded(&figures);
+    let metrics = Metrics::new(["list"]);
+    let (guard, pool) = guarded(&metrics);
     guard.permit(&pool, intent(MS)).await.expect("a permit").check_at_write();
-    assert_eq!(figures.invariants().total(), 0);
+    assert_eq!(metrics.invariants().total(), 0);
     let late = guard.permit(&pool, intent(1_000 * MS)).await.expect("a permit");
     advance(151 * MS).await;
     late.check_at_write();
@@ -107,8 +107,8 @@
     let permit = guard.permit(&pool, intent(MS)).await.expect("a permit");
     pool.set_accepting(|_| false);
     permit.check_at_write();
-    assert_eq!(figures.invariants().total(), 3);
-    let text = figures.text().expect("a text");
+    assert_eq!(metrics.invariants().total(), 3);
+    let text = metrics.text().expect("a text");
     for (invariant, count) in [
         ("permit-current", 1),
         ("request-open", 1),
