--- a/src/admin/call.rs
+++ b/src/admin/call.rs
@@ -1,64 +1,79 @@
-//! One operator's call, read from HTTP/1.1 and checked: what it asks for, or what is wrong with it.
+//! One operator's call, decoded from HTTP/1.1 and checked: what it asks for, or what is wrong with it. Whatever is beyond
+//! its bound must be an error, so that memory stays bounded; nothing is carried out here.
 
 use bytes::{Buf, BytesMut};
 use httparse::Status;
+use std::error::Error;
 use std::fmt;
 use std::io;
 use tokio_util::codec::Decoder;
 
-/// The longest head of a call.
-const HEAD_MOST: usize = 8 * 1024;
-/// The longest body: no call needs one, but some clients send one.
-const BODY_MOST: usize = 16 * 1024;
-/// Headers of a call.
-const HEADERS_MOST: usize = 48;
-/// The longest id of a member that a call may name.
-const NAME_MOST: usize = 256;
+/// The longest head of a call, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// The longest body, in bytes: no call needs one, but some clients send one.
+const MAX_BODY_BYTES: usize = 16 * 1024;
+/// The most header fields of a call.
+const MAX_HEADERS: usize = 48;
+/// The longest id of a member that a call may name, in bytes.
+const MAX_MEMBER_BYTES: usize = 256;
+/// The query field that asks for something against the fleet's limits.
+const FORCE_FIELD: &str = "force=";
 
 /// What operators may ask for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process takes clients.
+    /// Whether this process serves clients.
     Status,
-    /// The figures.
+    /// The metrics.
     Metrics,
-    /// Nothing more to this member; against the fleet's limits.
-    Enter(String, bool),
-    /// This member may serve again.
-    Exit(String),
-    /// Drain; against the fleet's limits.
-    Standby(bool),
-    /// End of the drain.
+    /// Take a member out of service.
+    EnterMaintenance {
+        /// Id of the member.
+        member: String,
+        /// Against the fleet's limits.
+        is_forced: bool,
+    },
+    /// Put a member back in service.
+    ExitMaintenance {
+        /// Id of the member.
+        member: String,
+    },
+    /// Drain this process, and stand by.
+    Standby {
+        /// Against the fleet's limits.
+        is_forced: bool,
+    },
+    /// Serve again.
     Active,
 }
 
 /// What is wrong with a call.
 #[derive(Debug)]
 pub enum CallError {
-    /// The head can't be read.
+    /// The head is malformed.
     Head(httparse::Error),
-    /// The head or body is too long.
+    /// This part, the head or the body, is longer than so many bytes.
     TooLong(&'static str, usize),
-    /// The body's length is not told, or in more than one way.
+    /// The body's length is missing, malformed, or stated in more than one way.
     Length,
-    /// Nothing is found there.
+    /// There is nothing at this path.
     Path(String),
-    /// It is asked for by another method.
+    /// The path has only this method.
     Method(&'static str),
-    /// The query is not as it should be.
+    /// The query is malformed: what is wrong with it.
     Query(&'static str),
-    /// The connection itself failed.
+    /// The connection failed.
     Io(io::Error),
 }
 
 impl From<io::Error> for CallError {
-    fn from(e: io::Error) -> CallError {
-        CallError::Io(e)
+    fn from(error: io::Error) -> CallError {
+        CallError::Io(error)
     }
 }
 
 impl CallError {
-    /// The status that says so.
+    /// The HTTP status of the response.
     pub fn status(&self) -> u16 {
         match self {
             CallError::Head(_) | CallError::Query(_) | CallError::Io(_) => 400,
@@ -73,20 +88,28 @@
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            CallError::Head(e) => write!(f, "malformed call: {e}"),
-            CallError::TooLong(part, most) => write!(f, "the {part} is over {most} bytes"),
+            CallError::Head(error) => write!(f, "malformed call: {error}"),
+            CallError::TooLong(part, limit) => write!(f, "the {part} is over {limit} bytes"),
             CallError::Length => write!(f, "the body's length must be told, once, by Content-Length"),
             CallError::Path(path) => write!(f, "nothing is found at {path}"),
             CallError::Method(allowed) => write!(f, "only {allowed} is allowed here"),
-            CallError::Query(what) => write!(f, "{what}"),
-            CallError::Io(e) => write!(f, "{e}"),
+            CallError::Query(problem) => write!(f, "{problem}"),
+            CallError::Io(error) => write!(f, "{error}"),
         }
     }
 }
 
-impl std::error::Error for CallError {}
+impl Error for CallError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            CallError::Head(error) => Some(error),
+            CallError::Io(error) => Some(error),
+            _ => None,
+        }
+    }
+}
 
-/// The codec: one whole call, its body read away.
+/// Decodes complete calls. A call's body is consumed and ignored.
 #[derive(Debug, Default)]
 pub struct CallCodec;
 
@@ -95,23 +118,25 @@
     type Error = CallError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Call>, CallError> {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
-        let length = match head.parse(src).map_err(CallError::Head)? {
-            Status::Partial if src.len() > HEAD_MOST => return Err(CallError::TooLong("head", HEAD_MOST)),
+        let head_length = match head.parse(src).map_err(CallError::Head)? {
+            Status::Partial if src.len() > MAX_HEAD_BYTES => {
+                return Err(CallError::TooLong("head", MAX_HEAD_BYTES));
+            }
             Status::Partial => return Ok(None),
             Status::Complete(length) => length,
         };
-        let body = body_length(head.headers)?;
-        if src.len() < length + body {
+        let length = head_length + body_length(head.headers)?;
+        if src.len() < length {
             return Ok(None);
         }
-        let call = call(head.method.unwrap_or_default(), head.path.unwrap_or_default());
-        src.advance(length + body);
+        let call = parse_call(head.method.unwrap_or_default(), head.path.unwrap_or_default());
+        src.advance(length);
         call.map(Some)
     }
 
-    /// A caller that ends amid a call has just left.
+    /// A caller that closes in the middle of a call has left, which is no error.
     fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Call>, CallError> {
         let item = self.decode(src)?;
         if item.is_none() {
@@ -121,53 +146,81 @@
     }
 }
 
+/// The length of the body in bytes: 0 unless the headers state another one.
 fn body_length(headers: &[httparse::Header]) -> Result<usize, CallError> {
-    let mut length = None;
+    let mut stated = None;
     for header in headers {
         if header.name.eq_ignore_ascii_case("transfer-encoding") {
             return Err(CallError::Length);
         }
         if header.name.eq_ignore_ascii_case("content-length") {
-            let digits = std::str::from_utf8(header.value).ok().map(str::trim);
-            let told = digits.filter(|d| !d.is_empty() && d.bytes().all(|b| b.is_ascii_digit()));
-            let told = told.ok_or(CallError::Length)?.parse::<usize>().unwrap_or(usize::MAX);
-            if length.replace(told).is_some_and(|before| before != told) {
+            let length = content_length(header.value)?;
+            if stated.replace(length).is_some_and(|before| before != length) {
                 return Err(CallError::Length);
             }
         }
     }
-    match length.unwrap_or(0) {
-        length if length > BODY_MOST => Err(CallError::TooLong("body", BODY_MOST)),
+    match stated.unwrap_or(0) {
+        length if length > MAX_BODY_BYTES => Err(CallError::TooLong("body", MAX_BODY_BYTES)),
         length => Ok(length),
     }
 }
 
-/// What a request line asks for.
-pub fn call(method: &str, target: &str) -> Result<Call, CallError> {
+/// A value of `Content-Length`, which is digits alone. One beyond all numbers counts as the largest.
+fn content_length(value: &[u8]) -> Result<usize, CallError> {
+    let digits = std::str::from_utf8(value).map_err(|_| CallError::Length)?.trim();
+    if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
+        return Err(CallError::Length);
+    }
+    Ok(digits.parse().unwrap_or(usize::MAX))
+}
+
+/// The call that the method and target of a request line ask for.
+///
+/// # Errors
+/// There is nothing at the path, it has another method, or the query is malformed; checked in this order.
+pub fn parse_call(method: &str, target: &str) -> Result<Call, CallError> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
-    let by = |allowed: &'static str, call: Call| {
-        if method == allowed { Ok(call) } else { Err(CallError::Method(allowed)) }
-    };
+    let require = |allowed| if method == allowed { Ok(()) } else { Err(CallError::Method(allowed)) };
     match path {
-        "/status" => by("GET", Call::Status),
-        "/status/metrics" => by("GET", Call::Metrics),
-        "/standby" => by("POST", Call::Standby(false)).and_then(|_| Ok(Call::Standby(forced(query)?))),
-        "/active" => by("POST", Call::Active),
+        "/status" => {
+            require("GET")?;
+            Ok(Call::Status)
+        }
+        "/status/metrics" => {
+            require("GET")?;
+            Ok(Call::Metrics)
+        }
+        "/standby" => {
+            require("POST")?;
+            // What else the query has was always ignored here.
+            let (_, is_forced) = take_force(query)?;
+            Ok(Call::Standby { is_forced })
+        }
+        "/active" => {
+            require("POST")?;
+            Ok(Call::Active)
+        }
         "/maintenance/enter" => {
-            by("POST", Call::Enter(String::new(), false))?;
-            let (query, force) = without_force(query)?;
-            Ok(Call::Enter(name(&query)?, force))
+            require("POST")?;
+            let (query, is_forced) = take_force(query)?;
+            Ok(Call::EnterMaintenance { member: member(&query)?, is_forced })
         }
         "/maintenance/exit" => {
-            by("POST", Call::Exit(String::new())).and_then(|_| Ok(Call::Exit(name(query)?)))
+            require("POST")?;
+            Ok(Call::ExitMaintenance { member: member(query)? })
+        }
+        _ => {
+            let printable = |character: &char| !character.is_control();
+            Err(CallError::Path(path.chars().take(MAX_MEMBER_BYTES).filter(printable).collect()))
         }
-        _ => Err(CallError::Path(path.chars().take(NAME_MOST).filter(|c| !c.is_control()).collect())),
     }
 }
 
-/// A query without `force=1`, and whether it holds it.
-fn without_force(query: &str) -> Result<(String, bool), CallError> {
-    let (force, rest): (Vec<&str>, Vec<&str>) = query.split('&').partition(|pair| pair.starts_with("force="));
+/// The query without its field `force=1`, and whether it had one.
+fn take_force(query: &str) -> Result<(String, bool), CallError> {
+    let (force, rest): (Vec<&str>, Vec<&str>) =
+        query.split('&').partition(|field| field.starts_with(FORCE_FIELD));
     match force[..] {
         [] => Ok((rest.join("&"), false)),
         ["force=1"] => Ok((rest.join("&"), true)),
@@ -175,50 +228,50 @@
     }
 }
 
-/// Whether a query says `force=1`. What else it says is nobody's here, as ever.
-fn forced(query: &str) -> Result<bool, CallError> {
-    without_force(query).map(|(_, force)| force)
-}
-
-/// The one member that a query names.
-fn name(query: &str) -> Result<String, CallError> {
+/// The id of the one member that a query names, as in `name=ID`.
+fn member(query: &str) -> Result<String, CallError> {
     let mut found = None;
-    for pair in query.split('&').filter(|pair| !pair.is_empty()) {
-        let (key, value) = pair.split_once('=').unwrap_or((pair, ""));
-        if decoded(key)? != "name" {
+    for field in query.split('&').filter(|field| !field.is_empty()) {
+        let (key, value) = field.split_once('=').unwrap_or((field, ""));
+        if percent_decoded(key)? != "name" {
             return Err(CallError::Query("the query holds more than name=ID"));
         }
-        if found.replace(decoded(value)?).is_some() {
+        if found.replace(percent_decoded(value)?).is_some() {
             return Err(CallError::Query("the query names more than one member"));
         }
     }
-    let name = found.filter(|name| !name.is_empty()).ok_or(CallError::Query("the query lacks name=ID"))?;
-    if name.len() > NAME_MOST || name.chars().any(char::is_control) {
+    let member =
+        found.filter(|member| !member.is_empty()).ok_or(CallError::Query("the query lacks name=ID"))?;
+    if member.len() > MAX_MEMBER_BYTES || member.chars().any(char::is_control) {
         return Err(CallError::Query("the name is no member's id"));
     }
-    Ok(name)
+    Ok(member)
 }
 
-/// Percent-encoding, and `+` for a blank, undone.
-fn decoded(text: &str) -> Result<String, CallError> {
-    let wrong = CallError::Query("the query's percent-encoding is broken");
-    let (mut out, mut rest) = (Vec::with_capacity(text.len()), text.as_bytes());
+/// Text without its percent-encoding, where `+` stands for a space.
+fn percent_decoded(text: &str) -> Result<String, CallError> {
+    let malformed = || CallError::Query("the query's percent-encoding is broken");
+    let mut decoded = Vec::with_capacity(text.len());
+    let mut rest = text.as_bytes();
     while let Some((&byte, after)) = rest.split_first() {
         rest = after;
         match byte {
             b'%' => {
-                let Some((digits, after)) = rest.split_at_checked(2) else { return Err(wrong) };
-                let digits =
-                    std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()));
-                let Some(code) = digits.and_then(|d| u8::from_str_radix(d, 16).ok()) else {
-                    return Err(wrong);
-                };
-                out.push(code);
+                let (digits, after) = rest.split_at_checked(2).ok_or_else(malformed)?;
+                decoded.push(hex_byte(digits).ok_or_else(malformed)?);
                 rest = after;
             }
-            b'+' => out.push(b' '),
-            byte => out.push(byte),
+            b'+' => decoded.push(b' '),
+            byte => decoded.push(byte),
         }
     }
-    String::from_utf8(out).map_err(|_| wrong)
+    String::from_utf8(decoded).map_err(|_| malformed())
+}
+
+/// The byte that two hexadecimal digits stand for.
+fn hex_byte(digits: &[u8]) -> Option<u8> {
+    // A sign, which the number's parser would take, is no digit.
+    let are_digits = digits.iter().all(u8::is_ascii_hexdigit);
+    let text = std::str::from_utf8(digits).ok().filter(|_| are_digits)?;
+    u8::from_str_radix(text, 16).ok()
 }
--- a/src/hot_restart/maintenance_log.rs
+++ b/src/hot_restart/maintenance_log.rs
@@ -22,8 +22,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// The file's name in the directory that versions share. It stays as earlier versions have it, although the
-/// code says order where it said word.
+/// The file's name in the directory that versions share. Earlier versions wrote it under this name, so it must stay.
 pub const FILE_NAME: &str = "words";
 
 /// How often the file is checked: an order given to the other process binds this one well within any grace.
@@ -149,8 +148,7 @@
             written.insert(record.id.clone(), record.order());
             self.merge(record);
         }
-        // Two processes that write at once overwrite each other's orders: whoever misses one of its own
-        // writes again.
+        // Two processes that write at once overwrite each other's orders: the one whose order is missing writes it again.
         let is_missing =
             |(id, order): (&str, MaintenanceOrder)| written.get(id).is_none_or(|written| *written < order);
         let any_missing = self.maintenance.borrow().orders().any(is_missing);
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,7 +5,8 @@
 use linenhill::cli::{self, Cli, Command};
 use linenhill::config::{Config, Reading};
 use linenhill::counters::Counters;
-use linenhill::fleet::{Shares, tools};
+use linenhill::fleet::command_line;
+use linenhill::fleet::quota::FleetQuota;
 use linenhill::hot_restart::inherit;
 use linenhill::proxy::{self, FleetMember, Listeners};
 use linenhill_cluster::client::FleetClient;
@@ -28,11 +29,11 @@
         Command::Serve { operator } => until_told(|| start(operator)),
         Command::Keep { operator, name, found } => until_told(|| keep(&operator, &name, found)),
         Command::Check { file, json } => {
-            let (text, fine) = tools::check(&file, json);
-            println!("{text}");
-            if fine { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+            let check = command_line::check_operator_file(&file, json);
+            println!("{}", check.report);
+            if check.is_valid { ExitCode::SUCCESS } else { ExitCode::FAILURE }
         }
-        Command::Fleet { ask } => match runtime().and_then(|runtime| runtime.block_on(tools::ask(ask))) {
+        Command::Fleet { ask } => match run_fleet_command(ask) {
             Ok(text) => {
                 println!("{}", text.trim_end());
                 ExitCode::SUCCESS
@@ -49,6 +50,10 @@
     }
 }
 
+fn run_fleet_command(command: cli::Fleet) -> Result<String, String> {
+    runtime()?.block_on(command_line::run(command)).map_err(|e| e.to_string())
+}
+
 fn until_told(work: impl FnOnce() -> Result<(), String>) -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
     match work() {
@@ -92,14 +97,15 @@
         // First of all: a reload that comes while the configuration is read must neither end the process nor get lost.
         let signals = Signals::receive()?;
         let config = Config::from_environment(Reading::Start).map_err(|e| e.to_string())?;
-        let operator = operator.map(|path| tools::read(&path)).transpose()?;
+        let operator = operator.map(|path| command_line::read_operator_file(&path));
+        let operator = operator.transpose().map_err(|e| e.to_string())?;
         serve(config, operator, signals).await
     })
 }
 
 /// Keeps what a fleet agrees on, until told to stop or the disk fails.
 fn keep(operator: &Path, name: &str, found: bool) -> Result<(), String> {
-    let operator = tools::read(operator)?;
+    let operator = command_line::read_operator_file(operator).map_err(|e| e.to_string())?;
     inject_fault()?;
     let disk = keeper::open_store(&operator, name, found).map_err(|e| e.to_string())?;
     let listen = operator.listen.ok_or("the operator's file lacks instance.listen")?;
@@ -142,8 +148,8 @@
         None => None,
         Some(at) => Some(TcpListener::bind(at).await.map_err(|e| format!("instance.listen {at}: {e}"))?),
     };
-    let shares = Shares::new(client.clone(), &config.site.classes)?;
-    Ok(FleetMember { shares, client, listener })
+    let quota = FleetQuota::new(client.clone(), &config.site.classes).map_err(|e| e.to_string())?;
+    Ok(FleetMember { quota, client, listener })
 }
 
 async fn serve(config: Config, operator: Option<Operator>, signals: Signals) -> Result<(), String> {
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -1,6 +1,7 @@
 //! The parts put together: one thread, one driver of the decisions, and tasks for everything that waits.
 
-use crate::admin::{self, Controls, OPERATORS};
+use crate::admin::operator_api::OperatorApi;
+use crate::admin::{self, MAX_OPERATOR_CONNECTIONS};
 use crate::api::{self, Span};
 use crate::clients::connection_gate::ConnectionGate;
 use crate::clients::lifecycle_driver::LifecycleDriver;
@@ -14,8 +15,8 @@
 use crate::discovery::list::ListEvent;
 use crate::discovery::status::DiscoveryStatus;
 use crate::discovery::watch::first_message_timeout;
-use crate::fleet::Shares;
-use crate::fleet::outages;
+use crate::fleet::disruption;
+use crate::fleet::quota::FleetQuota;
 use crate::hot_restart::maintenance_log::{self, MaintenanceLog};
 use crate::lifecycle::Event;
 use crate::list_lease::ListLease;
@@ -88,7 +89,7 @@
 /// This process as one of a fleet.
 pub struct FleetMember {
     /// What it may use of the fleet's budgets.
-    pub shares: Shares,
+    pub quota: FleetQuota,
     /// Its side of the keepers.
     pub client: Rc<FleetClient>,
     /// Where other instances reach it, if they may.
@@ -115,7 +116,7 @@
 impl Capacity {
     fn of(config: &Config, listeners: &Listeners) -> Capacity {
         // A connection of each operator, the listener, and one more that waits to be accepted.
-        let operators = listeners.operators.as_ref().map_or(0, |_| OPERATORS + 2);
+        let operators = listeners.operators.as_ref().map_or(0, |_| MAX_OPERATOR_CONNECTIONS + 2);
         Capacity {
             sockets: config.sockets,
             shared_sockets: config.sockets.saturating_sub(OWN + operators),
@@ -153,7 +154,7 @@
     let limits = &site.settings.limits;
     let idle_close = Duration::from_micros(limits.idle_close.0);
     let connect = Duration::from_micros(limits.connect_timeout.0).max(Duration::from_millis(1));
-    let shares = listeners.fleet.as_ref().map(|fleet| fleet.shares.clone()).unwrap_or_default();
+    let quota = listeners.fleet.as_ref().map(|fleet| fleet.quota.clone()).unwrap_or_default();
     let max_connections = capacity.descriptors(MEMBERS_PART);
     let metrics = Rc::new(Metrics::new(site.class_names()));
     let version = known.as_ref().map_or(0, |k| k.version);
@@ -164,7 +165,7 @@
         idle_close,
         connect,
         counters.clone(),
-        shares.clone(),
+        quota.clone(),
         guard.clone(),
     );
     let (inbox, events) = mpsc::unbounded_channel();
@@ -206,7 +207,7 @@
         names,
         subscribe,
         maintenance,
-        shares,
+        quota,
     });
     let driver = spawn_local(route.run());
     let discovery_client = DiscoveryClient {
@@ -242,15 +243,15 @@
     let mut serving = spawn_local(accepting);
     spawn_local(maintenance_log.clone().follow_file());
     if let Some(operators) = listeners.operators {
-        let controls = Controls {
+        let operator_api = OperatorApi {
             lifecycle: lifecycle.clone(),
             maintenance_log: maintenance_log.clone(),
             metrics,
-            status,
+            discovery_status: status,
             inbox: operators_inbox,
             fleet: fleet_client,
         };
-        spawn_local(admin::run(operators, Rc::new(controls)));
+        spawn_local(admin::run(operators, Rc::new(operator_api)));
     }
     tokio::select! {
         () = stop => {}
@@ -268,7 +269,7 @@
 fn spawn_fleet(fleet: FleetMember, lifecycle: &Rc<LifecycleDriver>, inbox: &mpsc::UnboundedSender<Input>) {
     spawn_local(fleet.client.clone().run());
     if fleet.client.limits_disruptions() {
-        spawn_local(outages::look_after(fleet.client.clone(), lifecycle.clone(), inbox.clone()));
+        spawn_local(disruption::run(fleet.client.clone(), lifecycle.clone(), inbox.clone()));
     }
     if let Some(listener) = fleet.listener {
         spawn_local(fleet.client.serve(listener));
--- a/src/stages/route.rs
+++ b/src/stages/route.rs
@@ -9,7 +9,7 @@
 };
 use crate::clock::Clock;
 use crate::discovery::list::{Endpoint, EndpointList, IdentifierTable, ListEvent};
-use crate::fleet::Shares;
+use crate::fleet::quota::FleetQuota;
 use crate::invariants::Invariant;
 use crate::list_lease::Withheld;
 use crate::maintenance::{EffectiveState, ListedMember, Maintenance};
@@ -52,7 +52,7 @@
     listed: BTreeMap<String, (Endpoint, MemberId)>,
     timers: BTreeSet<(Time, u64)>,
     actions: Vec<Action>,
-    shares: Shares,
+    quota: FleetQuota,
 }
 
 /// What the driver works with.
@@ -76,7 +76,7 @@
     /// The members that are out by order of operators.
     pub maintenance: Rc<RefCell<Maintenance>>,
     /// This proxy's part of the fleet's budgets.
-    pub shares: Shares,
+    pub quota: FleetQuota,
 }
 
 impl Route {
@@ -95,7 +95,7 @@
             listed: BTreeMap::new(),
             timers: BTreeSet::new(),
             actions: Vec::new(),
-            shares: parts.shares,
+            quota: parts.quota,
         }
     }
 
@@ -141,17 +141,17 @@
         match input {
             Input::Taken(taken) => {
                 let Taken { request, payload, deadline, reply } = *taken;
-                let closed = self.maintenance.borrow().is_group_out(request.group) || !self.shares.serves();
+                let closed = self.maintenance.borrow().is_group_out(request.group) || !self.quota.may_serve();
                 if self.pool.guard().check() == Err(Withheld::Expired) {
                     debug!("request {} rejected: the list's lease is over", request.id);
                     let _ = reply.send(Answer::Refused { retry_after: Some(COME_BACK_LISTED) });
                     return;
                 }
-                if closed || !self.shares.admission(request.class) {
+                if closed || !self.quota.try_spend_admission(request.class) {
                     let _ = reply.send(Answer::Refused { retry_after: Some(COME_BACK) });
                     return;
                 }
-                self.shares.work();
+                self.quota.record_demand();
                 self.relay.owe(request.id, reply, deadline + OVERDUE);
                 self.sender.keep(request.id, payload, deadline);
                 self.handle(Event::Request(request));
@@ -329,7 +329,7 @@
 
     fn handle(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
-        if let Some(part) = self.shares.part() {
+        if let Some(part) = self.quota.load_part() {
             self.router.hold_part(part);
         }
         self.router.handle(self.clock.now(), event, &mut actions);
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -7,7 +7,7 @@
 
 use crate::api::{LoadReport, MemberId, Outcome, Role, Time};
 use crate::close_reason::CloseReason;
-use crate::fleet::Unit;
+use crate::fleet::quota::QuotaUnit;
 use crate::list_lease::Withheld;
 use crate::request::Payload;
 use crate::stages::{Flow, Passed, Value};
@@ -102,7 +102,7 @@
     /// Writes a statement and reads the reply. `acquire_permit` and `render` are called right before the statement is
     /// written, `on_written` right after. An error is the outcome of a statement that has not run.
     async fn run(
-        &self, acquire_permit: impl FnOnce() -> Option<Unit>, render: impl FnOnce() -> (Bytes, Bytes),
+        &self, acquire_permit: impl FnOnce() -> Option<QuotaUnit>, render: impl FnOnce() -> (Bytes, Bytes),
         on_written: impl FnOnce(),
     ) -> Result<ExchangeReply, Outcome> {
         self.check_sendable()?;
@@ -184,7 +184,7 @@
     let AttemptRequest { member, payload, deadline, is_retry, purpose, is_request_over } = attempt_request;
     let progress = ExchangeProgress::default();
     let acquire_permit = || {
-        if is_retry && !pool.shares().repeat() {
+        if is_retry && !pool.quota().try_spend_retry() {
             return None;
         }
         pool.attempt_permit(member)
@@ -265,7 +265,7 @@
     let progress = ExchangeProgress::default();
     let deadline = Instant::now() + pool.connect_timeout();
     let intent = SendIntent { member, purpose: Purpose::Probe, deadline, is_request_over: Rc::default() };
-    let acquire_permit = || pool.shares().probe().then(Unit::default);
+    let acquire_permit = || pool.quota().try_spend_health_check().then(QuotaUnit::default);
     let render = || (Bytes::from_static(HEALTH_STATEMENT), Bytes::new());
     let exchange = Exchange { pool: &pool, intent: &intent, progress: &progress };
     let running = exchange.run(acquire_permit, render, || ());
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -6,7 +6,7 @@
 
 use crate::api::Outcome;
 use crate::close_reason::{CloseReason, Side, log_close};
-use crate::fleet::Unit;
+use crate::fleet::quota::QuotaUnit;
 use crate::pg::PgError;
 use crate::pg::backend::{Backend, BackendCodec, Command};
 use crate::resource_limit::ResourcePermit;
@@ -42,7 +42,7 @@
     address: SocketAddr,
     close_reason: Rc<Cell<CloseReason>>,
     _descriptor: ResourcePermit,
-    _permit: Unit,
+    _permit: QuotaUnit,
 }
 
 impl Drop for MemberConnection {
@@ -99,7 +99,7 @@
             address,
             close_reason: Rc::new(Cell::new(CloseReason::ConnectTimeout)),
             _descriptor: descriptor,
-            _permit: Unit::default(),
+            _permit: QuotaUnit::default(),
         };
         match timeout_at(deadline, connection.start_session()).await {
             Ok(Ok(())) => {
@@ -128,7 +128,7 @@
     }
 
     /// Keeps a quota permit until the connection is closed.
-    pub fn hold_permit(&mut self, permit: Unit) {
+    pub fn hold_permit(&mut self, permit: QuotaUnit) {
         self._permit = permit;
     }
 
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -7,7 +7,7 @@
 use crate::api::MemberId;
 use crate::close_reason::CloseReason;
 use crate::counters::Counters;
-use crate::fleet::{Shares, Unit};
+use crate::fleet::quota::{FleetQuota, QuotaUnit};
 use crate::resource_limit::{ResourceLimit, ResourcePermit};
 use crate::upstream::connection::MemberConnection;
 use crate::upstream::send_guard::SendGuard;
@@ -59,7 +59,7 @@
     retire_after: Duration,
     connect_timeout: Duration,
     counters: Rc<Counters>,
-    shares: Shares,
+    quota: FleetQuota,
     guard: SendGuard,
 }
 
@@ -73,13 +73,13 @@
         max_connections: usize, idle_close: Duration, connect_timeout: Duration, counters: Rc<Counters>,
     ) -> Pool {
         let guard = SendGuard::without_list();
-        Pool::with_quota(max_connections, idle_close, connect_timeout, counters, Shares::default(), guard)
+        Pool::with_quota(max_connections, idle_close, connect_timeout, counters, FleetQuota::default(), guard)
     }
 
-    /// Like [`Pool::new`], within this proxy's shares of the fleet's budgets, where `guard` allows what is written.
+    /// Like [`Pool::new`], within this proxy's quota of the fleet's budgets, where `guard` allows what is written.
     pub fn with_quota(
         max_connections: usize, idle_close: Duration, connect_timeout: Duration, counters: Rc<Counters>,
-        shares: Shares, guard: SendGuard,
+        quota: FleetQuota, guard: SendGuard,
     ) -> Pool {
         Pool(Rc::new(Inner {
             slots: RefCell::default(),
@@ -87,7 +87,7 @@
             retire_after: idle_close.mul_f64(RETIRE_PART),
             connect_timeout,
             counters,
-            shares,
+            quota,
             guard,
         }))
     }
@@ -124,33 +124,35 @@
         let slot = slots.entry(member).or_default();
         if slot.name.is_empty() {
             slot.name = name.to_string();
-            self.0.shares.members(std::iter::once(name));
+            self.0.quota.member_added(name);
         }
     }
 
-    fn with_name<T>(&self, member: MemberId, apply: impl FnOnce(&Shares, &str) -> Option<T>) -> Option<T> {
-        apply(&self.0.shares, &self.0.slots.borrow().get(&member)?.name)
+    fn with_name<T>(
+        &self, member: MemberId, apply: impl FnOnce(&FleetQuota, &str) -> Option<T>,
+    ) -> Option<T> {
+        apply(&self.0.quota, &self.0.slots.borrow().get(&member)?.name)
     }
 
     /// A permit for a new connection to a member; none if this proxy's quota is used up or the member is not known.
-    pub fn connection_permit(&self, member: MemberId) -> Option<Unit> {
-        self.with_name(member, |shares, name| shares.connection(name))
+    pub fn connection_permit(&self, member: MemberId) -> Option<QuotaUnit> {
+        self.with_name(member, |quota, name| quota.acquire_connection(name))
     }
 
     /// A permit for an attempt at a member; none if this proxy's quota is used up or the member is not known.
-    pub fn attempt_permit(&self, member: MemberId) -> Option<Unit> {
-        self.with_name(member, |shares, name| shares.attempt(name))
+    pub fn attempt_permit(&self, member: MemberId) -> Option<QuotaUnit> {
+        self.with_name(member, |quota, name| quota.acquire_attempt(name))
     }
 
-    /// This proxy's shares of the fleet's budgets.
-    pub fn shares(&self) -> &Shares {
-        &self.0.shares
+    /// What this proxy may use of the fleet's budgets.
+    pub fn quota(&self) -> &FleetQuota {
+        &self.0.quota
     }
 
     /// Closes idle connections beyond the quota whenever it shrinks or lapses, for as long as the program runs.
     pub async fn run_quota_enforcement(self) {
         loop {
-            self.0.shares.changed().await;
+            self.0.quota.changed().await;
             self.close_excess();
         }
     }
@@ -159,7 +161,8 @@
     fn close_excess(&self) {
         let mut excess = Vec::new();
         for slot in self.0.slots.borrow_mut().values_mut() {
-            let over_quota = usize::try_from(self.0.shares.excess(&slot.name)).unwrap_or(usize::MAX);
+            let over_quota =
+                usize::try_from(self.0.quota.excess_connections(&slot.name)).unwrap_or(usize::MAX);
             let closing = over_quota.min(slot.idle.len());
             excess.extend(slot.idle.drain(..closing));
         }
@@ -179,7 +182,7 @@
             is_kept
         });
         close_all(orphaned);
-        removed_names.iter().for_each(|name| self.0.shares.gone(name));
+        removed_names.iter().for_each(|name| self.0.quota.member_removed(name));
     }
 
     /// Sets which members accept new statements. Statements that were decided on before and are not written yet are
@@ -234,7 +237,7 @@
 
     /// Whether more connections to a member are open than this proxy's quota allows.
     fn is_over_quota(&self, member: MemberId) -> bool {
-        self.with_name(member, |shares, name| Some(shares.excess(name) > 0)).unwrap_or(false)
+        self.with_name(member, |quota, name| Some(quota.excess_connections(name) > 0)).unwrap_or(false)
     }
 
     /// Keeps a connection for its next use, or closes it: where the member has moved or is forgotten, and where it is
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -2,7 +2,7 @@
 //! seeds. One helper serves them all.
 
 use bytes::{Bytes, BytesMut};
-use linenhill::admin::call::{self, Call, CallCodec};
+use linenhill::admin::call::{Call, CallCodec, parse_call};
 use linenhill::config::{Config, Reading, Variables};
 use linenhill::discovery::http::WatchCodec;
 use linenhill::discovery::list;
@@ -236,16 +236,19 @@
 fn calls_and_saved_files_are_read_whole_or_not_at_all() {
     let valid = b"POST /maintenance/enter?name=s%2D1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
     check(31, valid, |parts| items(CallCodec, parts));
-    assert_eq!(items(CallCodec, &[valid]).0, ["Enter(\"s-1\", false)"]);
-    let ask = |line: &str| call::call("POST", line).map_err(|e| e.status());
-    assert_eq!(ask("/maintenance/exit?name=a+b%7e"), Ok(Call::Exit("a b~".into())));
+    assert_eq!(items(CallCodec, &[valid]).0, ["EnterMaintenance { member: \"s-1\", is_forced: false }"]);
+    let ask = |line: &str| parse_call("POST", line).map_err(|e| e.status());
+    assert_eq!(ask("/maintenance/exit?name=a+b%7e"), Ok(Call::ExitMaintenance { member: "a b~".into() }));
     for wrong in
         ["", "?name=", "?name=a&name=b", "?name=%f", "?name=%zz", "?name=%00", "?nam=a", "?name=a&x=1"]
     {
         assert_eq!(ask(&format!("/maintenance/enter{wrong}")), Err(400), "{wrong}");
     }
-    assert_eq!(ask("/maintenance/enter?force=1&name=a"), Ok(Call::Enter("a".into(), true)));
-    assert_eq!(ask("/standby?force=1"), Ok(Call::Standby(true)));
+    assert_eq!(
+        ask("/maintenance/enter?force=1&name=a"),
+        Ok(Call::EnterMaintenance { member: "a".into(), is_forced: true })
+    );
+    assert_eq!(ask("/standby?force=1"), Ok(Call::Standby { is_forced: true }));
     assert_eq!(ask("/standby?force=yes"), Err(400));
     let long = format!("/maintenance/enter?name={}", "a".repeat(300));
     assert_eq!(ask(&long), Err(400));
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -19,7 +19,7 @@
 use linenhill::discovery::list::{self, DecodedList, ListEvent};
 use linenhill::discovery::status::DiscoveryStatus;
 use linenhill::discovery::watch::{first_message_timeout, read_watch};
-use linenhill::fleet::Shares;
+use linenhill::fleet::quota::FleetQuota;
 use linenhill::hot_restart::{maintenance_log::MaintenanceLog, saved};
 use linenhill::lifecycle::ServingState;
 use linenhill::maintenance::{ListedMember, Maintenance};
@@ -818,7 +818,7 @@
         names: config.names,
         subscribe: asked,
         maintenance: Rc::default(),
-        shares: Shares::default(),
+        quota: FleetQuota::default(),
     });
     let list = |version: u64, id: &str| {
         let line = format!(
--- a/tests/send_guard.rs
+++ b/tests/send_guard.rs
@@ -4,7 +4,7 @@
 use linenhill::api::{Discovery, MemberId, RequestId, Span};
 use linenhill::clock::Clock;
 use linenhill::counters::Counters;
-use linenhill::fleet::Shares;
+use linenhill::fleet::quota::FleetQuota;
 use linenhill::list_lease::{ListLease, Withheld};
 use linenhill::metrics::Metrics;
 use linenhill::upstream::pool::Pool;
@@ -24,7 +24,7 @@
     let guard = SendGuard::new(lease, 7, clock, metrics.invariants());
     let long = Duration::from_secs(60);
     let counters = Rc::new(Counters::default());
-    let pool = Pool::with_quota(1, long, long, counters, Shares::default(), guard.clone());
+    let pool = Pool::with_quota(1, long, long, counters, FleetQuota::default(), guard.clone());
     pool.set_address(MEMBER, "127.0.0.1:1".parse().expect("an address"));
     (guard, pool)
 }
