--- a/src/hot_restart/inherit.rs
+++ b/src/hot_restart/inherit.rs
@@ -43,6 +43,9 @@
 
 /// Takes over the listening socket with this descriptor. Nothing else in the process may use the number, so
 /// this is called once, at the start, before anything else is opened.
+///
+/// # Errors
+/// The descriptor is not open or is no listening TCP socket, or the system does not let it be used.
 pub fn listener(fd: i32) -> Result<TcpListener, InheritError> {
     let io_error = |error| InheritError::Io(fd, error);
     let not_listening = |what| InheritError::NotListening(fd, what);
--- a/src/hot_restart/maintenance_log.rs
+++ b/src/hot_restart/maintenance_log.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Why the file's orders are not taken.
+/// Why the file's orders are not used.
 #[derive(Debug)]
 enum ReadError {
     Saved(SavedError),
@@ -74,7 +74,7 @@
     }
 }
 
-/// What tells one state of the file from another; each write makes a new file.
+/// What distinguishes one state of the file from another; each write makes a new file.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileStamp {
     inode: u64,
@@ -112,7 +112,10 @@
         Rc::new(log)
     }
 
-    /// Operators take a member out of service, or put it back. Returns whether that changes anything.
+    /// Records the order that a member is out of service, or back in it. Returns whether that changes anything.
+    ///
+    /// # Errors
+    /// No list has named the member recently, or there are too many orders.
     pub fn order(&self, id: &str, out_of_service: bool) -> Result<bool, OrderRejected> {
         self.sync();
         let changed = self.maintenance.borrow_mut().order(self.clock.now(), id, out_of_service)?;
--- a/src/hot_restart/saved.rs
+++ b/src/hot_restart/saved.rs
@@ -1,6 +1,6 @@
 //! A small file that two versions of the proxy share. It is replaced as a whole, bounded, and carries a
-//! version and a checksum. A file that is torn, foreign, of another version or too long is rejected as a
-//! whole; a file that does not exist is no error.
+//! version and a checksum. A file that is torn, foreign, of another version or too long must be rejected
+//! completely; a file that does not exist is no error.
 
 use std::error::Error;
 use std::fmt;
@@ -58,6 +58,9 @@
 }
 
 /// The text in the bytes of a file.
+///
+/// # Errors
+/// The bytes are too long, of another version, or not as they were written.
 pub fn unseal(bytes: &[u8]) -> Result<&str, SavedError> {
     if bytes.len() as u64 > FILE_MAX {
         return Err(SavedError::TooLong);
@@ -71,14 +74,17 @@
     }
     let checksum = fields.next().and_then(|field| u32::from_str_radix(field, 16).ok());
     let length = fields.next().and_then(|field| field.parse::<usize>().ok());
-    let is_whole = checksum == Some(crc32fast::hash(text)) && length == Some(text.len());
-    if !is_whole || fields.next().is_some() {
+    let is_intact = checksum == Some(crc32fast::hash(text)) && length == Some(text.len());
+    if !is_intact || fields.next().is_some() {
         return Err(SavedError::Torn);
     }
     std::str::from_utf8(text).map_err(|_| SavedError::Torn)
 }
 
 /// Reads a file's text; `None` if the file does not exist.
+///
+/// # Errors
+/// The system can't read the file, or its bytes are rejected by [`unseal`].
 pub fn read(path: &Path) -> Result<Option<String>, SavedError> {
     let file = match File::open(path) {
         Ok(file) => file,
@@ -90,7 +96,10 @@
     unseal(&bytes).map(|text| Some(text.to_string()))
 }
 
-/// Replaces a file as a whole: a reader sees the old text or the new one.
+/// Replaces a file in one step: a reader sees the old text or the new one.
+///
+/// # Errors
+/// The text is too long, or the system can't write the file.
 pub fn write(path: &Path, text: &str) -> Result<(), SavedError> {
     let bytes = seal(text);
     if bytes.len() as u64 > FILE_MAX {
@@ -99,7 +108,7 @@
     let temporary = temporary_path(path);
     let written = replace(path, &temporary, bytes.as_bytes());
     if written.is_err() {
-        // A leftover does no harm, so that it can't be removed is no error of its own.
+        // A leftover does no harm, so a failure to remove it is ignored.
         let _ = std::fs::remove_file(&temporary);
     }
     Ok(written?)
--- a/src/resource_limit.rs
+++ b/src/resource_limit.rs
@@ -48,3 +48,6 @@
         self.in_use.get()
     }
 }
+
+#[cfg(test)]
+mod tests;
