--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -2,7 +2,7 @@
 
 use crate::admin::operator_api::OperatorApi;
 use crate::admin::{self, MAX_OPERATOR_CONNECTIONS};
-use crate::api::{self, Span};
+use crate::api::{self, Micros};
 use crate::clients::connection_gate::ConnectionGate;
 use crate::clients::lifecycle_driver::LifecycleDriver;
 use crate::clients::listener;
@@ -128,7 +128,7 @@
         (self.shared_sockets as f64 * part) as usize
     }
 
-    fn admission_limits(&self, max_retry_after: Span) -> AdmissionLimits {
+    fn admission_limits(&self, max_retry_after: Micros) -> AdmissionLimits {
         AdmissionLimits {
             max_served: self.descriptors(SERVED_PART),
             max_rejected: self.descriptors(REFUSED_PART),
