--- a/src/fleet/command_line.rs
+++ b/src/fleet/command_line.rs
@@ -2,7 +2,7 @@
 //! change is decided by the leader; this module must only pass it on. What it prints is read by scripts of operators.
 
 use super::status::InstanceStatus;
-use crate::cli::Fleet;
+use crate::cli::FleetCommand;
 use linenhill_cluster::log_entry::{Declaration, DisruptionAction, DisruptionRequest};
 use linenhill_cluster::protocol::{Body, Empty, OperatorRequest};
 use linenhill_cluster::transport::{self, InstanceIdentity, OperatorCallError, TransportError};
@@ -188,34 +188,34 @@
 ///
 /// # Errors
 /// The operators' file can't be used, no leader answers, or the leader rejects the change.
-pub async fn run(command: Fleet) -> Result<String, FleetCommandError> {
+pub async fn run(command: FleetCommand) -> Result<String, FleetCommandError> {
     match command {
-        Fleet::Status { operator, at, json } => {
+        FleetCommand::Status { operator, at, json } => {
             let status = fetch_status(&read_operator_file(&operator)?, at).await?;
             Ok(if json { status.json() } else { status.to_string() })
         }
-        Fleet::Declare { operator } => {
+        FleetCommand::Declare { operator } => {
             let operator = read_operator_file(&operator)?;
             let declare = Some(Declaration::from(&operator));
             send_to_leader(&operator, OperatorRequest { declare, ..OperatorRequest::default() }).await
         }
-        Fleet::Remove { name, operator } => {
+        FleetCommand::Remove { name, operator } => {
             let request = OperatorRequest { remove: name, ..OperatorRequest::default() };
             send_to_leader(&read_operator_file(&operator)?, request).await
         }
-        Fleet::Replace { name, operator } => {
+        FleetCommand::Replace { name, operator } => {
             let request = OperatorRequest { replace: name, ..OperatorRequest::default() };
             send_to_leader(&read_operator_file(&operator)?, request).await
         }
-        Fleet::Permit { thing: subject, operator, reason, force } => {
+        FleetCommand::Permit { subject, operator, reason, force } => {
             let request =
                 DisruptionRequest { reason, force, ..disruption(subject, DisruptionAction::Permit) };
             change_disruption(&operator, request).await
         }
-        Fleet::Back { thing: subject, operator } => {
+        FleetCommand::Back { subject, operator } => {
             change_disruption(&operator, disruption(subject, DisruptionAction::Return)).await
         }
-        Fleet::Forget { thing: subject, operator } => {
+        FleetCommand::Forget { subject, operator } => {
             change_disruption(&operator, disruption(subject, DisruptionAction::Forget)).await
         }
     }
--- a/src/fleet/quota.rs
+++ b/src/fleet/quota.rs
@@ -5,7 +5,7 @@
 use crate::api::ClassId;
 use linenhill_cluster::client::FleetClient;
 use linenhill_decisions::quota::lease_holder::AcquireDecision;
-use linenhill_settings::operator::{Operator, What};
+use linenhill_settings::operator::{BudgetKind, Operator};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::rc::Rc;
@@ -51,10 +51,10 @@
     ) -> Result<BoundBudgets, UnknownClass> {
         let operator = fleet.operator();
         Ok(BoundBudgets {
-            connections: budgets_of(operator, What::Connections),
-            attempts: budgets_of(operator, What::Attempts),
-            retries: budgets_of(operator, What::Repeats),
-            health_checks: budgets_of(operator, What::Probes),
+            connections: budgets_of(operator, BudgetKind::Connections),
+            attempts: budgets_of(operator, BudgetKind::Attempts),
+            retries: budgets_of(operator, BudgetKind::Repeats),
+            health_checks: budgets_of(operator, BudgetKind::Probes),
             admissions: admission_budgets(operator, classes)?,
             load: load_budget(operator),
             fleet,
@@ -67,9 +67,9 @@
     }
 }
 
-/// Names of the budgets that bound this.
-fn budgets_of(operator: &Operator, bounded: What) -> Vec<String> {
-    let bindings = operator.bindings.iter().filter(|binding| binding.what == bounded);
+/// Names of the budgets of this kind.
+fn budgets_of(operator: &Operator, kind: BudgetKind) -> Vec<String> {
+    let bindings = operator.bindings.iter().filter(|binding| binding.kind == kind);
     bindings.map(|binding| binding.budget.clone()).collect()
 }
 
@@ -77,7 +77,7 @@
     operator: &Operator, classes: &BTreeMap<String, ClassId>,
 ) -> Result<BTreeMap<ClassId, Vec<String>>, UnknownClass> {
     let mut admissions: BTreeMap<ClassId, Vec<String>> = BTreeMap::new();
-    for binding in operator.bindings.iter().filter(|binding| binding.what == What::Admissions) {
+    for binding in operator.bindings.iter().filter(|binding| binding.kind == BudgetKind::Admissions) {
         let class = binding.class.as_deref().unwrap_or_default();
         let Some(class_id) = classes.get(class) else {
             return Err(UnknownClass { budget: binding.budget.clone(), class: class.to_string() });
@@ -88,7 +88,7 @@
 }
 
 fn load_budget(operator: &Operator) -> Option<LoadBudget> {
-    let name = budgets_of(operator, What::Load).into_iter().next()?;
+    let name = budgets_of(operator, BudgetKind::Load).into_iter().next()?;
     let total = operator.budgets.get(&name)?.total;
     Some(LoadBudget { name, total })
 }
