--- a/src/clients/request_gateway.rs
+++ b/src/clients/request_gateway.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Time after which to retry, told to clients that are rejected for want of memory or of room among the requests held.
+/// Time after which to retry, sent to clients that are rejected for want of memory or of room among the requests held.
 pub const RETRY_AFTER: Micros = Micros(250_000);
 
 /// The entry to the stages that all sessions share.
@@ -178,7 +178,7 @@
     pub fn submit(&self, request: OpenRequest, waited: Duration) -> Result<PendingRequest, Answer> {
         let OpenRequest { mut incoming, class, id: open_id, ticket, .. } = request;
         let waited_ms = u64::try_from(waited.as_millis()).unwrap_or(u64::MAX);
-        incoming.client_timeout_ms = incoming.client_timeout_ms.saturating_sub(waited_ms);
+        incoming.timeout_ms = incoming.timeout_ms.saturating_sub(waited_ms);
         let request = self.intake.take(&incoming, class);
         let place = match self.admit.request() {
             Ok(place) => place,
@@ -189,7 +189,7 @@
         let id = request.id;
         debug!(
             "request {id} is the client's {}, class {}, waits {} ms",
-            incoming.id, class.0, incoming.client_timeout_ms
+            incoming.id, class.0, incoming.timeout_ms
         );
         let taken = Taken { request, payload: incoming.payload, deadline, reply };
         // Without a driver the channel is closed, and the answer is that it failed.
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,57 +1,60 @@
-//! A request between the protocols: what a front end decodes and a member connection renders. No stage and no codec may
-//! be known here, so that another protocol can stand on either side.
+//! A request between the protocols: what the side of the clients hands in, and what an attempt renders for a member. It
+//! knows no stage and no codec.
 
 use bytes::Bytes;
 use std::ops::Range;
 
-/// A rest of a request longer than this, in bytes, is not copied for each attempt.
+/// A request whose text after the timeout is longer than this, in bytes, is not copied for an attempt.
 const MAX_COPIED_BYTES: usize = 64 * 1024;
 
-/// A request as it is sent to members, without the number that states the client's time left: that is written anew for
-/// each attempt.
+/// The text of a request without its timeout, which each attempt gets anew: the time that is left then.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Payload {
+    /// The text before the timeout.
     head: Bytes,
+    /// The text after it.
     tail: Bytes,
 }
 
 impl Payload {
-    /// Splits `request` around the number at `time_left`.
-    pub fn without_time_left(request: &Bytes, time_left: Range<usize>) -> Payload {
-        Payload { head: request.slice(..time_left.start), tail: request.slice(time_left.end..) }
+    /// Cuts `text` where it has the timeout, which is the range `timeout` of its bytes. Panics if that is out of it.
+    pub fn cut(text: &Bytes, timeout: Range<usize>) -> Payload {
+        Payload { head: text.slice(..timeout.start), tail: text.slice(timeout.end..) }
     }
 
-    /// The request with this many milliseconds left, in two parts to be written in order. The second one is empty unless
-    /// the request is long, and then shares its bytes.
-    pub fn render_in_parts(&self, time_left_ms: u64) -> (Bytes, Bytes) {
+    /// The request with this timeout in milliseconds, in two pieces where it is long: nothing long is copied.
+    pub fn pieces(&self, timeout_ms: u64) -> (Bytes, Bytes) {
         if self.tail.len() <= MAX_COPIED_BYTES {
-            return (self.render(time_left_ms), Bytes::new());
+            return (self.render(timeout_ms), Bytes::new());
         }
-        let head = [&self.head[..], time_left_ms.to_string().as_bytes()].concat();
-        (head.into(), self.tail.clone())
+        (self.join(timeout_ms, &[]), self.tail.clone())
     }
 
-    /// The request with this many milliseconds left, as one copy.
-    pub fn render(&self, time_left_ms: u64) -> Bytes {
-        [&self.head[..], time_left_ms.to_string().as_bytes(), &self.tail[..]].concat().into()
+    /// The request with this timeout in milliseconds.
+    pub fn render(&self, timeout_ms: u64) -> Bytes {
+        self.join(timeout_ms, &self.tail)
+    }
+
+    fn join(&self, timeout_ms: u64, tail: &[u8]) -> Bytes {
+        [&self.head, timeout_ms.to_string().as_bytes(), tail].concat().into()
     }
 }
 
-/// A request as a protocol's front end decodes it.
+/// A request as a protocol hands it in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IncomingRequest {
-    /// The client's id for it. One request of an id may be open at a time.
+    /// The client's id for it, under which one request may be open at a time.
     pub id: String,
-    /// The class's name.
+    /// The name of its class.
     pub class: String,
-    /// How long the client waits for the answer, in milliseconds.
-    pub client_timeout_ms: u64,
+    /// How long the client waits, in milliseconds.
+    pub timeout_ms: u64,
     /// The group.
     pub group: u32,
-    /// The session's key, if there is one.
+    /// The key of its session, if it has one.
     pub session_key: Option<String>,
-    /// The position that a session read must see, in Unix milliseconds.
-    pub read_after_ms: Option<u64>,
-    /// What is sent to members.
+    /// The position that a read must see, in Unix milliseconds.
+    pub required_position_ms: Option<u64>,
+    /// What members are sent.
     pub payload: Payload,
 }
--- a/src/stages/intake.rs
+++ b/src/stages/intake.rs
@@ -106,9 +106,9 @@
         Request {
             id: RequestId(id),
             class,
-            time_left: Micros(incoming.client_timeout_ms.min(LONGEST_WAIT_MS) * 1_000),
+            time_left: Micros(incoming.timeout_ms.min(LONGEST_WAIT_MS) * 1_000),
             tenant: None,
-            last_write_age: incoming.read_after_ms.filter(|_| level == ReadLevel::Session).map(age),
+            last_write_age: incoming.required_position_ms.filter(|_| level == ReadLevel::Session).map(age),
             group: GroupId(incoming.group),
             session: incoming.session_key.as_deref().filter(|_| sessions).map(session),
         }
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -675,7 +675,7 @@
         for drains in [true, false] {
             pool.set_address(m, listener.local_addr().expect("an address"));
             pool.set_accepting(|_| true);
-            let payload = Payload::without_time_left(&Bytes::from_static(b"/* d=9 */ SELECT 1"), 5..6);
+            let payload = Payload::cut(&Bytes::from_static(b"/* d=9 */ SELECT 1"), 5..6);
             let attempt_request = AttemptRequest {
                 member: m,
                 payload,
