--- a/src/process/serve.rs
+++ b/src/process/serve.rs
@@ -4,9 +4,10 @@
 use super::{ProcessError, bind, bound_address, inject_fault, runtime};
 use crate::config::{Config, LoadReason};
 use crate::counters::Counters;
-use crate::fleet::{Shares, tools};
+use crate::fleet::command_line::read_operator_file;
+use crate::fleet::quota::FleetQuota;
+use crate::hot_restart::inherit;
 use crate::proxy::{self, FleetMember, Listeners};
-use crate::takeover::inherit;
 use linenhill_cluster::client::FleetClient;
 use linenhill_decisions::membership::MAX_NAME_BYTES;
 use linenhill_settings::operator::Operator;
@@ -33,7 +34,7 @@
         // First of all: a reload that comes while the configuration is read must neither end the process nor get lost.
         let signals = Signals::receive()?;
         let config = Config::from_environment(LoadReason::Start)?;
-        let operator = operator_file.map(tools::read).transpose();
+        let operator = operator_file.map(read_operator_file).transpose();
         let operator = operator.map_err(|error| ProcessError::OperatorFile(error.into()))?;
         inject_fault()?;
         let listeners = open_listeners(&config, operator).await?;
@@ -80,9 +81,9 @@
     }
     let client = FleetClient::new(operator, &config.name, env!("CARGO_PKG_VERSION"));
     let listener = bind_if_given(LISTEN_FLEET, client.operator().listen).await?;
-    let shares = Shares::new(client.clone(), &config.site.classes)
+    let quota = FleetQuota::new(client.clone(), &config.site.classes)
         .map_err(|error| ProcessError::FleetBudgets(error.into()))?;
-    Ok(FleetMember { shares, client, listener })
+    Ok(FleetMember { quota, client, listener })
 }
 
 async fn run(config: Config, listeners: Listeners, signals: Signals) -> Result<(), ProcessError> {
