--- a/crates/lab/src/decision_digest/history.rs
+++ b/crates/lab/src/decision_digest/history.rs
@@ -1,5 +1,7 @@
 //! A random history: requests, faults of members, lists, gossip and time, until nothing is left to happen.
 
+mod rare;
+
 use super::encoding::{DigestWriter, request_id};
 use super::members::{Condition, GROUPS, ModelMember, initial_members};
 use super::site::Site;
@@ -22,16 +24,26 @@
 const ROUND_REQUESTS: u32 = 36;
 /// Sessions that requests belong to.
 const SESSIONS: u64 = 6;
+/// One history in so many has more sessions than a router remembers.
+const MANY_SESSIONS_ONE_IN: u32 = 400;
 
 /// What is going to happen.
 enum Scheduled {
-    RequestArrives,
-    AttemptEnds { id: RequestId, attempt: u32, member: MemberId, outcome: Outcome },
+    /// In this group, or in any.
+    RequestArrives(Option<GroupId>),
+    AttemptEnds {
+        id: RequestId,
+        attempt: u32,
+        member: MemberId,
+        outcome: Outcome,
+    },
     AttemptStarts(RequestId),
     ClientLeaves(RequestId),
     HealthCheckEnds(MemberId),
     Timer(u64),
     MembersChange,
+    RareEvent,
+    GroupReturns(GroupId),
 }
 
 struct ModelAttempt {
@@ -61,6 +73,8 @@
     members: Vec<ModelMember>,
     requests: BTreeMap<RequestId, ModelRequest>,
     next_request: u64,
+    /// Members answer at once, whatever they are asked.
+    answers_at_once: bool,
     /// Actions that are not carried out yet, in order.
     actions: VecDeque<Action>,
 }
@@ -83,6 +97,7 @@
             schedule: BTreeMap::new(),
             requests: BTreeMap::new(),
             next_request: 0,
+            answers_at_once: false,
             actions: VecDeque::new(),
         }
     }
@@ -95,6 +110,9 @@
         self.send_list(ListForm::Full);
         for _ in 0..ROUNDS {
             self.schedule_round();
+            if self.rng.u32(..MANY_SESSIONS_ONE_IN * ROUNDS) == 0 {
+                self.many_sessions_write();
+            }
             let pause = self.pick(&[200 * MS, SECOND, 4 * SECOND, 12 * SECOND, 70 * SECOND]);
             self.run_for(pause);
             self.observe();
@@ -107,12 +125,16 @@
         let spread = self.pick(&[20 * MS, 400 * MS, 3 * SECOND]);
         for _ in 0..ROUND_REQUESTS {
             let after = self.rng.u64(..spread);
-            self.schedule_in(after, Scheduled::RequestArrives);
+            self.schedule_in(after, Scheduled::RequestArrives(None));
         }
         for _ in 0..self.rng.u32(..4) {
             let after = self.rng.u64(..spread);
             self.schedule_in(after, Scheduled::MembersChange);
         }
+        if self.rng.u32(..6) == 0 {
+            let after = self.rng.u64(..spread);
+            self.schedule_in(after, Scheduled::RareEvent);
+        }
     }
 
     /// One of the durations, which must not be none.
@@ -140,7 +162,7 @@
 
     fn happen(&mut self, scheduled: Scheduled) {
         match scheduled {
-            Scheduled::RequestArrives => self.request_arrives(),
+            Scheduled::RequestArrives(group) => self.any_request_arrives(group),
             Scheduled::AttemptEnds { id, attempt, member, outcome } => {
                 self.attempt_ends(id, attempt, member, outcome)
             }
@@ -149,6 +171,8 @@
             Scheduled::HealthCheckEnds(member) => self.health_check_ends(member),
             Scheduled::Timer(token) => self.handle(Event::Timer { token }),
             Scheduled::MembersChange => self.members_change(),
+            Scheduled::RareEvent => self.rare_event(),
+            Scheduled::GroupReturns(group) => self.set_state_of_group(group, MemberState::InService),
         }
     }
 
@@ -191,10 +215,16 @@
         }
     }
 
-    fn request_arrives(&mut self) {
+    fn any_request_arrives(&mut self, group: Option<GroupId>) {
+        let class = self.rng.usize(..self.classes);
+        let group = group.unwrap_or_else(|| GroupId(self.rng.u32(..GROUPS)));
+        let session = (self.rng.u32(..3) > 0).then(|| SessionKey(self.rng.u64(..SESSIONS)));
+        self.request_arrives(class, group, session);
+    }
+
+    fn request_arrives(&mut self, class: usize, group: GroupId, session: Option<SessionKey>) {
         self.next_request += 1;
         let id = request_id(self.next_request);
-        let class = self.rng.usize(..self.classes);
         let give_up = self.pick(&[30 * MS, 200 * MS, 900 * MS, 3 * SECOND, 5 * SECOND]);
         let left = 5 * MS + self.rng.u64(..give_up);
         let is_write = self.settings.classes[class].read == ReadLevel::Write;
@@ -207,8 +237,6 @@
         }
         let tenant = (self.tenants > 0).then(|| TenantId(self.rng.usize(..self.tenants)));
         let token_age = self.rng.bool().then(|| Span(self.rng.u64(..900) * MS));
-        let session = (self.rng.u32(..3) > 0).then(|| SessionKey(self.rng.u64(..SESSIONS)));
-        let group = GroupId(self.rng.u32(..GROUPS));
         let left = Span(left);
         let class = ClassId(class);
         self.handle(Event::Request(Request { id, class, left, tenant, token_age, group, session }));
@@ -221,6 +249,7 @@
         let remaining = request.deadline.saturating_sub(self.now);
         let end = self.members[member.0 as usize].answer(request.is_write, &mut self.rng);
         let (outcome, latency) = match end.latency {
+            Some(_) if self.answers_at_once => (end.outcome, 0),
             Some(latency) if latency <= remaining => (end.outcome, latency),
             _ => (Outcome::TimedOut, remaining),
         };
@@ -260,7 +289,7 @@
         let closed = request.is_over;
         let answering = &self.members[member.0 as usize];
         let is_answer = matches!(outcome, Outcome::Ok | Outcome::Miss | Outcome::Failed | Outcome::QueueFull);
-        let speaks = is_answer && self.rng.u32(..5) > 0;
+        let speaks = is_answer && (self.answers_at_once || self.rng.u32(..5) > 0);
         let position = speaks.then(|| answering.position(self.now));
         let role = speaks.then(|| answering.role());
         let report = if speaks && self.rng.bool() {
