--- a/crates/decisions/tests/common/router_harness.rs
+++ b/crates/decisions/tests/common/router_harness.rs
@@ -45,6 +45,16 @@
         AttemptResult { outcome: Outcome::Ok, latency_ms, position: Some(position), role: Some(role) }
     }
 
+    /// Served by a member that reports its position, in microseconds, and no role.
+    pub fn without_role(latency_ms: u64, position: u64) -> AttemptResult {
+        AttemptResult { outcome: Outcome::Ok, latency_ms, position: Some(position), role: None }
+    }
+
+    /// Ended at a member that reports its role and no position.
+    pub fn without_position(outcome: Outcome, latency_ms: u64, role: Role) -> AttemptResult {
+        AttemptResult { outcome, latency_ms, position: None, role: Some(role) }
+    }
+
     /// Ended without a position or a role of the member.
     pub fn without_report(outcome: Outcome, latency_ms: u64) -> AttemptResult {
         AttemptResult { outcome, latency_ms, position: None, role: None }
@@ -64,7 +74,7 @@
     pub router: Router,
     /// The virtual time, in microseconds.
     pub now: u64,
-    /// What the router has done so far, but for its timers.
+    /// The actions of the router so far, except its timers.
     pub actions: Vec<Action>,
     /// When each timer is due, and its token.
     timers: Vec<(u64, u64)>,
--- a/crates/decisions/tests/connection_admission.rs
+++ b/crates/decisions/tests/connection_admission.rs
@@ -1,4 +1,4 @@
-//! Admission alone: the crowd of a recorded incident in virtual time, and events in any order.
+//! Connection admission alone: the load of a recorded incident in virtual time, and events in random orders.
 
 use linenhill_decisions::api::{Micros, Time};
 use linenhill_decisions::connection_admission::{
@@ -19,13 +19,13 @@
 /// Clients that send one request on each connection and hold it until they are asked to close it: 300
 /// requests a second over at most 128 connections, of 30 to 100 ms each. Beside them 46 connections a second
 /// that send nothing, and once 300 at once that only start.
-struct Crowd {
+struct ClientLoad {
     admission: ConnectionAdmission,
     rng: fastrand::Rng,
     now: u64,
     next: u64,
-    /// What happens when, in order; the second number keeps equal events apart.
-    due: BTreeSet<(u64, u64, Kind)>,
+    /// The events to come by their time in microseconds; the second number keeps equal events apart.
+    due: BTreeSet<(u64, u64, LoadEvent)>,
     holding: BTreeSet<ConnectionId>,
     closed_while_busy: usize,
     busy: BTreeSet<ConnectionId>,
@@ -35,17 +35,17 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Kind {
+enum LoadEvent {
     Request,
     Silent,
     Starter,
     Answer(ConnectionId),
-    Gone(ConnectionId),
+    Closed(ConnectionId),
     Timer,
 }
 
-impl Crowd {
-    /// Whether a new connection is served, if the event is one.
+impl ClientLoad {
+    /// Delivers an event. Returns whether a new connection is served, if the event is one.
     fn handle(&mut self, event: Event) -> Option<bool> {
         let mut actions = Vec::new();
         self.admission.handle(Time(self.now), event, &mut actions);
@@ -56,10 +56,10 @@
                 Action::Reject(..) | Action::CloseAtOnce(_) => served = Some(false),
                 Action::RequestClose(id) => {
                     self.closed_while_busy += usize::from(self.busy.contains(&id));
-                    self.due.insert((self.now + MS, 0, Kind::Gone(id)));
+                    self.due.insert((self.now + MS, 0, LoadEvent::Closed(id)));
                 }
                 Action::SetTimer(at) => {
-                    self.due.insert((at.0, 0, Kind::Timer));
+                    self.due.insert((at.0, 0, LoadEvent::Timer));
                 }
             }
         }
@@ -72,8 +72,8 @@
         (id, self.handle(Event::Accepted(id)))
     }
 
-    fn new() -> Crowd {
-        Crowd {
+    fn new() -> ClientLoad {
+        ClientLoad {
             admission: ConnectionAdmission::new(LIMITS),
             rng: fastrand::Rng::with_seed(7),
             now: 0,
@@ -88,42 +88,42 @@
         }
     }
 
-    fn play(seconds: u64) -> Crowd {
-        let mut crowd = Crowd::new();
-        crowd.plan(seconds, 300, Kind::Request);
-        crowd.plan(seconds, 46, Kind::Silent);
-        crowd.due.extend((0..300).map(|n| (1_500_000, n, Kind::Starter)));
-        while let Some((at, _, kind)) = crowd.due.pop_first() {
-            crowd.now = at;
-            crowd.step(kind);
+    fn play(seconds: u64) -> ClientLoad {
+        let mut load = ClientLoad::new();
+        load.plan(seconds, 300, LoadEvent::Request);
+        load.plan(seconds, 46, LoadEvent::Silent);
+        load.due.extend((0..300).map(|n| (1_500_000, n, LoadEvent::Starter)));
+        while let Some((at, _, kind)) = load.due.pop_first() {
+            load.now = at;
+            load.step(kind);
             let open_max = LIMITS.max_served + LIMITS.max_rejected + LIMITS.max_closing;
-            assert!(crowd.admission.open_connections() <= open_max);
+            assert!(load.admission.open_connections() <= open_max);
         }
-        crowd
+        load
     }
 
     /// Plans this many events a second.
-    fn plan(&mut self, seconds: u64, rate: u64, kind: Kind) {
+    fn plan(&mut self, seconds: u64, rate: u64, kind: LoadEvent) {
         self.due.extend((0..rate * seconds).map(|n| (n * 1_000_000 / rate, n, kind)));
     }
 
-    fn step(&mut self, kind: Kind) {
-        match kind {
-            Kind::Silent => drop(self.connect()),
-            Kind::Starter => {
+    fn step(&mut self, event: LoadEvent) {
+        match event {
+            LoadEvent::Silent => drop(self.connect()),
+            LoadEvent::Starter => {
                 let (id, _) = self.connect();
                 self.handle(Event::Started(id));
             }
-            Kind::Request => self.request(),
-            Kind::Answer(id) => {
+            LoadEvent::Request => self.request(),
+            LoadEvent::Answer(id) => {
                 self.busy.remove(&id);
                 self.handle(Event::RequestsFinished(id));
             }
-            Kind::Gone(id) => {
+            LoadEvent::Closed(id) => {
                 self.holding.remove(&id);
                 self.handle(Event::Closed(id));
             }
-            Kind::Timer => drop(self.handle(Event::TimerFired)),
+            LoadEvent::Timer => drop(self.handle(Event::TimerFired)),
         }
     }
 
@@ -143,24 +143,24 @@
         self.handle(Event::Started(id));
         self.handle(Event::RequestOpened(id));
         let answered_at = self.now + self.rng.u64(30 * MS..100 * MS);
-        self.due.insert((answered_at, 0, Kind::Answer(id)));
+        self.due.insert((answered_at, 0, LoadEvent::Answer(id)));
     }
 }
 
-/// Guards against clients that hold their connections for good and so can't connect any more: without the
-/// share that is kept free, nine requests in ten find no connection.
+/// Guards against clients that keep their connections forever and so can't connect any more: without the reserve of
+/// free connections, nine requests in ten find no connection.
 #[test]
 fn idle_connections_close_before_clients_run_out_of_them() {
-    let crowd = Crowd::play(10);
-    assert_eq!(crowd.requests, 3_000);
-    assert_eq!(crowd.without_connection, 0, "requests without a connection");
-    assert!(crowd.rejected <= 60, "{} requests rejected, in the 0.2 s of the burst at most", crowd.rejected);
-    assert_eq!(crowd.closed_while_busy, 0, "none is asked to close while a request of it is open");
+    let load = ClientLoad::play(10);
+    assert_eq!(load.requests, 3_000);
+    assert_eq!(load.without_connection, 0, "requests without a connection");
+    assert!(load.rejected <= 60, "{} requests rejected, in the 0.2 s of the burst at most", load.rejected);
+    assert_eq!(load.closed_while_busy, 0, "none is asked to close while a request of it is open");
 }
 
 /// Guards against closing connections of clients that use few and use them again.
 #[test]
-fn pool_that_fits_is_left_alone() {
+fn small_client_pool_is_not_closed() {
     let mut admission = ConnectionAdmission::new(LIMITS);
     let mut out = Vec::new();
     for n in 0..96 {
@@ -172,8 +172,8 @@
     assert!(out.iter().all(|a| matches!(a, Action::Serve(_))), "{out:?}");
 }
 
-/// Guards against telling all rejected clients the same time: slots come free at a rate, and one client after
-/// the other gets them.
+/// Guards against one Retry-After for all rejected clients: slots become free at a rate, and one client after the other
+/// gets them.
 #[test]
 fn retry_after_follows_the_rate_of_free_slots() {
     let limits = AdmissionLimits {
@@ -214,7 +214,7 @@
     is_asked_to_close: bool,
 }
 
-/// The connections as events and actions say, to compare with those of the admission.
+/// The connections according to events and actions, to compare with those of the admission.
 #[derive(Default)]
 struct Model {
     next: u64,
@@ -223,10 +223,10 @@
 
 impl Model {
     /// An event of a new connection, or of one of those that are open.
-    fn event(&mut self, what: u8, which: u8) -> Event {
-        let index = usize::from(which) % self.connections.len().max(1);
+    fn event(&mut self, kind: u8, selector: u8) -> Event {
+        let index = usize::from(selector) % self.connections.len().max(1);
         let chosen = self.connections.keys().nth(index).copied();
-        match (what % 6, chosen) {
+        match (kind % 6, chosen) {
             (0 | 1, _) | (_, None) => {
                 self.next += 1;
                 Event::Accepted(ConnectionId(self.next))
@@ -249,8 +249,18 @@
         }
     }
 
-    /// Carries out what follows from an event: a new connection is answered once, and only one without an open request
-    /// is asked to close, once.
+    /// Only a connection without an open request is asked to close, once.
+    fn request_close(&mut self, id: ConnectionId) -> Result<(), String> {
+        match self.connections.get_mut(&id) {
+            Some(connection) if !connection.is_busy && !connection.is_asked_to_close => {
+                connection.is_asked_to_close = true;
+                Ok(())
+            }
+            other => Err(format!("{id:?} is asked to close: {other:?}")),
+        }
+    }
+
+    /// Carries out the actions that follow from an event: a new connection is answered once.
     fn carry_out(&mut self, now: u64, event: Event, actions: Vec<Action>) -> Result<(), String> {
         let mut answers = 0;
         for action in actions {
@@ -260,12 +270,7 @@
                     self.connections.insert(id, ModelConnection::default());
                 }
                 Action::CloseAtOnce(_) => answers += 1,
-                Action::RequestClose(id) => match self.connections.get_mut(&id) {
-                    Some(connection) if !connection.is_busy && !connection.is_asked_to_close => {
-                        connection.is_asked_to_close = true;
-                    }
-                    other => return Err(format!("{id:?} is asked to close: {other:?}")),
-                },
+                Action::RequestClose(id) => self.request_close(id)?,
                 Action::SetTimer(at) => assert!(at.0 > now, "a timer in the past"),
             }
         }
@@ -288,23 +293,24 @@
     let mut admission = ConnectionAdmission::new(limits);
     let mut model = Model::default();
     let mut now = 0;
-    for (what, which, later) in steps {
-        now += u64::from(later) * 50;
-        let event = model.event(what, which);
+    for (kind, selector, pause) in steps {
+        now += u64::from(pause) * 50;
+        let event = model.event(kind, selector);
         model.note(event);
         let mut actions = Vec::new();
         admission.handle(Time(now), event, &mut actions);
         model.carry_out(now, event, actions)?;
-        let (counted, there) = (admission.open_connections(), model.connections.len());
-        if counted != there || there > 9 {
-            return Err(format!("{counted} open, {there} there"));
+        let counted = admission.open_connections();
+        let expected = model.connections.len();
+        if counted != expected || expected > 9 {
+            return Err(format!("{counted} open, {expected} expected"));
         }
     }
     Ok(())
 }
 
-/// Guards against any order of events that asks a busy connection to close, answers a new one not once, or
-/// takes more descriptors than there are.
+/// Guards against any order of events in which a busy connection is asked to close, a new one is not answered exactly
+/// once, or more descriptors are used than there are.
 #[test]
 fn any_order_keeps_busy_connections_and_the_limits() {
     fn holds(steps: Vec<(u8, u8, u16)>) -> TestResult {
--- a/crates/decisions/tests/lifecycle.rs
+++ b/crates/decisions/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Any order of calls, signals and waits: what a process tells clients holds together.
+//! Random orders of operators' calls, signals and waits: the state that clients see keeps its promises.
 
 use linenhill_decisions::api::Time;
 use linenhill_decisions::lifecycle::{Event, Lifecycle, ServingState, Stopping};
@@ -7,18 +7,18 @@
 /// Connections end at the latest this long after a drain began, in microseconds: under the platform's 2 s,
 /// after which no request may be on a kept connection that is open at 4 s.
 const CLOSED_BY: u64 = 1_000_000;
-/// The platform's front sends for this long after it was told no, in microseconds.
-const FRONT_SENDS: u64 = 400_000;
+/// The platform's load balancer still sends for this long after a negative readiness answer, in microseconds.
+const BALANCER_SENDS: u64 = 400_000;
 /// Requests are accepted for at least this long after a stop, and rejected at the latest from the platform's
 /// 0.7 s on.
 const ACCEPTED_AT_LEAST: u64 = 450_000;
 const REJECTED_FROM: u64 = 700_000;
 
-/// What happened to a process, kept apart from the machine under test.
+/// The events of a process, recorded independently of the state machine under test.
 #[derive(Clone, Copy, Debug, Default)]
 struct History {
     drained_at: Option<u64>,
-    /// When it was told to stop, and whether a successor serves.
+    /// When it was stopped, and whether a successor serves.
     stopped: Option<(u64, bool)>,
 }
 
@@ -27,7 +27,7 @@
         if self.stopped.is_some() { Err(Stopping) } else { Ok(()) }
     }
 
-    /// Checks what the process tells clients at `now`.
+    /// Checks the state that clients see at `now`, in microseconds.
     fn check(&self, state: ServingState, now: u64) {
         let since = self.drained_at.into_iter().chain(self.stopped.map(|(at, _)| at)).min();
         match since {
@@ -35,7 +35,7 @@
                 assert!(state.reports_ready && state.accepts_connections && !state.closes_idle, "{self:?}")
             }
             Some(since) if now >= since + CLOSED_BY => assert!(state.closes_idle, "{self:?}"),
-            Some(since) if now <= since + FRONT_SENDS => assert!(!state.closes_idle, "{self:?}"),
+            Some(since) if now <= since + BALANCER_SENDS => assert!(!state.closes_idle, "{self:?}"),
             Some(_) => {}
         }
         let must_reject = self.stopped.is_some_and(|(at, _)| now >= at + REJECTED_FROM);
@@ -84,12 +84,10 @@
                 }
                 _ => {
                     let wait = u64::from(u32::arbitrary(&mut generator)) % 700_000;
-                    // What changes in between is announced.
+                    // Changes in between are announced.
                     let before = lifecycle.serving_state(Time(now));
-                    let unchanged_until = match lifecycle.next_change(Time(now)) {
-                        Some(change) => (change.0 - 1).min(now + wait),
-                        None => now + wait,
-                    };
+                    let change = lifecycle.next_change(Time(now));
+                    let unchanged_until = change.map_or(now + wait, |change| (change.0 - 1).min(now + wait));
                     assert_eq!(lifecycle.serving_state(Time(unchanged_until)), before, "{history:?}");
                     now += wait;
                 }
--- a/crates/decisions/tests/list_lease.rs
+++ b/crates/decisions/tests/list_lease.rs
@@ -1,4 +1,4 @@
-//! For how long a list may be used, in exact times: what a start, a message, a failed call and a hold-up each give.
+//! For how long a list may be used, in exact times: after a start, a message, a failed call and a hold-up.
 
 use linenhill_decisions::api::{Discovery, Micros, Time};
 use linenhill_decisions::list_lease::{Basis, ListLease, Withheld};
@@ -15,7 +15,7 @@
     ListLease::new(at(0), discovery, grace)
 }
 
-/// Takes a turn every 100 ms, as the driver does, from the last one on.
+/// Takes a turn every 100 ms, as the driver does, from `from` to `to`, in milliseconds after the start.
 fn run_to(lease: &mut ListLease, from: u64, to: u64) {
     (from..=to).step_by(100).for_each(|ms| assert_eq!(lease.turn(at(ms)), None));
     lease.turn(at(to));
@@ -31,7 +31,7 @@
     assert_eq!(saved.check(at(2_849)), Ok(()));
     assert_eq!(saved.check(at(2_850)), Err(Withheld::Expired));
     assert_eq!(saved.basis(), Basis::Saved);
-    // Where lists are pushed, what the agent holds counts from the first moment.
+    // Where lists are pushed, the agent's list counts as notified from the first moment.
     let pushed = lease(Discovery::Pushed, Micros(250 * MS));
     assert_eq!(pushed.check(at(99)), Ok(()));
     assert_eq!(pushed.check(at(100)), Err(Withheld::Expired));
@@ -39,6 +39,7 @@
     assert_eq!(lease(Discovery::Pushed, Micros(0)).check(at(49)), Ok(()));
 }
 
+/// Guards against a list that is used for longer than the lease without a message, or is withheld after one.
 #[test]
 fn message_renews_the_lease_and_silence_ends_it() {
     let mut lease = lease(Discovery::OnRequest, GRACE);
@@ -70,10 +71,10 @@
         last = ended;
     }
     run_to(&mut lease, last, last + 7_900);
-    assert_eq!(lease.check(at(last + 7_900)), Err(Withheld::Expired), "nobody asks any more");
+    assert_eq!(lease.check(at(last + 7_900)), Err(Withheld::Expired), "no call is made any more");
 }
 
-/// Guards against one call that breaks being taken for an outage: the time before it counts, and only its own does not.
+/// Guards against treating one failed call as an outage: the lease goes on before it, and pauses only while it lasts.
 #[test]
 fn one_failed_call_prolongs_the_lease_by_its_own_time() {
     let mut confirmed = lease(Discovery::OnRequest, GRACE);
@@ -89,7 +90,7 @@
     broken.watch_ended(at(500), false);
     broken.call_failed(at(4_000), at(3_000));
     assert_eq!((broken.basis(), broken.usable_until()), (Basis::Unreachable, at(11_850)));
-    // A process that never heard discovery needs two.
+    // A process that never had a message from discovery needs two failed calls.
     let mut saved = lease(Discovery::OnRequest, GRACE);
     run_to(&mut saved, 0, 1_000);
     saved.call_failed(at(1_000), at(900));
@@ -98,22 +99,22 @@
     assert_eq!(saved.check(at(2_900)), Err(Withheld::Expired));
     saved.call_failed(at(2_900), at(2_800));
     assert_eq!(saved.basis(), Basis::Unreachable);
-    // And it waits: what it lacks may have counted as told before it started.
+    // And it waits: changes that it lacks may have counted as notified before it started.
     saved.call_failed(at(6_000), at(5_000));
     run_to(&mut saved, 2_900, 11_999);
     assert_eq!(saved.check(at(11_999)), Err(Withheld::Expired));
     assert!(!saved.is_ready(at(11_999)) && saved.is_ready(at(12_000)));
     assert!(!saved.may_report_ready(at(8_499)) && saved.may_report_ready(at(8_500)));
     assert_eq!(saved.check(at(12_000)), Ok(()));
-    let mut heard = lease(Discovery::OnRequest, GRACE);
-    heard.confirmed(at(3_400));
-    assert!(heard.is_ready(at(3_400)));
-    run_to(&mut heard, 0, 3_400);
-    assert_eq!(heard.check(at(3_400)), Ok(()));
+    let mut confirmed_late = lease(Discovery::OnRequest, GRACE);
+    confirmed_late.confirmed(at(3_400));
+    assert!(confirmed_late.is_ready(at(3_400)));
+    run_to(&mut confirmed_late, 0, 3_400);
+    assert_eq!(confirmed_late.check(at(3_400)), Ok(()));
 }
 
-/// Guards against an agent whose watch ended being taken for one that has nothing to tell, and against one that is silent,
-/// since discovery is away, being taken for one that has.
+/// Guards against treating an agent whose watch ended as one without new lists, and against treating an agent that is
+/// silent because discovery is away as one with new lists.
 #[test]
 fn end_of_a_watch_binds_at_once_where_lists_are_pushed() {
     let cases = [
@@ -131,7 +132,7 @@
     }
     let mut away = lease(Discovery::Pushed, Micros(250 * MS));
     away.call_failed(at(50), at(49));
-    assert_eq!(away.check(at(50)), Ok(()), "an agent that is away learns nothing");
+    assert_eq!(away.check(at(50)), Ok(()), "an agent that is away gets no new lists");
 }
 
 /// Guards against sends by a process that was stopped and goes on: it has not read what arrived meanwhile. Neither its
@@ -158,8 +159,9 @@
     assert_eq!(lease.check(at(60_110)), Ok(()));
 }
 
+/// Guards against an overflow at extreme times.
 #[test]
-fn odd_figures_end_in_no_panic() {
-    let odd = ListLease::new(Time(u64::MAX), Discovery::OnRequest, Micros(u64::MAX));
-    assert_eq!(odd.check(Time(u64::MAX)), Err(Withheld::Expired));
+fn extreme_times_cause_no_panic() {
+    let lease = ListLease::new(Time(u64::MAX), Discovery::OnRequest, Micros(u64::MAX));
+    assert_eq!(lease.check(Time(u64::MAX)), Err(Withheld::Expired));
 }
--- a/crates/decisions/tests/maintenance.rs
+++ b/crates/decisions/tests/maintenance.rs
@@ -1,4 +1,4 @@
-//! Any order of operators' orders and lists, given to two processes that exchange their orders.
+//! Maintenance orders and lists in random orders, given to two processes that exchange their orders.
 
 use linenhill_decisions::api::{GroupId, MemberState, Time};
 use linenhill_decisions::maintenance::{EffectiveState, ListedMember, Maintenance, OrderRejected};
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 const GROUP: GroupId = GroupId(1);
-const IDS: [&str; 4] = ["a", "b", "c", "nobody"];
+const MEMBER_IDS: [&str; 4] = ["a", "b", "c", "unlisted"];
 
 /// A member of [`GROUP`] as lists name it, without a start.
 fn in_service(id: &str) -> ListedMember<'_> {
@@ -17,8 +17,8 @@
     from.orders().for_each(|(id, order)| _ = to.merge(id, order));
 }
 
-/// Guards against an order that a list lifts, that binds only the process it was given to, that two calls
-/// make need two back; and against a return that is taken for warm.
+/// Guards against an order that a list cancels, that binds only the process it was given to, or that two calls make and
+/// only two calls cancel; and against a member that returns without a slow start.
 #[test]
 fn last_order_counts_in_both_processes() {
     let started = Some(Time(5));
@@ -28,18 +28,18 @@
         let mut expected: BTreeMap<&str, (bool, u64)> = BTreeMap::new();
         let mut now = 1_000_000;
         for maintenance in &mut both {
-            IDS[..3].iter().for_each(|id| _ = maintenance.record_listed(Time(now), in_service(id)));
+            MEMBER_IDS[..3].iter().for_each(|id| _ = maintenance.record_listed(Time(now), in_service(id)));
         }
         for _ in 0..30 {
             now += 1 + u64::from(u16::arbitrary(&mut generator));
-            let id = *generator.choose(&IDS).expect("one");
+            let id = *generator.choose(&MEMBER_IDS).expect("one");
             let one = usize::from(bool::arbitrary(&mut generator));
             match *generator.choose(&[0, 1, 2, 3]).expect("one") {
                 0 | 1 => {
                     let out = bool::arbitrary(&mut generator);
                     let before = expected.get(id).is_some_and(|e| e.0);
                     let result = both[one].order(Time(now), id, out);
-                    if id == "nobody" {
+                    if id == "unlisted" {
                         assert_eq!(result, Err(OrderRejected::UnknownMember));
                     } else {
                         assert_eq!(result, Ok(before != out));
@@ -51,7 +51,7 @@
                 2 => both[one].begin_full_list(Time(now)),
                 _ => {
                     let state = *generator.choose(&[MemberState::InService, MemberState::Gone]).expect("one");
-                    if id != "nobody" {
+                    if id != "unlisted" {
                         both[one].record_listed(Time(now), ListedMember { state, started, ..in_service(id) });
                     }
                 }
@@ -59,7 +59,7 @@
             let [a, b] = &mut both;
             exchange(a, b);
             exchange(b, a);
-            for (id, process) in IDS[..3].iter().flat_map(|id| [(id, one), (id, 1 - one)]) {
+            for (id, process) in MEMBER_IDS[..3].iter().flat_map(|id| [(id, one), (id, 1 - one)]) {
                 let wanted = match expected.get(id) {
                     None => EffectiveState::AsListed { started },
                     Some((true, _)) => EffectiveState::OutOfService,
--- a/crates/decisions/tests/member_load.rs
+++ b/crates/decisions/tests/member_load.rs
@@ -1,12 +1,12 @@
-//! How much work members are given by what is known of their load.
+//! How much work members are given, by their known load.
 
 mod common;
 
 use common::*;
 use linenhill_decisions::api::*;
 
-/// Guards against a slowness that all members share being taken for a fault of each: with limits cut below
-/// what their cores bear they stood idle while requests were rejected.
+/// Guards against treating a latency that all members share as a fault of each: with concurrency limits below the
+/// capacity of their cores they were idle while requests were rejected.
 #[test]
 fn slow_members_are_kept_as_busy_as_their_cores() {
     let mut harness = RouterHarness::new(Settings { fleet_size: 3, ..default_settings() });
@@ -20,12 +20,7 @@
                     *id,
                     0,
                     *member,
-                    AttemptResult {
-                        outcome: Outcome::Ok,
-                        latency_ms: 450,
-                        position: None,
-                        role: Some(Role::Replica),
-                    },
+                    AttemptResult::without_position(Outcome::Ok, 450, Role::Replica),
                 );
             }
         }
@@ -39,9 +34,9 @@
     assert!(sent.iter().all(|to| !to.is_empty()), "both replicas are given one at once: {sent:?}");
 }
 
-/// Guards against probes as new work at a member that drains.
+/// Guards against health checks as new work at a member that drains.
 #[test]
-fn draining_member_is_not_probed() {
+fn draining_member_gets_no_health_checks() {
     let mut harness = RouterHarness::new(default_settings());
     let drains = |member: u32| ListEntry { state: MemberState::Draining, ..list_entry(member) };
     harness.update_list(vec![drains(1), drains(2), drains(3)]);
@@ -53,15 +48,15 @@
     assert_eq!(harness.health_checks(), 0);
 }
 
-/// Guards against a member that is held back for latencies it has at rest, though it reports idle processors;
-/// and against one that reports busy ones and is given ever more.
+/// Guards against a low concurrency limit for latencies that the member also has when idle, though it reports idle
+/// processors; and against a limit that grows for a member that reports busy ones.
 #[test]
-fn member_with_idle_processors_is_not_held_back() {
+fn member_with_idle_processors_is_not_limited() {
     let most_at_once = |utilisation: f64| {
         let mut harness = RouterHarness::new(Settings { fleet_size: 3, ..default_settings() });
         let mut most = 0;
         for _ in 0..50 {
-            // Four at once, each with a latency of nearly half the aim.
+            // Four at once, each with a latency of nearly half the latency objective.
             let ids: Vec<RequestId> = (0..4).map(|_| harness.send_request(SESSION, 2_000, None)).collect();
             let sent: Vec<usize> = ids.iter().map(|id| harness.attempted_members(*id).len()).collect();
             most = sent.iter().sum();
--- a/crates/decisions/tests/outlier_recovery.rs
+++ b/crates/decisions/tests/outlier_recovery.rs
@@ -1,13 +1,13 @@
-//! Members that accept work and answer nothing, or errors only, and how they are tried again.
+//! Ejected members: those that accept work and answer nothing, or errors only, and the trials that bring them back.
 
 mod common;
 use common::*;
 use linenhill_decisions::api::*;
 use linenhill_decisions::outlier_recovery::EjectedMember;
 
-/// Guards against trials that together are a traffic of their own: at 2 s a router they were 50 requests a
-/// second at each member that accepts work and answers nothing. Probes of one out of reach stay frequent:
-/// they reach nobody.
+/// Guards against trials that add up over the fleet: at one in 2 s from each router they were 50 requests a second at
+/// each member that accepts work and answers nothing. Health checks of an unreachable member stay frequent: they cost
+/// it no work.
 #[test]
 fn trials_stay_few_over_the_fleet() {
     for (fleet, unreachable, most) in [(2, false, 1.1), (FLEET, false, 12.0), (FLEET, true, 70.0)] {
@@ -25,14 +25,14 @@
     }
 }
 
-/// Plays reads over 24 s, of which member 2 answers each with this outcome at once and member 3 with a row.
+/// Sends reads for 24 s. Member 2 ends each with this outcome at once, member 3 serves each.
 /// Returns how many went to member 2.
 fn attempts_at_member_2(outcome: Outcome) -> usize {
     let mut harness = fleet_of_routers(settings_with_replica_check()).next().expect("one");
     harness.update_list((1..=3).map(list_entry).collect());
     harness.report_health(1, harness.now, Role::Primary);
     let mut attempts = 0;
-    let mut probes = 0;
+    let mut answered_checks = 0;
     for _ in 0..240 {
         let read = harness.send_request(SESSION, 900, None);
         for n in 1..=3 {
@@ -47,18 +47,20 @@
                 );
             }
         }
-        for _ in std::mem::replace(&mut probes, harness.health_checks())..harness.health_checks() {
+        let health_checks = harness.health_checks();
+        for _ in answered_checks..health_checks {
             harness.report_health(2, harness.now, Role::Replica);
         }
+        answered_checks = health_checks;
         harness.advance(100);
     }
     attempts
 }
 
-/// Guards against a member that fails everything at once and so looks idle: it drew a third of the fleet's
-/// attempts. Its probes are answered, so each answer let the next request try again without a gap.
+/// Guards against a member that fails every request at once and so looks idle: it got a third of the fleet's attempts.
+/// It answers its health checks, and each answer admitted the next trial without a gap.
 #[test]
-fn failing_member_is_left_alone_after_two() {
+fn failing_member_is_ejected_after_two_attempts() {
     let failing = attempts_at_member_2(Outcome::Failed);
     let healthy = attempts_at_member_2(Outcome::Ok);
     assert!(
@@ -67,10 +69,10 @@
     );
 }
 
-/// Guards against clearing a member that answers nothing by what costs it no work: a member that is no
-/// primary rejects a write at once, whatever became of its reads.
+/// Guards against counting a silent member as healthy for an answer that costs it no work: a member that is no primary
+/// rejects a write at once, even while it answers no read.
 #[test]
-fn rejected_write_does_not_clear_a_silent_member() {
+fn rejected_write_does_not_restore_a_silent_member() {
     let mut harness = RouterHarness::empty(settings_with_replica_check());
     harness.update_list(vec![list_entry(2)]);
     let write = harness.send_request(WRITE, 3_000, None);
--- a/crates/decisions/tests/policy/connection_failure.rs
+++ b/crates/decisions/tests/policy/connection_failure.rs
@@ -1,4 +1,4 @@
-//! What a failed connection says: a member that is gone, one out of connections, or one broken connection.
+//! What is concluded from a failed connection: the member is gone, it is out of connections, or one connection broke.
 
 use crate::common::*;
 use linenhill_decisions::api::*;
@@ -25,18 +25,18 @@
     let mut harness = RouterHarness::new(default_settings());
     let read = harness.send_request(ANY, 1_000, None);
     let first = harness.attempted_members(read)[0];
-    let mut refused = 0;
+    let mut connect_errors = 0;
     let has_closed_idle = |harness: &RouterHarness| {
         harness.actions.iter().any(|action| matches!(action, Action::CloseIdleConnections { .. }))
     };
     let mut play_read = |harness: &mut RouterHarness, read: RequestId| {
-        if harness.attempted_members(read)[0] == first && refused < 2 {
-            refused += 1;
+        if harness.attempted_members(read)[0] == first && connect_errors < 2 {
+            connect_errors += 1;
             harness.end_attempt(read, 0, first, AttemptResult::without_report(Outcome::ConnectError, 1));
             assert_eq!(harness.attempted_members(read).len(), 2, "another member takes it at once");
         }
         harness.answer_latest_attempt(read, 5);
-        refused
+        connect_errors
     };
     assert_eq!(play_read(&mut harness, read), 1);
     assert!(!has_closed_idle(&harness), "one broken connection is no shortage");
--- a/crates/decisions/tests/policy/health_checks.rs
+++ b/crates/decisions/tests/policy/health_checks.rs
@@ -1,4 +1,4 @@
-//! When a member is asked for its load report, and what a failed health check says.
+//! When a member is asked for its load report, and what is concluded from a health check that fails.
 
 use crate::common::*;
 use linenhill_decisions::api::*;
--- a/crates/decisions/tests/policy/hedging.rs
+++ b/crates/decisions/tests/policy/hedging.rs
@@ -9,7 +9,7 @@
     for is_allowed in [false, true] {
         let mut settings = default_settings();
         settings.limits.hedging = is_allowed;
-        settings.classes[4].latency_objective = Micros(2_000 * MS);
+        settings.classes[ANY.0].latency_objective = Micros(2_000 * MS);
         let mut harness = RouterHarness::new(settings);
         // Another member keeps answering, so this one is not ejected.
         for _ in 0..40 {
@@ -24,17 +24,7 @@
             harness.advance(10);
             let other = harness.send_request(BOUNDED, 1_000, None);
             for other_member in harness.attempted_members(other) {
-                harness.end_attempt(
-                    other,
-                    0,
-                    other_member,
-                    AttemptResult {
-                        outcome: Outcome::Ok,
-                        latency_ms: 10,
-                        position: Some(harness.now),
-                        role: None,
-                    },
-                );
+                harness.end_attempt(other, 0, other_member, AttemptResult::without_role(10, harness.now));
             }
             harness.report_health(member, harness.now, Role::Replica);
         }
@@ -46,7 +36,7 @@
 #[test]
 fn late_read_is_cancelled_and_retried_without_hedging() {
     let mut settings = default_settings();
-    settings.classes[4].latency_objective = Micros(2_000 * MS);
+    settings.classes[ANY.0].latency_objective = Micros(2_000 * MS);
     let mut harness = RouterHarness::new(settings);
     for _ in 0..60 {
         let id = harness.send_request(ANY, 1_000, None);
@@ -82,8 +72,8 @@
         [(keyed, true, true), (keyed, false, false), (Idempotency::NotIdempotent, true, false)]
     {
         let mut settings = default_settings();
-        settings.classes[0].idempotency = idempotency;
-        settings.classes[0].latency_objective = Micros(200 * MS);
+        settings.classes[WRITE.0].idempotency = idempotency;
+        settings.classes[WRITE.0].latency_objective = Micros(200 * MS);
         let mut harness = RouterHarness::new(settings);
         let first = harness.send_request(WRITE, 2_000, None);
         for _ in 0..50 {
--- a/crates/decisions/tests/policy/history_model/mod.rs
+++ b/crates/decisions/tests/policy/history_model/mod.rs
@@ -23,7 +23,7 @@
     is_over: bool,
 }
 
-/// A request, with what the events and actions say of it.
+/// A request, as the events and actions so far describe it.
 pub struct ModelRequest {
     class: ClassId,
     /// Microseconds.
--- a/crates/decisions/tests/policy/member_health.rs
+++ b/crates/decisions/tests/policy/member_health.rs
@@ -73,15 +73,14 @@
     harness.end_attempt(lost, 0, 2, AttemptResult::without_report(Outcome::Cancelled, 1_000));
     harness.report_health(2, harness.now, Role::Replica);
     harness.advance(100);
-    let trial = lost;
     let attempt = 1;
-    assert_eq!(harness.attempted_members(trial), [2, 2], "a trial, since the health check was answered");
+    assert_eq!(harness.attempted_members(lost), [2, 2], "a trial, since the health check was answered");
     harness.advance(60);
     assert!(
-        !harness.actions.contains(&Action::Cancel { id: trial, attempt }),
+        !harness.actions.contains(&Action::Cancel { id: lost, attempt }),
         "the trial must be able to end"
     );
-    harness.end_attempt(trial, attempt, 2, AttemptResult::answered(60, harness.now, Role::Replica));
+    harness.end_attempt(lost, attempt, 2, AttemptResult::answered(60, harness.now, Role::Replica));
     let next = [harness.send_request(ANY, 1_000, None), harness.send_request(ANY, 1_000, None)];
     assert!(next.iter().all(|id| harness.attempted_members(*id) == [2]), "then the member is healthy again");
 }
--- a/crates/decisions/tests/policy/member_list.rs
+++ b/crates/decisions/tests/policy/member_list.rs
@@ -1,4 +1,4 @@
-//! What lists say: members that drain, are absent or return; and the poll after a failed list.
+//! Endpoint lists: members that drain, are absent or return; and the poll after a failed list.
 
 use crate::common::*;
 use linenhill_decisions::api::*;
--- a/crates/decisions/tests/policy/primary_tracking.rs
+++ b/crates/decisions/tests/policy/primary_tracking.rs
@@ -1,4 +1,4 @@
-//! Who is primary by the newest evidence, and how routers search for one while nobody is confirmed.
+//! Who is primary by the newest evidence, and how routers search for one while none is confirmed.
 
 use crate::common::*;
 use linenhill_decisions::api::*;
@@ -28,12 +28,7 @@
         write,
         0,
         1,
-        AttemptResult {
-            outcome: Outcome::NotApplicable,
-            latency_ms: 1,
-            position: None,
-            role: Some(Role::Replica),
-        },
+        AttemptResult::without_position(Outcome::NotApplicable, 1, Role::Replica),
     );
     assert_eq!(harness.attempted_members(write), [1]);
     harness.advance(100);
@@ -60,12 +55,7 @@
                 write,
                 attempt as u32,
                 member,
-                AttemptResult {
-                    outcome: Outcome::NotApplicable,
-                    latency_ms: 2,
-                    position: None,
-                    role: Some(Role::Replica),
-                },
+                AttemptResult::without_position(Outcome::NotApplicable, 2, Role::Replica),
             );
             attempts += 1;
         }
@@ -151,12 +141,7 @@
                         write,
                         tried as u32 - 1,
                         1,
-                        AttemptResult {
-                            outcome: Outcome::Ok,
-                            latency_ms: 50,
-                            position: None,
-                            role: Some(Role::Primary),
-                        },
+                        AttemptResult::without_position(Outcome::Ok, 50, Role::Primary),
                     );
                     served += 1;
                     break;
--- a/crates/decisions/tests/policy/retry.rs
+++ b/crates/decisions/tests/policy/retry.rs
@@ -22,7 +22,7 @@
 fn keyed_write_is_retried_only_within_its_window() {
     for (window_ms, is_retried) in [(5_000, true), (50, false)] {
         let mut settings = default_settings();
-        settings.classes[0].idempotency =
+        settings.classes[WRITE.0].idempotency =
             Idempotency::Keyed { scope: DeduplicationScope::Group, window: Micros(window_ms * MS) };
         let mut harness = RouterHarness::new(settings);
         let write = harness.send_request(WRITE, 2_000, None);
@@ -39,7 +39,7 @@
 fn queued_keyed_retry_expires_with_its_window() {
     for (queued_ms, is_retried) in [(400, true), (800, false), (1_200, false)] {
         let mut settings = default_settings();
-        settings.classes[0].idempotency =
+        settings.classes[WRITE.0].idempotency =
             Idempotency::Keyed { scope: DeduplicationScope::Group, window: Micros(1_000 * MS) };
         let mut harness = RouterHarness::new(settings);
         let write = harness.send_request(WRITE, 5_000, None);
@@ -73,12 +73,7 @@
         read,
         0,
         first,
-        AttemptResult {
-            outcome: Outcome::NotApplicable,
-            latency_ms: 50,
-            position: None,
-            role: Some(Role::Replica),
-        },
+        AttemptResult::without_position(Outcome::NotApplicable, 50, Role::Replica),
     );
     let other = if first == 2 { 3 } else { 2 };
     assert_eq!(harness.attempted_members(read), [first, other]);
--- a/crates/decisions/tests/policy/router.rs
+++ b/crates/decisions/tests/policy/router.rs
@@ -32,12 +32,7 @@
                     id,
                     attempt as u32,
                     member,
-                    AttemptResult {
-                        outcome: Outcome::Ok,
-                        latency_ms: 5 + step,
-                        position: Some(harness.now),
-                        role: None,
-                    },
+                    AttemptResult::without_role(5 + step, harness.now),
                 );
             }
             harness.advance(7);
--- a/crates/decisions/tests/policy/slow_start.rs
+++ b/crates/decisions/tests/policy/slow_start.rs
@@ -23,9 +23,10 @@
     assert!(sent < 20, "{sent} attempts at two members in slow start in 0.2 s");
 }
 
-/// Guards against full traffic to a member that was unreachable and responds again before the list tells of its start.
+/// Guards against full traffic to a member that was unreachable and responds again before the list reports its
+/// start.
 #[test]
-fn recovered_member_starts_slowly_before_the_list_says_so() {
+fn recovered_member_starts_slowly_before_the_list_update() {
     let mut harness = RouterHarness::new(default_settings());
     let mut entries: Vec<ListEntry> = (1..=3).map(list_entry).collect();
     entries[2].state = MemberState::Draining;
@@ -41,12 +42,7 @@
         let read = harness.send_request(ANY, 1_000, None);
         let members = harness.attempted_members(read);
         for member in &members {
-            let result = AttemptResult {
-                outcome: Outcome::Ok,
-                latency_ms: 10,
-                position: Some(harness.now),
-                role: None,
-            };
+            let result = AttemptResult::without_role(10, harness.now);
             harness.end_attempt(read, 0, *member, result);
         }
         !members.is_empty()
--- a/crates/decisions/tests/poll_schedule/backoff.rs
+++ b/crates/decisions/tests/poll_schedule/backoff.rs
@@ -3,10 +3,10 @@
 use crate::fixtures::*;
 use linenhill_decisions::poll_schedule::PollSchedule;
 
-/// Guards against a fleet that never lets a service recover, and against one that hears too late once it has: all calls
+/// Guards against a fleet that never lets a service recover, and against one that is notified too late once it has: all calls
 /// are rejected, and the gaps outgrow one turn for each proxy at what services were seen to bear, yet each ends in time
-/// for a drain that is told at the moment of the recovery, also behind a call that was waited for in vain for 3 s. Odd
-/// figures end in no panic.
+/// for a drain that is announced at the moment of the recovery, also after a call that timed out after 3 s. Extreme
+/// values cause no panic.
 #[test]
 fn backoff_is_spread_and_ends_in_time() {
     // Calls a second that services of fleets of this size were seen to bear.
--- a/crates/decisions/tests/poll_schedule/histories.rs
+++ b/crates/decisions/tests/poll_schedule/histories.rs
@@ -3,7 +3,7 @@
 use crate::fixtures::*;
 use linenhill_decisions::poll_schedule::PollSchedule;
 
-/// Any order of calls that bring a list, fail, or fall silent once or again. Guards against a second call
+/// Guards against a second call
 /// beside one that is out, against one that is never made, and against one that comes after a drain binds
 /// that the silent watch missed.
 #[test]
@@ -28,7 +28,7 @@
             assert!(due || is_out || now <= due_by, "{seed}: none by {due_by}, it is {now}");
             opened_at = if due { now } else { opened_at };
             is_out |= due;
-            assert!(!schedule.take_due(now), "{seed}: said twice");
+            assert!(!schedule.take_due(now), "{seed}: due twice");
             if !is_out {
                 continue;
             }
--- a/crates/decisions/tests/quota/max_min_fair.rs
+++ b/crates/decisions/tests/quota/max_min_fair.rs
@@ -15,7 +15,7 @@
         let demanded: u64 = claims.iter().map(|claim| claim.demand).sum();
         assert_eq!(units.iter().sum::<u64>(), total.min(demanded), "{claims:?}");
         assert!(units.iter().zip(&claims).all(|(got, claim)| *got <= claim.demand));
-        // Whoever has less than it demands has no less than anybody else, but for one unit left over by rounding.
+        // A claim with less than its demand has no less than any other, but for one unit left over by rounding.
         for (got, claim) in units.iter().zip(&claims).filter(|(got, claim)| **got < claim.demand) {
             assert!(units.iter().all(|other| *other <= got + 1), "{claims:?} {units:?} {claim:?}");
         }
--- a/crates/decisions/tests/service_objective.rs
+++ b/crates/decisions/tests/service_objective.rs
@@ -40,10 +40,13 @@
     assert!((second - 2.0).abs() < 0.01 && (third - 3.0).abs() < 0.01, "{second} {third}");
     let [first, second, third] = ranks(goal, [80, 80, 80]);
     let gain = first / 1.0 - 1.0;
-    assert!(gain < 0.4 * 6.0 / 2.0 && second > 2.0 && third > 3.0, "all are worst, and share it: {first}");
+    assert!(
+        gain < 0.4 * 6.0 / 2.0 && second > 2.0 && third > 3.0,
+        "all are worst, and share the gain: {first}"
+    );
 }
 
-/// Guards against a class judged by its first few requests, and against days that are remembered for ever.
+/// Guards against a class judged by its first few requests, and against old requests that count forever.
 #[test]
 fn few_or_old_requests_judge_nothing() {
     let goal = ObjectiveWeights { total: 0.5, worst_class: 0.5 };
--- a/crates/decisions/tests/staleness.rs
+++ b/crates/decisions/tests/staleness.rs
@@ -1,4 +1,4 @@
-//! When a silence of discovery is worth a line in the log, and how old its news is.
+//! When a silence of discovery is logged, and how old its last list is.
 
 use linenhill_decisions::api::{Micros, Time};
 use linenhill_decisions::staleness::{Notice, StalenessMonitor};
@@ -9,7 +9,7 @@
     Time(count * SECOND)
 }
 
-/// Looks once in each of these seconds; the notices, each with its second.
+/// Checks once in each of these seconds. Returns the notices, each with its second.
 fn notices(monitor: &mut StalenessMonitor, during: std::ops::Range<u64>) -> Vec<(u64, Notice)> {
     during
         .filter_map(|second| monitor.check_silence(seconds(second)).map(|notice| (second, notice)))
--- a/crates/decisions/tests/watch_schedule.rs
+++ b/crates/decisions/tests/watch_schedule.rs
@@ -16,7 +16,7 @@
     (grace.0 / 4).clamp(10 * MS, 250 * MS)
 }
 
-/// Guards against the slots and windows made for a service that a whole fleet polls. What the agent holds
+/// Guards against the slots and windows made for a service that a whole fleet polls. The agent's list
 /// counts as notified, so each gap must leave most of the grace, whatever the grace is; and a new agent
 /// starts without the old one's backoff.
 #[test]
@@ -48,7 +48,7 @@
     }
 }
 
-/// Guards against a pause after a watch that simply ended, during which the news of a drain would be missed.
+/// Guards against a pause after a watch that simply ended, during which the announcement of a drain would be missed.
 #[test]
 fn stable_watch_is_opened_again_at_once() {
     let mut schedule = WatchSchedule::new(Time(0), GRACE);
@@ -61,8 +61,8 @@
     }
 }
 
-/// Any order of watches that end at once or later, and of moves. Guards against a second watch beside one
-/// that is open, and against a pause of over a quarter of a drain's grace.
+/// Guards against a second watch beside one that is open, and against a pause of over a quarter of a drain's grace, in
+/// any order of watches that end at once or later and of agents that move.
 #[test]
 fn any_order_keeps_one_watch_open() {
     for seed in 0..500 {
--- a/crates/decisions/tests/zone_health.rs
+++ b/crates/decisions/tests/zone_health.rs
@@ -1,4 +1,4 @@
-//! Lost zones, and what a fleet pays to learn of them.
+//! Lost zones, and how many requests a fleet loses before it detects them.
 
 mod common;
 use common::*;
@@ -36,20 +36,21 @@
     assert!(!is_silent(&zones, four(4, 1_000)), "forgotten");
 }
 
-/// Plays a router before two zones of `each` replicas. After two seconds the second zone answers nothing any
-/// more, for four seconds. Returns the attempts that went there meanwhile.
+/// Plays a router with two zones of `each` replicas. After two seconds the second zone stops answering, for four
+/// seconds. Returns the attempts sent to it in these four.
 fn lose_a_zone(harness: &mut RouterHarness, each: u32) -> usize {
     let zone = |member: u32| ZoneId(usize::from(member > each));
     harness.update_list(
         (1..=2 * each).map(|member| ListEntry { zone: zone(member), ..list_entry(member) }).collect(),
     );
-    let there = |harness: &RouterHarness| {
-        let is_there = |action: &&Action| matches!(action, Action::Send { member, .. } if member.0 > each);
-        harness.actions.iter().filter(is_there).count()
+    let attempts_in_lost_zone = |harness: &RouterHarness| {
+        let is_in_lost_zone =
+            |action: &&Action| matches!(action, Action::Send { member, .. } if member.0 > each);
+        harness.actions.iter().filter(is_in_lost_zone).count()
     };
     let mut before = 0;
     for step in 0..120 {
-        before = if step == 40 { there(harness) } else { before };
+        before = if step == 40 { attempts_in_lost_zone(harness) } else { before };
         let read = harness.send_request(SESSION, 450, None);
         harness.advance(50);
         harness.end_latest_attempt(
@@ -58,11 +59,11 @@
             |member| step < 40 || member <= each,
         );
     }
-    there(harness) - before
+    attempts_in_lost_zone(harness) - before
 }
 
-/// Guards against learning of a lost zone one member at a time: each of a hundred routers pays a request for
-/// each. Without the sum over the zone they lost 1,441 requests here, 345 with it.
+/// Guards against detecting a lost zone one member at a time: each of a hundred routers loses a request at each member.
+/// Without the sum over the zone they lost 1,441 requests here, 345 with it.
 #[test]
 fn lost_zone_costs_a_router_few_requests() {
     let lost: usize = fleet_of_routers(settings_with_replica_check())
@@ -71,10 +72,10 @@
     assert!((FLEET as usize..=6 * FLEET as usize).contains(&lost), "{lost} requests lost");
 }
 
-/// Guards against a full share for members that lost power with their zone and come back slow_start: their
-/// connections time out, as at a cut, and the list tells of their start only seconds later.
+/// Guards against full traffic to members that lost power with their zone and need a slow start: their connections time
+/// out, as after a network partition, and the list reports their start only seconds later.
 #[test]
-fn zone_returns_cold_before_the_list_tells() {
+fn recovered_zone_starts_slowly_before_the_list_update() {
     let mut harness = fleet_of_routers(settings_with_replica_check()).next().expect("one");
     lose_a_zone(&mut harness, 8);
     let report = LoadReport::default();
