--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -5,12 +5,12 @@
 //! reusable on which anything is still to come. Its end is logged once, under the reason set last.
 
 use crate::api::Outcome;
-use crate::budget::Place;
 use crate::close_reason::{CloseReason, Side, log_close};
-use crate::fleet::Unit;
-use crate::peek::{Unread, unread};
+use crate::fleet::quota::QuotaUnit;
 use crate::pg::PgError;
-use crate::pg::backend::{Backend, BackendCodec, Command};
+use crate::pg::backend::{BackendCodec, BackendMessage, Command};
+use crate::resource_limit::ResourcePermit;
+use crate::socket_state::{PendingInput, pending_input};
 use crate::upstream::reply::{ReplyAssembler, ReplyProgress, StatementReply, outcome_of};
 use crate::upstream::send_guard::SendPermit;
 use bytes::{Bytes, BytesMut};
@@ -41,8 +41,8 @@
     framed: Framed<TcpStream, BackendCodec>,
     address: SocketAddr,
     close_reason: Rc<Cell<CloseReason>>,
-    _descriptor: Place,
-    _permit: Unit,
+    _descriptor: ResourcePermit,
+    _permit: QuotaUnit,
 }
 
 impl Drop for MemberConnection {
@@ -88,7 +88,7 @@
     /// Opens a connection and waits until the member is ready for a statement, at most `connect_timeout` in all. An
     /// error is the outcome of the attempt that needed the connection.
     pub async fn open(
-        address: SocketAddr, descriptor: Place, connect_timeout: Duration,
+        address: SocketAddr, descriptor: ResourcePermit, connect_timeout: Duration,
     ) -> Result<MemberConnection, Outcome> {
         let deadline = Instant::now() + connect_timeout;
         let stream = connect(address, deadline).await?;
@@ -99,7 +99,7 @@
             address,
             close_reason: Rc::new(Cell::new(CloseReason::ConnectTimeout)),
             _descriptor: descriptor,
-            _permit: Unit::default(),
+            _permit: QuotaUnit::default(),
         };
         match timeout_at(deadline, connection.start_session()).await {
             Ok(Ok(())) => {
@@ -119,8 +119,10 @@
         self.framed.send(Command::Startup).await.map_err(|_| SessionError::BROKEN)?;
         loop {
             match self.framed.next().await {
-                Some(Ok(Backend::Ready)) => return Ok(()),
-                Some(Ok(Backend::Error(sqlstate))) => return Err(SessionError::rejected(&sqlstate)),
+                Some(Ok(BackendMessage::ReadyForQuery)) => return Ok(()),
+                Some(Ok(BackendMessage::ErrorResponse(sqlstate))) => {
+                    return Err(SessionError::rejected(&sqlstate));
+                }
                 Some(Ok(_)) => {}
                 Some(Err(_)) | None => return Err(SessionError::BROKEN),
             }
@@ -128,7 +130,7 @@
     }
 
     /// Keeps a quota permit until the connection is closed.
-    pub fn hold_permit(&mut self, permit: Unit) {
+    pub fn hold_permit(&mut self, permit: QuotaUnit) {
         self._permit = permit;
     }
 
@@ -159,10 +161,10 @@
     /// Like [`Self::unusable_reason`], but asks the kernel too: the runtime does not know of what arrived since it
     /// last polled. To be checked right before a statement is written.
     pub fn unusable_reason_now(&self) -> Option<CloseReason> {
-        self.unusable_reason().or_else(|| match unread(self.framed.get_ref()) {
-            Unread::Nothing => None,
-            Unread::Bytes => Some(CloseReason::Protocol),
-            Unread::End => Some(CloseReason::PeerClosed),
+        self.unusable_reason().or_else(|| match pending_input(self.framed.get_ref()) {
+            PendingInput::Empty => None,
+            PendingInput::Bytes => Some(CloseReason::Protocol),
+            PendingInput::Closed => Some(CloseReason::PeerClosed),
         })
     }
 
@@ -227,7 +229,7 @@
 
     /// The next message of a reply. The first one may take any time; once bytes of the reply have arrived, others
     /// must follow within [`ANSWER_GAP`].
-    async fn next_message(&mut self, has_begun: bool) -> Option<Result<Backend, PgError>> {
+    async fn next_message(&mut self, has_begun: bool) -> Option<Result<BackendMessage, PgError>> {
         let mut buffered = self.framed.read_buffer().len();
         loop {
             if let Ok(message) = timeout(ANSWER_GAP, self.framed.next()).await {
@@ -255,12 +257,12 @@
                 Some(Err(_)) | None => return self.break_stream(CloseReason::Reset),
             };
             match message {
-                Backend::Part(bytes) => return StreamEvent::Chunk(bytes),
-                Backend::Complete(bytes) => return StreamEvent::End(bytes),
-                Backend::Ready if self.check_usable() => return StreamEvent::Ready,
+                BackendMessage::ValueChunk(bytes) => return StreamEvent::Chunk(bytes),
+                BackendMessage::CommandComplete(bytes) => return StreamEvent::End(bytes),
+                BackendMessage::ReadyForQuery if self.check_usable() => return StreamEvent::Ready,
                 // The member sent more than it was asked for.
-                Backend::Ready => return StreamEvent::Broken,
-                Backend::Parameter { .. } | Backend::Other => {}
+                BackendMessage::ReadyForQuery => return StreamEvent::Broken,
+                BackendMessage::ParameterStatus { .. } | BackendMessage::Ignored => {}
                 _ => return self.break_stream(CloseReason::Protocol),
             }
         }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -2,15 +2,14 @@
 //! seeds. One helper serves them all.
 
 use bytes::{Bytes, BytesMut};
-use linenhill::admin::call::{self, Call, CallCodec};
-use linenhill::config::{Config, Reading, Variables};
+use linenhill::admin::call::{Call, CallCodec, parse_call};
+use linenhill::config::{Config, LoadReason, Variables};
 use linenhill::discovery::http::WatchCodec;
 use linenhill::discovery::list;
-use linenhill::pg::backend::{Backend, BackendCodec};
+use linenhill::hot_restart::saved;
+use linenhill::pg::backend::{BackendCodec, BackendMessage};
 use linenhill::pg::frontend::FrontendCodec;
 use linenhill::pg::statement;
-use linenhill::request::Payload;
-use linenhill::takeover::saved;
 use linenhill::upstream::report;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::fmt::Debug;
@@ -120,7 +119,7 @@
     let config = include_bytes!("../examples/config.json");
     let parse = |text: &[u8]| {
         let text = String::from_utf8_lossy(text);
-        let config = Config::parse(&text, Path::new("config.json"), Variables::default(), Reading::Start);
+        let config = Config::parse(&text, Path::new("config.json"), Variables::default(), LoadReason::Start);
         config.map(|c| c.sockets).map_err(|e| e.to_string())
     };
     assert_eq!(parse(config), Ok(1_024));
@@ -139,9 +138,7 @@
     fn same(before: u32, left: u64, k: u64) -> bool {
         let text = |d: u64| format!("/* id=a,c=order,d={d},k={k:x},cluster=2 */ INSERT 'x' 'd=1'");
         let read = statement::parse(&Bytes::from(text(u64::from(before))));
-        read.is_ok_and(|r| {
-            r.wait_ms == u64::from(before) && Payload::cut(&r.whole, r.wait_at).render(left) == text(left)
-        })
+        read.is_ok_and(|r| r.timeout_ms == u64::from(before) && r.payload.render(left) == text(left))
     }
     let mut random = QuickCheck::new().rng(Gen::from_size_and_seed(64, 8)).tests(200);
     random.quickcheck(same as fn(u32, u64, u64) -> bool);
@@ -175,12 +172,12 @@
             buffer.extend_from_slice(cut);
             while let Some(item) = codec.decode(&mut buffer).expect("well formed") {
                 match item {
-                    Backend::RowBegins(head) => assert_eq!(head[..], row[..11]),
-                    Backend::Part(part) => {
+                    BackendMessage::LongRowHead(head) => assert_eq!(head[..], row[..11]),
+                    BackendMessage::ValueChunk(part) => {
                         largest = largest.max(part.len());
                         got.extend_from_slice(&part);
                     }
-                    item => ready = item == Backend::Ready,
+                    item => ready = item == BackendMessage::ReadyForQuery,
                 }
             }
         }
@@ -222,7 +219,7 @@
     ] {
         let text = config.replace(from, to);
         let problem =
-            Config::parse(&text, Path::new("config.json"), Variables::default(), Reading::Start).err();
+            Config::parse(&text, Path::new("config.json"), Variables::default(), LoadReason::Start).err();
         let problem = problem.map(|p| p.to_string()).unwrap_or_default();
         assert!(problem.starts_with("config.json: ") && problem.contains(field), "{field}: {problem}");
         assert!(!problem.contains('\n'));
@@ -235,16 +232,19 @@
 fn calls_and_saved_files_are_read_whole_or_not_at_all() {
     let valid = b"POST /maintenance/enter?name=s%2D1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
     check(31, valid, |parts| items(CallCodec, parts));
-    assert_eq!(items(CallCodec, &[valid]).0, ["Enter(\"s-1\", false)"]);
-    let ask = |line: &str| call::call("POST", line).map_err(|e| e.status());
-    assert_eq!(ask("/maintenance/exit?name=a+b%7e"), Ok(Call::Exit("a b~".into())));
+    assert_eq!(items(CallCodec, &[valid]).0, ["EnterMaintenance { member: \"s-1\", is_forced: false }"]);
+    let ask = |line: &str| parse_call("POST", line).map_err(|e| e.status());
+    assert_eq!(ask("/maintenance/exit?name=a+b%7e"), Ok(Call::ExitMaintenance { member: "a b~".into() }));
     for wrong in
         ["", "?name=", "?name=a&name=b", "?name=%f", "?name=%zz", "?name=%00", "?nam=a", "?name=a&x=1"]
     {
         assert_eq!(ask(&format!("/maintenance/enter{wrong}")), Err(400), "{wrong}");
     }
-    assert_eq!(ask("/maintenance/enter?force=1&name=a"), Ok(Call::Enter("a".into(), true)));
-    assert_eq!(ask("/standby?force=1"), Ok(Call::Standby(true)));
+    assert_eq!(
+        ask("/maintenance/enter?force=1&name=a"),
+        Ok(Call::EnterMaintenance { member: "a".into(), is_forced: true })
+    );
+    assert_eq!(ask("/standby?force=1"), Ok(Call::Standby { is_forced: true }));
     assert_eq!(ask("/standby?force=yes"), Err(400));
     let long = format!("/maintenance/enter?name={}", "a".repeat(300));
     assert_eq!(ask(&long), Err(400));
@@ -274,11 +274,11 @@
 fn at_a_reload_the_files_discovery_stands_above_its_variable() {
     let config = include_str!("../examples/config.json");
     let without = config.replace("\"discovery\": \"127.0.0.1:8500\",", "");
-    let read = |text: &str, reading| {
+    let read = |text: &str, reason| {
         let variables = Variables { discovery: Some("127.0.0.1:1".into()), ..Variables::default() };
-        Config::parse(text, Path::new("config.json"), variables, reading).map(|c| c.discovery.port()).ok()
+        Config::parse(text, Path::new("config.json"), variables, reason).map(|c| c.discovery.port()).ok()
     };
-    assert_eq!(read(config, Reading::Start), Some(1));
-    assert_eq!(read(config, Reading::Again), Some(8500));
-    assert_eq!(read(&without, Reading::Again), Some(1));
+    assert_eq!(read(config, LoadReason::Start), Some(1));
+    assert_eq!(read(config, LoadReason::Reload), Some(8500));
+    assert_eq!(read(&without, LoadReason::Reload), Some(1));
 }
