--- a/crates/lab/src/disk.rs
+++ b/crates/lab/src/disk.rs
@@ -1,4 +1,5 @@
-//! A disk in memory that outlives its keeper, and that can be full or fail.
+//! A disk in memory for the real store. It outlives its keeper's process, and it can be full or fail; what was written
+//! stays readable all the same.
 
 use redb::StorageBackend;
 use std::io;
@@ -6,43 +7,43 @@
 
 /// What is wrong with a disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Wrong {
+pub enum DiskFault {
     /// Nothing.
     #[default]
-    Nothing,
-    /// It takes no more bytes.
+    None,
+    /// Writes fail, also those that would not make the store larger.
     Full,
-    /// What is written can't be synced.
-    Sync,
+    /// Writes work, and syncing them fails.
+    SyncFails,
 }
 
 #[derive(Debug, Default)]
 struct Content {
     bytes: Vec<u8>,
-    wrong: Wrong,
+    fault: DiskFault,
 }
 
-/// The disk; each copy is the same one.
+/// The disk. Clones share its content.
 #[derive(Clone, Debug, Default)]
-pub struct Image(Arc<Mutex<Content>>);
+pub struct MemoryDisk(Arc<Mutex<Content>>);
 
-impl Image {
+impl MemoryDisk {
     fn content(&self) -> MutexGuard<'_, Content> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// From now on this is wrong with it.
-    pub fn fails(&self, wrong: Wrong) {
-        self.content().wrong = wrong;
+    /// Sets what is wrong with the disk from now on.
+    pub fn set_fault(&self, fault: DiskFault) {
+        self.content().fault = fault;
     }
 
-    /// Whether anything was ever written.
-    pub fn is_blank(&self) -> bool {
+    /// Whether the disk has no content, as before a keeper's first start.
+    pub fn is_empty(&self) -> bool {
         self.content().bytes.is_empty()
     }
 }
 
-impl StorageBackend for Image {
+impl StorageBackend for MemoryDisk {
     fn len(&self) -> io::Result<u64> {
         Ok(self.content().bytes.len() as u64)
     }
@@ -57,7 +58,7 @@
 
     fn set_len(&self, len: u64) -> io::Result<()> {
         let mut content = self.content();
-        if content.wrong == Wrong::Full && len > content.bytes.len() as u64 {
+        if content.fault == DiskFault::Full && len > content.bytes.len() as u64 {
             return Err(io::ErrorKind::StorageFull.into());
         }
         content.bytes.resize(usize::try_from(len).unwrap_or(usize::MAX), 0);
@@ -65,15 +66,15 @@
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        match self.content().wrong {
-            Wrong::Sync => Err(io::Error::other("the disk can't be synced")),
+        match self.content().fault {
+            DiskFault::SyncFails => Err(io::Error::other("the disk can't be synced")),
             _ => Ok(()),
         }
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         let mut content = self.content();
-        if content.wrong == Wrong::Full {
+        if content.fault == DiskFault::Full {
             return Err(io::ErrorKind::StorageFull.into());
         }
         let from = usize::try_from(offset).unwrap_or(usize::MAX);
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -4,4 +4,4 @@
 
 pub mod disk;
 pub mod measure;
-pub mod together;
+pub mod simulation;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,7 +1,7 @@
 //! The laboratory's command line.
 
 use clap::{Parser, Subcommand};
-use linenhill_lab::measure::{Cost, Division, cost, divisions};
+use linenhill_lab::measure::{Cost, Division, measure_cost, measure_divisions};
 
 /// Plays linenhill's deciders under virtual time.
 #[derive(Parser)]
@@ -45,33 +45,41 @@
     },
 }
 
-fn main() -> Result<(), String> {
+fn main() {
     match Cli::parse().command {
         Command::Divide { seed, proxies, json } => {
-            let done = divisions(seed, proxies.max(2)).map_err(|e| e.to_string())?;
-            if json {
-                println!("{}", miniserde::json::to_string(&done));
-                return Ok(());
-            }
-            println!("{:<34} {:>7} {:>7} {:>8} {:>12}", "case", "leases", "n-th", "90% in s", "most");
-            for Division { case, leases, parts, within_s, most, whole } in done {
-                let within = within_s.map_or("never".into(), |s| format!("{s:.2}"));
-                println!("{case:<34} {leases:>7.3} {parts:>7.3} {within:>8} {most:>5} of {whole}");
-            }
+            let divisions = measure_divisions(seed, proxies.max(2));
+            print_divisions(&divisions, json);
         }
         Command::Cost { seed, proxies, seconds, lease, json } => {
-            let Cost { messages, bytes, grants, keepers_busy, us_per_grant, in_use, .. } = {
-                let done = cost(seed, proxies.max(1), seconds, lease.max(1)).map_err(|e| e.to_string())?;
-                if json {
-                    println!("{}", miniserde::json::to_string(&done));
-                    return Ok(());
-                }
-                done
-            };
-            println!("{proxies} proxies, {seconds} s, lease {lease} s: {in_use:.3} of the whole in use");
-            println!("a second: {messages:.0} messages, {bytes:.0} bytes, {grants:.0} grants");
-            println!("keepers: {keepers_busy:.4} s of work a second, {us_per_grant:.1} us for a grant");
+            let cost = measure_cost(seed, proxies.max(1), seconds, lease.max(1));
+            print_cost(&cost, json);
         }
     }
-    Ok(())
+}
+
+fn print_divisions(divisions: &Vec<Division>, json: bool) {
+    if json {
+        println!("{}", miniserde::json::to_string(divisions));
+        return;
+    }
+    println!("{:<34} {:>7} {:>7} {:>8} {:>12}", "case", "leases", "n-th", "90% in s", "most");
+    for Division { case, leased_part, equal_split_part, reached_after_s, peak_in_use, total } in divisions {
+        let reached = reached_after_s.map_or("never".into(), |seconds| format!("{seconds:.2}"));
+        println!(
+            "{case:<34} {leased_part:>7.3} {equal_split_part:>7.3} {reached:>8} {peak_in_use:>5} of {total}"
+        );
+    }
+}
+
+fn print_cost(cost: &Cost, json: bool) {
+    if json {
+        println!("{}", miniserde::json::to_string(cost));
+        return;
+    }
+    let Cost { proxies, seconds, lease_s, messages, bytes, grants, keepers_busy, us_per_grant, in_use_part } =
+        cost;
+    println!("{proxies} proxies, {seconds} s, lease {lease_s} s: {in_use_part:.3} of the whole in use");
+    println!("a second: {messages:.0} messages, {bytes:.0} bytes, {grants:.0} grants");
+    println!("keepers: {keepers_busy:.4} s of work a second, {us_per_grant:.1} us for a grant");
 }
