--- a/crates/lab/src/simulation/keepers.rs
+++ b/crates/lab/src/simulation/keepers.rs
@@ -62,7 +62,7 @@
 
 impl Simulation {
     /// Starts a keeper on its disk. On an empty disk it begins a new store; the first keeper of all begins a new log as
-    /// well. A keeper that can't start stays dead, and the history says why.
+    /// well. A keeper that can't start stays dead, and the history names the reason.
     pub fn start_keeper(&mut self, index: usize) {
         let keeper = &mut self.keepers[index];
         keeper.incarnation += 1;
@@ -122,7 +122,7 @@
 
     /// Loses everything that a keeper sends to proxies from now on, until [`Simulation::heal`].
     pub fn silence_keeper_to_proxies(&mut self, index: usize) {
-        self.record(&format!("{} says nothing to proxies", keeper_name(index)));
+        self.record(&format!("messages from {} to proxies are lost", keeper_name(index)));
         for proxy in 0..self.proxies.len() {
             self.network.block(Endpoint::Keeper(index), Endpoint::Proxy(proxy));
         }
--- a/crates/lab/tests/simulation/histories.rs
+++ b/crates/lab/tests/simulation/histories.rs
@@ -3,7 +3,7 @@
 use crate::SECOND_US;
 use linenhill_lab::simulation::{Problem, Simulation, SimulationConfig, SimulationFailure};
 
-/// Histories that are played where `LINENHILL_HISTORIES` doesn't say.
+/// Histories that are played unless `LINENHILL_HISTORIES` gives a number.
 const DEFAULT_HISTORIES: u64 = 40;
 /// Faults of a history.
 const FAULTS: usize = 12;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,6 +8,7 @@
 
 use harness::file;
 use linenhill_decisions::fault_injection::Fault;
+use linenhill_standins::NetworkFaults;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use together::{Bounds, KEEPERS, LONG, RATE, RULES, Rules, TIGHT, WHOLE, World, binary, operator, play};
@@ -98,10 +99,7 @@
             for round in 0..3 {
                 world.settled().await;
                 world.pause(1_000, format!("round {round}: settled")).await?;
-                world.proxies[0]
-                    .ways
-                    .iter()
-                    .for_each(|w| w.weather(|w| (w.held_to, w.held_from) = (true, true)));
+                world.proxies[0].ways.iter().for_each(|way| way.change_faults(NetworkFaults::hold_both));
                 world.pause(6_000, "p0 cut off".into()).await?;
                 world.heal();
             }
@@ -116,7 +114,7 @@
                 world.proxies[0]
                     .ways
                     .iter()
-                    .for_each(|w| w.weather(|w| w.delay = Duration::from_millis(100)));
+                    .for_each(|way| way.change_faults(|faults| faults.delay = Duration::from_millis(100)));
                 world.pause(700, format!("round {round}: the way of p0 is slow")).await?;
                 world.proxies[0].program.iter().for_each(|p| p.signal("-STOP"));
                 world.pause(2_500, "p0 stopped".into()).await?;
@@ -133,7 +131,10 @@
             world.settled().await;
             world.pause(1_000, "settled".into()).await?;
             // The older one does not hear that it is followed.
-            world.proxies[0].ways.iter().for_each(|w| w.weather(|w| w.held_from = true));
+            world.proxies[0]
+                .ways
+                .iter()
+                .for_each(|way| way.change_faults(|faults| faults.holds_replies = true));
             world.add_proxy("p0").await;
             world.clients_at(2..3, WHOLE);
             world.pause(8_000, "a second process has the name p0".into()).await
@@ -145,10 +146,7 @@
             world.clients(WHOLE);
             world.settled().await;
             for i in 0..3 {
-                world.proxies[i]
-                    .ways
-                    .iter()
-                    .for_each(|w| w.weather(|w| (w.held_to, w.held_from) = (true, true)));
+                world.proxies[i].ways.iter().for_each(|way| way.change_faults(NetworkFaults::hold_both));
             }
             world.pause(2_500, "p0 to p2 cut off".into()).await?;
             for i in 0..3 {
@@ -244,7 +242,7 @@
         world.clients(WHOLE);
         world.settled().await;
         for way in &world.proxies[0].ways {
-            way.weather(|w| (w.held_to, w.held_from) = (true, true));
+            way.change_faults(NetworkFaults::hold_both);
         }
         world.history.push("p0 cut off".into());
         let gone = async {
--- a/tests/outages.rs
+++ b/tests/outages.rs
@@ -4,7 +4,7 @@
 mod harness;
 mod together;
 
-use linenhill_standins::Weather;
+use linenhill_standins::NetworkFaults;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -108,7 +108,7 @@
         world.settled().await;
         world.all_in().await;
         for way in &world.proxies[0].ways {
-            way.weather(|w| (w.held_to, w.held_from) = (true, true));
+            way.change_faults(NetworkFaults::hold_both);
         }
         world.history.push("p0 hidden".into());
         let hidden = async {
@@ -161,7 +161,9 @@
         timeout(LONG, primary).await.expect("the primary is known");
         // A proxy that hears nothing of it: nobody hears yes while it may send.
         for way in &world.proxies[0].ways {
-            way.weather(|w| *w = Weather { held_from: true, ..Weather::FINE });
+            way.change_faults(|faults| {
+                *faults = NetworkFaults { holds_replies: true, ..NetworkFaults::NONE }
+            });
         }
         world.history.push("p0 hears nothing".into());
         let (status, text) = call(world.door(1), &enter("m-2")).await.expect("an answer");
@@ -236,7 +238,7 @@
             }
             7 => {
                 let (k, held) = (rng.usize(0..KEEPERS), rng.bool());
-                world.proxies[i].ways[k].weather(|w| (w.held_to, w.held_from) = (held, true));
+                world.proxies[i].ways[k].change_faults(|faults| faults.hold(held, true));
                 world.history.push(format!("p{i} and k{k} cut"));
                 sleep(Duration::from_millis(rng.u64(100..2_500))).await;
                 world.heal();
--- a/tests/together/mod.rs
+++ b/tests/together/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::harness::{self, Act, Program, encoded, file, peer, query};
 use linenhill::pg::backend::Command as Sent;
-use linenhill_standins::{Relay, Weather};
+use linenhill_standins::{NetworkFaults, Relay};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, ErrorKind};
@@ -208,7 +208,7 @@
     let keepers: String = ways
         .iter()
         .enumerate()
-        .map(|(i, w)| format!("keeper {{ name: \"k{i}\" address: \"{}\" }}\n", w.at))
+        .map(|(i, w)| format!("keeper {{ name: \"k{i}\" address: \"{}\" }}\n", w.address))
         .collect();
     let Rules { lease, membership, drift_ppm, outlives, .. } = rules;
     let held = format!("held {{ units: {whole} outlives_ms: {outlives} }} floor: 1");
@@ -351,7 +351,7 @@
     pub fn lead(&self) {
         for (k, keeper) in self.keepers.iter().enumerate() {
             let Some(at) = keeper.program.as_ref().map(|p| p.address("listens on ")) else { continue };
-            self.keepers.iter().chain(&self.proxies).for_each(|node| node.ways[k].lead_to(at));
+            self.keepers.iter().chain(&self.proxies).for_each(|node| node.ways[k].set_target(at));
         }
     }
 
@@ -499,17 +499,17 @@
                 let node = self.nodes().nth(node).expect("a node");
                 let (to, from) =
                     [(true, true), (true, false), (false, true)][usize::from(what) % 2 + way % 2];
-                node.ways[way].weather(|w| (w.held_to, w.held_from) = (to, from));
+                node.ways[way].change_faults(|faults| faults.hold(to, from));
                 format!("{} to k{way} held {to} {from}", node.name)
             }
             7 => {
                 let node = self.nodes().nth(node).expect("a node");
-                node.ways[way].weather(|w| w.resets += 1);
+                node.ways[way].change_faults(|faults| faults.resets += 1);
                 format!("{} to k{way} reset", node.name)
             }
             8 => {
                 let node = self.nodes().nth(node).expect("a node");
-                node.ways[way].weather(|w| w.delay = Duration::from_millis(300));
+                node.ways[way].change_faults(|faults| faults.delay = Duration::from_millis(300));
                 format!("{} to k{way} slow", node.name)
             }
             _ => {
@@ -527,7 +527,9 @@
                 node.program.iter().for_each(|p| p.signal("-CONT"));
             }
             for way in &node.ways {
-                way.weather(|w| *w = Weather { resets: w.resets, ..Weather::FINE });
+                way.change_faults(|faults| {
+                    *faults = NetworkFaults { resets: faults.resets, ..NetworkFaults::NONE }
+                });
             }
         }
     }
