--- a/crates/standins/src/soak/discovery.rs
+++ b/crates/standins/src/soak/discovery.rs
@@ -1,5 +1,5 @@
-//! A stand-in discovery: one list with versions, told to each proxy at an address of its own; down, crowded, slow or silent
-//! at the schedule's word. It tells the judge what it wrote and when.
+//! A stand-in discovery: one list with versions, which each proxy watches at an address of its own. It is down, crowded,
+//! slow or silent as the schedule says, and reports to the judge what it wrote and when.
 
 use super::judge::Judge;
 use super::member::Member;
@@ -13,25 +13,25 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// An empty line comes this often where there is nothing new.
-const BLANK_EVERY: Duration = Duration::from_secs(2);
-/// A crowded service rejects a call after so long.
+/// How often a watch gets an empty line while nothing changes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// After which time a crowded service rejects a call.
 const REJECTED_AFTER: Duration = Duration::from_secs(2);
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const BUSY: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// How discovery is.
+/// How discovery treats calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// It answers after so long.
+    /// It answers after this delay.
     Serving(Duration),
-    /// It has all calls wait, and rejects them.
+    /// It lets all calls wait, and rejects them.
     Crowded,
-    /// It is away.
+    /// It closes all calls and watches.
     Down,
 }
 
-/// A member in the list.
+/// What a version of the list says of a member.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     version: u64,
@@ -46,29 +46,32 @@
     silent_before: u64,
     /// Watches up to this number are reset.
     reset_before: u64,
-    /// Changes end all calls and watches.
-    ends: u64,
+    /// Counts failures of the whole service: each change ends all calls and watches.
+    outages: u64,
 }
 
-/// The service.
+/// The stand-in service.
 pub struct Discovery {
     /// Where each proxy calls.
     pub addresses: Vec<SocketAddr>,
-    /// How it is.
+    /// How it treats calls now.
     pub condition: Cell<Condition>,
     interruptions: watch::Sender<Interruptions>,
     watches: Cell<u64>,
     version: watch::Sender<u64>,
-    /// By member: what the list has said of it, the newest last.
+    /// By member: what each version of the list that changed it says, the newest last.
     entries: RefCell<Vec<Vec<Entry>>>,
     members: Vec<Rc<Member>>,
     judge: Rc<Judge>,
-    /// The version that each proxy was told last.
-    told: RefCell<Vec<u64>>,
+    /// The version that was written last to each proxy.
+    written_versions: RefCell<Vec<u64>>,
 }
 
 impl Discovery {
-    /// Starts one for these members, all in service.
+    /// Starts a service with these members, all in service, for this many proxies.
+    ///
+    /// # Errors
+    /// A port could not be bound.
     pub async fn start(
         members: Vec<Rc<Member>>, processes: usize, judge: Rc<Judge>,
     ) -> io::Result<Rc<Discovery>> {
@@ -88,7 +91,7 @@
             entries: RefCell::new(entries),
             members,
             judge,
-            told: RefCell::new(vec![1; processes]),
+            written_versions: RefCell::new(vec![1; processes]),
         });
         for (process, listener) in listeners.into_iter().enumerate() {
             spawn_local(discovery.clone().listen(process, listener));
@@ -96,25 +99,25 @@
         Ok(discovery)
     }
 
-    /// All open watches fall silent.
+    /// Silences all open watches for good.
     pub fn silence_watches(&self) {
         let opened = self.watches.get();
         self.interruptions.send_modify(|interruptions| interruptions.silent_before = opened);
     }
 
-    /// All open watches are reset.
+    /// Ends all open watches.
     pub fn reset_watches(&self) {
         let opened = self.watches.get();
         self.interruptions.send_modify(|interruptions| interruptions.reset_before = opened);
     }
 
-    /// Changes how it is; what goes away resets what is open.
+    /// Changes how it treats calls. A service that goes down ends all open watches.
     pub fn set_condition(&self, condition: Condition) {
         self.condition.set(condition);
         let is_reachable = matches!(condition, Condition::Serving(_));
-        self.judge.discovery_reachable(is_reachable);
+        self.judge.set_discovery_reachable(is_reachable);
         if condition == Condition::Down {
-            self.interruptions.send_modify(|interruptions| interruptions.ends += 1);
+            self.interruptions.send_modify(|interruptions| interruptions.outages += 1);
         }
     }
 
@@ -123,8 +126,8 @@
         self.newest(member).state == "in_service"
     }
 
-    /// A member has another state; one that is back has started anew.
-    pub fn change(&self, member: usize, state: &'static str) {
+    /// Changes a member's state in the list. A member that is in service again has started anew.
+    pub fn change_member(&self, member: usize, state: &'static str) {
         let version = *self.version.borrow() + 1;
         let started_ms = match state {
             "in_service" => {
@@ -143,22 +146,24 @@
 
     /// The list as a proxy had it last, for its configuration, and its version.
     pub fn saved_list(&self, process: usize) -> (u64, String) {
-        let version = self.told.borrow()[process];
+        let version = self.written_versions.borrow()[process];
         let entries = self.entries.borrow();
         let listed = entries.iter().enumerate().map(|(member, history)| {
-            let then = history.iter().rfind(|entry| entry.version <= version).expect("a first entry");
-            self.entry(process, member, *then)
+            let entry = history.iter().rfind(|entry| entry.version <= version).expect("a first entry");
+            self.list_line(process, member, *entry)
         });
         let servers: Vec<String> = listed.collect();
         let servers = servers.join(",");
         (version, format!(r#"{{"version":{version},"full":true,"servers":[{servers}]}}"#))
     }
 
-    fn entry(&self, process: usize, member: usize, entry: Entry) -> String {
+    /// A member's entry in the JSON of the list, with the address at which this proxy reaches it.
+    fn list_line(&self, process: usize, member: usize, entry: Entry) -> String {
         let Member { group, addresses, .. } = &*self.members[member];
-        let (at, Entry { state, started_ms, .. }) = (addresses[process], entry);
+        let address = addresses[process];
+        let Entry { state, started_ms, .. } = entry;
         format!(
-            r#"{{"id":"m-{member}","addr":"{at}","zone":"a","kind":"soak","cell":{group},"state":"{state}","started_ms":{started_ms}}}"#
+            r#"{{"id":"m-{member}","addr":"{address}","zone":"a","kind":"soak","cell":{group},"state":"{state}","started_ms":{started_ms}}}"#
         )
     }
 
@@ -167,10 +172,10 @@
             let discovery = self.clone();
             spawn_local(async move {
                 let mut interruptions = discovery.interruptions.subscribe();
-                let ends = interruptions.borrow().ends;
+                let outages = interruptions.borrow().outages;
                 tokio::select! {
                     _ = discovery.answer(process, stream) => {}
-                    _ = interruptions.wait_for(|now| now.ends != ends) => {}
+                    _ = interruptions.wait_for(|now| now.outages != outages) => {}
                 }
             });
         }
@@ -206,7 +211,7 @@
     async fn watch(
         &self, process: usize, number: u64, mut from: u64, mut stream: TcpStream,
     ) -> io::Result<()> {
-        let life = self.judge.life(process);
+        let incarnation = self.judge.incarnation(process);
         let mut version = self.version.subscribe();
         loop {
             if self.interruptions.borrow().silent_before >= number {
@@ -216,13 +221,13 @@
             let line = if newest > from { self.changes(process, from, newest) } else { String::new() };
             from = newest;
             let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
-            // What is told counts from its first byte.
-            if !self.judge.list_written(process, life, newest) {
+            // A proxy counts as notified from the first byte on.
+            if !self.judge.list_written(process, incarnation, newest) {
                 return Ok(());
             }
-            self.told.borrow_mut()[process] = newest;
+            self.written_versions.borrow_mut()[process] = newest;
             stream.write_all(chunk.as_bytes()).await?;
-            let _ = timeout(BLANK_EVERY, version.changed()).await;
+            let _ = timeout(KEEPALIVE_INTERVAL, version.changed()).await;
         }
     }
 
@@ -230,7 +235,7 @@
         let newest = (0..self.members.len()).map(|member| (member, self.newest(member)));
         let changed = newest.filter(|(_, entry)| entry.version > from);
         let servers: Vec<String> =
-            changed.map(|(member, entry)| self.entry(process, member, entry)).collect();
+            changed.map(|(member, entry)| self.list_line(process, member, entry)).collect();
         format!(r#"{{"version":{version},"full":false,"servers":[{}]}}"#, servers.join(","))
     }
 }
--- a/crates/standins/src/soak/judge/mod.rs
+++ b/crates/standins/src/soak/judge/mod.rs
@@ -1,73 +1,68 @@
-//! The judge of a soak: looks from outside, at what members, discovery and clients saw, and knows nothing of how a proxy
-//! decides. Its rules are the platform's, with the platform's slack; what its own thread was late by is added.
+//! The judge of a soak. It looks from outside, at what members, discovery and clients saw, and must know nothing of how a
+//! proxy decides. Its rules are the platform's, with the platform's slack; what its own thread was late by is added.
 
+mod intervals;
+mod list_history;
+
+use intervals::Intervals;
+use list_history::ListHistory;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What discovery had to tell counts as told at the latest so long after, while it can be reached.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
-/// Nothing new reaches a member later than this after its proxy was told that it drains or is gone.
+/// No attempt reaches a member later than this after its proxy was notified that it drains or is gone.
 pub const DRAIN_GRACE: Duration = Duration::from_secs(2);
 /// Every limit is longer by this on sockets.
 const SOCKET_SLACK: Duration = Duration::from_millis(50);
-/// A proxy may be held up for so long between its clock and its write.
+/// A proxy may be held up for so long between reading its clock and writing.
 const HOLD_UP: Duration = Duration::from_millis(150);
 /// No attempt begins later than this after its client's close.
-const GONE_AFTER: Duration = Duration::from_millis(100);
+const SENT_AFTER_CLOSE_MAX: Duration = Duration::from_millis(100);
 /// What a request is answered late by at most.
 const LATE_ANSWER: Duration = Duration::from_millis(500);
-/// A client that stops in the middle of a message is owed its end within this time.
-const STOPPED_WITHIN: Duration = Duration::from_secs(3);
+/// The connection of a client that stops in the middle of a message ends within this time.
+const STOPPED_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 /// A keyed write may be repeated for so long after its first attempt began.
 const KEY_WINDOW: Duration = Duration::from_secs(5);
-/// After a stall, what a proxy owes may be late by its length and this.
-const AFTER_STALL: Duration = Duration::from_secs(1);
-/// A process that can't reach discovery after its start goes on with its saved list after this time.
-const OUTAGE_AT_START: Duration = Duration::from_secs(12);
-/// Lateness of the judge's own thread is remembered for so long.
+/// After a suspension, an answer may be late by its length and this.
+const AFTER_SUSPENSION: Duration = Duration::from_secs(1);
+/// For how long lateness of the judge's own thread is remembered.
 const LATENESS_KEPT: Duration = Duration::from_secs(2);
 
-/// What broke, in a line for people.
+/// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The rule.
     pub rule: &'static str,
-    /// Who, what and when.
+    /// Which proxy and request, and when, in a line to read.
     pub text: String,
 }
 
-/// A change of a member in the list.
-#[derive(Clone, Copy, Debug)]
-struct Change {
-    version: u64,
-    made_at: Instant,
-    serves: bool,
-}
-
-struct Request {
+/// What is known of a request from its client and from members.
+struct JudgedRequest {
     process: usize,
     written_at: Instant,
-    wait: Duration,
+    /// Its deadline, from `written_at` on.
+    time_left: Duration,
     closed_at: Option<Instant>,
     answered_at: Option<Instant>,
-    first_attempt: Option<Instant>,
+    first_attempt_at: Option<Instant>,
     is_write: bool,
 }
 
 /// An attempt that reached a member.
 #[derive(Clone, Debug)]
-pub struct AttemptSeen {
+pub struct ObservedAttempt {
     /// The proxy that sent it.
     pub process: usize,
-    /// The member that got it.
+    /// The member that received it.
     pub member: usize,
     /// The request's id.
     pub id: String,
-    /// What it says is left, in milliseconds.
+    /// The time left to the deadline that the attempt names, in milliseconds.
     pub left_ms: u64,
-    /// When it was there.
+    /// When it was received.
     pub at: Instant,
 }
 
@@ -86,45 +81,30 @@
     pub stopped_clients: u64,
     /// Clients that left before their answer.
     pub left_clients: u64,
-    /// Sends to drained members by processes that had started into an outage, and not heard discovery for 12 s.
+    /// Attempts at drained members by processes that had started into an outage, and not reached discovery for 12 s.
     pub sends_after_start_in_outage: u64,
 }
 
-/// From when to when something was so; without an end it still is.
-type Interval = (Instant, Option<Instant>);
-
-/// The judge.
+/// The judge. Everything that it is notified of is taken to happen now.
 pub struct Judge {
     started: Instant,
-    /// By member.
-    changes: RefCell<Vec<Vec<Change>>>,
-    /// Counts the starts and ends of each proxy.
-    lives: RefCell<Vec<u64>>,
-    /// When each proxy was started.
-    started_at: RefCell<Vec<Instant>>,
-    /// The version that discovery wrote to each proxy in this life, and when; first that of its saved list.
-    written: RefCell<Vec<Vec<(u64, Instant)>>>,
-    /// When discovery could not be reached.
-    outages: RefCell<Vec<Interval>>,
+    lists: RefCell<ListHistory>,
     /// When each proxy did not run.
-    stalls: RefCell<Vec<Vec<Interval>>>,
-    requests: RefCell<BTreeMap<String, Request>>,
+    suspensions: RefCell<Vec<Intervals>>,
+    requests: RefCell<BTreeMap<String, JudgedRequest>>,
+    /// By how much the judge's own thread was late, and when.
     lateness: RefCell<VecDeque<(Instant, Duration)>>,
     violations: RefCell<Vec<Violation>>,
     counts: Cell<Counts>,
 }
 
 impl Judge {
-    /// A judge of so many proxies and members; all members serve.
+    /// A judge of this many proxies and members. All members are in service.
     pub fn new(processes: usize, members: usize) -> Judge {
         Judge {
             started: Instant::now(),
-            changes: RefCell::new(vec![Vec::new(); members]),
-            lives: RefCell::new(vec![0; processes]),
-            started_at: RefCell::new(vec![Instant::now(); processes]),
-            written: RefCell::new(vec![Vec::new(); processes]),
-            outages: RefCell::default(),
-            stalls: RefCell::new(vec![Vec::new(); processes]),
+            lists: RefCell::new(ListHistory::new(processes, members)),
+            suspensions: RefCell::new(vec![Intervals::default(); processes]),
             requests: RefCell::default(),
             lateness: RefCell::default(),
             violations: RefCell::default(),
@@ -132,7 +112,7 @@
         }
     }
 
-    /// What broke.
+    /// The rules that were broken, in the order of time.
     pub fn violations(&self) -> Vec<Violation> {
         self.violations.borrow().clone()
     }
@@ -143,188 +123,140 @@
     }
 
     /// Changes what is counted.
-    pub fn count(&self, change: impl FnOnce(&mut Counts)) {
+    fn count(&self, change: impl FnOnce(&mut Counts)) {
         let mut counts = self.counts.get();
         change(&mut counts);
         self.counts.set(counts);
     }
 
-    /// The judge's thread was late by so much.
-    pub fn was_late(&self, by: Duration) {
+    /// Records by how much the judge's own thread was late, which no proxy is to blame for.
+    pub fn record_lateness(&self, late_by: Duration) {
         let mut lateness = self.lateness.borrow_mut();
         let now = Instant::now();
         while lateness.front().is_some_and(|(at, _)| now.duration_since(*at) > LATENESS_KEPT) {
             lateness.pop_front();
         }
-        lateness.push_back((now, by));
+        lateness.push_back((now, late_by));
     }
 
     fn slack(&self) -> Duration {
-        let late = self.lateness.borrow().iter().map(|(_, by)| *by).max().unwrap_or_default();
+        let late = self.lateness.borrow().iter().map(|(_, late_by)| *late_by).max().unwrap_or_default();
         SOCKET_SLACK + late
     }
 
-    /// Something broke.
+    /// Records a violation, also one that others saw.
     pub fn report(&self, rule: &'static str, text: String) {
         let at = self.started.elapsed().as_secs_f64();
         self.violations.borrow_mut().push(Violation { rule, text: format!("{at:.3} s: {text}") });
     }
 
-    /// Discovery has a new version: a member serves, or drains or is gone.
-    pub fn member_changed(&self, member: usize, version: u64, serves: bool) {
-        let change = Change { version, made_at: Instant::now(), serves };
-        self.changes.borrow_mut()[member].push(change);
+    /// Records a new version of discovery's list: this member is in service, or drains or is gone.
+    pub fn member_changed(&self, member: usize, version: u64, is_in_service: bool) {
+        self.lists.borrow_mut().record_change(member, version, is_in_service);
     }
 
-    /// Which life of a proxy this is.
-    pub fn life(&self, process: usize) -> u64 {
-        self.lives.borrow()[process]
+    /// The number of a proxy's starts and ends, which names its present incarnation.
+    pub fn incarnation(&self, process: usize) -> u64 {
+        self.lists.borrow().incarnation(process)
     }
 
-    /// Discovery wrote a list of this version to a proxy, on a connection that is not silent and that was made in this
-    /// life. Returns whether it still lives.
-    pub fn list_written(&self, process: usize, life: u64, version: u64) -> bool {
-        let lives_on = self.life(process) == life;
-        if lives_on {
-            self.written.borrow_mut()[process].push((version, Instant::now()));
-        }
-        lives_on
+    /// Records that discovery wrote a list of this version to a proxy, on a connection that is not silent and that was
+    /// made by this incarnation. Returns whether the incarnation lives.
+    pub fn list_written(&self, process: usize, incarnation: u64, version: u64) -> bool {
+        self.lists.borrow_mut().record_list(process, incarnation, version)
     }
 
-    /// A proxy was started with a saved list of this version: what it was told before is void.
+    /// Records the start of a proxy with a saved list of this version. What it was notified of before is void.
     pub fn process_started(&self, process: usize, version: u64) {
-        self.process_ended(process);
-        self.started_at.borrow_mut()[process] = Instant::now();
-        self.written.borrow_mut()[process] = vec![(version, Instant::now())];
+        self.lists.borrow_mut().record_start(process, version);
     }
 
-    /// A proxy has ended.
+    /// Records the end of a proxy.
     pub fn process_ended(&self, process: usize) {
-        self.lives.borrow_mut()[process] += 1;
+        self.lists.borrow_mut().record_end(process);
     }
 
-    /// Whether a proxy has gone on with its saved list since it could not reach discovery for so long after its start.
-    /// That it does is the project's decision (`docs/design/list-lease.md`), against the letter of the rule.
-    fn started_into_outage(&self, process: usize, at: Instant) -> bool {
-        let started_at = self.started_at.borrow()[process];
-        let was_never_told = self.written.borrow()[process].len() <= 1;
-        let out = covered(&self.outages.borrow(), started_at, at);
-        was_never_told && !out.is_zero() && at.duration_since(started_at) >= OUTAGE_AT_START
+    /// Sets whether discovery can be reached, from now on.
+    pub fn set_discovery_reachable(&self, is_reachable: bool) {
+        self.lists.borrow_mut().outages.set_open(!is_reachable);
     }
 
-    /// Whether discovery can be reached, from now on.
-    pub fn discovery_reachable(&self, is_reachable: bool) {
-        set_interval(&mut self.outages.borrow_mut(), !is_reachable);
+    /// Sets whether a proxy is suspended, from now on.
+    pub fn set_suspended(&self, process: usize, is_suspended: bool) {
+        self.suspensions.borrow_mut()[process].set_open(is_suspended);
     }
 
-    /// Whether a proxy runs, from now on.
-    pub fn process_runs(&self, process: usize, runs: bool) {
-        set_interval(&mut self.stalls.borrow_mut()[process], !runs);
-    }
-
-    /// How long a proxy did not run since `from`.
-    pub fn stalled_since(&self, process: usize, from: Instant) -> Duration {
-        covered(&self.stalls.borrow()[process], from, Instant::now())
-    }
-
-    /// When a change counts as told to a proxy, as far as it does by `now`.
-    fn told_at(&self, process: usize, change: &Change, now: Instant) -> Option<Instant> {
-        let written = self.written.borrow();
-        let written = written[process].iter().filter(|(version, _)| *version >= change.version);
-        let by_word = written.map(|(_, at)| *at).min().map(|at| at.max(change.made_at));
-        // Time in which discovery can't be reached does not count.
-        let mut due = change.made_at + TOLD_AFTER;
-        for (begin, end) in self.outages.borrow().iter() {
-            if *begin >= due {
-                break;
-            }
-            let end = end.unwrap_or(now);
-            due += end.saturating_duration_since((*begin).max(change.made_at));
-        }
-        let by_rule = Some(due).filter(|due| *due <= now);
-        by_word.into_iter().chain(by_rule).min()
+    /// For how long a proxy was suspended since `from`.
+    pub fn suspended_since(&self, process: usize, from: Instant) -> Duration {
+        self.suspensions.borrow()[process].covered(from, Instant::now())
     }
 
-    /// An attempt reached a member.
-    pub fn attempt(&self, seen: &AttemptSeen) {
+    /// Judges an attempt that reached a member.
+    pub fn judge_attempt(&self, attempt: &ObservedAttempt) {
         self.count(|counts| counts.attempts += 1);
-        self.judge_drain(seen);
-        self.judge_request(seen);
+        self.judge_drain(attempt);
+        self.judge_by_request(attempt);
     }
 
-    fn judge_drain(&self, seen: &AttemptSeen) {
-        let changes = self.changes.borrow();
-        let changes = &changes[seen.member];
-        for (index, change) in changes.iter().enumerate().filter(|(_, change)| !change.serves) {
-            let Some(told_at) = self.told_at(seen.process, change, seen.at) else { continue };
-            let is_back =
-                |later: &Change| later.serves && self.told_at(seen.process, later, seen.at).is_some();
-            if changes[index + 1..].iter().any(is_back) {
+    fn judge_drain(&self, attempt: &ObservedAttempt) {
+        let ObservedAttempt { process, member, id, at, .. } = attempt;
+        let lists = self.lists.borrow();
+        for (change, notified_at) in lists.notified_departures(*process, *member, *at) {
+            let age = at.duration_since(notified_at);
+            if age <= DRAIN_GRACE + self.slack() {
                 continue;
             }
-            let age = seen.at.duration_since(told_at);
-            if age > DRAIN_GRACE + self.slack() && self.started_into_outage(seen.process, seen.at) {
+            if lists.started_into_outage(*process, *at) {
                 self.count(|counts| counts.sends_after_start_in_outage += 1);
-            } else if age > DRAIN_GRACE + self.slack() {
-                let AttemptSeen { process, member, id, .. } = seen;
-                let text = format!(
-                    "proxy {process} sent {id} to member {member} {age:?} after it was told of version {}",
-                    change.version
-                );
-                self.report("drain", text);
+                continue;
             }
+            let version = change.version;
+            let text = format!(
+                "proxy {process} sent {id} to member {member} {age:?} after it was notified of version {version}"
+            );
+            self.report("drain", text);
         }
     }
 
-    fn judge_request(&self, seen: &AttemptSeen) {
+    fn judge_by_request(&self, attempt: &ObservedAttempt) {
         let mut requests = self.requests.borrow_mut();
-        let Some(request) = requests.get_mut(&seen.id) else { return };
+        let Some(request) = requests.get_mut(&attempt.id) else { return };
+        let ObservedAttempt { id, at, left_ms, .. } = attempt;
         let slack = self.slack();
-        let id = &seen.id;
-        if let Some(closed_at) = request.closed_at
-            && seen.at > closed_at + GONE_AFTER + slack
-        {
-            let age = seen.at.duration_since(closed_at);
+        let since_close = request.closed_at.map(|closed_at| at.saturating_duration_since(closed_at));
+        if let Some(age) = since_close.filter(|age| *age > SENT_AFTER_CLOSE_MAX + slack) {
             self.report("lost", format!("{id} was sent {age:?} after its client had left"));
         }
-        if let Some(answered_at) = request.answered_at
-            && seen.at > answered_at + slack
-        {
-            self.report(
-                "after-answer",
-                format!("{id} was sent {:?} after its answer", seen.at - answered_at),
-            );
+        let since_answer = request.answered_at.map(|answered_at| at.saturating_duration_since(answered_at));
+        if let Some(age) = since_answer.filter(|age| *age > slack) {
+            self.report("after-answer", format!("{id} was sent {age:?} after its answer"));
         }
-        let spent = seen.at.duration_since(request.written_at);
-        let left = request.wait.saturating_sub(spent);
-        if Duration::from_millis(seen.left_ms) > left + HOLD_UP + slack {
-            self.report("deadline", format!("{id} was sent with {} ms, {left:?} were left", seen.left_ms));
+        let left = request.time_left.saturating_sub(at.duration_since(request.written_at));
+        if Duration::from_millis(*left_ms) > left + HOLD_UP + slack {
+            self.report("deadline", format!("{id} was sent with {left_ms} ms, {left:?} were left"));
         }
-        let first = *request.first_attempt.get_or_insert(seen.at);
-        if request.is_write && seen.at > first + KEY_WINDOW + slack {
-            self.report(
-                "duplicate",
-                format!("{id} was repeated {:?} after its first attempt", seen.at - first),
-            );
+        let age = at.duration_since(*request.first_attempt_at.get_or_insert(*at));
+        if request.is_write && age > KEY_WINDOW + slack {
+            self.report("duplicate", format!("{id} was repeated {age:?} after its first attempt"));
         }
     }
 
-    /// A client has written the last byte of a request.
-    pub fn request_written(&self, id: &str, process: usize, wait: Duration, is_write: bool) {
+    /// Records that a client wrote the last byte of a request, which names this deadline.
+    pub fn request_written(&self, id: &str, process: usize, time_left: Duration, is_write: bool) {
         self.count(|counts| counts.requests += 1);
-        let request = Request {
+        let request = JudgedRequest {
             process,
             written_at: Instant::now(),
-            wait,
+            time_left,
             closed_at: None,
             answered_at: None,
-            first_attempt: None,
+            first_attempt_at: None,
             is_write,
         };
         self.requests.borrow_mut().insert(id.to_string(), request);
     }
 
-    /// A client has closed its connection with this request open.
+    /// Records that a client closed its connection while this request was open.
     pub fn client_left(&self, id: &str) {
         self.count(|counts| counts.left_clients += 1);
         if let Some(request) = self.requests.borrow_mut().get_mut(id) {
@@ -332,55 +264,35 @@
         }
     }
 
-    /// A request got its final answer; the one before it on its connection was answered at `turn_since`: what it waited
-    /// for that does not count.
-    pub fn answered(&self, id: &str, is_served: bool, turn_since: Instant) {
+    /// Judges the time of a request's final answer. The request before it on its connection was answered at
+    /// `previous_answer_at`: the wait for that does not count.
+    pub fn judge_answer(&self, id: &str, is_served: bool, previous_answer_at: Instant) {
         self.count(|counts| if is_served { counts.served += 1 } else { counts.rejected += 1 });
         let mut requests = self.requests.borrow_mut();
         let Some(request) = requests.get_mut(id) else { return };
         let now = Instant::now();
         request.answered_at = Some(now);
-        let stalled = covered(&self.stalls.borrow()[request.process], request.written_at, now);
-        let stalled = if stalled.is_zero() { stalled } else { stalled + AFTER_STALL };
-        let since = request.written_at.max(turn_since);
-        let late = now.duration_since(since).saturating_sub(request.wait + LATE_ANSWER + stalled);
+        let process = request.process;
+        let suspended = self.suspended_since(process, request.written_at);
+        let allowance = if suspended.is_zero() { Duration::ZERO } else { suspended + AFTER_SUSPENSION };
+        let since = request.written_at.max(previous_answer_at);
+        let late = now.duration_since(since).saturating_sub(request.time_left + LATE_ANSWER + allowance);
         if late > self.slack() {
-            let process = request.process;
             self.report("lost", format!("{id} at proxy {process} was answered {late:?} after its time"));
         }
     }
 
-    /// A client that stopped at `stopped_at` got its end, or nothing until now.
-    pub fn stopped_client(&self, process: usize, stopped_at: Instant, has_ended: bool) {
+    /// Judges the end of the connection of a client that stopped in the middle of a message at `stopped_at`: it ended now,
+    /// or it has not ended.
+    pub fn judge_stopped_client(&self, process: usize, stopped_at: Instant, has_ended: bool) {
         self.count(|counts| counts.stopped_clients += 1);
         let took = stopped_at.elapsed();
-        if !self.stalled_since(process, stopped_at).is_zero() {
+        if !self.suspended_since(process, stopped_at).is_zero() {
             return;
         }
-        if !has_ended || took > STOPPED_WITHIN + self.slack() {
-            self.report(
-                "stopped-client",
-                format!("proxy {process}: its end after {took:?}, ended: {has_ended}"),
-            );
+        if !has_ended || took > STOPPED_CLIENT_TIMEOUT + self.slack() {
+            let text = format!("proxy {process}: its end after {took:?}, ended: {has_ended}");
+            self.report("stopped-client", text);
         }
     }
 }
-
-fn set_interval(intervals: &mut Vec<Interval>, is_open: bool) {
-    let now = Instant::now();
-    let last = intervals.last_mut().filter(|(_, end)| end.is_none());
-    match (last, is_open) {
-        (None, true) => intervals.push((now, None)),
-        (Some((_, end)), false) => *end = Some(now),
-        _ => {}
-    }
-}
-
-/// How much of the time between two moments the intervals cover.
-fn covered(intervals: &[Interval], from: Instant, to: Instant) -> Duration {
-    let overlap = |(begin, end): &Interval| {
-        let begin = (*begin).max(from);
-        end.unwrap_or(to).min(to).saturating_duration_since(begin)
-    };
-    intervals.iter().map(overlap).sum()
-}
--- a/crates/standins/src/soak/member.rs
+++ b/crates/standins/src/soak/member.rs
@@ -1,7 +1,7 @@
-//! A stand-in member: serves what it gets, tells the judge of each attempt, and hangs or breaks at the schedule's word.
-//! Every proxy reaches it at an address of its own, so that it knows who sent what.
+//! A stand-in member. It serves what it receives, reports each attempt to the judge, and hangs or resets connections as
+//! the schedule says. Every proxy reaches it at an address of its own, so that it knows which one sent what.
 
-use super::judge::{AttemptSeen, Judge};
+use super::judge::{Judge, ObservedAttempt};
 use super::wire;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,54 +19,69 @@
 /// The end of an earlier attempt may be seen so much later than the next attempt.
 const END_SEEN_WITHIN: Duration = Duration::from_millis(150);
 
-/// The members' attempts that are out, by request: how many, over all members.
+/// The attempts in flight at all members.
 #[derive(Default)]
-pub struct OpenAttempts(RefCell<BTreeMap<String, Vec<(u64, usize)>>>, Cell<u64>);
+pub struct OpenAttempts {
+    by_request: RefCell<BTreeMap<String, Vec<OpenAttempt>>>,
+    opened: Cell<u64>,
+}
+
+struct OpenAttempt {
+    /// Numbers attempts in the order in which they reached members.
+    number: u64,
+    member: usize,
+}
 
 impl OpenAttempts {
     fn open(&self, id: &str, member: usize) -> u64 {
-        let number = self.1.get();
-        self.1.set(number + 1);
-        self.0.borrow_mut().entry(id.to_string()).or_default().push((number, member));
+        let number = self.opened.get();
+        self.opened.set(number + 1);
+        let mut by_request = self.by_request.borrow_mut();
+        by_request.entry(id.to_string()).or_default().push(OpenAttempt { number, member });
         number
     }
 
     fn close(&self, id: &str, number: u64) {
-        let mut open = self.0.borrow_mut();
-        if let Some(attempts) = open.get_mut(id) {
-            attempts.retain(|(other, _)| *other != number);
+        let mut by_request = self.by_request.borrow_mut();
+        if let Some(attempts) = by_request.get_mut(id) {
+            attempts.retain(|attempt| attempt.number != number);
             if attempts.is_empty() {
-                open.remove(id);
+                by_request.remove(id);
             }
         }
     }
 
-    fn before(&self, id: &str, number: u64) -> Option<usize> {
-        let open = self.0.borrow();
-        open.get(id)?.iter().find(|(other, _)| *other < number).map(|(_, member)| *member)
+    /// The member of an attempt of this request that began before the one of this number.
+    fn earlier_member(&self, id: &str, number: u64) -> Option<usize> {
+        let by_request = self.by_request.borrow();
+        let attempts = by_request.get(id)?;
+        attempts.iter().find(|attempt| attempt.number < number).map(|attempt| attempt.member)
     }
 }
 
-/// One member.
+/// One stand-in member.
 pub struct Member {
     /// Its place among the members.
     pub index: usize,
     /// Its group.
     pub group: usize,
-    /// Whether it takes writes.
+    /// Whether it accepts writes.
     pub is_primary: bool,
     /// Where each proxy reaches it.
     pub addresses: Vec<SocketAddr>,
-    /// Nothing is answered until then.
+    /// It answers nothing before this.
     pub hangs_until: Cell<Option<Instant>>,
-    /// Changes end all connections.
+    /// Counts resets: each change ends all connections.
     pub resets: watch::Sender<u32>,
     judge: Rc<Judge>,
     open: Rc<OpenAttempts>,
 }
 
 impl Member {
-    /// Starts one that listens for so many proxies.
+    /// Starts a member that listens for this many proxies.
+    ///
+    /// # Errors
+    /// A port could not be bound.
     pub async fn start(
         index: usize, group: usize, is_primary: bool, processes: usize, judge: Rc<Judge>,
         open: Rc<OpenAttempts>,
@@ -111,8 +126,8 @@
                 wire::write(&mut stream, &answer).await?;
                 continue;
             };
-            let _attempt = self.begin(process, &id, &statement);
-            // Whoever gives an attempt up closes its connection: its end is seen at once.
+            let _in_flight = self.begin_attempt(process, &id, &statement);
+            // A proxy that cancels an attempt closes its connection: the end is seen at once.
             tokio::select! {
                 () = self.work() => {}
                 ended = closed(&stream) => return ended,
@@ -125,24 +140,26 @@
         }
     }
 
-    fn begin(&self, process: usize, id: &str, statement: &str) -> Attempt {
+    /// Reports an attempt to the judge, and reports it as a violation if another one of its request stays in flight.
+    fn begin_attempt(&self, process: usize, id: &str, statement: &str) -> InFlightGuard {
         let left_ms = wire::field(statement, "d").and_then(|left| left.parse().ok()).unwrap_or(0);
-        let seen =
-            AttemptSeen { process, member: self.index, id: id.to_string(), left_ms, at: Instant::now() };
-        self.judge.attempt(&seen);
+        let attempt =
+            ObservedAttempt { process, member: self.index, id: id.to_string(), left_ms, at: Instant::now() };
+        self.judge.judge_attempt(&attempt);
         let number = self.open.open(id, self.index);
-        if self.open.before(id, number).is_some() {
+        if self.open.earlier_member(id, number).is_some() {
             let (open, judge, id) = (self.open.clone(), self.judge.clone(), id.to_string());
             let member = self.index;
             spawn_local(async move {
                 sleep(END_SEEN_WITHIN).await;
-                if let Some(earlier) = open.before(&id, number) {
-                    let text = format!("{id} was sent to member {member} while out at member {earlier}");
+                if let Some(earlier) = open.earlier_member(&id, number) {
+                    let text =
+                        format!("{id} was sent to member {member} while in flight at member {earlier}");
                     judge.report("one-attempt", text);
                 }
             });
         }
-        Attempt { id: id.to_string(), number, open: self.open.clone() }
+        InFlightGuard { id: id.to_string(), number, open: self.open.clone() }
     }
 
     async fn work(&self) {
@@ -162,20 +179,20 @@
     }
 }
 
-/// An attempt that is out.
-struct Attempt {
+/// Keeps an attempt among those in flight until it is dropped, also where the connection's task is cancelled.
+struct InFlightGuard {
     id: String,
     number: u64,
     open: Rc<OpenAttempts>,
 }
 
-impl Drop for Attempt {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.open.close(&self.id, self.number);
     }
 }
 
-/// Returns once the other side has closed a connection on which nothing is owed by it.
+/// Returns, with an error, once the other side has closed or written: it must do neither before its answer.
 async fn closed(stream: &TcpStream) -> io::Result<()> {
     stream.peek(&mut [0; 1]).await?;
     Err(io::ErrorKind::ConnectionAborted.into())
--- a/crates/standins/src/soak/mod.rs
+++ b/crates/standins/src/soak/mod.rs
@@ -1,5 +1,5 @@
 //! A soak: a few dozen real proxies before stand-in members, discovery and clients, with random faults that overlap, from
-//! one seed. Judged from outside by the platform's rules, and by what the proxies' own invariants count.
+//! one seed. It is judged from outside by the platform's rules, and by the proxies' own invariants; never by their metrics.
 
 pub mod client;
 pub mod discovery;
@@ -13,8 +13,8 @@
 use discovery::{Condition, Discovery};
 use judge::{Counts, Judge, Violation};
 use member::{Member, OpenAttempts};
-use process::{Process, Setting};
-use schedule::{Fault, Schedule, Size};
+use process::{Process, ProcessConfig};
+use schedule::{Fault, Schedule, SoakSize};
 use std::cell::Cell;
 use std::io;
 use std::path::PathBuf;
@@ -23,61 +23,64 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Groups of members, and members of each.
+/// Groups of members.
 const GROUPS: usize = 3;
+/// Members of each group. The first one is its primary.
 const GROUP_MEMBERS: usize = 3;
 /// Clients of each proxy.
 const CLIENTS: usize = 3;
-/// As how large a fleet the proxies take themselves, at least: drawn by the seed.
-const FLEETS: [usize; 3] = [1, 300, 900];
-/// How often the judge's thread looks whether it is late.
-const LATENESS_CHECK: Duration = Duration::from_millis(10);
-/// After the last fault, what is open comes to its end within this time.
-const SETTLES_WITHIN: Duration = Duration::from_secs(12);
-/// How long discovery is slow.
+/// Fleet sizes that the proxies' settings name, at least: the seed chooses one.
+const FLEET_SIZES: [usize; 3] = [1, 300, 900];
+/// How often the judge's own lateness is measured.
+const LATENESS_INTERVAL: Duration = Duration::from_millis(10);
+/// After the last fault, every open request and connection ends within this time.
+const SETTLING_TIMEOUT: Duration = Duration::from_secs(12);
+/// For how long discovery is slow.
 const SLOW_FOR: Duration = Duration::from_secs(5);
-/// Violations that are told in full.
-const TOLD: usize = 12;
+/// Over how long the soak looks for requests that are served after the last fault.
+const PROGRESS_WINDOW: Duration = Duration::from_secs(1);
+/// Violations, and log lines, that a report prints in full.
+const PRINTED_MAX: usize = 12;
 
-/// What is played.
+/// What a soak plays.
 #[derive(Clone, Debug)]
 pub struct SoakConfig {
-    /// The program.
+    /// The program of the proxies.
     pub program: PathBuf,
-    /// The proxies' configuration; see [`Setting::template`].
+    /// The proxies' configuration; see [`ProcessConfig::template`].
     pub template: String,
     /// Where configurations and logs go.
     pub folder: PathBuf,
-    /// From which all chance is drawn.
+    /// Draws the faults and what clients do.
     pub seed: u64,
-    /// Until the last fault.
+    /// From the start until the last fault begins, at most.
     pub length: Duration,
-    /// Proxies.
+    /// Number of proxies.
     pub processes: usize,
 }
 
-/// What came of it.
+/// The result of a soak.
 #[derive(Debug)]
 pub struct SoakReport {
     /// The faults that were played.
     pub schedule: Schedule,
-    /// What broke.
+    /// The rules that were broken.
     pub violations: Vec<Violation>,
     /// What was counted.
     pub counts: Counts,
     /// Lines of the proxies' logs on violated invariants or panics.
     pub invariant_lines: Vec<String>,
-    /// How often lists were confirmed, or held to be out of reach, and sends withheld, by log lines.
+    /// Number of log lines on the list lease: confirmed, expired, sends withheld.
     pub lease_lines: usize,
 }
 
 impl SoakReport {
-    /// Whether everything held, and something was played.
+    /// Whether no rule was broken, and at least one request was served.
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty() && self.invariant_lines.is_empty() && self.counts.served > 0
     }
 
-    /// For people: the seed, the counts, what broke, and the faults before it.
+    /// A text to read: the seed, the counts, the broken rules, and if there are any all faults.
     pub fn text(&self) -> String {
         let mut lines = vec![format!(
             "seed {}: {} faults, {:?}",
@@ -93,10 +96,10 @@
         lines.extend(
             self.violations
                 .iter()
-                .take(TOLD)
+                .take(PRINTED_MAX)
                 .map(|violation| format!("  {}: {}", violation.rule, violation.text)),
         );
-        lines.extend(self.invariant_lines.iter().take(TOLD).map(|line| format!("  {line}")));
+        lines.extend(self.invariant_lines.iter().take(PRINTED_MAX).map(|line| format!("  {line}")));
         if !self.is_clean() {
             let faults = self.schedule.faults.iter();
             lines.extend(faults.map(|(at, fault)| format!("  {:.3} s {fault}", at.as_secs_f64())));
@@ -108,14 +111,14 @@
 /// Plays a soak to its end.
 ///
 /// # Errors
-/// A port, a file or a process could not be had.
+/// A port, a file or a process could not be opened.
 pub fn run(config: SoakConfig) -> io::Result<SoakReport> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(LocalSet::new().run_until(play(config)))
 }
 
-/// Everything that plays, and the judge.
-struct Stage {
+/// The stand-ins, the proxies and the judge.
+struct Soak {
     judge: Rc<Judge>,
     members: Vec<Rc<Member>>,
     discovery: Rc<Discovery>,
@@ -124,68 +127,70 @@
 }
 
 async fn play(config: SoakConfig) -> io::Result<SoakReport> {
-    let size = Size { processes: config.processes, members: GROUPS * GROUP_MEMBERS, length: config.length };
+    let size =
+        SoakSize { processes: config.processes, members: GROUPS * GROUP_MEMBERS, length: config.length };
     let schedule = Schedule::draw(config.seed, size);
-    let stage = Rc::new(Stage::set(&config, size).await?);
-    spawn_local(watch_lateness(stage.judge.clone()));
-    let starts = stage.processes.iter().map(|process| {
+    let soak = Rc::new(Soak::prepare(&config, size).await?);
+    spawn_local(measure_lateness(soak.judge.clone()));
+    let starts = soak.processes.iter().map(|process| {
         let process = process.clone();
         spawn_local(async move { process.start().await })
     });
     for start in starts.collect::<Vec<_>>() {
         start.await.map_err(io::Error::other)??;
     }
-    let clients = stage.start_clients(config.seed);
+    let clients = soak.start_clients(config.seed);
     let began = Instant::now();
     for (at, fault) in schedule.faults.clone() {
         sleep_until(began + at).await;
-        spawn_local(stage.clone().inject(fault));
-        stage.check_crashes();
+        spawn_local(soak.clone().inject(fault));
+        soak.check_crashes();
     }
-    stage.settle(clients).await;
-    let words = ["violated", "panicked"];
-    let invariant_lines = stage.processes.iter().flat_map(|process| process.log_lines(&words)).collect();
-    let lease_lines = stage.processes.iter().map(|process| process.log_lines(&["list lease"]).len()).sum();
+    soak.settle(clients).await;
+    let patterns = ["violated", "panicked"];
+    let invariant_lines = soak.processes.iter().flat_map(|process| process.log_lines(&patterns)).collect();
+    let lease_lines = soak.processes.iter().map(|process| process.log_lines(&["list lease"]).len()).sum();
     Ok(SoakReport {
         schedule,
-        violations: stage.judge.violations(),
-        counts: stage.judge.counts(),
+        violations: soak.judge.violations(),
+        counts: soak.judge.counts(),
         invariant_lines,
         lease_lines,
     })
 }
 
-/// Tells the judge by how much its own thread is late.
-async fn watch_lateness(judge: Rc<Judge>) {
+/// Measures for the judge by how much its own thread is late.
+async fn measure_lateness(judge: Rc<Judge>) {
     loop {
-        let due = Instant::now() + LATENESS_CHECK;
+        let due = Instant::now() + LATENESS_INTERVAL;
         sleep_until(due).await;
-        judge.was_late(due.elapsed());
+        judge.record_lateness(due.elapsed());
     }
 }
 
-impl Stage {
-    async fn set(config: &SoakConfig, size: Size) -> io::Result<Stage> {
+impl Soak {
+    async fn prepare(config: &SoakConfig, size: SoakSize) -> io::Result<Soak> {
         let judge = Rc::new(Judge::new(size.processes, size.members));
         let open = Rc::new(OpenAttempts::default());
         let mut members = Vec::new();
         for index in 0..size.members {
-            let (group, is_primary) = (index / GROUP_MEMBERS, index % GROUP_MEMBERS == 0);
+            let group = index / GROUP_MEMBERS;
+            let is_primary = index % GROUP_MEMBERS == 0;
             let member = Member::start(index, group, is_primary, size.processes, judge.clone(), open.clone());
             members.push(member.await?);
         }
         let discovery = Discovery::start(members.clone(), size.processes, judge.clone()).await?;
         std::fs::create_dir_all(&config.folder)?;
-        let setting = Rc::new(Setting {
+        let process_config = Rc::new(ProcessConfig {
             program: config.program.clone(),
             template: config.template.clone(),
             folder: config.folder.clone(),
             processes: size.processes,
-            fleet: FLEETS[config.seed as usize % FLEETS.len()].max(size.processes),
+            fleet_size: FLEET_SIZES[config.seed as usize % FLEET_SIZES.len()].max(size.processes),
         });
-        let process = |index| Process::new(index, setting.clone(), discovery.clone(), judge.clone());
+        let process = |index| Process::new(index, process_config.clone(), discovery.clone(), judge.clone());
         let processes = (0..size.processes).map(process).collect();
-        Ok(Stage { judge, members, discovery, processes, is_over: Rc::default() })
+        Ok(Soak { judge, members, discovery, processes, is_over: Rc::default() })
     }
 
     fn start_clients(&self, seed: u64) -> Vec<tokio::task::JoinHandle<()>> {
@@ -215,14 +220,14 @@
         }
     }
 
-    async fn inject(self: Rc<Stage>, fault: Fault) {
+    async fn inject(self: Rc<Soak>, fault: Fault) {
         match fault {
             Fault::Kill { process, down } => self.restart(process, Some(down)).await,
             Fault::Terminate { process } => self.restart(process, None).await,
-            Fault::Stall { process, length } if self.processes[process].is_alive() => {
-                self.processes[process].stall(length).await;
+            Fault::Suspend { process, length } if self.processes[process].is_alive() => {
+                self.processes[process].suspend(length).await;
             }
-            Fault::Stall { .. } => {}
+            Fault::Suspend { .. } => {}
             Fault::Drain { member, back, is_removed } => self.drain(member, back, is_removed).await,
             Fault::Hang { member, length } => {
                 self.members[member].hangs_until.set(Some(Instant::now() + length));
@@ -238,7 +243,7 @@
 
     async fn restart(&self, process: usize, down: Option<Duration>) {
         let process = &self.processes[process];
-        // One that is away or already told to end is left to whoever did it.
+        // A proxy that is dead or ending is started again by the fault that ended it.
         if !process.is_alive() || process.terminated_at.get().is_some() {
             return;
         }
@@ -249,44 +254,46 @@
             }
             None => process.terminate().await,
         }
-        if let Err(problem) = process.start().await {
-            self.judge.report("start", problem.to_string());
+        if let Err(error) = process.start().await {
+            self.judge.report("start", error.to_string());
         }
     }
 
-    /// One member of each group stays, and the primary with it: what can't be served tells nothing.
+    /// Takes a member out of service, and back later. A member that is out already stays so.
     async fn drain(&self, member: usize, back: Duration, is_removed: bool) {
         if !self.discovery.is_in_service(member) {
             return;
         }
-        self.discovery.change(member, if is_removed { "terminated" } else { "terminating" });
+        self.discovery.change_member(member, if is_removed { "terminated" } else { "terminating" });
         sleep(back).await;
         self.members[member].resets.send_modify(|resets| *resets += 1);
-        self.discovery.change(member, "in_service");
+        self.discovery.change_member(member, "in_service");
     }
 
+    /// Changes how discovery treats calls, for this long. One disturbance at a time: another one is skipped.
     async fn disturb(&self, condition: Condition, length: Duration) {
-        let calm = Condition::Serving(Duration::ZERO);
-        if self.discovery.condition.get() != calm {
+        let normal = Condition::Serving(Duration::ZERO);
+        if self.discovery.condition.get() != normal {
             return;
         }
         self.discovery.set_condition(condition);
         sleep(length).await;
-        self.discovery.set_condition(calm);
+        self.discovery.set_condition(normal);
     }
 
-    /// Nothing more goes wrong: what is open ends, and every proxy serves.
+    /// After the last fault: waits until open requests have ended, checks that requests are served, and ends clients and
+    /// proxies.
     async fn settle(&self, clients: Vec<tokio::task::JoinHandle<()>>) {
-        sleep(SETTLES_WITHIN).await;
+        sleep(SETTLING_TIMEOUT).await;
         self.check_crashes();
         let before = self.judge.counts().served;
-        sleep(LATENESS_CHECK * 100).await;
+        sleep(PROGRESS_WINDOW).await;
         if self.judge.counts().served == before {
             self.judge.report("progress", "nothing is served after the last fault".to_string());
         }
         self.is_over.set(true);
         for client in clients {
-            let _ = timeout(SETTLES_WITHIN, client).await;
+            let _ = timeout(SETTLING_TIMEOUT, client).await;
         }
         self.processes.iter().for_each(|process| process.kill());
     }
--- a/crates/standins/src/soak/process.rs
+++ b/crates/standins/src/soak/process.rs
@@ -1,4 +1,5 @@
-//! The proxies of a soak: real processes, started, killed, stopped and told to end by their ids.
+//! The proxies of a soak: real processes that are started, killed, suspended and terminated. Signals go to the ids of
+//! processes that this module started, and to no others.
 
 use super::discovery::Discovery;
 use super::judge::Judge;
@@ -13,14 +14,14 @@
 use tokio::time::{Instant, sleep};
 
 /// How often a process's end, or its address, is looked for.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
-/// A process that was told to end does so within the longest deadline and this.
-const ENDS_WITHIN: Duration = Duration::from_secs(8);
-/// What a process must write when it is there.
-const LISTENS: &str = " listens on ";
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// A process ends within this time after SIGTERM: the longest deadline, and a margin.
+const TERMINATION_TIMEOUT: Duration = Duration::from_secs(8);
+/// What a process logs before its address once it listens.
+const LISTENING_LOG: &str = " listens on ";
 
 /// What all proxies of a soak share.
-pub struct Setting {
+pub struct ProcessConfig {
     /// The program.
     pub program: PathBuf,
     /// The configuration, with `@LIST@`, `@DISCOVERY@`, `@INDEX@` and `@FLEET@` in it.
@@ -29,38 +30,38 @@
     pub folder: PathBuf,
     /// How many proxies there are.
     pub processes: usize,
-    /// How many proxies they take themselves to be part of.
-    pub fleet: usize,
+    /// The size of the fleet that their settings name.
+    pub fleet_size: usize,
 }
 
-/// One proxy under its name, over several lives.
+/// One proxy under its name, over all its incarnations. Dropping it kills the process.
 pub struct Process {
     /// Its place in the fleet.
     pub index: usize,
-    setting: Rc<Setting>,
+    config: Rc<ProcessConfig>,
     discovery: Rc<Discovery>,
     judge: Rc<Judge>,
     child: RefCell<Option<Child>>,
     /// Counts starts and ends: what was open across one is lost with the process.
-    pub life: Cell<u64>,
+    pub incarnation: Cell<u64>,
     address: Cell<Option<SocketAddr>>,
-    /// When it was told to end.
+    /// When it got SIGTERM.
     pub terminated_at: Cell<Option<Instant>>,
     logs: RefCell<Vec<PathBuf>>,
 }
 
 impl Process {
-    /// One that is not started yet.
+    /// A proxy that is not started yet.
     pub fn new(
-        index: usize, setting: Rc<Setting>, discovery: Rc<Discovery>, judge: Rc<Judge>,
+        index: usize, config: Rc<ProcessConfig>, discovery: Rc<Discovery>, judge: Rc<Judge>,
     ) -> Rc<Process> {
         Rc::new(Process {
             index,
-            setting,
+            config,
             discovery,
             judge,
             child: RefCell::default(),
-            life: Cell::default(),
+            incarnation: Cell::default(),
             address: Cell::default(),
             terminated_at: Cell::default(),
             logs: RefCell::default(),
@@ -73,23 +74,27 @@
     }
 
     fn path(&self, suffix: &str) -> PathBuf {
-        self.setting.folder.join(format!("n{}-{}.{suffix}", self.index, self.life.get()))
+        self.config.folder.join(format!("n{}-{}.{suffix}", self.index, self.incarnation.get()))
     }
 
     /// Starts it with the list that it had last, and waits until it listens.
+    ///
+    /// # Errors
+    /// A file could not be written, or the process could not be started or has ended.
     pub async fn start(&self) -> io::Result<()> {
-        self.life.set(self.life.get() + 1);
+        self.incarnation.set(self.incarnation.get() + 1);
         let (version, list) = self.discovery.saved_list(self.index);
-        let config = self
-            .setting
+        let text = self
+            .config
             .template
             .replace("@LIST@", &list)
             .replace("@DISCOVERY@", &self.discovery.addresses[self.index].to_string())
-            .replace("@INDEX@", &(self.index * self.setting.fleet / self.setting.processes).to_string())
-            .replace("@FLEET@", &self.setting.fleet.to_string());
-        let (config_path, log_path) = (self.path("json"), self.path("log"));
-        std::fs::write(&config_path, config)?;
-        let child = Command::new(&self.setting.program)
+            .replace("@INDEX@", &(self.index * self.config.fleet_size / self.config.processes).to_string())
+            .replace("@FLEET@", &self.config.fleet_size.to_string());
+        let config_path = self.path("json");
+        let log_path = self.path("log");
+        std::fs::write(&config_path, text)?;
+        let child = Command::new(&self.config.program)
             .env("LB_CONFIG", &config_path)
             .env("LB_LISTEN", "127.0.0.1:0")
             .env_remove("LB_NAME")
@@ -109,14 +114,14 @@
     async fn wait_for_address(&self, log: &Path) -> io::Result<SocketAddr> {
         loop {
             let text = std::fs::read_to_string(log)?;
-            let line = text.lines().find(|line| line.contains(LISTENS));
+            let line = text.lines().find(|line| line.contains(LISTENING_LOG));
             if let Some(address) = line.and_then(|line| line.trim().rsplit(' ').next()?.parse().ok()) {
                 return Ok(address);
             }
             if self.has_ended()? {
                 return Err(io::Error::other(format!("proxy {} has not started: {text}", self.index)));
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -132,7 +137,7 @@
         self.address.get().is_some()
     }
 
-    /// Whether it has ended though nobody ended it.
+    /// Whether it has ended without being killed or terminated.
     pub fn has_crashed(&self) -> bool {
         self.is_alive() && self.terminated_at.get().is_none() && self.has_ended().unwrap_or(true)
     }
@@ -147,44 +152,45 @@
     /// Kills it.
     pub fn kill(&self) {
         self.address.set(None);
-        self.life.set(self.life.get() + 1);
+        self.incarnation.set(self.incarnation.get() + 1);
         self.judge.process_ended(self.index);
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
-        self.judge.process_runs(self.index, true);
+        self.judge.set_suspended(self.index, false);
     }
 
-    /// Tells it to end, and waits until it has.
+    /// Sends SIGTERM and waits until the process has ended. One that has not after 8 s, and its suspensions, is killed and
+    /// reported.
     pub async fn terminate(&self) {
         self.terminated_at.set(Some(Instant::now()));
         self.signal("-TERM");
         let since = Instant::now();
         while !self.has_ended().unwrap_or(true) {
-            if since.elapsed() > ENDS_WITHIN + self.judge.stalled_since(self.index, since) {
+            if since.elapsed() > TERMINATION_TIMEOUT + self.judge.suspended_since(self.index, since) {
                 self.judge.report("end", format!("proxy {} has not ended after SIGTERM", self.index));
                 break;
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         self.kill();
     }
 
-    /// Has it not run for so long.
-    pub async fn stall(&self, length: Duration) {
-        let life = self.life.get();
-        self.judge.process_runs(self.index, false);
+    /// Suspends it for this long.
+    pub async fn suspend(&self, length: Duration) {
+        let incarnation = self.incarnation.get();
+        self.judge.set_suspended(self.index, true);
         self.signal("-STOP");
         sleep(length).await;
-        if self.life.get() == life {
+        if self.incarnation.get() == incarnation {
             self.signal("-CONT");
-            self.judge.process_runs(self.index, true);
+            self.judge.set_suspended(self.index, false);
         }
     }
 
-    /// Lines of its logs that hold one of these words.
-    pub fn log_lines(&self, words: &[&str]) -> Vec<String> {
+    /// Lines of its logs that contain one of these patterns.
+    pub fn log_lines(&self, patterns: &[&str]) -> Vec<String> {
         let texts = self
             .logs
             .borrow()
@@ -192,7 +198,10 @@
             .map(|path| std::fs::read_to_string(path).unwrap_or_default())
             .collect::<Vec<_>>();
         let lines = texts.iter().flat_map(|text| text.lines());
-        lines.filter(|line| words.iter().any(|word| line.contains(word))).map(str::to_string).collect()
+        lines
+            .filter(|line| patterns.iter().any(|pattern| line.contains(pattern)))
+            .map(str::to_string)
+            .collect()
     }
 }
 
--- a/crates/standins/src/soak/schedule.rs
+++ b/crates/standins/src/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and when: a list drawn from one seed, printed with it, and played on a clock. Faults overlap.
+//! What goes wrong, and when: a schedule that is drawn from one seed, and must depend on nothing else. Faults overlap.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,57 +6,57 @@
 /// One fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A proxy is killed, and started again so long after.
+    /// A proxy is killed, and started again later.
     Kill {
         /// Which.
         process: usize,
-        /// Until its start.
+        /// From its end to its next start.
         down: Duration,
     },
-    /// A proxy is told to stop, and started again once it has ended.
+    /// A proxy gets SIGTERM, and is started again once it has ended.
     Terminate {
         /// Which.
         process: usize,
     },
-    /// A proxy does not run for so long.
-    Stall {
+    /// A proxy is suspended.
+    Suspend {
         /// Which.
         process: usize,
         /// For how long.
         length: Duration,
     },
-    /// A member drains, and serves whoever still sends. It is back under its name after so long.
+    /// A member drains, and serves proxies that still send. Later it is back under its name.
     Drain {
         /// Which.
         member: usize,
-        /// Until it is back.
+        /// From the drain until it is back.
         back: Duration,
         /// Whether it leaves the list at once instead of draining.
         is_removed: bool,
     },
-    /// A member takes work and answers nothing for so long.
+    /// A member accepts requests and answers nothing.
     Hang {
         /// Which.
         member: usize,
         /// For how long.
         length: Duration,
     },
-    /// A member breaks its connections under what they carry.
+    /// A member closes its connections, with what is in flight on them.
     Reset {
         /// Which.
         member: usize,
     },
-    /// Discovery refuses calls and ends its watches for so long.
+    /// Discovery closes calls, and ends its watches.
     DiscoveryDown {
         /// For how long.
         length: Duration,
     },
-    /// Discovery has each call wait for 2 s and rejects it then, for so long; watches go on.
+    /// Discovery lets each call wait for 2 s and rejects it then. Watches go on.
     DiscoveryCrowded {
         /// For how long.
         length: Duration,
     },
-    /// Discovery answers calls late by so much, for 5 s.
+    /// Discovery answers calls late, for 5 s.
     DiscoverySlow {
         /// By how much.
         delay: Duration,
@@ -76,20 +76,20 @@
 /// The faults of one run, in the order of their time.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    /// From which it was drawn.
+    /// The seed that it was drawn from.
     pub seed: u64,
-    /// When each begins, from the start of the run.
+    /// When each begins, from the start of the run, and what it is.
     pub faults: Vec<(Duration, Fault)>,
 }
 
-/// The size of what is played.
+/// The size of a soak.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
-    /// Proxies.
+pub struct SoakSize {
+    /// Number of proxies.
     pub processes: usize,
-    /// Members.
+    /// Number of members.
     pub members: usize,
-    /// Until the last fault begins.
+    /// From the start until the last fault begins, at most.
     pub length: Duration,
 }
 
@@ -97,17 +97,17 @@
 const MEAN_GAP_MS: u64 = 500;
 
 impl Schedule {
-    /// Draws one. The same seed and size give the same schedule.
-    pub fn draw(seed: u64, size: Size) -> Schedule {
+    /// Draws a schedule. The same seed and size give the same schedule.
+    pub fn draw(seed: u64, size: SoakSize) -> Schedule {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut faults = Vec::new();
-        // Proxies start, and discovery tells them all, before anything goes wrong.
+        // All proxies start and get their list before the first fault.
         let mut at = Duration::from_millis(2_500);
         let gap = (MEAN_GAP_MS * 12 / size.processes.max(1) as u64).clamp(100, 1_000);
         while at < size.length {
-            faults.push((at, Schedule::fault(&mut rng, size)));
+            faults.push((at, Schedule::draw_fault(&mut rng, size)));
             at += Duration::from_millis(rng.u64(0..2 * gap));
-            // A release: most proxies at once, with members that change meanwhile.
+            // A release: most proxies are replaced at once, and members change meanwhile.
             if rng.u32(0..40) == 0 {
                 let down = Duration::from_millis(rng.u64(200..6_000));
                 for process in (0..size.processes).filter(|_| rng.u32(0..10) < 7) {
@@ -125,15 +125,15 @@
         Schedule { seed, faults }
     }
 
-    fn fault(rng: &mut fastrand::Rng, size: Size) -> Fault {
+    fn draw_fault(rng: &mut fastrand::Rng, size: SoakSize) -> Fault {
         let process = rng.usize(0..size.processes);
         let member = rng.usize(0..size.members);
-        let mut between = |from: u64, to: u64| Duration::from_millis(rng.u64(from..to));
-        let (short, long) = (between(300, 4_000), between(1_000, 10_000));
+        let short = draw_duration(rng, 300, 4_000);
+        let long = draw_duration(rng, 1_000, 10_000);
         match rng.u32(0..24) {
-            0..=3 => Fault::Kill { process, down: between_of(rng, 200, 9_000) },
+            0..=3 => Fault::Kill { process, down: draw_duration(rng, 200, 9_000) },
             4..=5 => Fault::Terminate { process },
-            6..=8 => Fault::Stall { process, length: short },
+            6..=8 => Fault::Suspend { process, length: short },
             9..=13 => Fault::Drain { member, back: long, is_removed: rng.bool() },
             14..=15 => Fault::Hang { member, length: short },
             16..=17 => Fault::Reset { member },
@@ -146,6 +146,6 @@
     }
 }
 
-fn between_of(rng: &mut fastrand::Rng, from: u64, to: u64) -> Duration {
-    Duration::from_millis(rng.u64(from..to))
+fn draw_duration(rng: &mut fastrand::Rng, from_ms: u64, to_ms: u64) -> Duration {
+    Duration::from_millis(rng.u64(from_ms..to_ms))
 }
--- a/crates/standins/src/soak/wire.rs
+++ b/crates/standins/src/soak/wire.rs
@@ -1,4 +1,4 @@
-//! As much of PostgreSQL's protocol as stand-ins need, in bytes of their own: what judges the proxy does not use its codecs.
+//! As much of PostgreSQL's protocol as stand-ins need. It must not use the proxy's codecs, since it tests them.
 
 use std::io;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
