--- a/crates/lab/src/simulation/faults.rs
+++ b/crates/lab/src/simulation/faults.rs
@@ -8,10 +8,10 @@
 
 /// How long a fault lasts before the next one may come.
 const FAULT_INTERVAL_US: Range<u64> = 20 * MILLISECOND_US..1_500 * MILLISECOND_US;
-/// The kinds of [`Simulation::draw_fault`], by their weights.
+/// The numbers that [`Simulation::draw_fault`] draws a kind from: a kind that comes more often has several.
 const FAULT_KINDS: Range<u8> = 0..14;
 
-/// What goes wrong, or ends to.
+/// A change of the processes, the network or the demand.
 enum Fault {
     RestartProxy(usize),
     RestartKeeper(usize),
