--- a/crates/lab/src/decision_digest/history.rs
+++ b/crates/lab/src/decision_digest/history.rs
@@ -1,12 +1,15 @@
 //! A random history: requests, faults of members, lists, gossip and time, until nothing is left to happen.
 
+mod member_changes;
+mod rare;
+
 use super::encoding::{DigestWriter, request_id};
 use super::members::{Condition, GROUPS, ModelMember, initial_members};
 use super::site::Site;
 use fastrand::Rng;
 use linenhill_decisions::api::{
     Action, AttemptEnd, ClassId, Event, GroupId, ListUpdate, LoadReport, LogPosition, MemberId, MemberState,
-    Micros, Outcome, ReadLevel, Request, RequestId, SessionKey, Settings, TenantId, Time, ZoneId,
+    Micros, Outcome, ReadLevel, Request, RequestId, SessionKey, Settings, TenantId, Time,
 };
 use linenhill_decisions::policy::Router;
 use std::collections::{BTreeMap, VecDeque};
@@ -22,16 +25,26 @@
 const ROUND_REQUESTS: u32 = 36;
 /// Sessions that requests belong to.
 const SESSIONS: u64 = 6;
+/// One history in so many has more sessions than a router remembers.
+const MANY_SESSIONS_ONE_IN: u32 = 400;
 
 /// What is going to happen.
 enum Scheduled {
-    RequestArrives,
-    AttemptEnds { id: RequestId, attempt: u32, member: MemberId, outcome: Outcome },
+    /// In this group, or in any.
+    RequestArrives(Option<GroupId>),
+    AttemptEnds {
+        id: RequestId,
+        attempt: u32,
+        member: MemberId,
+        outcome: Outcome,
+    },
     AttemptStarts(RequestId),
     ClientLeaves(RequestId),
     HealthCheckEnds(MemberId),
     Timer(u64),
     MembersChange,
+    RareEvent,
+    GroupReturns(GroupId),
 }
 
 struct ModelAttempt {
@@ -61,6 +74,8 @@
     members: Vec<ModelMember>,
     requests: BTreeMap<RequestId, ModelRequest>,
     next_request: u64,
+    /// Members answer at once, whatever they are asked.
+    answers_at_once: bool,
     /// Actions that are not carried out yet, in order.
     actions: VecDeque<Action>,
 }
@@ -83,6 +98,7 @@
             schedule: BTreeMap::new(),
             requests: BTreeMap::new(),
             next_request: 0,
+            answers_at_once: false,
             actions: VecDeque::new(),
         }
     }
@@ -95,6 +111,9 @@
         self.send_list(ListForm::Full);
         for _ in 0..ROUNDS {
             self.schedule_round();
+            if self.rng.u32(..MANY_SESSIONS_ONE_IN * ROUNDS) == 0 {
+                self.many_sessions_write();
+            }
             let pause = self.pick(&[200 * MS, SECOND, 4 * SECOND, 12 * SECOND, 70 * SECOND]);
             self.run_for(pause);
             self.observe();
@@ -107,12 +126,16 @@
         let spread = self.pick(&[20 * MS, 400 * MS, 3 * SECOND]);
         for _ in 0..ROUND_REQUESTS {
             let after = self.rng.u64(..spread);
-            self.schedule_in(after, Scheduled::RequestArrives);
+            self.schedule_in(after, Scheduled::RequestArrives(None));
         }
         for _ in 0..self.rng.u32(..4) {
             let after = self.rng.u64(..spread);
             self.schedule_in(after, Scheduled::MembersChange);
         }
+        if self.rng.u32(..6) == 0 {
+            let after = self.rng.u64(..spread);
+            self.schedule_in(after, Scheduled::RareEvent);
+        }
     }
 
     /// One of the durations, which must not be none.
@@ -140,7 +163,7 @@
 
     fn happen(&mut self, scheduled: Scheduled) {
         match scheduled {
-            Scheduled::RequestArrives => self.request_arrives(),
+            Scheduled::RequestArrives(group) => self.any_request_arrives(group),
             Scheduled::AttemptEnds { id, attempt, member, outcome } => {
                 self.attempt_ends(id, attempt, member, outcome)
             }
@@ -149,6 +172,8 @@
             Scheduled::HealthCheckEnds(member) => self.health_check_ends(member),
             Scheduled::Timer(token) => self.handle(Event::TimerDue { token }),
             Scheduled::MembersChange => self.members_change(),
+            Scheduled::RareEvent => self.rare_event(),
+            Scheduled::GroupReturns(group) => self.set_state_of_group(group, MemberState::InService),
         }
     }
 
@@ -191,12 +216,18 @@
         }
     }
 
-    fn request_arrives(&mut self) {
+    fn any_request_arrives(&mut self, group: Option<GroupId>) {
+        let class = self.rng.usize(..self.classes);
+        let group = group.unwrap_or_else(|| GroupId(self.rng.u32(..GROUPS)));
+        let session = (self.rng.u32(..3) > 0).then(|| SessionKey(self.rng.u64(..SESSIONS)));
+        self.request_arrives(class, group, session);
+    }
+
+    fn request_arrives(&mut self, class: usize, group: GroupId, session: Option<SessionKey>) {
         self.next_request += 1;
         let id = request_id(self.next_request);
-        let class = self.rng.usize(..self.classes);
-        let longest = self.pick(&[30 * MS, 200 * MS, 900 * MS, 3 * SECOND, 5 * SECOND]);
-        let left = 5 * MS + self.rng.u64(..longest);
+        let give_up = self.pick(&[30 * MS, 200 * MS, 900 * MS, 3 * SECOND, 5 * SECOND]);
+        let left = 5 * MS + self.rng.u64(..give_up);
         let is_write = self.settings.classes[class].read_level == ReadLevel::Write;
         let request =
             ModelRequest { is_write, deadline: self.now + left, attempts: Vec::new(), is_over: false };
@@ -207,8 +238,6 @@
         }
         let tenant = (self.tenants > 0).then(|| TenantId(self.rng.usize(..self.tenants)));
         let last_write_age = self.rng.bool().then(|| Micros(self.rng.u64(..900) * MS));
-        let session = (self.rng.u32(..3) > 0).then(|| SessionKey(self.rng.u64(..SESSIONS)));
-        let group = GroupId(self.rng.u32(..GROUPS));
         let time_left = Micros(left);
         let class = ClassId(class);
         self.handle(Event::RequestArrived(Request {
@@ -229,6 +258,7 @@
         let remaining = request.deadline.saturating_sub(self.now);
         let end = self.members[member.0 as usize].answer(request.is_write, &mut self.rng);
         let (outcome, latency) = match end.latency {
+            Some(_) if self.answers_at_once => (end.outcome, 0),
             Some(latency) if latency <= remaining => (end.outcome, latency),
             _ => (Outcome::TimedOut, remaining),
         };
@@ -269,7 +299,7 @@
         let answering = &self.members[member.0 as usize];
         let is_answer =
             matches!(outcome, Outcome::Ok | Outcome::NotApplicable | Outcome::Failed | Outcome::QueueFull);
-        let speaks = is_answer && self.rng.u32(..5) > 0;
+        let speaks = is_answer && (self.answers_at_once || self.rng.u32(..5) > 0);
         let position = speaks.then(|| answering.position(self.now));
         let role = speaks.then(|| answering.role());
         let report = if speaks && self.rng.bool() {
@@ -304,77 +334,6 @@
         self.handle(Event::HealthCheckEnded { member, outcome, report });
     }
 
-    /// Something happens to members, and sometimes the list tells it.
-    fn members_change(&mut self) {
-        let index = self.rng.usize(..self.members.len());
-        match self.rng.u32(..12) {
-            0..4 => self.change_condition(index),
-            4 => self.zone_falls_silent(),
-            5 => self.restart(index),
-            6 => self.fail_over(index),
-            7 => self.drain_or_return(index),
-            8 => self.gossip(index),
-            9 => self.router.set_fleet_quota_part(self.rng.f64() - 0.3),
-            10 => self.members.iter_mut().for_each(|member| member.condition = Condition::Healthy),
-            _ => self.members[index].lag = self.rng.u64(..5_000) * MS,
-        }
-        let form = match self.rng.u32(..8) {
-            0 => ListForm::Full,
-            1..4 => ListForm::Changes,
-            4 => ListForm::Failed,
-            5 => ListForm::Partial,
-            _ => return,
-        };
-        self.send_list(form);
-    }
-
-    fn change_condition(&mut self, index: usize) {
-        let conditions = [
-            Condition::Silent,
-            Condition::RefusesConnections,
-            Condition::Unreachable,
-            Condition::Overloaded,
-            Condition::Slow,
-            Condition::Erratic,
-        ];
-        let condition = *self.rng.choice(&conditions).unwrap_or(&Condition::Silent);
-        self.members[index].condition = condition;
-        self.members[index].utilisation = self.rng.f64();
-    }
-
-    fn zone_falls_silent(&mut self) {
-        let zone = ZoneId(self.rng.usize(..3));
-        for member in self.members.iter_mut().filter(|member| member.zone == zone) {
-            member.condition = Condition::Silent;
-        }
-    }
-
-    fn restart(&mut self, index: usize) {
-        let member = &mut self.members[index];
-        member.started = Some(Time(self.now - self.rng.u64(..2 * SECOND)));
-        member.condition = Condition::Healthy;
-        member.utilisation = self.rng.f64();
-    }
-
-    fn fail_over(&mut self, index: usize) {
-        let group = self.members[index].group;
-        for member in self.members.iter_mut().filter(|member| member.group == group) {
-            member.is_primary = member.id.0 as usize == index;
-        }
-    }
-
-    fn drain_or_return(&mut self, index: usize) {
-        let states = [MemberState::InService, MemberState::Draining, MemberState::Gone];
-        self.members[index].state = *self.rng.choice(&states).unwrap_or(&MemberState::InService);
-    }
-
-    fn gossip(&mut self, index: usize) {
-        let member = &self.members[index];
-        let position = LogPosition(member.position(self.now).0 + self.rng.u64(..20) * MS);
-        let event = Event::PositionGossiped { member: member.id, position, is_primary: member.is_primary };
-        self.handle(event);
-    }
-
     fn send_list(&mut self, form: ListForm) {
         let is_partial = form == ListForm::Partial;
         let chosen: Vec<ModelMember> =
@@ -386,8 +345,8 @@
             ListForm::Full | ListForm::Partial => ListUpdate::Full(entries),
             ListForm::Changes => ListUpdate::Changes(entries),
             ListForm::Failed => {
-                let silent_for = self.rng.bool().then(|| Micros(self.rng.u64(..7 * SECOND)));
-                ListUpdate::Failed { silent_for }
+                let quiet = self.rng.bool().then(|| Micros(self.rng.u64(..7 * SECOND)));
+                ListUpdate::Failed { silent_for: quiet }
             }
         };
         self.handle(Event::ListUpdated(update));
