--- a/src/stages/route.rs
+++ b/src/stages/route.rs
@@ -313,7 +313,7 @@
             self.listed.insert(name.clone(), (server, entry.member));
         }
         self.pool.set_address(entry.member, addr);
-        self.pool.set_incarnation(entry.member, entry.started.map_or(0, |started| started.0));
+        self.pool.set_incarnation(entry.member, entry.started);
         self.pool.set_name(entry.member, &name);
         let now = self.clock.now();
         let listed =
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -110,7 +110,7 @@
         let mut connection = open_or_reuse(self.pool, member).await?;
         // While the connection came up, a list may have announced a drain, the request may have ended, or the process
         // may have been stopped.
-        let Some(permit) = self.pool.guard().permit(self.pool, self.intent.clone()).await else {
+        let Some(permit) = self.pool.send_permit(self.intent.clone()).await else {
             // The connection itself is good where only the request is over.
             if self.pool.is_accepting(member) {
                 self.pool.put_back(member, connection);
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -6,4 +6,5 @@
 pub mod pool;
 pub mod reply;
 pub mod report;
+pub mod send_eligibility;
 pub mod send_guard;
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -4,13 +4,14 @@
 //! them. One limit of descriptors holds for all members together, and for each member this proxy's quota of the
 //! fleet's budgets. The pool must never hand out a connection that is too old, not silent, or beyond the quota.
 
-use crate::api::MemberId;
+use crate::api::{MemberId, Time};
 use crate::budget::{Budget, Place};
 use crate::close_reason::CloseReason;
 use crate::counters::Counters;
 use crate::fleet::{Shares, Unit};
 use crate::upstream::connection::MemberConnection;
-use crate::upstream::send_guard::SendGuard;
+use crate::upstream::send_eligibility::SendEligibility;
+use crate::upstream::send_guard::{SendGuard, SendIntent, SendPermit};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -44,16 +45,14 @@
     address: Option<SocketAddr>,
     /// In the order of their last use, the oldest first.
     idle: Vec<IdleConnection>,
-    /// When the member last started, by the list, in Unix microseconds; 0 if long ago.
-    incarnation: u64,
-    /// Nothing new may be sent to the member: it drains or is gone.
-    rejects_new: bool,
     /// The name by which the fleet's budgets know the member; empty until [`Pool::set_name`].
     name: String,
 }
 
 struct Inner {
+    /// Each member of this table is in `eligibility` as well.
     slots: RefCell<BTreeMap<MemberId, MemberSlot>>,
+    eligibility: SendEligibility,
     descriptors: Budget,
     /// The age at which an idle connection is retired.
     retire_after: Duration,
@@ -83,6 +82,7 @@
     ) -> Pool {
         Pool(Rc::new(Inner {
             slots: RefCell::default(),
+            eligibility: SendEligibility::default(),
             descriptors: Budget::new(max_connections),
             retire_after: idle_close.mul_f64(RETIRE_PART),
             connect_timeout,
@@ -94,6 +94,7 @@
 
     /// Sets a member's address. Idle connections to another address are closed.
     pub fn set_address(&self, member: MemberId, address: SocketAddr) {
+        self.0.eligibility.add(member);
         let outdated = {
             let mut slots = self.0.slots.borrow_mut();
             let slot = slots.entry(member).or_default();
@@ -103,14 +104,10 @@
         close_all(outdated);
     }
 
-    /// Sets when a member last started, in Unix microseconds; 0 if long ago.
-    pub fn set_incarnation(&self, member: MemberId, started: u64) {
-        self.0.slots.borrow_mut().entry(member).or_default().incarnation = started;
-    }
-
-    /// When a member last started, in Unix microseconds; 0 if long ago.
-    pub fn incarnation(&self, member: MemberId) -> u64 {
-        self.0.slots.borrow().get(&member).map_or(0, |slot| slot.incarnation)
+    /// Sets when a member last started; `None` if long ago.
+    pub fn set_incarnation(&self, member: MemberId, started: Option<Time>) {
+        self.0.slots.borrow_mut().entry(member).or_default();
+        self.0.eligibility.set_incarnation(member, started);
     }
 
     /// What allows statements to be written.
@@ -118,8 +115,15 @@
         &self.0.guard
     }
 
+    /// A permit to write a statement now, or `None` if the guard allows none. To be asked for right before the write;
+    /// waits while the process catches up after a hold-up.
+    pub async fn send_permit(&self, intent: SendIntent) -> Option<SendPermit> {
+        self.0.guard.permit(&self.0.eligibility, intent).await
+    }
+
     /// Sets the name by which the fleet's budgets know a member. Only the first one counts.
     pub fn set_name(&self, member: MemberId, name: &str) {
+        self.0.eligibility.add(member);
         let mut slots = self.0.slots.borrow_mut();
         let slot = slots.entry(member).or_default();
         if slot.name.is_empty() {
@@ -173,6 +177,7 @@
         self.0.slots.borrow_mut().retain(|member, slot| {
             let is_kept = keep(*member);
             if !is_kept {
+                self.0.eligibility.remove(*member);
                 orphaned.append(&mut slot.idle);
                 removed_names.push(std::mem::take(&mut slot.name));
             }
@@ -185,14 +190,12 @@
     /// Sets which members accept new statements. Statements that were decided on before and are not written yet are
     /// bound by it too.
     pub fn set_accepting(&self, accepts_new: impl Fn(MemberId) -> bool) {
-        for (member, slot) in self.0.slots.borrow_mut().iter_mut() {
-            slot.rejects_new = !accepts_new(*member);
-        }
+        self.0.eligibility.set_accepting(accepts_new);
     }
 
     /// Whether new statements may be sent to a member.
     pub fn is_accepting(&self, member: MemberId) -> bool {
-        self.0.slots.borrow().get(&member).is_some_and(|slot| !slot.rejects_new)
+        self.0.eligibility.is_accepting(member)
     }
 
     /// A member's address.
--- a/src/upstream/send_guard.rs
+++ b/src/upstream/send_guard.rs
@@ -9,7 +9,7 @@
 use crate::invariants::{Invariant, InvariantMonitor};
 use crate::list_lease::{ListLease, Withheld};
 use crate::platform_bounds::HOLD_UP;
-use crate::upstream::pool::Pool;
+use crate::upstream::send_eligibility::SendEligibility;
 use log::{info, warn};
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -55,13 +55,13 @@
 /// The proof that a statement may be written now.
 pub struct SendPermit {
     intent: SendIntent,
-    /// When the member last started, by the list, in Unix microseconds; 0 if long ago.
-    incarnation: u64,
+    /// When the member last started, by the list; `None` if long ago.
+    incarnation: Option<Time>,
     list_version: u64,
     issued_at: Instant,
     has_waited: bool,
     guard: SendGuard,
-    pool: Pool,
+    eligibility: SendEligibility,
 }
 
 impl SendPermit {
@@ -76,14 +76,14 @@
         let age = self.issued_at.elapsed();
         let held_up_most = Duration::from_micros(HOLD_UP.0);
         let checks = [
-            (Invariant::MemberAccepts, self.pool.is_accepting(*member)),
+            (Invariant::MemberAccepts, self.eligibility.is_accepting(*member)),
             (Invariant::ListLeased, self.guard.check_at(self.issued_at) != Err(Withheld::Expired)),
             (Invariant::RequestOpen, !is_request_over.get()),
             (Invariant::BeforeDeadline, self.issued_at < *deadline),
             (Invariant::PermitCurrent, age <= held_up_most),
         ];
         for (invariant, holds) in checks {
-            let (incarnation, version) = (self.incarnation, self.list_version);
+            let (incarnation, version) = (self.incarnation.map_or(0, |started| started.0), self.list_version);
             self.guard.0.monitor.check(
                 invariant,
                 holds,
@@ -235,27 +235,26 @@
 
     /// A permit to write now; none if the member accepts nothing new, the request is over, its deadline has passed, or
     /// the list's lease is over. Waits while the process catches up after a hold-up.
-    pub async fn permit(&self, pool: &Pool, intent: SendIntent) -> Option<SendPermit> {
+    pub(super) async fn permit(
+        &self, eligibility: &SendEligibility, intent: SendIntent,
+    ) -> Option<SendPermit> {
         let mut has_waited = false;
         loop {
             let issued_at = Instant::now();
             let is_wanted = !intent.is_request_over.get() && issued_at < intent.deadline;
-            if !is_wanted || !pool.is_accepting(intent.member) {
+            if !is_wanted || !eligibility.is_accepting(intent.member) {
                 return None;
             }
             match self.check() {
                 Ok(()) => {
-                    let incarnation = pool.incarnation(intent.member);
-                    let (list_version, pool) = (self.0.list_version.get(), pool.clone());
-                    let guard = self.clone();
                     return Some(SendPermit {
+                        incarnation: eligibility.incarnation(intent.member),
                         intent,
-                        incarnation,
-                        list_version,
+                        list_version: self.0.list_version.get(),
                         issued_at,
                         has_waited,
-                        guard,
-                        pool,
+                        guard: self.clone(),
+                        eligibility: eligibility.clone(),
                     });
                 }
                 Err(Withheld::Expired) => return None,
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -713,7 +713,7 @@
     pool.set_address(member, "127.0.0.1:1".parse().expect("an address"));
     let deadline = tokio::time::Instant::now() + long;
     let intent = SendIntent { member, purpose: Purpose::Probe, deadline, is_request_over: Rc::default() };
-    pool.guard().permit(&pool, intent).await.expect("a permit")
+    pool.send_permit(intent).await.expect("a permit")
 }
 
 /// The reply that a connection reads from these bytes, sent in answer to a statement; the connection stays open. Its
--- a/tests/send_guard.rs
+++ b/tests/send_guard.rs
@@ -47,21 +47,37 @@
 async fn no_permit_without_what_it_rests_on() {
     let figures = Figures::new(["list"]);
     let (guard, pool) = guarded(&figures);
-    assert!(guard.permit(&pool, intent(MS)).await.is_some());
-    assert!(guard.permit(&pool, intent(Duration::ZERO)).await.is_none(), "its deadline has passed");
+    assert!(pool.send_permit(intent(MS)).await.is_some());
+    assert!(pool.send_permit(intent(Duration::ZERO)).await.is_none(), "its deadline has passed");
     let over = intent(MS);
     over.is_request_over.set(true);
-    assert!(guard.permit(&pool, over).await.is_none(), "its request is over");
+    assert!(pool.send_permit(over).await.is_none(), "its request is over");
     let unknown = SendIntent { member: MemberId(2), ..intent(MS) };
-    assert!(guard.permit(&pool, unknown).await.is_none(), "nobody knows the member");
+    assert!(pool.send_permit(unknown).await.is_none(), "nobody knows the member");
     pool.set_accepting(|_| false);
-    assert!(guard.permit(&pool, intent(MS)).await.is_none(), "the member drains");
+    assert!(pool.send_permit(intent(MS)).await.is_none(), "the member drains");
     pool.set_accepting(|_| true);
     run(&guard, 2_900 * MS).await;
     assert_eq!(guard.check(), Err(Withheld::Expired));
-    assert!(guard.permit(&pool, intent(MS)).await.is_none(), "the list's lease is over");
+    assert!(pool.send_permit(intent(MS)).await.is_none(), "the list's lease is over");
     guard.list_confirmed();
-    assert!(guard.permit(&pool, intent(MS)).await.is_some());
+    assert!(pool.send_permit(intent(MS)).await.is_some());
+}
+
+/// Guards against permits by what the pool once knew: a member that it has removed accepts nothing, not even what was
+/// permitted just before, until it is added again.
+#[tokio::test(start_paused = true)]
+async fn removed_member_accepts_nothing() {
+    let figures = Figures::new(["list"]);
+    let (_, pool) = guarded(&figures);
+    let permit = pool.send_permit(intent(MS)).await.expect("a permit");
+    pool.retain(|_| false);
+    assert!(!pool.is_accepting(MEMBER));
+    assert!(pool.send_permit(intent(MS)).await.is_none());
+    permit.check_at_write();
+    assert_eq!(figures.invariants().total(), 1);
+    pool.set_address(MEMBER, "127.0.0.1:1".parse().expect("an address"));
+    assert!(pool.send_permit(intent(MS)).await.is_some());
 }
 
 /// Guards against sends of a process that was stopped, before it has read what arrived meanwhile.
@@ -81,10 +97,10 @@
         tokio::time::sleep(20 * MS).await;
         pool.set_accepting(|_| false);
     };
-    let (permit, ()) = tokio::join!(guard.permit(&pool, intent(1_000 * MS)), read);
+    let (permit, ()) = tokio::join!(pool.send_permit(intent(1_000 * MS)), read);
     assert!(permit.is_none());
     pool.set_accepting(|_| true);
-    let permit = guard.permit(&pool, intent(1_000 * MS)).await.expect("a permit");
+    let permit = pool.send_permit(intent(1_000 * MS)).await.expect("a permit");
     assert!(permit.has_waited() && asked.elapsed() >= 50 * MS);
     assert!(guard.held_up_since().is_none());
 }
@@ -94,17 +110,17 @@
 #[tokio::test(start_paused = true)]
 async fn write_without_what_its_permit_rested_on_is_counted() {
     let figures = Figures::new(["list"]);
-    let (guard, pool) = guarded(&figures);
-    guard.permit(&pool, intent(MS)).await.expect("a permit").check_at_write();
+    let (_, pool) = guarded(&figures);
+    pool.send_permit(intent(MS)).await.expect("a permit").check_at_write();
     assert_eq!(figures.invariants().total(), 0);
-    let late = guard.permit(&pool, intent(1_000 * MS)).await.expect("a permit");
+    let late = pool.send_permit(intent(1_000 * MS)).await.expect("a permit");
     advance(151 * MS).await;
     late.check_at_write();
     let over = intent(MS);
-    let permit = guard.permit(&pool, over.clone()).await.expect("a permit");
+    let permit = pool.send_permit(over.clone()).await.expect("a permit");
     over.is_request_over.set(true);
     permit.check_at_write();
-    let permit = guard.permit(&pool, intent(MS)).await.expect("a permit");
+    let permit = pool.send_permit(intent(MS)).await.expect("a permit");
     pool.set_accepting(|_| false);
     permit.check_at_write();
     assert_eq!(figures.invariants().total(), 3);
