--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -13,7 +13,7 @@
 use crate::fleet::outages::{self, No};
 use crate::lifecycle::Event;
 use crate::maintenance::OrderRejected;
-use crate::stages::Input;
+use crate::stages::DriverInput;
 use crate::takeover::maintenance_log::MaintenanceLog;
 use call::{Call, CallCodec, CallError};
 use futures_util::StreamExt;
@@ -59,7 +59,7 @@
     /// What discovery was last heard to say.
     pub status: Rc<DiscoveryStatus>,
     /// Where the driver of the decisions is asked of members.
-    pub inbox: mpsc::UnboundedSender<Input>,
+    pub inbox: mpsc::UnboundedSender<DriverInput>,
     /// The fleet, if this process is part of one.
     pub fleet: Option<Rc<FleetClient>>,
 }
@@ -171,10 +171,10 @@
 
     async fn metrics(&self) -> Answer {
         let (ask, asked) = oneshot::channel();
-        let _ = self.inbox.send(Input::Asked(ask));
+        let _ = self.inbox.send(DriverInput::MemberCountsRequested(ask));
         // Figures that are a moment old are better than none.
-        if let Ok(Ok((listed, avoided))) = timeout(ASK_WITHIN, asked).await {
-            self.figures.members(listed, avoided);
+        if let Ok(Ok(counts)) = timeout(ASK_WITHIN, asked).await {
+            self.figures.members(counts.listed, counts.avoided);
         }
         let silence = seconds(self.status.silence());
         self.figures.news(silence, self.status.list_age().map(seconds), self.status.list_version());
--- a/src/clients/pipeline.rs
+++ b/src/clients/pipeline.rs
@@ -5,7 +5,7 @@
 use crate::api::Span;
 use crate::budget::Place;
 use crate::pg::frontend::Answer as Reply;
-use crate::stages::Answer;
+use crate::stages::FinalResponse;
 use std::collections::VecDeque;
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
@@ -49,7 +49,7 @@
 /// How far a request has come.
 pub enum RequestState {
     /// Submitted, or answered at the edge.
-    Submitted(Result<PendingRequest, Answer>),
+    Submitted(Result<PendingRequest, FinalResponse>),
     /// It waits for the requests that it must not run beside, since the given moment.
     Blocked(OpenRequest, Instant),
 }
--- a/src/clients/request_gateway.rs
+++ b/src/clients/request_gateway.rs
@@ -8,7 +8,7 @@
 use crate::stages::admit::{Admit, Edge};
 use crate::stages::book::{Book, Ticket};
 use crate::stages::intake::{Intake, IntakeError, OpenId};
-use crate::stages::{Answer, Input, Taken};
+use crate::stages::{AcceptedRequest, DriverInput, FinalResponse};
 use crate::upstream::send_guard::SendGuard;
 use bytes::Bytes;
 use log::debug;
@@ -26,7 +26,7 @@
     intake: Intake,
     admit: Admit,
     book: Book,
-    inbox: mpsc::UnboundedSender<Input>,
+    inbox: mpsc::UnboundedSender<DriverInput>,
     guard: SendGuard,
 }
 
@@ -50,18 +50,18 @@
 /// among the requests held and its id are free again then, too.
 pub struct PendingRequest {
     id: RequestId,
-    answer: oneshot::Receiver<Answer>,
+    answer: oneshot::Receiver<FinalResponse>,
     ticket: Option<Ticket>,
-    inbox: mpsc::UnboundedSender<Input>,
+    inbox: mpsc::UnboundedSender<DriverInput>,
     _place: Place,
     _open_id: OpenId,
 }
 
 impl PendingRequest {
     /// The one final answer.
-    pub async fn answer(&mut self) -> Answer {
-        let answer = (&mut self.answer).await.unwrap_or(Answer::Failed);
-        if !matches!(answer, Answer::Passing(_)) {
+    pub async fn answer(&mut self) -> FinalResponse {
+        let answer = (&mut self.answer).await.unwrap_or(FinalResponse::Failed);
+        if !matches!(answer, FinalResponse::Streaming(_)) {
             self.end(&answer);
         }
         answer
@@ -69,11 +69,11 @@
 
     /// Notes the end of a long answer: it was written completely, or it was cut off.
     pub fn streamed(&mut self, is_complete: bool) {
-        let answer = if is_complete { Answer::Served(Bytes::new()) } else { Answer::Failed };
+        let answer = if is_complete { FinalResponse::Served(Bytes::new()) } else { FinalResponse::Failed };
         self.end(&answer);
     }
 
-    fn end(&mut self, answer: &Answer) {
+    fn end(&mut self, answer: &FinalResponse) {
         if let Some(ticket) = self.ticket.take() {
             ticket.end(answer);
         }
@@ -83,7 +83,7 @@
 impl Drop for PendingRequest {
     fn drop(&mut self) {
         if self.ticket.is_some() {
-            let _ = self.inbox.send(Input::Gone(self.id));
+            let _ = self.inbox.send(DriverInput::ClientGone(self.id));
         }
     }
 }
@@ -92,14 +92,14 @@
     /// The entry before the decisions that read `inbox`; `admit` bounds requests held and the memory of messages, and
     /// `guard` knows when the process was held up.
     pub fn new(
-        intake: Intake, admit: Admit, book: Book, inbox: mpsc::UnboundedSender<Input>, guard: SendGuard,
+        intake: Intake, admit: Admit, book: Book, inbox: mpsc::UnboundedSender<DriverInput>, guard: SendGuard,
     ) -> RequestGateway {
         RequestGateway { intake, admit, book, inbox, guard }
     }
 
     /// Rejects a request that was not opened. Without its class it is in no metric of a class.
-    pub fn reject_unopened(&self, edge: Edge, retry_after: Span, class: Option<&str>) -> Answer {
-        let answer = Answer::Refused { retry_after: Some(retry_after) };
+    pub fn reject_unopened(&self, edge: Edge, retry_after: Span, class: Option<&str>) -> FinalResponse {
+        let answer = FinalResponse::Rejected { retry_after: Some(retry_after) };
         self.book.refused_at(edge);
         match class.and_then(|class| self.intake.named(class)) {
             Some(class) => self.book.take(class).end(&answer),
@@ -112,7 +112,7 @@
     pub fn count_malformed(&self, class: Option<&str>) {
         self.book.malformed();
         if let Some(class) = class.and_then(|class| self.intake.named(class)) {
-            self.book.take(class).end(&Answer::Failed);
+            self.book.take(class).end(&FinalResponse::Failed);
         }
     }
 
@@ -160,12 +160,12 @@
     }
 
     /// Rejects a request before the decisions see it; the answer tells its client when to retry.
-    pub fn reject(&self, request: OpenRequest, edge: Edge) -> Answer {
+    pub fn reject(&self, request: OpenRequest, edge: Edge) -> FinalResponse {
         self.reject_ticket(request.ticket, edge)
     }
 
-    fn reject_ticket(&self, ticket: Ticket, edge: Edge) -> Answer {
-        let answer = Answer::Refused { retry_after: Some(RETRY_AFTER) };
+    fn reject_ticket(&self, ticket: Ticket, edge: Edge) -> FinalResponse {
+        let answer = FinalResponse::Rejected { retry_after: Some(RETRY_AFTER) };
         self.book.refused_at(edge);
         ticket.end(&answer);
         answer
@@ -175,7 +175,7 @@
     ///
     /// # Errors
     /// The final answer, where the request is rejected before the decisions see it.
-    pub fn submit(&self, request: OpenRequest, waited: Duration) -> Result<PendingRequest, Answer> {
+    pub fn submit(&self, request: OpenRequest, waited: Duration) -> Result<PendingRequest, FinalResponse> {
         let OpenRequest { mut incoming, class, id: open_id, ticket, .. } = request;
         let waited_ms = u64::try_from(waited.as_millis()).unwrap_or(u64::MAX);
         incoming.wait_ms = incoming.wait_ms.saturating_sub(waited_ms);
@@ -191,9 +191,9 @@
             "request {id} is the client's {}, class {}, waits {} ms",
             incoming.id, class.0, incoming.wait_ms
         );
-        let taken = Taken { request, payload: incoming.payload, deadline, reply };
+        let accepted = AcceptedRequest { request, payload: incoming.payload, deadline, reply };
         // Without a driver the channel is closed, and the answer is that it failed.
-        let _ = self.inbox.send(Input::Taken(Box::new(taken)));
+        let _ = self.inbox.send(DriverInput::RequestAccepted(Box::new(accepted)));
         Ok(PendingRequest {
             id,
             answer,
--- a/src/clients/session/replies.rs
+++ b/src/clients/session/replies.rs
@@ -3,7 +3,7 @@
 use crate::close_reason::CloseReason;
 use crate::pg::PgError;
 use crate::pg::frontend::Answer as Reply;
-use crate::stages::Answer;
+use crate::stages::FinalResponse;
 
 /// An error after which the connection goes on. `code` is its SQLSTATE.
 pub(super) fn error(code: &'static str, message: impl ToString) -> Reply {
@@ -16,18 +16,18 @@
 }
 
 /// A final answer. Only a rejection uses SQLSTATE 53300; its detail is the time after which to retry, in milliseconds.
-pub(super) fn final_answer(answer: Answer, fatal: bool) -> Reply {
+pub(super) fn final_answer(answer: FinalResponse, fatal: bool) -> Reply {
     match answer {
-        Answer::Served(raw) => Reply::Raw(raw),
+        FinalResponse::Served(raw) => Reply::Raw(raw),
         // The rest is streamed by whoever holds it.
-        Answer::Passing(flow) => Reply::Raw(flow.first),
-        Answer::Refused { retry_after } => Reply::Error {
+        FinalResponse::Streaming(response) => Reply::Raw(response.first),
+        FinalResponse::Rejected { retry_after } => Reply::Error {
             fatal,
             code: "53300",
             message: "refused, try again".into(),
             detail: retry_after.map(|span| span.0.div_ceil(1_000).to_string()),
         },
-        Answer::Failed => error("08007", "failed, the outcome is not known"),
+        FinalResponse::Failed => error("08007", "failed, the outcome is not known"),
     }
 }
 
--- a/src/clients/session/respond.rs
+++ b/src/clients/session/respond.rs
@@ -9,7 +9,8 @@
 use crate::clients::request_gateway::PendingRequest;
 use crate::close_reason::CloseReason;
 use crate::pg::frontend::Answer as Reply;
-use crate::stages::{Answer, Flow, Passed};
+use crate::stages::FinalResponse;
+use crate::upstream::response::{ResponseChunk, StreamingResponse};
 use bytes::BytesMut;
 use futures_util::SinkExt;
 use std::time::Duration;
@@ -43,7 +44,9 @@
         };
         let answer = match submitted {
             Ok(mut pending) => match self.wait_for_answer(&mut pending).await? {
-                Answer::Passing(flow) => return self.stream_answer(flow, &mut pending).await,
+                FinalResponse::Streaming(response) => {
+                    return self.stream_answer(response, &mut pending).await;
+                }
                 answer => answer,
             },
             Err(answer) => answer,
@@ -55,7 +58,7 @@
     }
 
     /// Waits for an answer. Meanwhile messages are read ahead, as long as the pipeline has room.
-    async fn wait_for_answer(&mut self, pending: &mut PendingRequest) -> Result<Answer, CloseReason> {
+    async fn wait_for_answer(&mut self, pending: &mut PendingRequest) -> Result<FinalResponse, CloseReason> {
         loop {
             if self.input_end.is_some() {
                 // What follows is of no use, but the client's end shows behind it.
@@ -93,27 +96,28 @@
 
     /// Writes a long answer as it comes. One that is cut off ends the connection, so that its client sees it.
     async fn stream_answer(
-        &mut self, mut flow: Flow, pending: &mut PendingRequest,
+        &mut self, mut response: StreamingResponse, pending: &mut PendingRequest,
     ) -> Result<(), CloseReason> {
         // What comes behind the request is not read before the end of its answer.
         self.unread_since.get_or_insert_with(Instant::now);
-        self.send([Reply::Raw(std::mem::take(&mut flow.first))]).await?;
+        self.send([Reply::Raw(std::mem::take(&mut response.first))]).await?;
         loop {
             // A member may take its time between two parts: what waits behind is not sent for a client that has left.
             let chunk = tokio::select! {
                 biased;
-                chunk = flow.rest.recv() => chunk,
+                chunk = response.rest.recv() => chunk,
                 () = closed_by_peer(self.framed.get_ref()) => return Err(CloseReason::ClientGone),
             };
             match chunk {
-                Some(Passed::Part(part)) => {
-                    let written = timeout(STREAM_WRITE_TIMEOUT, self.framed.get_mut().write_all(&part)).await;
+                Some(ResponseChunk::More(bytes)) => {
+                    let written =
+                        timeout(STREAM_WRITE_TIMEOUT, self.framed.get_mut().write_all(&bytes)).await;
                     written.map_err(|_| CloseReason::WriteTimeout)?.map_err(|_| CloseReason::ClientGone)?;
                 }
-                Some(Passed::Whole(end)) => {
+                Some(ResponseChunk::Last(bytes)) => {
                     pending.streamed(true);
                     self.note_nothing_unread();
-                    self.send([Reply::Raw(end), Reply::Ready]).await?;
+                    self.send([Reply::Raw(bytes), Reply::Ready]).await?;
                     self.pipeline.finish();
                     return Ok(());
                 }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -10,7 +10,7 @@
 use crate::discovery::status::{DiscoveryStatus, seconds};
 use crate::discovery::watch::open_watch;
 use crate::figures::Figures;
-use crate::stages::Input;
+use crate::stages::DriverInput;
 use crate::watch_schedule::WatchSchedule;
 use log::info;
 use std::net::SocketAddr;
@@ -68,7 +68,7 @@
     /// Told of each message and list.
     pub status: Rc<DiscoveryStatus>,
     /// Where list events go.
-    pub inbox: mpsc::UnboundedSender<Input>,
+    pub inbox: mpsc::UnboundedSender<DriverInput>,
     /// Counts the calls.
     pub counters: Rc<Counters>,
     /// Counts how calls ended.
@@ -100,7 +100,7 @@
             let now = clock.now();
             self.trigger.ended(now, self.rng.f64());
             let silence = self.silence_of(&ended, now);
-            if self.inbox.send(Input::List(ListEvent::Failed { silence })).is_err() {
+            if self.inbox.send(DriverInput::List(ListEvent::Failed { silence })).is_err() {
                 return;
             }
         }
--- a/src/discovery/status.rs
+++ b/src/discovery/status.rs
@@ -46,16 +46,16 @@
 
     /// The message could be read: the list in use, or the one that it brings, is what discovery has.
     pub fn record_confirmed(&self) {
-        self.guard.list_confirmed();
+        self.guard.record_list_confirmed();
     }
 
     /// A call that began at `began` ended, or the watch that it became, for silence or another reason.
     pub fn record_end(&self, began: Time, was_silent: bool) {
         let since_began = self.clock.now().0.saturating_sub(began.0);
         if self.silence().0 < since_began {
-            self.guard.watch_ended(was_silent);
+            self.guard.record_watch_ended(was_silent);
         } else {
-            self.guard.call_failed(began);
+            self.guard.record_call_failed(began);
         }
     }
 
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -8,7 +8,7 @@
 use crate::discovery::list::{self, DecodedList, EndpointList, ListEvent};
 use crate::discovery::status::DiscoveryStatus;
 use crate::settings::FormError;
-use crate::stages::Input;
+use crate::stages::DriverInput;
 use crate::timeouts::timeout_with_last_look;
 use futures_util::StreamExt;
 use log::warn;
@@ -48,7 +48,7 @@
 /// Calls discovery and reads the watch until it ends; returns why it did. The first message must arrive within
 /// `first_message_timeout` of the start of the call.
 pub(super) async fn open_watch(
-    address: SocketAddr, status: &DiscoveryStatus, inbox: &mpsc::UnboundedSender<Input>,
+    address: SocketAddr, status: &DiscoveryStatus, inbox: &mpsc::UnboundedSender<DriverInput>,
     first_message_timeout: Duration,
 ) -> CloseReason {
     let first_message_by = Instant::now() + first_message_timeout;
@@ -74,7 +74,7 @@
 /// Reads a watch until it ends; returns why it did. Lists go to `inbox`, and `status` is told of each message. The
 /// first message must arrive within `first_message_timeout`.
 pub async fn read_watch(
-    stream: impl AsyncRead + Unpin, status: &DiscoveryStatus, inbox: &mpsc::UnboundedSender<Input>,
+    stream: impl AsyncRead + Unpin, status: &DiscoveryStatus, inbox: &mpsc::UnboundedSender<DriverInput>,
     first_message_timeout: Duration,
 ) -> CloseReason {
     let mut parts = FramedRead::new(stream, WatchCodec::default());
@@ -108,7 +108,7 @@
 /// What a watch has brought so far, and where it goes.
 struct WatchReader<'a> {
     status: &'a DiscoveryStatus,
-    inbox: &'a mpsc::UnboundedSender<Input>,
+    inbox: &'a mpsc::UnboundedSender<DriverInput>,
     has_received_line: bool,
     has_accepted_list: bool,
 }
@@ -154,7 +154,7 @@
     }
 
     fn send(&self, event: ListEvent) -> Result<(), CloseReason> {
-        self.inbox.send(Input::List(event)).map_err(|_| CloseReason::Stopping)
+        self.inbox.send(DriverInput::List(event)).map_err(|_| CloseReason::Stopping)
     }
 }
 
--- a/src/fleet/outages.rs
+++ b/src/fleet/outages.rs
@@ -2,7 +2,7 @@
 //! course of the process, the driver of the decisions, and the keepers. Decides nothing.
 
 use crate::clients::lifecycle_driver::LifecycleDriver;
-use crate::stages::Input;
+use crate::stages::DriverInput;
 use linenhill_cluster::client::FleetClient;
 use linenhill_cluster::log_entry::{DisruptionAction, DisruptionRequest};
 use linenhill_cluster::protocol::OperatorReply;
@@ -20,7 +20,7 @@
 
 /// Tells the fleet for as long as the program runs, and carries out its fence.
 pub async fn look_after(
-    fleet: Rc<FleetClient>, lifecycle: Rc<LifecycleDriver>, inbox: mpsc::UnboundedSender<Input>,
+    fleet: Rc<FleetClient>, lifecycle: Rc<LifecycleDriver>, inbox: mpsc::UnboundedSender<DriverInput>,
 ) {
     let (mut view, mut fences) = (lifecycle.subscribe(), fleet.subscribe_quarantine());
     let mut look = interval(fleet.renewal_interval());
@@ -31,7 +31,7 @@
             changed = view.changed() => if changed.is_err() { return },
             _ = look.tick() => {
                 let (ask, asked) = oneshot::channel();
-                let _ = inbox.send(Input::Sights(ask));
+                let _ = inbox.send(DriverInput::HealthObservationsRequested(ask));
                 if let Ok(sights) = asked.await {
                     fleet.observe_members(sights);
                 }
@@ -42,7 +42,7 @@
                 }
                 let fence = fences.borrow_and_update().clone();
                 let (done, carried) = oneshot::channel();
-                let _ = inbox.send(Input::Fence(fence.members, done));
+                let _ = inbox.send(DriverInput::QuarantineChanged(fence.members, done));
                 // It is confirmed once the decisions have taken it in: nothing new is sent there after that.
                 if carried.await.is_ok() {
                     fleet.quarantine_applied(fence.edition);
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -20,7 +20,7 @@
 use crate::lifecycle::Event;
 use crate::list_lease::ListLease;
 use crate::policy::Router;
-use crate::stages::Input;
+use crate::stages::DriverInput;
 use crate::stages::admit::Admit;
 use crate::stages::book::Book;
 use crate::stages::intake::Intake;
@@ -186,7 +186,7 @@
     };
     let router = Router::new(site.settings, config.seed, clock.now());
     if let Some(known) = known {
-        let _ = inbox.send(Input::List(ListEvent::Cached(known)));
+        let _ = inbox.send(DriverInput::List(ListEvent::Cached(known)));
     }
     let operators_inbox = inbox.clone();
     let maintenance = Rc::default();
@@ -227,7 +227,7 @@
     let lifecycle = LifecycleDriver::starting(clock);
     let (listed, known_list) = (guard.clone(), lifecycle.clone());
     spawn_local(async move {
-        listed.ready().await;
+        listed.wait_until_ready().await;
         let _ = known_list.handle(Event::ListKnown);
     });
     let fleet_client = listeners.fleet.as_ref().map(|fleet| fleet.client.clone());
@@ -265,7 +265,9 @@
 }
 
 /// Starts what this process does as one of a fleet.
-fn spawn_fleet(fleet: FleetMember, lifecycle: &Rc<LifecycleDriver>, inbox: &mpsc::UnboundedSender<Input>) {
+fn spawn_fleet(
+    fleet: FleetMember, lifecycle: &Rc<LifecycleDriver>, inbox: &mpsc::UnboundedSender<DriverInput>,
+) {
     spawn_local(fleet.client.clone().run());
     if fleet.client.limits_disruptions() {
         spawn_local(outages::look_after(fleet.client.clone(), lifecycle.clone(), inbox.clone()));
--- a/src/stages/book.rs
+++ b/src/stages/book.rs
@@ -1,6 +1,6 @@
 //! Books what was taken in, sent and answered.
 
-use super::Answer;
+use super::FinalResponse;
 use super::admit::Edge;
 use crate::api::ClassId;
 use crate::api::Outcome;
@@ -22,7 +22,7 @@
 
 impl Ticket {
     /// The request has its final answer.
-    pub fn end(mut self, answer: &Answer) {
+    pub fn end(mut self, answer: &FinalResponse) {
         self.ended = true;
         self.book.answered(self.class, answer);
     }
@@ -75,11 +75,11 @@
         self.0.probes.add();
     }
 
-    fn answered(&self, class: ClassId, answer: &Answer) {
+    fn answered(&self, class: ClassId, answer: &FinalResponse) {
         let (count, end) = match answer {
-            Answer::Served(_) | Answer::Passing(_) => (&self.0.served, End::Completed),
-            Answer::Refused { .. } => (&self.0.refused, End::Rejected),
-            Answer::Failed => (&self.0.failed, End::Failed),
+            FinalResponse::Served(_) | FinalResponse::Streaming(_) => (&self.0.served, End::Completed),
+            FinalResponse::Rejected { .. } => (&self.0.refused, End::Rejected),
+            FinalResponse::Failed => (&self.0.failed, End::Failed),
         };
         count.add();
         self.1.ended(class.0, Some(end));
--- a/src/stages/mod.rs
+++ b/src/stages/mod.rs
@@ -1,4 +1,4 @@
-//! The chain that a request passes: taken in, admitted, routed, sent, relayed and booked. The types here know
+//! The chain that a request passes: read, admitted, decided on, sent to a member, answered and counted. The types here know
 //! no protocol, so that another one can stand before the same decisions.
 
 pub mod admit;
@@ -11,85 +11,68 @@
 use crate::api::{Ended, LoadReport, MemberId, Outcome, Request, RequestId, Span};
 use crate::discovery::list::ListEvent;
 use crate::request::Payload;
+use crate::upstream::response::{MemberResponse, StreamingResponse};
 use bytes::Bytes;
 use linenhill_decisions::disruption::HealthObservation;
 use std::collections::BTreeMap;
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A long answer whose first bytes are there.
-#[derive(Debug)]
-pub struct Flow {
-    /// What came first, in the protocol's own form.
-    pub first: Bytes,
-    /// The rest as it comes, within a bounded window. It ends without [`Passed::Whole`] if it was cut off.
-    pub rest: mpsc::Receiver<Passed>,
-}
-
-/// What passes of a long answer.
-#[derive(Debug)]
-pub enum Passed {
-    /// More of it.
-    Part(Bytes),
-    /// Its end: it is whole.
-    Whole(Bytes),
-}
-
-/// What a member gave.
-#[derive(Debug)]
-pub enum Value {
-    /// The whole answer.
-    Whole(Bytes),
-    /// A long one, on its way.
-    Passing(Flow),
-}
-
 /// The one final answer of a request.
 #[derive(Debug)]
-pub enum Answer {
+pub enum FinalResponse {
     /// Served with a long answer, which is on its way: it may yet be cut off.
-    Passing(Flow),
+    Streaming(StreamingResponse),
     /// Served: the answer as a member gave it, in the protocol's own form.
     Served(Bytes),
-    /// Refused: a retry does no harm.
-    Refused {
-        /// When to come back.
+    /// Rejected: a retry does no harm.
+    Rejected {
+        /// The time after which the client may retry.
         retry_after: Option<Span>,
     },
-    /// Failed: no word about the effect.
+    /// Failed: whether the request had an effect is not known.
     Failed,
 }
 
-/// A request that was taken in and admitted.
-pub struct Taken {
-    /// What the decisions are told.
+/// A request that was accepted from a client and admitted.
+pub struct AcceptedRequest {
+    /// The request as the decisions know it.
     pub request: Request,
-    /// What is passed on.
+    /// The statement to forward.
     pub payload: Payload,
     /// When the client gives up.
     pub deadline: Instant,
     /// Where its final answer goes.
-    pub reply: oneshot::Sender<Answer>,
+    pub reply: oneshot::Sender<FinalResponse>,
+}
+
+/// Members by what the driver does with them.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MemberCounts {
+    /// Members that the endpoint list names.
+    pub listed: usize,
+    /// Of those, the ones that get nothing now: out of service, draining, or avoided by the decisions.
+    pub avoided: usize,
 }
 
-/// What happens to the driver of the decisions.
-pub enum Input {
-    /// A request came.
-    Taken(Box<Taken>),
+/// An event for the driver of the decisions.
+pub enum DriverInput {
+    /// A client's request was accepted and admitted.
+    RequestAccepted(Box<AcceptedRequest>),
     /// The client of a request has left.
-    Gone(RequestId),
+    ClientGone(RequestId),
     /// An attempt ended; `closed` is filled in by the driver.
-    Ended(Ended, Option<Value>),
-    /// A probe ended.
-    Probed(MemberId, Outcome, LoadReport),
-    /// News of the list.
+    AttemptEnded(Ended, Option<MemberResponse>),
+    /// A health check ended.
+    HealthCheckEnded(MemberId, Outcome, LoadReport),
+    /// An event of the endpoint list.
     List(ListEvent),
-    /// Somebody asks how many members are listed, and how many of them avoided.
-    Asked(oneshot::Sender<(usize, usize)>),
-    /// Operators have said something new on the member with this name.
+    /// The metrics ask for the counts of members.
+    MemberCountsRequested(oneshot::Sender<MemberCounts>),
+    /// Operators have given a new maintenance order on the member with this name.
     MaintenanceChanged(String),
-    /// The fleet asks how members are seen.
-    Sights(oneshot::Sender<BTreeMap<String, HealthObservation>>),
-    /// The fleet says to whom nothing new may be sent; answered once that is so.
-    Fence(Vec<String>, oneshot::Sender<()>),
+    /// The fleet asks for this proxy's observation of each member, by its name.
+    HealthObservationsRequested(oneshot::Sender<BTreeMap<String, HealthObservation>>),
+    /// The fleet names the members to which nothing new may be sent; answered once that holds.
+    QuarantineChanged(Vec<String>, oneshot::Sender<()>),
 }
--- a/src/stages/relay.rs
+++ b/src/stages/relay.rs
@@ -1,6 +1,6 @@
 //! Hands the one final answer of a request to whoever waits for it.
 
-use super::Answer;
+use super::FinalResponse;
 use crate::api::RequestId;
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::sync::oneshot;
@@ -9,13 +9,13 @@
 /// The stage.
 #[derive(Default)]
 pub struct Relay {
-    open: BTreeMap<RequestId, (oneshot::Sender<Answer>, Instant)>,
+    open: BTreeMap<RequestId, (oneshot::Sender<FinalResponse>, Instant)>,
     due: BTreeSet<(Instant, RequestId)>,
 }
 
 impl Relay {
     /// From now on an answer is owed, until `due`.
-    pub fn owe(&mut self, id: RequestId, reply: oneshot::Sender<Answer>, due: Instant) {
+    pub fn owe(&mut self, id: RequestId, reply: oneshot::Sender<FinalResponse>, due: Instant) {
         self.open.insert(id, (reply, due));
         self.due.insert((due, id));
     }
@@ -25,7 +25,7 @@
         self.due.first().copied()
     }
 
-    fn close(&mut self, id: &RequestId) -> Option<oneshot::Sender<Answer>> {
+    fn close(&mut self, id: &RequestId) -> Option<oneshot::Sender<FinalResponse>> {
         let (reply, due) = self.open.remove(id)?;
         self.due.remove(&(due, *id));
         Some(reply)
@@ -37,7 +37,7 @@
     }
 
     /// Gives the final answer; false when the request was over before.
-    pub fn answer(&mut self, id: &RequestId, answer: Answer) -> bool {
+    pub fn answer(&mut self, id: &RequestId, answer: FinalResponse) -> bool {
         let Some(reply) = self.close(id) else { return false };
         // The client may have left a moment ago; its word is on the way.
         let _ = reply.send(answer);
--- a/src/stages/route.rs
+++ b/src/stages/route.rs
@@ -3,7 +3,7 @@
 
 use super::relay::Relay;
 use super::send::Sender;
-use super::{Answer, Input, Taken, Value};
+use super::{AcceptedRequest, DriverInput, FinalResponse, MemberCounts};
 use crate::api::{
     Action, Event, GroupId, ListEntry, ListUpdate, MemberId, MemberState, Outcome, RequestId, Span, Time,
 };
@@ -15,6 +15,7 @@
 use crate::maintenance::{EffectiveState, ListedMember, Maintenance};
 use crate::policy::Router;
 use crate::upstream::pool::Pool;
+use crate::upstream::response::MemberResponse;
 use linenhill_decisions::disruption::{Availability, HealthObservation};
 use log::{debug, info};
 use std::cell::RefCell;
@@ -41,7 +42,7 @@
 pub struct Route {
     router: Router,
     clock: Clock,
-    inbox: mpsc::UnboundedReceiver<Input>,
+    inbox: mpsc::UnboundedReceiver<DriverInput>,
     sender: Sender,
     relay: Relay,
     pool: Pool,
@@ -62,7 +63,7 @@
     /// The clock of all events.
     pub clock: Clock,
     /// The events, in the order in which they are handled.
-    pub inbox: mpsc::UnboundedReceiver<Input>,
+    pub inbox: mpsc::UnboundedReceiver<DriverInput>,
     /// Starts and cancels attempts.
     pub sender: Sender,
     /// Gives final answers.
@@ -113,14 +114,14 @@
                 }
             };
             let Some(input) = input else { return };
-            self.pool.guard().turn();
+            self.pool.guard().begin_turn();
             self.take(input);
             self.fire();
         }
     }
 
     fn fire(&mut self) {
-        self.pool.guard().turn();
+        self.pool.guard().begin_turn();
         let now = self.clock.now();
         while let Some((at, token)) = self.timers.first().copied().filter(|t| t.0 <= now) {
             self.timers.remove(&(at, token));
@@ -132,23 +133,23 @@
             let guard = self.pool.guard();
             let ids = format_args!("request {id} was overdue");
             guard.monitor().check(Invariant::AnsweredInTime, guard.is_catching_up(), ids);
-            self.finish(id, Answer::Failed);
+            self.finish(id, FinalResponse::Failed);
             self.handle(Event::Lapsed { id });
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn take(&mut self, input: DriverInput) {
         match input {
-            Input::Taken(taken) => {
-                let Taken { request, payload, deadline, reply } = *taken;
+            DriverInput::RequestAccepted(accepted) => {
+                let AcceptedRequest { request, payload, deadline, reply } = *accepted;
                 let closed = self.maintenance.borrow().is_group_out(request.group) || !self.shares.serves();
-                if self.pool.guard().check() == Err(Withheld::Expired) {
+                if self.pool.guard().check_lease() == Err(Withheld::Expired) {
                     debug!("request {} rejected: the list's lease is over", request.id);
-                    let _ = reply.send(Answer::Refused { retry_after: Some(COME_BACK_LISTED) });
+                    let _ = reply.send(FinalResponse::Rejected { retry_after: Some(COME_BACK_LISTED) });
                     return;
                 }
                 if closed || !self.shares.admission(request.class) {
-                    let _ = reply.send(Answer::Refused { retry_after: Some(COME_BACK) });
+                    let _ = reply.send(FinalResponse::Rejected { retry_after: Some(COME_BACK) });
                     return;
                 }
                 self.shares.work();
@@ -156,21 +157,21 @@
                 self.sender.keep(request.id, payload, deadline);
                 self.handle(Event::Request(request));
             }
-            Input::Gone(id) => {
+            DriverInput::ClientGone(id) => {
                 if self.relay.lapse(&id) {
                     self.sender.over(id);
                     self.handle(Event::Lapsed { id });
                 }
             }
-            Input::Ended(mut end, value) => {
+            DriverInput::AttemptEnded(mut end, response) => {
                 debug!(
                     "request {} attempt {} at member {}: {:?} after {} us",
                     end.id, end.attempt, end.member.0, end.outcome, end.latency.0
                 );
                 self.sender.ended(end.id, end.attempt);
-                let answer = value.map(|value| match value {
-                    Value::Whole(raw) => Answer::Served(raw),
-                    Value::Passing(flow) => Answer::Passing(flow),
+                let answer = response.map(|response| match response {
+                    MemberResponse::Complete(raw) => FinalResponse::Served(raw),
+                    MemberResponse::Streaming(response) => FinalResponse::Streaming(response),
                 });
                 if let (Outcome::Ok, Some(answer)) = (end.outcome, answer)
                     && self.relay.answer(&end.id, answer)
@@ -180,41 +181,43 @@
                 end.closed = !self.relay.owed(&end.id);
                 self.handle(Event::AttemptEnded(end));
             }
-            Input::Probed(member, outcome, report) => {
+            DriverInput::HealthCheckEnded(member, outcome, report) => {
                 self.handle(Event::Probed { member, outcome, report });
             }
-            Input::List(ListEvent::Failed { silence: quiet }) => {
+            DriverInput::List(ListEvent::Failed { silence: quiet }) => {
                 self.handle(Event::List(ListUpdate::Failed { quiet }))
             }
-            Input::List(ListEvent::Unchanged) => {
+            DriverInput::List(ListEvent::Unchanged) => {
                 self.handle(Event::List(ListUpdate::Changes(Arc::default())));
             }
-            Input::List(ListEvent::Cached(listing)) => {
+            DriverInput::List(ListEvent::Cached(listing)) => {
                 let entries = self.entries(listing);
                 self.list(ListUpdate::Cached(entries));
             }
-            Input::List(ListEvent::Received(listing)) => {
+            DriverInput::List(ListEvent::Received(listing)) => {
                 let full = listing.is_full;
                 info!(
                     "list version {} with {} entries, full={full}",
                     listing.version,
                     listing.endpoints.len()
                 );
-                self.pool.guard().list_taken(listing.version);
+                self.pool.guard().set_list_version(listing.version);
                 let entries = self.entries(listing);
                 let update = if full { ListUpdate::Full(entries) } else { ListUpdate::Changes(entries) };
                 self.list(update);
             }
-            Input::MaintenanceChanged(id) => self.say_again(&id),
-            Input::Sights(reply) => _ = reply.send(self.sights()),
-            Input::Fence(members, done) => {
+            DriverInput::MaintenanceChanged(id) => self.say_again(&id),
+            DriverInput::HealthObservationsRequested(reply) => _ = reply.send(self.sights()),
+            DriverInput::QuarantineChanged(members, done) => {
                 let now = self.clock.now();
                 let changed =
                     self.maintenance.borrow_mut().set_out_by_fleet(now, members.into_iter().collect());
                 changed.iter().for_each(|id| self.say_again(id));
                 let _ = done.send(());
             }
-            Input::Asked(reply) => _ = reply.send((self.listed.len(), self.avoided())),
+            DriverInput::MemberCountsRequested(reply) => {
+                _ = reply.send(MemberCounts { listed: self.listed.len(), avoided: self.avoided() })
+            }
         }
     }
 
@@ -345,8 +348,8 @@
                 debug!("request {id} sent to member {}", member.0);
                 self.sender.start(id, member, timeout);
             }
-            Action::Refuse { id, retry_after } => self.finish(id, Answer::Refused { retry_after }),
-            Action::Fail { id } => self.finish(id, Answer::Failed),
+            Action::Refuse { id, retry_after } => self.finish(id, FinalResponse::Rejected { retry_after }),
+            Action::Fail { id } => self.finish(id, FinalResponse::Failed),
             Action::Cancel { id, attempt } => self.sender.cancel(id, attempt),
             Action::Timer { token, at } => {
                 self.timers.insert((at, token));
@@ -359,11 +362,13 @@
         }
     }
 
-    fn finish(&mut self, id: RequestId, answer: Answer) {
+    fn finish(&mut self, id: RequestId, answer: FinalResponse) {
         match &answer {
-            Answer::Refused { retry_after } => debug!("request {id} rejected, retry after {retry_after:?}"),
-            Answer::Failed => debug!("request {id} failed"),
-            Answer::Served(_) | Answer::Passing(_) => {}
+            FinalResponse::Rejected { retry_after } => {
+                debug!("request {id} rejected, retry after {retry_after:?}")
+            }
+            FinalResponse::Failed => debug!("request {id} failed"),
+            FinalResponse::Served(_) | FinalResponse::Streaming(_) => {}
         }
         if self.relay.answer(&id, answer) {
             self.sender.over(id);
--- a/src/stages/send.rs
+++ b/src/stages/send.rs
@@ -1,11 +1,12 @@
 //! Carries out sends: one task for each attempt, called off on demand, and one ending for each.
 
-use super::Input;
+use super::DriverInput;
 use super::book::Book;
 use crate::api::{Ended, Limits, LoadReport, MemberId, Outcome, RequestId, Span};
 use crate::invariants::Invariant;
 use crate::request::Payload;
 use crate::upstream::attempt::{self, AttemptOutcome, AttemptRequest};
+use crate::upstream::health_check;
 use crate::upstream::pool::Pool;
 use crate::upstream::send_guard::Purpose;
 use std::cell::Cell;
@@ -28,7 +29,7 @@
 pub struct Sender {
     jobs: BTreeMap<RequestId, Job>,
     pool: Pool,
-    inbox: mpsc::UnboundedSender<Input>,
+    inbox: mpsc::UnboundedSender<DriverInput>,
     book: Book,
     most: u32,
     /// Whether a second attempt may run beside the first.
@@ -37,7 +38,7 @@
 
 impl Sender {
     /// Sends over `pool`, within these limits for each request; endings go to `inbox`.
-    pub fn new(pool: Pool, inbox: mpsc::UnboundedSender<Input>, book: Book, limits: &Limits) -> Sender {
+    pub fn new(pool: Pool, inbox: mpsc::UnboundedSender<DriverInput>, book: Book, limits: &Limits) -> Sender {
         let (most, allows_copies) = (limits.max_attempts, limits.second_copies);
         Sender { jobs: BTreeMap::new(), pool, inbox, book, most, allows_copies }
     }
@@ -128,8 +129,8 @@
         let (pool, inbox) = (self.pool.clone(), self.inbox.clone());
         self.book.probed();
         tokio::task::spawn_local(async move {
-            let (outcome, report): (Outcome, LoadReport) = attempt::probe(pool, member).await;
-            let _ = inbox.send(Input::Probed(member, outcome, report));
+            let (outcome, report): (Outcome, LoadReport) = health_check::run(pool, member).await;
+            let _ = inbox.send(DriverInput::HealthCheckEnded(member, outcome, report));
         });
     }
 
@@ -139,10 +140,12 @@
     }
 }
 
-fn ended(id: RequestId, attempt: u32, member: MemberId, started: Instant, ending: AttemptOutcome) -> Input {
+fn ended(
+    id: RequestId, attempt: u32, member: MemberId, started: Instant, ending: AttemptOutcome,
+) -> DriverInput {
     let AttemptOutcome { outcome, response, position, role, report } = ending;
     let latency = Span(started.elapsed().as_micros() as u64);
     let closed = false;
     let end = Ended { id, attempt, member, outcome, latency, closed, position, role, report };
-    Input::Ended(end, response)
+    DriverInput::AttemptEnded(end, response)
 }
--- a/src/takeover/maintenance_log.rs
+++ b/src/takeover/maintenance_log.rs
@@ -9,7 +9,7 @@
 use crate::clock::Clock;
 use crate::maintenance::{Maintenance, MaintenanceOrder, OrderRejected};
 use crate::settings::{self, FormError};
-use crate::stages::Input;
+use crate::stages::DriverInput;
 use log::{info, warn};
 use miniserde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
@@ -98,7 +98,7 @@
     /// The file as it was last read.
     last_read: Cell<Option<FileStamp>>,
     clock: Clock,
-    inbox: mpsc::UnboundedSender<Input>,
+    inbox: mpsc::UnboundedSender<DriverInput>,
 }
 
 impl MaintenanceLog {
@@ -106,7 +106,7 @@
     /// `inbox`.
     pub fn new(
         maintenance: Rc<RefCell<Maintenance>>, file: Option<PathBuf>, clock: Clock,
-        inbox: mpsc::UnboundedSender<Input>,
+        inbox: mpsc::UnboundedSender<DriverInput>,
     ) -> Rc<MaintenanceLog> {
         let log = MaintenanceLog { maintenance, file, last_read: Cell::new(None), clock, inbox };
         log.sync();
@@ -119,7 +119,7 @@
         let changed = self.maintenance.borrow_mut().order(self.clock.now(), id, out_of_service)?;
         if changed {
             self.save();
-            let _ = self.inbox.send(Input::MaintenanceChanged(id.to_string()));
+            let _ = self.inbox.send(DriverInput::MaintenanceChanged(id.to_string()));
         }
         Ok(changed)
     }
@@ -163,7 +163,7 @@
         let is_new = self.maintenance.borrow_mut().merge(&record.id, record.order());
         if is_new {
             info!("maintenance: {} is {}", record.id, if record.out { "out" } else { "back" });
-            let _ = self.inbox.send(Input::MaintenanceChanged(record.id));
+            let _ = self.inbox.send(DriverInput::MaintenanceChanged(record.id));
         }
     }
 
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -35,14 +35,15 @@
 /// The size of a new buffer, in bytes: the codec's own default.
 const INITIAL_BUFFER: usize = 8 * 1024;
 
-/// An open connection. Dropping it closes the socket, logs the close reason, and returns the descriptor and the quota
-/// permit.
+/// An open connection. Dropping it closes the socket, logs the close reason, and returns the descriptor and the quota.
 pub struct MemberConnection {
     framed: Framed<TcpStream, BackendCodec>,
     address: SocketAddr,
     close_reason: Rc<Cell<CloseReason>>,
+    /// Held for its drop, which returns the descriptor.
     _descriptor: Place,
-    _permit: Unit,
+    /// Held for its drop, which returns this connection's part of the fleet's budgets.
+    _quota: Unit,
 }
 
 impl Drop for MemberConnection {
@@ -55,7 +56,7 @@
 pub enum StreamEvent {
     /// A chunk of the value.
     Chunk(Bytes),
-    /// The completion, as the member sent it: the answer is whole.
+    /// The completion, as the member sent it: the answer is complete.
     End(Bytes),
     /// The connection can carry another statement.
     Ready,
@@ -85,8 +86,10 @@
 }
 
 impl MemberConnection {
-    /// Opens a connection and waits until the member is ready for a statement, at most `connect_timeout` in all. An
-    /// error is the outcome of the attempt that needed the connection.
+    /// Opens a connection and waits until the member is ready for a statement, at most `connect_timeout` in all.
+    ///
+    /// # Errors
+    /// The outcome of the attempt that needed the connection.
     pub async fn open(
         address: SocketAddr, descriptor: Place, connect_timeout: Duration,
     ) -> Result<MemberConnection, Outcome> {
@@ -99,7 +102,7 @@
             address,
             close_reason: Rc::new(Cell::new(CloseReason::ConnectTimeout)),
             _descriptor: descriptor,
-            _permit: Unit::default(),
+            _quota: Unit::default(),
         };
         match timeout_at(deadline, connection.start_session()).await {
             Ok(Ok(())) => {
@@ -127,9 +130,9 @@
         }
     }
 
-    /// Keeps a quota permit until the connection is closed.
-    pub fn hold_permit(&mut self, permit: Unit) {
-        self._permit = permit;
+    /// Keeps a part of the fleet's budgets until the connection is closed.
+    pub fn hold_quota(&mut self, quota: Unit) {
+        self._quota = quota;
     }
 
     /// The member's address.
@@ -137,7 +140,7 @@
         self.address
     }
 
-    /// The reason under which the end of the connection will be logged, for whoever ends it to set.
+    /// The reason under which the end of the connection will be logged. The code that ends it sets the reason.
     pub fn close_reason(&self) -> Rc<Cell<CloseReason>> {
         self.close_reason.clone()
     }
@@ -166,7 +169,10 @@
         })
     }
 
-    /// Writes a whole statement, which `permit` allows. If this fails the statement has not run.
+    /// Writes a complete statement, given in two pieces, which `permit` allows.
+    ///
+    /// # Errors
+    /// The outcome of a statement that has not run: the connection broke before its end was written.
     pub async fn write_statement(
         &mut self, permit: SendPermit, head: Bytes, tail: Bytes,
     ) -> Result<(), Outcome> {
--- a/src/upstream/send_guard.rs
+++ b/src/upstream/send_guard.rs
@@ -1,8 +1,8 @@
 //! The one place that allows a statement to be written to a member.
 //!
-//! Whoever writes needs a [`SendPermit`], and only [`SendGuard`] makes one: right before the write, from what is true at
-//! that moment. It carries out [`ListLease`] with a clock, and decides nothing itself. A permit must never be kept
-//! across a wait.
+//! A write needs a [`SendPermit`], and only [`SendGuard`] makes one: right before the write, from what is true at that
+//! moment. The guard applies [`ListLease`] with a clock, and decides nothing itself. A permit must never be kept across a
+//! wait.
 
 use crate::api::{MemberId, RequestId, Time};
 use crate::clock::Clock;
@@ -18,35 +18,35 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-/// While the process catches up after a hold-up, a send that waits asks again this often.
+/// Interval at which a send asks again while the process catches up after a hold-up.
 const CATCH_UP_POLL: Duration = Duration::from_millis(10);
 
-/// For whom something is sent.
+/// What a statement is sent for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// An attempt of a request.
     Attempt(RequestId, u32),
-    /// A probe of the member.
-    Probe,
+    /// A health check of the member. Printed as `probe`, as the metrics call it.
+    HealthCheck,
 }
 
 impl fmt::Display for Purpose {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Purpose::Attempt(request, attempt) => write!(f, "request {request} attempt {attempt}"),
-            Purpose::Probe => f.write_str("probe"),
+            Purpose::HealthCheck => f.write_str("probe"),
         }
     }
 }
 
-/// What is to be sent, to whom, and until when.
+/// What a permit is asked for.
 #[derive(Clone, Debug)]
 pub struct SendIntent {
-    /// The member.
+    /// The member to send to.
     pub member: MemberId,
-    /// For whom.
+    /// What it is sent for.
     pub purpose: Purpose,
-    /// Nothing is sent from then on.
+    /// From then on nothing is sent.
     pub deadline: Instant,
     /// Set once the request is answered or its client has left.
     pub is_request_over: Rc<Cell<bool>>,
@@ -70,20 +70,22 @@
         self.has_waited
     }
 
-    /// Checks at the write that what the permit rests on is still so.
+    /// Checks at the write that the permit's conditions still hold, and counts each one that does not as a violated
+    /// invariant. It stops nothing.
     pub fn check_at_write(&self) {
         let SendIntent { member, purpose, deadline, is_request_over } = &self.intent;
         let age = self.issued_at.elapsed();
-        let held_up_most = Duration::from_micros(HOLD_UP.0);
+        let max_age = Duration::from_micros(HOLD_UP.0);
         let checks = [
             (Invariant::MemberAccepts, self.eligibility.is_accepting(*member)),
-            (Invariant::ListLeased, self.guard.check_at(self.issued_at) != Err(Withheld::Expired)),
+            (Invariant::ListLeased, self.guard.check_lease_at(self.issued_at) != Err(Withheld::Expired)),
             (Invariant::RequestOpen, !is_request_over.get()),
             (Invariant::BeforeDeadline, self.issued_at < *deadline),
-            (Invariant::PermitCurrent, age <= held_up_most),
+            (Invariant::PermitCurrent, age <= max_age),
         ];
+        let incarnation = self.incarnation.map_or(0, |started| started.0);
+        let version = self.list_version;
         for (invariant, holds) in checks {
-            let (incarnation, version) = (self.incarnation.map_or(0, |started| started.0), self.list_version);
             self.guard.0.monitor.check(
                 invariant,
                 holds,
@@ -97,11 +99,11 @@
 }
 
 struct Inner {
-    /// None where no list binds: a pool without discovery.
+    /// `None` where no list binds: a pool without discovery.
     lease: Option<RefCell<ListLease>>,
     clock: Clock,
     list_version: Cell<u64>,
-    /// Whether the lease was over at the last turn.
+    /// Whether the lease had expired at the driver's last turn.
     was_expired: Cell<bool>,
     is_ready: watch::Sender<bool>,
     monitor: Rc<InvariantMonitor>,
@@ -138,36 +140,37 @@
         }))
     }
 
-    /// What counts violations.
+    /// The monitor that counts violated invariants.
     pub fn monitor(&self) -> &InvariantMonitor {
         &self.0.monitor
     }
 
-    /// Discovery sent a message on the watch that is open.
-    pub fn list_confirmed(&self) {
-        self.change(|lease, now| lease.confirmed(now));
+    /// Records that discovery sent a message on the open watch.
+    pub fn record_list_confirmed(&self) {
+        self.update_lease(|lease, now| lease.confirmed(now));
     }
 
-    /// A call of discovery that began at `began` failed before it brought anything.
-    pub fn call_failed(&self, began: Time) {
-        self.change(|lease, now| lease.call_failed(now, began));
+    /// Records that a call of discovery, begun at `began`, failed before it brought anything.
+    pub fn record_call_failed(&self, began: Time) {
+        self.update_lease(|lease, now| lease.call_failed(now, began));
     }
 
-    /// The watch ended that had brought something.
-    pub fn watch_ended(&self, was_silent: bool) {
-        self.change(|lease, now| lease.watch_ended(now, was_silent));
+    /// Records the end of a watch that had brought something; `was_silent` if it ended for silence.
+    pub fn record_watch_ended(&self, was_silent: bool) {
+        self.update_lease(|lease, now| lease.watch_ended(now, was_silent));
     }
 
-    /// A list of this version came into use.
-    pub fn list_taken(&self, version: u64) {
+    /// Sets the version of the list in use.
+    pub fn set_list_version(&self, version: u64) {
         self.0.list_version.set(version);
         self.0.monitor.record_change(format_args!("list version {version}"));
     }
 
-    fn change(&self, event: impl FnOnce(&mut ListLease, Time)) {
+    /// Applies an event to the lease, logs a change of its basis, and reports readiness.
+    fn update_lease(&self, apply: impl FnOnce(&mut ListLease, Time)) {
         let Some(lease) = &self.0.lease else { return };
         let before = lease.borrow().basis();
-        event(&mut lease.borrow_mut(), self.0.clock.now());
+        apply(&mut lease.borrow_mut(), self.0.clock.now());
         let after = lease.borrow().basis();
         if before != after {
             self.0.monitor.record_change(format_args!("list lease {before} to {after}"));
@@ -184,13 +187,13 @@
         self.0.lease.as_ref().is_none_or(|lease| lease.borrow().may_report_ready(now))
     }
 
-    /// Returns once discovery was heard, or could not be.
-    pub async fn ready(&self) {
+    /// Returns once discovery has confirmed the list, or has had its time for that.
+    pub async fn wait_until_ready(&self) {
         let _ = self.0.is_ready.subscribe().wait_for(|ready| *ready).await;
     }
 
-    /// While the process catches up after a hold-up: since when it was held up. What it reads now may have come as early
-    /// as that.
+    /// While the process catches up after a hold-up: since when it was held up. What it reads now may have arrived as
+    /// early as that.
     pub fn held_up_since(&self) -> Option<Instant> {
         let lease = self.0.lease.as_ref()?.borrow();
         lease.held_up_since(self.0.clock.now()).map(|since| self.0.clock.instant(since))
@@ -198,11 +201,11 @@
 
     /// Whether the process was held up, and has not read yet what arrived meanwhile.
     pub fn is_catching_up(&self) -> bool {
-        self.check() == Err(Withheld::CatchingUp)
+        self.check_lease() == Err(Withheld::CatchingUp)
     }
 
-    /// The driver of the decisions takes a turn.
-    pub fn turn(&self) {
+    /// Records that the driver of the decisions begins a turn. A long gap since the last one is a hold-up.
+    pub fn begin_turn(&self) {
         let Some(lease) = &self.0.lease else { return };
         let now = self.0.clock.now();
         let held_up = lease.borrow_mut().turn(now);
@@ -220,13 +223,16 @@
         }
     }
 
-    /// Whether something may be sent by the list in use.
-    pub fn check(&self) -> Result<(), Withheld> {
-        self.check_at(Instant::now())
+    /// Checks that the list in use allows sends now.
+    ///
+    /// # Errors
+    /// Why it does not: its lease has expired, or the process is catching up after a hold-up.
+    pub fn check_lease(&self) -> Result<(), Withheld> {
+        self.check_lease_at(Instant::now())
     }
 
-    /// The same at a moment just past. The lease allows for a hold-up between a permit and its write.
-    fn check_at(&self, moment: Instant) -> Result<(), Withheld> {
+    /// Like [`Self::check_lease`], at a moment just past. The lease allows for a hold-up between a permit and its write.
+    fn check_lease_at(&self, moment: Instant) -> Result<(), Withheld> {
         match &self.0.lease {
             Some(lease) => lease.borrow().check(self.0.clock.time(moment)),
             None => Ok(()),
@@ -245,7 +251,7 @@
             if !is_wanted || !eligibility.is_accepting(intent.member) {
                 return None;
             }
-            match self.check() {
+            match self.check_lease() {
                 Ok(()) => {
                     return Some(SendPermit {
                         incarnation: eligibility.incarnation(intent.member),
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -32,7 +32,7 @@
 use linenhill::stages::relay::Relay;
 use linenhill::stages::route::{Route, RouteParts};
 use linenhill::stages::send::Sender;
-use linenhill::stages::{Answer, Input};
+use linenhill::stages::{DriverInput, FinalResponse};
 use linenhill::takeover::{maintenance_log::MaintenanceLog, saved};
 use linenhill::upstream::attempt::{self, AttemptRequest};
 use linenhill::upstream::connection::MemberConnection;
@@ -78,7 +78,7 @@
     };
     let mut lists = 0;
     while let Ok(input) = events.try_recv() {
-        lists += usize::from(matches!(input, Input::List(ListEvent::Received(_))));
+        lists += usize::from(matches!(input, DriverInput::List(ListEvent::Received(_))));
     }
     (status.list_version(), lists, reason)
 }
@@ -119,7 +119,7 @@
                 CloseReason::WatchEnded
             );
             let told = std::iter::from_fn(|| events.try_recv().ok());
-            told.map(|input| matches!(input, Input::List(ListEvent::Unchanged))).collect::<Vec<bool>>()
+            told.map(|input| matches!(input, DriverInput::List(ListEvent::Unchanged))).collect::<Vec<bool>>()
         }
     };
     assert_eq!(words(&["", "", list]).await, [true, false]);
@@ -129,7 +129,7 @@
     assert_eq!(play_watch(vec![format!("{HEAD}0\r\n\r\n")]).await, (41, 0, CloseReason::WatchEnded));
 }
 
-type Events = mpsc::UnboundedReceiver<Input>;
+type Events = mpsc::UnboundedReceiver<DriverInput>;
 
 /// A gateway whose events are at hand.
 fn gateway() -> (Rc<RequestGateway>, Events) {
@@ -254,7 +254,7 @@
             near.write_all(&[*byte]).await.expect("written");
             sleep(Duration::from_secs(2) / slow.len() as u32).await;
         }
-        assert!(matches!(events.recv().await, Some(Input::Taken(_))), "2 s are no stop");
+        assert!(matches!(events.recv().await, Some(DriverInput::RequestAccepted(_))), "2 s are no stop");
         drop(near);
     };
     tokio::join!(session, trickle);
@@ -267,9 +267,11 @@
     let play = async {
         let half = &query("2", "own")[..20];
         near.write_all(&[STARTUP, &query("1", "list"), half].concat()).await.expect("written");
-        let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
+        let Some(DriverInput::RequestAccepted(taken)) = events.recv().await else {
+            panic!("nothing was taken")
+        };
         sleep(Duration::from_secs(5)).await;
-        taken.reply.send(Answer::Served(b"the row".as_slice().into())).expect("still owed");
+        taken.reply.send(FinalResponse::Served(b"the row".as_slice().into())).expect("still owed");
         let answered = tokio::time::Instant::now();
         let mut got = Vec::new();
         near.read_to_end(&mut got).await.expect("read");
@@ -290,7 +292,9 @@
     let (mut second, serve_second, _tell2) = before(&gateway, connection_gate.admit().expect("a place"));
     let play = async {
         first.write_all(&ask).await.expect("written");
-        let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
+        let Some(DriverInput::RequestAccepted(taken)) = events.recv().await else {
+            panic!("nothing was taken")
+        };
         second.write_all(&ask).await.expect("written");
         let mut got = [0; 512];
         let mut text = String::new();
@@ -298,7 +302,7 @@
             let read = second.read(&mut got).await.expect("read");
             text.push_str(&String::from_utf8_lossy(&got[..read]));
         }
-        taken.reply.send(Answer::Served(b"the row".as_slice().into())).expect("still owed");
+        taken.reply.send(FinalResponse::Served(b"the row".as_slice().into())).expect("still owed");
         let mut text = String::new();
         while !text.contains("the row") {
             let read = first.read(&mut got).await.expect("read");
@@ -306,7 +310,10 @@
         }
         assert!(events.try_recv().is_err(), "the second was not handed in");
         second.write_all(&ask[STARTUP.len()..]).await.expect("written");
-        assert!(matches!(events.recv().await, Some(Input::Taken(_))), "after its answer an id is free");
+        assert!(
+            matches!(events.recv().await, Some(DriverInput::RequestAccepted(_))),
+            "after its answer an id is free"
+        );
         drop((first, second));
     };
     tokio::join!(serve_first, serve_second, play);
@@ -326,18 +333,22 @@
         near.write_all(&asks).await.expect("written");
         let mut taken = Vec::new();
         for _ in 0..2 {
-            let Some(Input::Taken(next)) = events.recv().await else { panic!("nothing was taken") };
+            let Some(DriverInput::RequestAccepted(next)) = events.recv().await else {
+                panic!("nothing was taken")
+            };
             taken.push(next);
         }
         sleep(Duration::from_millis(100)).await;
         assert!(events.try_recv().is_err(), "the third writes to the key of the others");
         for (taken, row) in taken.into_iter().zip(["row 1", "row 2"]).rev() {
-            taken.reply.send(Answer::Served(row.as_bytes().into())).expect("still owed");
+            taken.reply.send(FinalResponse::Served(row.as_bytes().into())).expect("still owed");
             sleep(Duration::from_millis(100)).await;
         }
-        let Some(Input::Taken(third)) = events.recv().await else { panic!("nothing was taken") };
+        let Some(DriverInput::RequestAccepted(third)) = events.recv().await else {
+            panic!("nothing was taken")
+        };
         assert_eq!(third.request.left.0, 700_000, "its time has run since it came");
-        third.reply.send(Answer::Served(b"row 3".as_slice().into())).expect("still owed");
+        third.reply.send(FinalResponse::Served(b"row 3".as_slice().into())).expect("still owed");
         near.write_all(b"X\0\0\0\x04").await.expect("written");
         let mut got = Vec::new();
         near.read_to_end(&mut got).await.expect("read");
@@ -420,8 +431,8 @@
     let counters = Rc::new(Counters::default());
     let answering = async move {
         while let Some(input) = events.recv().await {
-            if let Input::Taken(taken) = input {
-                let _ = taken.reply.send(Answer::Served(b"the row".as_slice().into()));
+            if let DriverInput::RequestAccepted(taken) = input {
+                let _ = taken.reply.send(FinalResponse::Served(b"the row".as_slice().into()));
             }
         }
     };
@@ -467,10 +478,12 @@
         near.write_all(b"\0\0\0\x08\0\x03\0\0").await.expect("written");
         let query = b"Q\0\0\0\x2f/* id=1,c=list,d=900,cluster=1 */ SELECT 1\0";
         near.write_all(query).await.expect("written");
-        let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
+        let Some(DriverInput::RequestAccepted(taken)) = events.recv().await else {
+            panic!("nothing was taken")
+        };
         sleep(Duration::from_secs(3)).await;
         assert!(connection_gate.admit().is_none(), "its request is open");
-        taken.reply.send(Answer::Served(b"the row".as_slice().into())).expect("still owed");
+        taken.reply.send(FinalResponse::Served(b"the row".as_slice().into())).expect("still owed");
         sleep(Duration::from_secs(3)).await;
         assert!(connection_gate.admit().is_some());
     };
@@ -495,8 +508,10 @@
             if ends {
                 sleep(Duration::from_millis(100)).await;
                 near.write_all(&whole[cut..]).await.expect("written");
-                let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
-                taken.reply.send(Answer::Served(b"the row".as_slice().into())).expect("still owed");
+                let Some(DriverInput::RequestAccepted(taken)) = events.recv().await else {
+                    panic!("nothing was taken")
+                };
+                taken.reply.send(FinalResponse::Served(b"the row".as_slice().into())).expect("still owed");
             }
             let told = tokio::time::Instant::now();
             let mut got = Vec::new();
@@ -522,9 +537,11 @@
         sleep(Duration::from_millis(900)).await;
         near.write_all(b"\0\0\0\x05\0").await.expect("written");
         near.write_all(&query("1", "list")).await.expect("written");
-        let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
+        let Some(DriverInput::RequestAccepted(taken)) = events.recv().await else {
+            panic!("nothing was taken")
+        };
         sleep(Duration::from_millis(700)).await;
-        taken.reply.send(Answer::Served(b"the row".as_slice().into())).expect("still owed");
+        taken.reply.send(FinalResponse::Served(b"the row".as_slice().into())).expect("still owed");
         let mut got = Vec::new();
         near.read_to_end(&mut got).await.expect("read");
         let got = String::from_utf8_lossy(&got).into_owned();
@@ -541,7 +558,9 @@
     let (mut near, mut events, session, tell) = session();
     let client = async {
         near.write_all(&[STARTUP, &query("1", "list")].concat()).await.expect("written");
-        let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
+        let Some(DriverInput::RequestAccepted(taken)) = events.recv().await else {
+            panic!("nothing was taken")
+        };
         let _ = tell.send(ServingState {
             accepts_connections: false,
             closes_idle: true,
@@ -551,7 +570,7 @@
         near.write_all(&query("2", "list")).await.expect("written");
         sleep(Duration::from_millis(100)).await;
         assert!(events.try_recv().is_err(), "it is not handed in");
-        taken.reply.send(Answer::Served(b"the row".as_slice().into())).expect("still owed");
+        taken.reply.send(FinalResponse::Served(b"the row".as_slice().into())).expect("still owed");
         let mut got = Vec::new();
         near.read_to_end(&mut got).await.expect("read");
         let got = String::from_utf8_lossy(&got).into_owned();
@@ -573,10 +592,12 @@
             let startup = b"\0\0\0\x08\0\x03\0\0".as_slice();
             let rest = if broken { b"Q\0\0\0\0".as_slice() } else { b"" };
             near.write_all(&[startup, b"Q", &length, query, rest].concat()).await.expect("written");
-            let Some(Input::Taken(taken)) = events.recv().await else { panic!("nothing was taken") };
+            let Some(DriverInput::RequestAccepted(taken)) = events.recv().await else {
+                panic!("nothing was taken")
+            };
             let _ = tell.send(ServingState { closes_idle: true, ..SERVING });
             sleep(Duration::from_millis(300)).await;
-            taken.reply.send(Answer::Served(b"the row".as_slice().into())).expect("still owed");
+            taken.reply.send(FinalResponse::Served(b"the row".as_slice().into())).expect("still owed");
             let mut got = Vec::new();
             near.read_to_end(&mut got).await.expect("read");
             let got = String::from_utf8_lossy(&got).into_owned();
@@ -712,7 +733,8 @@
     let pool = Pool::new(1, long, long, Rc::new(Counters::default()));
     pool.set_address(member, "127.0.0.1:1".parse().expect("an address"));
     let deadline = tokio::time::Instant::now() + long;
-    let intent = SendIntent { member, purpose: Purpose::Probe, deadline, is_request_over: Rc::default() };
+    let intent =
+        SendIntent { member, purpose: Purpose::HealthCheck, deadline, is_request_over: Rc::default() };
     pool.send_permit(intent).await.expect("a permit")
 }
 
@@ -826,7 +848,7 @@
                 "zone":"a","kind":"m2","cell":1,"state":"in_service"}}]}}"#
         );
         let decoded = list::decode(line.as_bytes()).expect("a list");
-        assert!(inbox.send(Input::List(ListEvent::Received(decoded.list))).is_ok());
+        assert!(inbox.send(DriverInput::List(ListEvent::Received(decoded.list))).is_ok());
     };
     let play = async {
         for (version, id) in [(1, "old"), (2, "new")] {
@@ -863,8 +885,8 @@
         answer
     });
     assert_eq!(relay.first_due(), Some((due, ids[0])));
-    assert!(relay.answer(&ids[0], Answer::Failed) && relay.lapse(&ids[1]));
-    assert!(!relay.answer(&ids[0], Answer::Failed), "one answer only");
+    assert!(relay.answer(&ids[0], FinalResponse::Failed) && relay.lapse(&ids[1]));
+    assert!(!relay.answer(&ids[0], FinalResponse::Failed), "one answer only");
     assert_eq!(relay.first_due(), None);
     drop(replies);
 }
--- a/tests/send_guard.rs
+++ b/tests/send_guard.rs
@@ -39,7 +39,7 @@
     let end = Instant::now() + length;
     while Instant::now() < end {
         advance((100 * MS).min(end - Instant::now())).await;
-        guard.turn();
+        guard.begin_turn();
     }
 }
 
@@ -58,9 +58,9 @@
     assert!(pool.send_permit(intent(MS)).await.is_none(), "the member drains");
     pool.set_accepting(|_| true);
     run(&guard, 2_900 * MS).await;
-    assert_eq!(guard.check(), Err(Withheld::Expired));
+    assert_eq!(guard.check_lease(), Err(Withheld::Expired));
     assert!(pool.send_permit(intent(MS)).await.is_none(), "the list's lease is over");
-    guard.list_confirmed();
+    guard.record_list_confirmed();
     assert!(pool.send_permit(intent(MS)).await.is_some());
 }
 
@@ -85,13 +85,13 @@
 async fn permit_waits_while_the_process_catches_up() {
     let figures = Figures::new(["list"]);
     let (guard, pool) = guarded(&figures);
-    guard.list_confirmed();
+    guard.record_list_confirmed();
     run(&guard, 1_000 * MS).await;
     advance(3_000 * MS).await;
     let asked = Instant::now();
     let held_up_since = guard.held_up_since().expect("no turn was taken");
     assert_eq!(asked - held_up_since, 3_000 * MS);
-    guard.turn();
+    guard.begin_turn();
     // What arrived meanwhile is a drain: the permit that waits is not given.
     let read = async {
         tokio::time::sleep(20 * MS).await;
