--- /dev/null
+++ b/src/proxy/parts.rs
@@ -0,0 +1,176 @@
+//! Builds the parts of the proxy from the configuration. Nothing runs yet when a part is built: [`super`] starts the tasks.
+
+use super::capacity::Capacity;
+use crate::admin::Controls;
+use crate::api;
+use crate::clients::connection_gate::ConnectionGate;
+use crate::clients::lifecycle_driver::LifecycleDriver;
+use crate::clients::request_gateway::RequestGateway;
+use crate::clock::Clock;
+use crate::config::Config;
+use crate::counters::Counters;
+use crate::discovery::client::{DiscoveryClient, WatchTrigger};
+use crate::discovery::list::ListEvent;
+use crate::discovery::status::DiscoveryStatus;
+use crate::discovery::watch::first_message_timeout;
+use crate::figures::Figures;
+use crate::fleet::Shares;
+use crate::list_lease::ListLease;
+use crate::maintenance::Maintenance;
+use crate::policy::Router;
+use crate::stages::DriverInput;
+use crate::stages::book::Book;
+use crate::stages::intake::Intake;
+use crate::stages::relay::Relay;
+use crate::stages::route::{Route, RouteParts};
+use crate::stages::send::Sender;
+use crate::takeover::maintenance_log::{self, MaintenanceLog};
+use crate::upstream::pool::Pool;
+use crate::upstream::send_guard::SendGuard;
+use crate::watch_schedule::WatchSchedule;
+use linenhill_cluster::client::FleetClient;
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{Notify, mpsc, watch};
+
+/// The shortest time that a connection to a member is given to come up.
+const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(1);
+
+/// The parts that several tasks share.
+pub(super) struct Parts {
+    pub(super) clock: Clock,
+    pub(super) counters: Rc<Counters>,
+    pub(super) metrics: Rc<Figures>,
+    pub(super) quota: Shares,
+    pub(super) guard: SendGuard,
+    pub(super) pool: Pool,
+    pub(super) discovery_status: Rc<DiscoveryStatus>,
+    /// Where everything sends its events for the driver.
+    pub(super) inbox: mpsc::UnboundedSender<DriverInput>,
+    accounting: Book,
+    maintenance: Rc<RefCell<Maintenance>>,
+    /// Notified when the decisions ask for a watch of the list.
+    subscribe: Rc<Notify>,
+}
+
+impl Parts {
+    /// Builds the shared parts; events for the driver go to `inbox`. The list that the configuration knows becomes the
+    /// first of them, and is taken from it.
+    pub(super) fn new(
+        config: &mut Config, capacity: &Capacity, quota: Shares, counters: Rc<Counters>,
+        inbox: mpsc::UnboundedSender<DriverInput>,
+    ) -> Parts {
+        let clock = Clock::start();
+        let settings = &config.site.settings;
+        let metrics = Rc::new(Figures::new(config.site.class_names()));
+        let known_version = config.known.as_ref().map_or(0, |known| known.version);
+        let lease = ListLease::new(clock.now(), settings.discovery, settings.rules.drain_grace);
+        let guard = SendGuard::new(lease, known_version, clock, metrics.invariants());
+        let connect_timeout = Duration::from_micros(settings.limits.connect_timeout.0);
+        let pool = Pool::with_quota(
+            capacity.max_member_connections(),
+            Duration::from_micros(settings.limits.idle_close.0),
+            connect_timeout.max(MIN_CONNECT_TIMEOUT),
+            counters.clone(),
+            quota.clone(),
+            guard.clone(),
+        );
+        let accounting = Book::new(counters.clone(), metrics.clone());
+        let discovery_status = Rc::new(DiscoveryStatus::new(known_version, clock, guard.clone()));
+        if let Some(known) = config.known.take() {
+            let _ = inbox.send(DriverInput::List(ListEvent::Cached(known)));
+        }
+        Parts {
+            clock,
+            counters,
+            metrics,
+            quota,
+            guard,
+            pool,
+            discovery_status,
+            inbox,
+            accounting,
+            maintenance: Rc::default(),
+            subscribe: Rc::new(Notify::new()),
+        }
+    }
+
+    /// Admits or rejects connections of clients.
+    pub(super) fn connection_gate(&self, config: &Config, capacity: &Capacity) -> Rc<ConnectionGate> {
+        let limits = &config.site.settings.limits;
+        ConnectionGate::new(capacity.admission_limits(limits.max_retry_after), self.clock)
+    }
+
+    /// Where sessions submit requests.
+    pub(super) fn request_gateway(&self, config: &Config, capacity: &Capacity) -> Rc<RequestGateway> {
+        let intake = Intake::new(&config.site, self.clock);
+        let admission = capacity.request_admission(config.site.max_open);
+        let accounting = self.accounting.clone();
+        Rc::new(RequestGateway::new(intake, admission, accounting, self.inbox.clone(), self.guard.clone()))
+    }
+
+    /// The orders on members, with the file that two versions of an upgrade share.
+    pub(super) fn maintenance_log(&self, config: &Config) -> Rc<MaintenanceLog> {
+        let file = config.shared.as_ref().map(|dir| dir.join(maintenance_log::FILE_NAME));
+        MaintenanceLog::new(self.maintenance.clone(), file, self.clock, self.inbox.clone())
+    }
+
+    /// Watches the list at `address`, and where that moves to.
+    pub(super) fn discovery_client(
+        &self, config: &Config, address: watch::Receiver<SocketAddr>,
+    ) -> DiscoveryClient {
+        let settings = &config.site.settings;
+        let trigger = match settings.discovery {
+            api::Discovery::OnRequest => WatchTrigger::OnRequest(self.subscribe.clone()),
+            api::Discovery::Pushed => {
+                WatchTrigger::Always(WatchSchedule::new(self.clock.now(), settings.rules.drain_grace))
+            }
+        };
+        DiscoveryClient {
+            address,
+            trigger,
+            status: self.discovery_status.clone(),
+            inbox: self.inbox.clone(),
+            counters: self.counters.clone(),
+            figures: self.metrics.clone(),
+            first_message_timeout: first_message_timeout(settings.discovery),
+            rng: fastrand::Rng::with_seed(config.seed),
+        }
+    }
+
+    /// The driver of the decisions, which reads `inputs`.
+    pub(super) fn driver(&self, config: Config, inputs: mpsc::UnboundedReceiver<DriverInput>) -> Route {
+        let settings = config.site.settings;
+        let pool = self.pool.clone();
+        let sender = Sender::new(pool.clone(), self.inbox.clone(), self.accounting.clone(), &settings.limits);
+        Route::new(RouteParts {
+            router: Router::new(settings, config.seed, self.clock.now()),
+            clock: self.clock,
+            inbox: inputs,
+            sender,
+            relay: Relay::default(),
+            pool,
+            names: config.names,
+            subscribe: self.subscribe.clone(),
+            maintenance: self.maintenance.clone(),
+            shares: self.quota.clone(),
+        })
+    }
+
+    /// What operators' calls read and change.
+    pub(super) fn operator_controls(
+        &self, lifecycle: Rc<LifecycleDriver>, maintenance_log: Rc<MaintenanceLog>,
+        fleet: Option<Rc<FleetClient>>,
+    ) -> Controls {
+        Controls {
+            lifecycle,
+            maintenance_log,
+            figures: self.metrics.clone(),
+            status: self.discovery_status.clone(),
+            inbox: self.inbox.clone(),
+            fleet,
+        }
+    }
+}
