--- a/src/clients/request_gateway.rs
+++ b/src/clients/request_gateway.rs
@@ -5,9 +5,9 @@
 use crate::budget::{Budget, Place};
 use crate::invariants::InvariantMonitor;
 use crate::request::Incoming;
-use crate::stages::admit::{Admit, Edge};
-use crate::stages::book::{Book, Ticket};
-use crate::stages::intake::{Intake, IntakeError, OpenId};
+use crate::stages::accounting::{AccountingTicket, RequestAccounting};
+use crate::stages::admission::{RejectionCause, RequestAdmission};
+use crate::stages::request_intake::{IntakeError, OpenId, RequestIntake};
 use crate::stages::{AcceptedRequest, DriverInput, FinalResponse};
 use crate::upstream::send_guard::SendGuard;
 use bytes::Bytes;
@@ -23,9 +23,9 @@
 
 /// The entry to the stages that all sessions share.
 pub struct RequestGateway {
-    intake: Intake,
-    admit: Admit,
-    book: Book,
+    intake: RequestIntake,
+    admission: RequestAdmission,
+    accounting: RequestAccounting,
     inbox: mpsc::UnboundedSender<DriverInput>,
     guard: SendGuard,
 }
@@ -36,7 +36,7 @@
     class: ClassId,
     writes: bool,
     id: OpenId,
-    ticket: Ticket,
+    ticket: AccountingTicket,
 }
 
 impl OpenRequest {
@@ -51,7 +51,7 @@
 pub struct PendingRequest {
     id: RequestId,
     answer: oneshot::Receiver<FinalResponse>,
-    ticket: Option<Ticket>,
+    ticket: Option<AccountingTicket>,
     inbox: mpsc::UnboundedSender<DriverInput>,
     _place: Place,
     _open_id: OpenId,
@@ -89,30 +89,33 @@
 }
 
 impl RequestGateway {
-    /// The entry before the decisions that read `inbox`; `admit` bounds requests held and the memory of messages, and
+    /// The entry before the decisions that read `inbox`; `admission` bounds requests held and the memory of messages, and
     /// `guard` knows when the process was held up.
     pub fn new(
-        intake: Intake, admit: Admit, book: Book, inbox: mpsc::UnboundedSender<DriverInput>, guard: SendGuard,
+        intake: RequestIntake, admission: RequestAdmission, accounting: RequestAccounting,
+        inbox: mpsc::UnboundedSender<DriverInput>, guard: SendGuard,
     ) -> RequestGateway {
-        RequestGateway { intake, admit, book, inbox, guard }
+        RequestGateway { intake, admission, accounting, inbox, guard }
     }
 
     /// Rejects a request that was not opened. Without its class it is in no metric of a class.
-    pub fn reject_unopened(&self, edge: Edge, retry_after: Span, class: Option<&str>) -> FinalResponse {
+    pub fn reject_unopened(
+        &self, cause: RejectionCause, retry_after: Span, class: Option<&str>,
+    ) -> FinalResponse {
         let answer = FinalResponse::Rejected { retry_after: Some(retry_after) };
-        self.book.refused_at(edge);
-        match class.and_then(|class| self.intake.named(class)) {
-            Some(class) => self.book.take(class).end(&answer),
-            None => self.book.refused(),
+        self.accounting.record_rejection_cause(cause);
+        match class.and_then(|class| self.intake.class_named(class)) {
+            Some(class) => self.accounting.begin_request(class).end(&answer),
+            None => self.accounting.record_rejection_without_class(),
         }
         answer
     }
 
     /// Counts a statement that could not be read, or that is answered as failed before it became a request.
     pub fn count_malformed(&self, class: Option<&str>) {
-        self.book.malformed();
-        if let Some(class) = class.and_then(|class| self.intake.named(class)) {
-            self.book.take(class).end(&FinalResponse::Failed);
+        self.accounting.record_malformed();
+        if let Some(class) = class.and_then(|class| self.intake.class_named(class)) {
+            self.accounting.begin_request(class).end(&FinalResponse::Failed);
         }
     }
 
@@ -128,23 +131,23 @@
 
     /// What counts violated invariants.
     pub fn invariants(&self) -> Rc<InvariantMonitor> {
-        self.book.invariants()
+        self.accounting.invariants()
     }
 
     /// Requests held now.
     pub fn held_requests(&self) -> usize {
-        self.admit.held()
+        self.admission.held_requests()
     }
 
     /// The memory that clients' messages share, in bytes.
     pub fn message_memory(&self) -> Budget {
-        self.admit.memory()
+        self.admission.message_memory()
     }
 
     /// The memory that long messages share, and the permits for one of `length` bytes. Granted in the order of asking;
     /// none for a length that could never be granted.
     pub fn long_message_memory(&self, length: usize) -> Option<(Arc<Semaphore>, u32)> {
-        self.admit.long(length)
+        self.admission.long_message_memory(length)
     }
 
     /// Opens a request when it comes: nothing else may run under its id until its end.
@@ -152,21 +155,21 @@
     /// # Errors
     /// The class is unknown, or a request with this id is open.
     pub fn open(&self, incoming: Incoming) -> Result<OpenRequest, IntakeError> {
-        let class = self.intake.class(&incoming)?;
-        let id = self.intake.open(&incoming)?;
-        let writes = self.intake.level(class) == ReadLevel::Write;
-        let ticket = self.book.take(class);
+        let class = self.intake.class_of(&incoming)?;
+        let id = self.intake.claim_id(&incoming)?;
+        let writes = self.intake.read_level(class) == ReadLevel::Write;
+        let ticket = self.accounting.begin_request(class);
         Ok(OpenRequest { incoming, class, writes, id, ticket })
     }
 
     /// Rejects a request before the decisions see it; the answer tells its client when to retry.
-    pub fn reject(&self, request: OpenRequest, edge: Edge) -> FinalResponse {
-        self.reject_ticket(request.ticket, edge)
+    pub fn reject(&self, request: OpenRequest, cause: RejectionCause) -> FinalResponse {
+        self.reject_ticket(request.ticket, cause)
     }
 
-    fn reject_ticket(&self, ticket: Ticket, edge: Edge) -> FinalResponse {
+    fn reject_ticket(&self, ticket: AccountingTicket, cause: RejectionCause) -> FinalResponse {
         let answer = FinalResponse::Rejected { retry_after: Some(RETRY_AFTER) };
-        self.book.refused_at(edge);
+        self.accounting.record_rejection_cause(cause);
         ticket.end(&answer);
         answer
     }
@@ -179,10 +182,10 @@
         let OpenRequest { mut incoming, class, id: open_id, ticket, .. } = request;
         let waited_ms = u64::try_from(waited.as_millis()).unwrap_or(u64::MAX);
         incoming.wait_ms = incoming.wait_ms.saturating_sub(waited_ms);
-        let request = self.intake.take(&incoming, class);
-        let place = match self.admit.request() {
+        let request = self.intake.build_request(&incoming, class);
+        let place = match self.admission.admit() {
             Ok(place) => place,
-            Err(edge) => return Err(self.reject_ticket(ticket, edge)),
+            Err(cause) => return Err(self.reject_ticket(ticket, cause)),
         };
         let (reply, answer) = oneshot::channel();
         let deadline = Instant::now() + Duration::from_micros(request.left.0);
--- a/src/clients/session/accept.rs
+++ b/src/clients/session/accept.rs
@@ -12,8 +12,8 @@
 use crate::pg::frontend::Frontend;
 use crate::pg::statement::{self, Statement, StatementError};
 use crate::request::{Incoming, Payload};
-use crate::stages::admit::Edge;
-use crate::stages::intake::IntakeError;
+use crate::stages::admission::RejectionCause;
+use crate::stages::request_intake::IntakeError;
 use bytes::Bytes;
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
@@ -88,7 +88,7 @@
     /// Submits a request, unless it depends on an earlier one of its connection.
     fn submit(&self, request: OpenRequest, order: &RequestOrder) -> RequestState {
         if self.serving_state.borrow().rejects_requests {
-            return RequestState::Submitted(Err(self.gateway.reject(request, Edge::Stopping)));
+            return RequestState::Submitted(Err(self.gateway.reject(request, RejectionCause::Stopping)));
         }
         // What was read late may have come when reading ended, for want of room or because the process was stopped.
         let unread_since = self.unread_since.into_iter().chain(self.gateway.held_up_since()).min();
--- a/src/clients/session/input.rs
+++ b/src/clients/session/input.rs
@@ -9,7 +9,7 @@
 use crate::pg::PgError;
 use crate::pg::frontend::{Frontend, FrontendCodec};
 use crate::pg::statement;
-use crate::stages::admit::Edge;
+use crate::stages::admission::RejectionCause;
 use bytes::Bytes;
 use futures_util::StreamExt;
 use std::future::poll_fn;
@@ -177,9 +177,10 @@
         let reason = replies::close_reason(&problem);
         let reply = match problem {
             PgError::Io(_) => return reason,
-            PgError::Memory(_) => {
-                replies::final_answer(self.gateway.reject_unopened(Edge::Memory, RETRY_AFTER, None), true)
-            }
+            PgError::Memory(_) => replies::final_answer(
+                self.gateway.reject_unopened(RejectionCause::Memory, RETRY_AFTER, None),
+                true,
+            ),
             _ => replies::fatal("08P01", problem),
         };
         let _ = self.send([reply]).await;
@@ -204,7 +205,7 @@
         let beginning = buffered.get(5..buffered.len().min(MAX_COMMENT)).unwrap_or_default();
         let beginning = Bytes::copy_from_slice(beginning);
         let class = statement::parse(&beginning).ok().map(|statement| statement.class);
-        let rejected = self.gateway.reject_unopened(Edge::Memory, RETRY_AFTER, class.as_deref());
+        let rejected = self.gateway.reject_unopened(RejectionCause::Memory, RETRY_AFTER, class.as_deref());
         let _ = self.send([replies::final_answer(rejected, true)]).await;
         CloseReason::Protocol
     }
--- a/src/clients/session/mod.rs
+++ b/src/clients/session/mod.rs
@@ -24,7 +24,7 @@
 use crate::lifecycle::ServingState;
 use crate::pg::PgError;
 use crate::pg::frontend::{Answer as Reply, Frontend, FrontendCodec};
-use crate::stages::admit::Edge;
+use crate::stages::admission::RejectionCause;
 use crate::timeouts::timeout_with_last_look;
 use progress::InputProgress;
 use std::rc::Rc;
@@ -195,7 +195,11 @@
                 self.send([replies::error("0A000", "the extended query protocol is not supported")]).await
             }
             ClientMessage::ConnectionRefused(retry_after, class) => {
-                let rejected = self.gateway.reject_unopened(Edge::Door, retry_after, class.as_deref());
+                let rejected = self.gateway.reject_unopened(
+                    RejectionCause::ConnectionSlots,
+                    retry_after,
+                    class.as_deref(),
+                );
                 self.send([replies::final_answer(rejected, true)]).await?;
                 Err(CloseReason::EdgeFull)
             }
--- a/src/proxy/capacity.rs
+++ b/src/proxy/capacity.rs
@@ -5,7 +5,7 @@
 use crate::api::Span;
 use crate::config::Config;
 use crate::connection_admission::AdmissionLimits;
-use crate::stages::admit::Admit;
+use crate::stages::admission::RequestAdmission;
 
 /// Descriptors kept for what is neither a client nor a member: the listener, discovery, the runtime, the log.
 const OWN_DESCRIPTORS: usize = 20;
@@ -67,8 +67,8 @@
     }
 
     /// The admission of requests, of which `max_open` may be held at a time.
-    pub(super) fn request_admission(&self, max_open: usize) -> Admit {
+    pub(super) fn request_admission(&self, max_open: usize) -> RequestAdmission {
         let long_messages = (self.memory as f64 * LONG_MESSAGES_PART) as usize;
-        Admit::new(max_open, self.memory / MESSAGES_DIVISOR, long_messages)
+        RequestAdmission::new(max_open, self.memory / MESSAGES_DIVISOR, long_messages)
     }
 }
--- a/src/proxy/parts.rs
+++ b/src/proxy/parts.rs
@@ -19,11 +19,11 @@
 use crate::maintenance::Maintenance;
 use crate::policy::Router;
 use crate::stages::DriverInput;
-use crate::stages::book::Book;
-use crate::stages::intake::Intake;
-use crate::stages::relay::Relay;
+use crate::stages::accounting::RequestAccounting;
+use crate::stages::dispatch::Dispatcher;
+use crate::stages::request_intake::RequestIntake;
+use crate::stages::response_delivery::ResponseDelivery;
 use crate::stages::route::{Route, RouteParts};
-use crate::stages::send::Sender;
 use crate::takeover::maintenance_log::{self, MaintenanceLog};
 use crate::upstream::pool::Pool;
 use crate::upstream::send_guard::SendGuard;
@@ -49,7 +49,7 @@
     pub(super) discovery_status: Rc<DiscoveryStatus>,
     /// Where everything sends its events for the driver.
     pub(super) inbox: mpsc::UnboundedSender<DriverInput>,
-    accounting: Book,
+    accounting: RequestAccounting,
     maintenance: Rc<RefCell<Maintenance>>,
     /// Notified when the decisions ask for a watch of the list.
     subscribe: Rc<Notify>,
@@ -77,7 +77,7 @@
             quota.clone(),
             guard.clone(),
         );
-        let accounting = Book::new(counters.clone(), metrics.clone());
+        let accounting = RequestAccounting::new(counters.clone(), metrics.clone());
         let discovery_status = Rc::new(DiscoveryStatus::new(known_version, clock, guard.clone()));
         if let Some(known) = config.known.take() {
             let _ = inbox.send(DriverInput::List(ListEvent::Cached(known)));
@@ -105,7 +105,7 @@
 
     /// Where sessions submit requests.
     pub(super) fn request_gateway(&self, config: &Config, capacity: &Capacity) -> Rc<RequestGateway> {
-        let intake = Intake::new(&config.site, self.clock);
+        let intake = RequestIntake::new(&config.site, self.clock);
         let admission = capacity.request_admission(config.site.max_open);
         let accounting = self.accounting.clone();
         Rc::new(RequestGateway::new(intake, admission, accounting, self.inbox.clone(), self.guard.clone()))
@@ -144,13 +144,14 @@
     pub(super) fn driver(&self, config: Config, inputs: mpsc::UnboundedReceiver<DriverInput>) -> Route {
         let settings = config.site.settings;
         let pool = self.pool.clone();
-        let sender = Sender::new(pool.clone(), self.inbox.clone(), self.accounting.clone(), &settings.limits);
+        let dispatcher =
+            Dispatcher::new(pool.clone(), self.inbox.clone(), self.accounting.clone(), &settings.limits);
         Route::new(RouteParts {
             router: Router::new(settings, config.seed, self.clock.now()),
             clock: self.clock,
             inbox: inputs,
-            sender,
-            relay: Relay::default(),
+            dispatcher,
+            responses: ResponseDelivery::default(),
             pool,
             names: config.names,
             subscribe: self.subscribe.clone(),
--- /dev/null
+++ b/src/stages/accounting.rs
@@ -0,0 +1,124 @@
+//! Counts requests, attempts and answers, in the log's counters and in the metrics. Every request that is accepted is counted
+//! with exactly one end.
+
+use super::FinalResponse;
+use super::admission::RejectionCause;
+use crate::api::{ClassId, Outcome};
+use crate::counters::Counters;
+use crate::figures::{End, Figures};
+use crate::invariants::InvariantMonitor;
+use std::rc::Rc;
+
+/// The counters and metrics of requests; copies share them.
+#[derive(Clone)]
+pub struct RequestAccounting {
+    counters: Rc<Counters>,
+    metrics: Rc<Figures>,
+}
+
+/// A request from its last byte to its one end. If it is dropped before [`AccountingTicket::end`], the request is counted as
+/// one whose client has left.
+pub struct AccountingTicket {
+    accounting: RequestAccounting,
+    class: ClassId,
+    is_ended: bool,
+}
+
+impl AccountingTicket {
+    /// Counts the request's end with its final response.
+    pub fn end(mut self, response: &FinalResponse) {
+        self.is_ended = true;
+        self.accounting.record_response(self.class, response);
+    }
+}
+
+impl Drop for AccountingTicket {
+    fn drop(&mut self) {
+        if !self.is_ended {
+            self.accounting.counters.lapsed.add();
+            self.accounting.metrics.ended(self.class.0, None);
+        }
+    }
+}
+
+impl RequestAccounting {
+    /// Counts into these counters and metrics.
+    pub fn new(counters: Rc<Counters>, metrics: Rc<Figures>) -> RequestAccounting {
+        RequestAccounting { counters, metrics }
+    }
+
+    /// The monitor that counts violated invariants.
+    pub fn invariants(&self) -> Rc<InvariantMonitor> {
+        self.metrics.invariants()
+    }
+
+    /// Counts a request that was accepted.
+    pub fn begin_request(&self, class: ClassId) -> AccountingTicket {
+        self.counters.taken.add();
+        self.metrics.taken();
+        AccountingTicket { accounting: self.clone(), class, is_ended: false }
+    }
+
+    /// Counts an attempt whose statement was written completely.
+    pub fn record_statement_written(&self) {
+        self.metrics.written();
+    }
+
+    /// Counts a request that could not be read.
+    pub fn record_malformed(&self) {
+        self.counters.malformed.add();
+    }
+
+    /// Counts an attempt that was started.
+    pub fn record_attempt_started(&self) {
+        self.counters.sent.add();
+    }
+
+    /// Counts a health check that was started.
+    pub fn record_health_check(&self) {
+        self.counters.probes.add();
+    }
+
+    fn record_response(&self, class: ClassId, response: &FinalResponse) {
+        let (counter, end) = match response {
+            FinalResponse::Served(_) | FinalResponse::Streaming(_) => (&self.counters.served, End::Completed),
+            FinalResponse::Rejected { .. } => (&self.counters.refused, End::Rejected),
+            FinalResponse::Failed => (&self.counters.failed, End::Failed),
+        };
+        counter.add();
+        self.metrics.ended(class.0, Some(end));
+    }
+
+    /// Counts a rejected request whose class is not known.
+    pub fn record_rejection_without_class(&self) {
+        self.counters.taken.add();
+        self.counters.refused.add();
+    }
+
+    /// Counts why a request was rejected before the decisions saw it.
+    pub fn record_rejection_cause(&self, cause: RejectionCause) {
+        match cause {
+            RejectionCause::ConnectionSlots => self.counters.refused_door.add(),
+            RejectionCause::HeldRequests => self.counters.refused_held.add(),
+            RejectionCause::Memory => self.counters.refused_memory.add(),
+            RejectionCause::Stopping => self.counters.refused_stopping.add(),
+        }
+    }
+
+    /// Counts how an attempt ended.
+    pub fn record_attempt_outcome(&self, outcome: Outcome) {
+        let counters = &self.counters;
+        match outcome {
+            Outcome::Ok => counters.ok.add(),
+            Outcome::Miss => counters.miss.add(),
+            Outcome::Failed => counters.error.add(),
+            Outcome::QueueFull => counters.turned_away.add(),
+            Outcome::ConnectError => counters.not_connected.add(),
+            Outcome::Garbled => counters.garbled.add(),
+            Outcome::Reset => counters.reset.add(),
+            Outcome::TimedOut => counters.timed_out.add(),
+            Outcome::Cancelled => counters.cancelled.add(),
+            Outcome::Ignored => counters.ignored.add(),
+        }
+    }
+}
--- /dev/null
+++ b/src/stages/dispatch.rs
@@ -0,0 +1,211 @@
+//! Starts attempts and health checks, one task each, and cancels attempts. Each attempt ends with exactly one
+//! [`DriverInput::AttemptEnded`], also one that is not started.
+
+use super::DriverInput;
+use super::accounting::RequestAccounting;
+use crate::api::{Ended, Limits, MemberId, Outcome, RequestId, Span};
+use crate::invariants::Invariant;
+use crate::request::Payload;
+use crate::upstream::attempt::{self, AttemptOutcome, AttemptRequest};
+use crate::upstream::health_check;
+use crate::upstream::pool::Pool;
+use crate::upstream::send_guard::Purpose;
+use std::cell::Cell;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+
+/// A request with its attempts.
+struct DispatchedRequest {
+    payload: Payload,
+    deadline: Instant,
+    /// The number of the next attempt.
+    next_attempt: u32,
+    /// What cancels each attempt in flight, by its number.
+    in_flight: BTreeMap<u32, oneshot::Sender<()>>,
+    /// Shared with the attempts, which write nothing any more once it is set.
+    is_over: Rc<Cell<bool>>,
+}
+
+impl DispatchedRequest {
+    /// When an attempt that starts now times out: at the request's deadline, or earlier where the decisions say so.
+    fn attempt_deadline(&self, started: Instant, timeout: Option<Span>) -> Instant {
+        match timeout.filter(|timeout| timeout.0 > 0) {
+            Some(timeout) => self.deadline.min(started + Duration::from_micros(timeout.0)),
+            None => self.deadline,
+        }
+    }
+}
+
+/// Which attempt an outcome belongs to.
+#[derive(Clone, Copy)]
+struct AttemptId {
+    request: RequestId,
+    number: u32,
+    member: MemberId,
+    started: Instant,
+}
+
+impl AttemptId {
+    /// The driver's input for the end of the attempt.
+    fn ended(self, end: AttemptOutcome) -> DriverInput {
+        let AttemptOutcome { outcome, response, position, role, report } = end;
+        let ended = Ended {
+            id: self.request,
+            attempt: self.number,
+            member: self.member,
+            outcome,
+            latency: Span(self.started.elapsed().as_micros() as u64),
+            closed: false,
+            position,
+            role,
+            report,
+        };
+        DriverInput::AttemptEnded(ended, response)
+    }
+}
+
+/// Dispatches requests to members.
+pub struct Dispatcher {
+    requests: BTreeMap<RequestId, DispatchedRequest>,
+    pool: Pool,
+    inbox: mpsc::UnboundedSender<DriverInput>,
+    accounting: RequestAccounting,
+    max_attempts: u32,
+    /// Whether a second attempt may run beside the first.
+    allows_hedging: bool,
+}
+
+impl Dispatcher {
+    /// Dispatches over `pool`, within the limits for each request; how attempts end goes to `inbox`.
+    pub fn new(
+        pool: Pool, inbox: mpsc::UnboundedSender<DriverInput>, accounting: RequestAccounting, limits: &Limits,
+    ) -> Dispatcher {
+        Dispatcher {
+            requests: BTreeMap::new(),
+            pool,
+            inbox,
+            accounting,
+            max_attempts: limits.max_attempts,
+            allows_hedging: limits.second_copies,
+        }
+    }
+
+    /// Registers a request, of which attempts may be started.
+    pub fn register(&mut self, id: RequestId, payload: Payload, deadline: Instant) {
+        let request = DispatchedRequest {
+            payload,
+            deadline,
+            next_attempt: 0,
+            in_flight: BTreeMap::new(),
+            is_over: Rc::default(),
+        };
+        self.requests.insert(id, request);
+    }
+
+    /// Starts the next attempt of a request, unless it is over or has had all its attempts.
+    pub fn start_attempt(&mut self, id: RequestId, member: MemberId, timeout: Option<Span>) {
+        let started = Instant::now();
+        let Some(request) = self.requests.get_mut(&id) else {
+            // Not one of ours, or long over: it was never sent.
+            return self.ignore(AttemptId { request: id, number: 0, member, started });
+        };
+        let number = request.next_attempt;
+        request.next_attempt += 1;
+        let attempt_id = AttemptId { request: id, number, member, started };
+        if request.is_over.get() || number >= self.max_attempts || started >= request.deadline {
+            return self.ignore(attempt_id);
+        }
+        self.pool.guard().monitor().check(
+            Invariant::OneAttempt,
+            request.in_flight.is_empty() || self.allows_hedging,
+            format_args!(
+                "request {id} attempt {number} at member {}, out: {:?}",
+                member.0,
+                request.in_flight.keys()
+            ),
+        );
+        let (cancel, cancelled) = oneshot::channel();
+        request.in_flight.insert(number, cancel);
+        let attempt_request = AttemptRequest {
+            member,
+            payload: request.payload.clone(),
+            deadline: request.attempt_deadline(started, timeout),
+            is_retry: number > 0,
+            purpose: Purpose::Attempt(id, number),
+            is_request_over: request.is_over.clone(),
+        };
+        self.accounting.record_attempt_started();
+        self.spawn_attempt(attempt_id, attempt_request, cancelled);
+    }
+
+    fn spawn_attempt(
+        &self, attempt_id: AttemptId, attempt_request: AttemptRequest, cancelled: oneshot::Receiver<()>,
+    ) {
+        let pool = self.pool.clone();
+        let inbox = self.inbox.clone();
+        let accounting = self.accounting.clone();
+        spawn_local(async move {
+            let on_written = || accounting.record_statement_written();
+            let end = attempt::run(pool, attempt_request, cancelled, on_written).await;
+            accounting.record_attempt_outcome(end.outcome);
+            let _ = inbox.send(attempt_id.ended(end));
+        });
+    }
+
+    /// Ends an attempt that is not started.
+    fn ignore(&self, attempt_id: AttemptId) {
+        let end = AttemptOutcome::without_response(Outcome::Ignored);
+        let _ = self.inbox.send(attempt_id.ended(end));
+    }
+
+    /// Cancels an attempt; one that has ended in the meantime stays as it ended.
+    pub fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
+        let cancel = self.requests.get_mut(&id).and_then(|request| request.in_flight.remove(&attempt));
+        if let Some(cancel) = cancel {
+            let _ = cancel.send(());
+        }
+    }
+
+    /// Closes a request that has its final response, or whose client has left: what is not written yet never is.
+    pub fn close_request(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.is_over.set(true);
+            self.remove_if_done(id);
+        }
+    }
+
+    /// Records that an attempt has ended.
+    pub fn record_attempt_end(&mut self, id: RequestId, attempt: u32) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.in_flight.remove(&attempt);
+            self.remove_if_done(id);
+        }
+    }
+
+    fn remove_if_done(&mut self, id: RequestId) {
+        let request = self.requests.get(&id);
+        if request.is_some_and(|request| request.is_over.get() && request.in_flight.is_empty()) {
+            self.requests.remove(&id);
+        }
+    }
+
+    /// Starts a health check of a member.
+    pub fn start_health_check(&self, member: MemberId) {
+        let pool = self.pool.clone();
+        let inbox = self.inbox.clone();
+        self.accounting.record_health_check();
+        spawn_local(async move {
+            let (outcome, report) = health_check::run(pool, member).await;
+            let _ = inbox.send(DriverInput::HealthCheckEnded(member, outcome, report));
+        });
+    }
+
+    /// Closes the idle connections to a member.
+    pub fn close_idle(&self, member: MemberId) {
+        self.pool.close_idle(member);
+    }
+}
--- a/src/stages/mod.rs
+++ b/src/stages/mod.rs
@@ -1,12 +1,12 @@
 //! The chain that a request passes: read, admitted, decided on, sent to a member, answered and counted. The types here know
 //! no protocol, so that another one can stand before the same decisions.
 
-pub mod admit;
-pub mod book;
-pub mod intake;
-pub mod relay;
+pub mod accounting;
+pub mod admission;
+pub mod dispatch;
+pub mod request_intake;
+pub mod response_delivery;
 pub mod route;
-pub mod send;
 
 use crate::api::{Ended, LoadReport, MemberId, Outcome, Request, RequestId, Span};
 use crate::discovery::list::ListEvent;
--- a/src/stages/route.rs
+++ b/src/stages/route.rs
@@ -1,8 +1,8 @@
 //! The one driver of the decisions: events queue up, each is handled by itself, and the actions it calls for
 //! are carried out in order. What an action brings about comes back as a later event, never at once.
 
-use super::relay::Relay;
-use super::send::Sender;
+use super::dispatch::Dispatcher;
+use super::response_delivery::ResponseDelivery;
 use super::{AcceptedRequest, DriverInput, FinalResponse, MemberCounts};
 use crate::api::{
     Action, Event, GroupId, ListEntry, ListUpdate, MemberId, MemberState, Outcome, RequestId, Span, Time,
@@ -27,13 +27,13 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Past its deadline by this much, a request is answered whatever the decisions say.
-const OVERDUE: Duration = Duration::from_millis(40);
+const ANSWER_OVERDUE_GRACE: Duration = Duration::from_millis(40);
 
 /// Advice to clients while nothing confirms the list: a call of discovery is on its way.
-const COME_BACK_LISTED: Span = Span(500_000);
+const RETRY_AFTER_UNCONFIRMED_LIST: Span = Span(500_000);
 
 /// Advice to clients of a group that operators have taken out whole, or beyond the fleet's budget.
-const COME_BACK: Span = Span(1_000_000);
+const RETRY_AFTER_NOT_ADMITTED: Span = Span(1_000_000);
 
 /// Changes of members that are logged for one list; the rest is counted.
 const LOGGED_CHANGES: usize = 16;
@@ -43,8 +43,8 @@
     router: Router,
     clock: Clock,
     inbox: mpsc::UnboundedReceiver<DriverInput>,
-    sender: Sender,
-    relay: Relay,
+    dispatcher: Dispatcher,
+    responses: ResponseDelivery,
     pool: Pool,
     names: IdentifierTable,
     subscribe: Rc<Notify>,
@@ -65,9 +65,9 @@
     /// The events, in the order in which they are handled.
     pub inbox: mpsc::UnboundedReceiver<DriverInput>,
     /// Starts and cancels attempts.
-    pub sender: Sender,
+    pub dispatcher: Dispatcher,
     /// Gives final answers.
-    pub relay: Relay,
+    pub responses: ResponseDelivery,
     /// The connections to members.
     pub pool: Pool,
     /// The members' names and numbers.
@@ -87,8 +87,8 @@
             router: parts.router,
             clock: parts.clock,
             inbox: parts.inbox,
-            sender: parts.sender,
-            relay: parts.relay,
+            dispatcher: parts.dispatcher,
+            responses: parts.responses,
             pool: parts.pool,
             names: parts.names,
             subscribe: parts.subscribe,
@@ -104,7 +104,7 @@
     pub async fn run(mut self) {
         loop {
             let timer = self.timers.first().map(|(at, _)| self.clock.instant(*at));
-            let wake = timer.into_iter().chain(self.relay.first_due().map(|d| d.0)).min();
+            let wake = timer.into_iter().chain(self.responses.next_due().map(|d| d.0)).min();
             let input = tokio::select! {
                 biased;
                 input = self.inbox.recv() => input,
@@ -128,7 +128,7 @@
             self.handle(Event::Timer { token });
         }
         let now = Instant::now();
-        while let Some((_, id)) = self.relay.first_due().filter(|d| d.0 <= now) {
+        while let Some((_, id)) = self.responses.next_due().filter(|d| d.0 <= now) {
             // A process that was stopped answers late, whatever it does.
             let guard = self.pool.guard();
             let ids = format_args!("request {id} was overdue");
@@ -145,21 +145,23 @@
                 let closed = self.maintenance.borrow().is_group_out(request.group) || !self.shares.serves();
                 if self.pool.guard().check_lease() == Err(Withheld::Expired) {
                     debug!("request {} rejected: the list's lease is over", request.id);
-                    let _ = reply.send(FinalResponse::Rejected { retry_after: Some(COME_BACK_LISTED) });
+                    let _ = reply
+                        .send(FinalResponse::Rejected { retry_after: Some(RETRY_AFTER_UNCONFIRMED_LIST) });
                     return;
                 }
                 if closed || !self.shares.admission(request.class) {
-                    let _ = reply.send(FinalResponse::Rejected { retry_after: Some(COME_BACK) });
+                    let _ =
+                        reply.send(FinalResponse::Rejected { retry_after: Some(RETRY_AFTER_NOT_ADMITTED) });
                     return;
                 }
                 self.shares.work();
-                self.relay.owe(request.id, reply, deadline + OVERDUE);
-                self.sender.keep(request.id, payload, deadline);
+                self.responses.register(request.id, reply, deadline + ANSWER_OVERDUE_GRACE);
+                self.dispatcher.register(request.id, payload, deadline);
                 self.handle(Event::Request(request));
             }
             DriverInput::ClientGone(id) => {
-                if self.relay.lapse(&id) {
-                    self.sender.over(id);
+                if self.responses.abandon(&id) {
+                    self.dispatcher.close_request(id);
                     self.handle(Event::Lapsed { id });
                 }
             }
@@ -168,17 +170,17 @@
                     "request {} attempt {} at member {}: {:?} after {} us",
                     end.id, end.attempt, end.member.0, end.outcome, end.latency.0
                 );
-                self.sender.ended(end.id, end.attempt);
+                self.dispatcher.record_attempt_end(end.id, end.attempt);
                 let answer = response.map(|response| match response {
                     MemberResponse::Complete(raw) => FinalResponse::Served(raw),
                     MemberResponse::Streaming(response) => FinalResponse::Streaming(response),
                 });
                 if let (Outcome::Ok, Some(answer)) = (end.outcome, answer)
-                    && self.relay.answer(&end.id, answer)
+                    && self.responses.deliver(&end.id, answer)
                 {
-                    self.sender.over(end.id);
+                    self.dispatcher.close_request(end.id);
                 }
-                end.closed = !self.relay.owed(&end.id);
+                end.closed = !self.responses.is_open(&end.id);
                 self.handle(Event::AttemptEnded(end));
             }
             DriverInput::HealthCheckEnded(member, outcome, report) => {
@@ -346,17 +348,17 @@
         match action {
             Action::Send { id, member, timeout } => {
                 debug!("request {id} sent to member {}", member.0);
-                self.sender.start(id, member, timeout);
+                self.dispatcher.start_attempt(id, member, timeout);
             }
             Action::Refuse { id, retry_after } => self.finish(id, FinalResponse::Rejected { retry_after }),
             Action::Fail { id } => self.finish(id, FinalResponse::Failed),
-            Action::Cancel { id, attempt } => self.sender.cancel(id, attempt),
+            Action::Cancel { id, attempt } => self.dispatcher.cancel_attempt(id, attempt),
             Action::Timer { token, at } => {
                 self.timers.insert((at, token));
             }
-            Action::Probe { member } => self.sender.probe(member),
+            Action::Probe { member } => self.dispatcher.start_health_check(member),
             Action::Subscribe => self.subscribe.notify_one(),
-            Action::Close { member } => self.sender.close(member),
+            Action::Close { member } => self.dispatcher.close_idle(member),
             // Proxies have no way to talk to each other here, and the settings say so.
             Action::Tell { member: MemberId(_), .. } => {}
         }
@@ -370,8 +372,8 @@
             FinalResponse::Failed => debug!("request {id} failed"),
             FinalResponse::Served(_) | FinalResponse::Streaming(_) => {}
         }
-        if self.relay.answer(&id, answer) {
-            self.sender.over(id);
+        if self.responses.deliver(&id, answer) {
+            self.dispatcher.close_request(id);
         }
     }
 }
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -26,12 +26,12 @@
 use linenhill::maintenance::{ListedMember, Maintenance};
 use linenhill::policy::Router;
 use linenhill::request::Payload;
-use linenhill::stages::admit::Admit;
-use linenhill::stages::book::Book;
-use linenhill::stages::intake::Intake;
-use linenhill::stages::relay::Relay;
+use linenhill::stages::accounting::RequestAccounting;
+use linenhill::stages::admission::RequestAdmission;
+use linenhill::stages::dispatch::Dispatcher;
+use linenhill::stages::request_intake::RequestIntake;
+use linenhill::stages::response_delivery::ResponseDelivery;
 use linenhill::stages::route::{Route, RouteParts};
-use linenhill::stages::send::Sender;
 use linenhill::stages::{DriverInput, FinalResponse};
 use linenhill::takeover::{maintenance_log::MaintenanceLog, saved};
 use linenhill::upstream::attempt::{self, AttemptRequest};
@@ -137,9 +137,9 @@
     let config = Config::parse(text, Path::new("config.json"), Variables::default(), Reading::Start)
         .expect("a configuration");
     let (inbox, events) = mpsc::unbounded_channel();
-    let intake = Intake::new(&config.site, Clock::start());
-    let book = Book::new(Rc::new(Counters::default()), figures());
-    let admit = Admit::new(9, 256 * 1024, 1 << 20);
+    let intake = RequestIntake::new(&config.site, Clock::start());
+    let book = RequestAccounting::new(Rc::new(Counters::default()), figures());
+    let admit = RequestAdmission::new(9, 256 * 1024, 1 << 20);
     let guard = SendGuard::without_list();
     (Rc::new(RequestGateway::new(intake, admit, book, inbox, guard)), events)
 }
@@ -826,16 +826,16 @@
     let second = Duration::from_secs(1);
     let pool = Pool::new(9, second, second, counters.clone());
     let (inbox, events) = mpsc::unbounded_channel();
-    let (clock, book) = (Clock::start(), Book::new(counters, figures()));
-    let sender = Sender::new(pool.clone(), inbox.clone(), book.clone(), &config.site.settings.limits);
+    let (clock, book) = (Clock::start(), RequestAccounting::new(counters, figures()));
+    let dispatcher = Dispatcher::new(pool.clone(), inbox.clone(), book.clone(), &config.site.settings.limits);
     let router = Router::new(config.site.settings, 42, clock.now());
-    let (relay, asked) = (Relay::default(), Rc::new(Notify::new()));
+    let (relay, asked) = (ResponseDelivery::default(), Rc::new(Notify::new()));
     let route = Route::new(RouteParts {
         router,
         clock,
         inbox: events,
-        sender,
-        relay,
+        dispatcher,
+        responses: relay,
         pool: pool.clone(),
         names: config.names,
         subscribe: asked,
@@ -876,18 +876,18 @@
 /// Guards against a time limit that is kept long after its request has ended.
 #[tokio::test(start_paused = true)]
 async fn nothing_is_due_once_it_is_answered() {
-    let mut relay = Relay::default();
+    let mut relay = ResponseDelivery::default();
     let due = tokio::time::Instant::now() + Duration::from_secs(600);
     let ids = [RequestId([1; 36]), RequestId([2; 36])];
     let replies = ids.map(|id| {
         let (reply, answer) = tokio::sync::oneshot::channel();
-        relay.owe(id, reply, due);
+        relay.register(id, reply, due);
         answer
     });
-    assert_eq!(relay.first_due(), Some((due, ids[0])));
-    assert!(relay.answer(&ids[0], FinalResponse::Failed) && relay.lapse(&ids[1]));
-    assert!(!relay.answer(&ids[0], FinalResponse::Failed), "one answer only");
-    assert_eq!(relay.first_due(), None);
+    assert_eq!(relay.next_due(), Some((due, ids[0])));
+    assert!(relay.deliver(&ids[0], FinalResponse::Failed) && relay.abandon(&ids[1]));
+    assert!(!relay.deliver(&ids[0], FinalResponse::Failed), "one answer only");
+    assert_eq!(relay.next_due(), None);
     drop(replies);
 }
 
