--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -1,7 +1,7 @@
 //! The proxy as a whole: builds the parts, starts their tasks, waits for the stop, and lets what was accepted be answered.
 //!
 //! This is the place to begin reading: `serve` names every task. All of them run on one thread. Only the driver
-//! ([`crate::stages::route`]) talks to the decisions; everything else sends it events or carries out what it asks for. Nothing
+//! ([`crate::stages::driver`]) talks to the decisions; everything else sends it events or carries out what it asks for. Nothing
 //! here decides anything.
 
 mod capacity;
--- a/src/proxy/parts.rs
+++ b/src/proxy/parts.rs
@@ -21,9 +21,9 @@
 use crate::stages::DriverInput;
 use crate::stages::accounting::RequestAccounting;
 use crate::stages::dispatch::Dispatcher;
+use crate::stages::driver::{Driver, DriverParts};
 use crate::stages::request_intake::RequestIntake;
 use crate::stages::response_delivery::ResponseDelivery;
-use crate::stages::route::{Route, RouteParts};
 use crate::takeover::maintenance_log::{self, MaintenanceLog};
 use crate::upstream::pool::Pool;
 use crate::upstream::send_guard::SendGuard;
@@ -141,19 +141,19 @@
     }
 
     /// The driver of the decisions, which reads `inputs`.
-    pub(super) fn driver(&self, config: Config, inputs: mpsc::UnboundedReceiver<DriverInput>) -> Route {
+    pub(super) fn driver(&self, config: Config, inputs: mpsc::UnboundedReceiver<DriverInput>) -> Driver {
         let settings = config.site.settings;
         let pool = self.pool.clone();
         let dispatcher =
             Dispatcher::new(pool.clone(), self.inbox.clone(), self.accounting.clone(), &settings.limits);
-        Route::new(RouteParts {
+        Driver::new(DriverParts {
             router: Router::new(settings, config.seed, self.clock.now()),
             clock: self.clock,
-            inbox: inputs,
+            inputs,
             dispatcher,
             responses: ResponseDelivery::default(),
             pool,
-            names: config.names,
+            identifiers: config.names,
             subscribe: self.subscribe.clone(),
             maintenance: self.maintenance.clone(),
             shares: self.quota.clone(),
--- /dev/null
+++ b/src/stages/member_directory.rs
@@ -0,0 +1,160 @@
+//! The members that the endpoint list names, joined with the operators' orders: which entries the decisions are shown, and
+//! what the pool must know to reach a member.
+//!
+//! It decides nothing: [`Maintenance`] says who is out of service, and the decisions say which members are remembered. Names
+//! become numbers here, and a member's number must never come to mean another member.
+
+use super::MemberCounts;
+use crate::api::{GroupId, ListEntry, MemberId, MemberState};
+use crate::clock::Clock;
+use crate::discovery::list::{Endpoint, EndpointList, IdentifierTable};
+use crate::maintenance::{EffectiveState, ListedMember, Maintenance};
+use crate::policy::Router;
+use crate::upstream::pool::Pool;
+use linenhill_decisions::disruption::{Availability, HealthObservation};
+use log::info;
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::sync::Arc;
+
+/// Changes of members that are logged for one list; the rest is counted.
+const LOGGED_CHANGES: usize = 16;
+
+/// What lists last said of one member.
+#[derive(Clone)]
+struct DirectoryEntry {
+    endpoint: Endpoint,
+    member: MemberId,
+}
+
+/// The listed members by their names.
+pub(super) struct MemberDirectory {
+    identifiers: IdentifierTable,
+    maintenance: Rc<RefCell<Maintenance>>,
+    pool: Pool,
+    clock: Clock,
+    listed: BTreeMap<String, DirectoryEntry>,
+}
+
+impl MemberDirectory {
+    /// A directory in which no member is listed yet.
+    pub(super) fn new(
+        identifiers: IdentifierTable, maintenance: Rc<RefCell<Maintenance>>, pool: Pool, clock: Clock,
+    ) -> MemberDirectory {
+        MemberDirectory { identifiers, maintenance, pool, clock, listed: BTreeMap::new() }
+    }
+
+    /// Whether operators have taken all members of a group out of service.
+    pub(super) fn is_group_out(&self, group: GroupId) -> bool {
+        self.maintenance.borrow().is_group_out(group)
+    }
+
+    /// Records a list, and returns the entries for the decisions.
+    pub(super) fn record_list(&mut self, list: EndpointList) -> Arc<Vec<ListEntry>> {
+        if list.is_full {
+            self.listed.clear();
+            self.maintenance.borrow_mut().begin_full_list(self.clock.now());
+        }
+        self.log_changes(&list);
+        let mut entries = Vec::with_capacity(list.endpoints.len());
+        for endpoint in list.endpoints {
+            self.record_endpoint(endpoint, &mut entries);
+        }
+        Arc::new(entries)
+    }
+
+    /// The entries of a listed member by the orders on it now; `None` if no list names it.
+    pub(super) fn current_entries(&mut self, name: &str) -> Option<Vec<ListEntry>> {
+        let endpoint = self.listed.get(name)?.endpoint.clone();
+        let mut entries = Vec::new();
+        self.record_endpoint(endpoint, &mut entries);
+        Some(entries)
+    }
+
+    /// Sets the members that the fleet has taken out of service, and returns the names of those that this changes.
+    pub(super) fn set_quarantine(&self, names: Vec<String>) -> Vec<String> {
+        let now = self.clock.now();
+        self.maintenance.borrow_mut().set_out_by_fleet(now, names.into_iter().collect())
+    }
+
+    /// Forgets the members that the decisions have forgotten, and closes those to new statements that they have closed.
+    pub(super) fn follow(&mut self, router: &Router) {
+        self.identifiers.retain(|member| router.knows(member));
+        self.pool.retain(|member| router.knows(member));
+        self.pool.set_accepting(|member| router.takes_new(member));
+    }
+
+    /// How many members are listed, and how many of them get nothing now.
+    pub(super) fn counts(&self, router: &Router) -> MemberCounts {
+        let maintenance = self.maintenance.borrow();
+        let is_avoided = |(name, entry): &(&String, &DirectoryEntry)| {
+            maintenance.is_out(name) || router.avoids(entry.member)
+        };
+        let avoided = self.listed.iter().filter(is_avoided).count();
+        MemberCounts { listed: self.listed.len(), avoided }
+    }
+
+    /// The observation of each member that lists name, or have named lately, by its name.
+    pub(super) fn health_observations(&self, router: &Router) -> BTreeMap<String, HealthObservation> {
+        let maintenance = self.maintenance.borrow();
+        let observation = |(name, group, _): (&str, GroupId, bool)| {
+            let listed = self.listed.get(name).map(|entry| router.sight(entry.member));
+            let (seen, is_primary) = listed.unwrap_or((Availability::Delisted, false));
+            let availability = if maintenance.is_out(name) { Availability::OperatorBan } else { seen };
+            let group = u64::from(group.0);
+            let observation = HealthObservation { group, availability: availability as i32, is_primary };
+            (name.to_string(), observation)
+        };
+        maintenance.known().map(observation).collect()
+    }
+
+    /// Records one member, and appends its entries by the orders on it: one that is out of service is shown as drained, and
+    /// gone.
+    fn record_endpoint(&mut self, endpoint: Endpoint, entries: &mut Vec<ListEntry>) {
+        let name = endpoint.id.clone();
+        let (entry, address) = self.identifiers.entry(endpoint.clone());
+        if entry.state == MemberState::Gone {
+            self.listed.remove(&name);
+        } else {
+            self.listed.insert(name.clone(), DirectoryEntry { endpoint, member: entry.member });
+        }
+        self.pool.set_address(entry.member, address);
+        self.pool.set_incarnation(entry.member, entry.started);
+        self.pool.set_name(entry.member, &name);
+        let listed =
+            ListedMember { id: &name, group: entry.group, state: entry.state, started: entry.started };
+        match self.maintenance.borrow_mut().record_listed(self.clock.now(), listed) {
+            EffectiveState::AsListed { started } => entries.push(ListEntry { started, ..entry }),
+            EffectiveState::OutOfService => {
+                entries.push(ListEntry { state: MemberState::Draining, ..entry.clone() });
+                entries.push(ListEntry { state: MemberState::Gone, ..entry });
+            }
+        }
+    }
+
+    /// Logs the members whose state or start a list changes, the first ones by name.
+    fn log_changes(&self, list: &EndpointList) {
+        let is_change = |endpoint: &&Endpoint| {
+            self.listed.get(&endpoint.id).is_none_or(|DirectoryEntry { endpoint: known, .. }| {
+                known.state != endpoint.state || known.started_ms != endpoint.started_ms
+            })
+        };
+        let changed: Vec<&Endpoint> = list.endpoints.iter().filter(is_change).collect();
+        for endpoint in changed.iter().take(LOGGED_CHANGES) {
+            let known = self.listed.get(&endpoint.id).map(|entry| entry.endpoint.state);
+            info!(
+                "member_changed id={} group={} from={} to={:?} started_ms={} list_version={}",
+                endpoint.id,
+                endpoint.group,
+                known.map_or("NotListed".to_string(), |state| format!("{state:?}")),
+                endpoint.state,
+                endpoint.started_ms.unwrap_or(0),
+                list.version,
+            );
+        }
+        if changed.len() > LOGGED_CHANGES {
+            info!("members_changed count={} list_version={}", changed.len(), list.version);
+        }
+    }
+}
--- a/src/stages/mod.rs
+++ b/src/stages/mod.rs
@@ -4,9 +4,10 @@
 pub mod accounting;
 pub mod admission;
 pub mod dispatch;
+pub mod driver;
+mod member_directory;
 pub mod request_intake;
 pub mod response_delivery;
-pub mod route;
 
 use crate::api::{Ended, LoadReport, MemberId, Outcome, Request, RequestId, Span};
 use crate::discovery::list::ListEvent;
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -29,9 +29,9 @@
 use linenhill::stages::accounting::RequestAccounting;
 use linenhill::stages::admission::RequestAdmission;
 use linenhill::stages::dispatch::Dispatcher;
+use linenhill::stages::driver::{Driver, DriverParts};
 use linenhill::stages::request_intake::RequestIntake;
 use linenhill::stages::response_delivery::ResponseDelivery;
-use linenhill::stages::route::{Route, RouteParts};
 use linenhill::stages::{DriverInput, FinalResponse};
 use linenhill::takeover::{maintenance_log::MaintenanceLog, saved};
 use linenhill::upstream::attempt::{self, AttemptRequest};
@@ -830,14 +830,14 @@
     let dispatcher = Dispatcher::new(pool.clone(), inbox.clone(), book.clone(), &config.site.settings.limits);
     let router = Router::new(config.site.settings, 42, clock.now());
     let (relay, asked) = (ResponseDelivery::default(), Rc::new(Notify::new()));
-    let route = Route::new(RouteParts {
+    let driver = Driver::new(DriverParts {
         router,
         clock,
-        inbox: events,
+        inputs: events,
         dispatcher,
         responses: relay,
         pool: pool.clone(),
-        names: config.names,
+        identifiers: config.names,
         subscribe: asked,
         maintenance: Rc::default(),
         shares: Shares::default(),
@@ -866,7 +866,7 @@
     };
     let run = async {
         tokio::select! {
-            () = route.run() => unreachable!(),
+            () = driver.run() => unreachable!(),
             () = play => {}
         }
     };
