--- a/src/proxy/capacity.rs
+++ b/src/proxy/capacity.rs
@@ -2,7 +2,7 @@
 //! what is in use is counted where it is acquired.
 
 use crate::admin::OPERATORS;
-use crate::api::Span;
+use crate::api::Micros;
 use crate::config::Config;
 use crate::connection_admission::AdmissionLimits;
 use crate::stages::admission::RequestAdmission;
@@ -56,7 +56,7 @@
     }
 
     /// The limits of the admission of clients' connections.
-    pub(super) fn admission_limits(&self, max_retry_after: Span) -> AdmissionLimits {
+    pub(super) fn admission_limits(&self, max_retry_after: Micros) -> AdmissionLimits {
         AdmissionLimits {
             max_served: self.part_of_descriptors(SERVED_PART),
             max_rejected: self.part_of_descriptors(REJECTED_PART),
--- a/src/stages/accounting.rs
+++ b/src/stages/accounting.rs
@@ -110,15 +110,15 @@
         let counters = &self.counters;
         match outcome {
             Outcome::Ok => counters.ok.add(),
-            Outcome::Miss => counters.miss.add(),
+            Outcome::NotApplicable => counters.miss.add(),
             Outcome::Failed => counters.error.add(),
             Outcome::QueueFull => counters.turned_away.add(),
             Outcome::ConnectError => counters.not_connected.add(),
-            Outcome::Garbled => counters.garbled.add(),
+            Outcome::MalformedReply => counters.garbled.add(),
             Outcome::Reset => counters.reset.add(),
             Outcome::TimedOut => counters.timed_out.add(),
             Outcome::Cancelled => counters.cancelled.add(),
-            Outcome::Ignored => counters.ignored.add(),
+            Outcome::NotSent => counters.ignored.add(),
         }
     }
 }
--- a/src/stages/dispatch.rs
+++ b/src/stages/dispatch.rs
@@ -3,7 +3,7 @@
 
 use super::DriverInput;
 use super::accounting::RequestAccounting;
-use crate::api::{Ended, Limits, MemberId, Outcome, RequestId, Span};
+use crate::api::{AttemptEnd, Limits, MemberId, Micros, Outcome, RequestId};
 use crate::invariants::Invariant;
 use crate::request::Payload;
 use crate::upstream::attempt::{self, AttemptOutcome, AttemptRequest};
@@ -32,7 +32,7 @@
 
 impl DispatchedRequest {
     /// When an attempt that starts now times out: at the request's deadline, or earlier where the decisions say so.
-    fn attempt_deadline(&self, started: Instant, timeout: Option<Span>) -> Instant {
+    fn attempt_deadline(&self, started: Instant, timeout: Option<Micros>) -> Instant {
         match timeout.filter(|timeout| timeout.0 > 0) {
             Some(timeout) => self.deadline.min(started + Duration::from_micros(timeout.0)),
             None => self.deadline,
@@ -53,13 +53,13 @@
     /// The driver's input for the end of the attempt.
     fn ended(self, end: AttemptOutcome) -> DriverInput {
         let AttemptOutcome { outcome, response, position, role, report } = end;
-        let ended = Ended {
+        let ended = AttemptEnd {
             id: self.request,
             attempt: self.number,
             member: self.member,
             outcome,
-            latency: Span(self.started.elapsed().as_micros() as u64),
-            closed: false,
+            latency: Micros(self.started.elapsed().as_micros() as u64),
+            is_request_over: false,
             position,
             role,
             report,
@@ -90,7 +90,7 @@
             inbox,
             accounting,
             max_attempts: limits.max_attempts,
-            allows_hedging: limits.second_copies,
+            allows_hedging: limits.hedging,
         }
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// Starts the next attempt of a request, unless it is over or has had all its attempts.
-    pub fn start_attempt(&mut self, id: RequestId, member: MemberId, timeout: Option<Span>) {
+    pub fn start_attempt(&mut self, id: RequestId, member: MemberId, timeout: Option<Micros>) {
         let started = Instant::now();
         let Some(request) = self.requests.get_mut(&id) else {
             // Not one of ours, or long over: it was never sent.
@@ -158,7 +158,7 @@
 
     /// Ends an attempt that is not started.
     fn ignore(&self, attempt_id: AttemptId) {
-        let end = AttemptOutcome::without_response(Outcome::Ignored);
+        let end = AttemptOutcome::without_response(Outcome::NotSent);
         let _ = self.inbox.send(attempt_id.ended(end));
     }
 
--- a/src/stages/driver.rs
+++ b/src/stages/driver.rs
@@ -10,7 +10,7 @@
 use super::response_delivery::ResponseDelivery;
 use super::{AcceptedRequest, DriverInput, FinalResponse};
 use crate::api::{
-    Action, Ended, Event, ListEntry, ListUpdate, MemberId, Outcome, Request, RequestId, Span, Time,
+    Action, AttemptEnd, Event, ListEntry, ListUpdate, MemberId, Micros, Outcome, Request, RequestId, Time,
 };
 use crate::clock::Clock;
 use crate::discovery::list::{EndpointList, IdentifierTable, ListEvent};
@@ -34,10 +34,10 @@
 const ANSWER_OVERDUE_GRACE: Duration = Duration::from_millis(40);
 
 /// Retry-After while nothing confirms the list: a call of discovery is on its way.
-const RETRY_AFTER_UNCONFIRMED_LIST: Span = Span(500_000);
+const RETRY_AFTER_UNCONFIRMED_LIST: Micros = Micros(500_000);
 
 /// Retry-After for a group that operators have taken out completely, and beyond the fleet's budgets.
-const RETRY_AFTER_NOT_ADMITTED: Span = Span(1_000_000);
+const RETRY_AFTER_NOT_ADMITTED: Micros = Micros(1_000_000);
 
 /// A timer of the decisions: when it is due, and the token that they know it by.
 type Timer = (Time, u64);
@@ -133,7 +133,7 @@
         let now = self.clock.now();
         while let Some((due, token)) = self.timers.first().copied().filter(|(due, _)| *due <= now) {
             self.timers.remove(&(due, token));
-            self.handle_event(Event::Timer { token });
+            self.handle_event(Event::TimerDue { token });
         }
         self.fail_overdue_requests();
     }
@@ -147,7 +147,7 @@
             let ids = format_args!("request {id} was overdue");
             guard.monitor().check(Invariant::AnsweredInTime, guard.is_catching_up(), ids);
             self.respond(id, FinalResponse::Failed);
-            self.handle_event(Event::Lapsed { id });
+            self.handle_event(Event::ClientGone { id });
         }
     }
 
@@ -157,7 +157,7 @@
             DriverInput::ClientGone(id) => self.client_gone(id),
             DriverInput::AttemptEnded(end, response) => self.attempt_ended(end, response),
             DriverInput::HealthCheckEnded(member, outcome, report) => {
-                self.handle_event(Event::Probed { member, outcome, report });
+                self.handle_event(Event::HealthCheckEnded { member, outcome, report });
             }
             DriverInput::List(event) => self.list_event(event),
             DriverInput::MaintenanceChanged(name) => self.maintenance_changed(&name),
@@ -181,11 +181,11 @@
         self.shares.work();
         self.responses.register(request.id, reply, deadline + ANSWER_OVERDUE_GRACE);
         self.dispatcher.register(request.id, payload, deadline);
-        self.handle_event(Event::Request(request));
+        self.handle_event(Event::RequestArrived(request));
     }
 
     /// Whether a request may go to the decisions; if not, its Retry-After.
-    fn admit(&self, request: &Request) -> Result<(), Span> {
+    fn admit(&self, request: &Request) -> Result<(), Micros> {
         if self.pool.guard().check_lease() == Err(Withheld::Expired) {
             return Err(RETRY_AFTER_UNCONFIRMED_LIST);
         }
@@ -199,11 +199,11 @@
     fn client_gone(&mut self, id: RequestId) {
         if self.responses.abandon(&id) {
             self.dispatcher.close_request(id);
-            self.handle_event(Event::Lapsed { id });
+            self.handle_event(Event::ClientGone { id });
         }
     }
 
-    fn attempt_ended(&mut self, mut end: Ended, response: Option<MemberResponse>) {
+    fn attempt_ended(&mut self, mut end: AttemptEnd, response: Option<MemberResponse>) {
         debug!(
             "attempt_ended request={} attempt={} member={} outcome={:?} latency_us={}",
             end.id, end.attempt, end.member.0, end.outcome, end.latency.0
@@ -212,17 +212,17 @@
         if let (Outcome::Ok, Some(response)) = (end.outcome, response) {
             self.respond(end.id, served(response));
         }
-        end.closed = !self.responses.is_open(&end.id);
+        end.is_request_over = !self.responses.is_open(&end.id);
         self.handle_event(Event::AttemptEnded(end));
     }
 
     fn list_event(&mut self, event: ListEvent) {
         match event {
             ListEvent::Failed { silence } => {
-                self.handle_event(Event::List(ListUpdate::Failed { quiet: silence }));
+                self.handle_event(Event::ListUpdated(ListUpdate::Failed { silent_for: silence }));
             }
             ListEvent::Unchanged => {
-                self.handle_event(Event::List(ListUpdate::Changes(Arc::default())));
+                self.handle_event(Event::ListUpdated(ListUpdate::Changes(Arc::default())));
             }
             ListEvent::Cached(list) => {
                 let entries = self.members.record_list(list);
@@ -261,7 +261,7 @@
 
     /// Passes a list to the decisions, and forgets whom they forget.
     fn update_list(&mut self, update: ListUpdate) {
-        self.handle_event(Event::List(update));
+        self.handle_event(Event::ListUpdated(update));
         self.members.follow(&self.router);
     }
 
@@ -269,7 +269,7 @@
     fn handle_event(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         if let Some(part) = self.shares.part() {
-            self.router.hold_part(part);
+            self.router.set_fleet_quota_part(part);
         }
         self.router.handle(self.clock.now(), event, &mut actions);
         for action in actions.drain(..) {
@@ -284,17 +284,17 @@
                 debug!("attempt_started request={id} member={}", member.0);
                 self.dispatcher.start_attempt(id, member, timeout);
             }
-            Action::Refuse { id, retry_after } => self.respond(id, FinalResponse::Rejected { retry_after }),
+            Action::Reject { id, retry_after } => self.respond(id, FinalResponse::Rejected { retry_after }),
             Action::Fail { id } => self.respond(id, FinalResponse::Failed),
             Action::Cancel { id, attempt } => self.dispatcher.cancel_attempt(id, attempt),
-            Action::Timer { token, at } => {
+            Action::SetTimer { token, at } => {
                 self.timers.insert((at, token));
             }
-            Action::Probe { member } => self.dispatcher.start_health_check(member),
+            Action::CheckHealth { member } => self.dispatcher.start_health_check(member),
             Action::Subscribe => self.subscribe.notify_one(),
-            Action::Close { member } => self.dispatcher.close_idle(member),
+            Action::CloseIdleConnections { member } => self.dispatcher.close_idle(member),
             // Proxies have no way to talk to each other here, and the settings say so.
-            Action::Tell { member: MemberId(_), .. } => {}
+            Action::GossipPosition { member: MemberId(_), .. } => {}
         }
     }
 
--- a/src/stages/member_directory.rs
+++ b/src/stages/member_directory.rs
@@ -80,16 +80,16 @@
 
     /// Forgets the members that the decisions have forgotten, and closes those to new statements that they have closed.
     pub(super) fn follow(&mut self, router: &Router) {
-        self.identifiers.retain(|member| router.knows(member));
-        self.pool.retain(|member| router.knows(member));
-        self.pool.set_accepting(|member| router.takes_new(member));
+        self.identifiers.retain(|member| router.has_record_of(member));
+        self.pool.retain(|member| router.has_record_of(member));
+        self.pool.set_accepting(|member| router.accepts_new_requests(member));
     }
 
     /// How many members are listed, and how many of them get nothing now.
     pub(super) fn counts(&self, router: &Router) -> MemberCounts {
         let maintenance = self.maintenance.borrow();
         let is_avoided = |(name, entry): &(&String, &DirectoryEntry)| {
-            maintenance.is_out(name) || router.avoids(entry.member)
+            maintenance.is_out(name) || router.is_avoided(entry.member)
         };
         let avoided = self.listed.iter().filter(is_avoided).count();
         MemberCounts { listed: self.listed.len(), avoided }
@@ -99,9 +99,11 @@
     pub(super) fn health_observations(&self, router: &Router) -> BTreeMap<String, HealthObservation> {
         let maintenance = self.maintenance.borrow();
         let observation = |(name, group, _): (&str, GroupId, bool)| {
-            let listed = self.listed.get(name).map(|entry| router.sight(entry.member));
-            let (seen, is_primary) = listed.unwrap_or((Availability::Delisted, false));
-            let availability = if maintenance.is_out(name) { Availability::OperatorBan } else { seen };
+            let listed = self.listed.get(name).map(|entry| router.observed_health(entry.member));
+            let listed = listed.unwrap_or_default();
+            let is_out = maintenance.is_out(name);
+            let availability = if is_out { Availability::OperatorBan } else { listed.availability };
+            let is_primary = listed.is_primary;
             let group = u64::from(group.0);
             let observation = HealthObservation { group, availability: availability as i32, is_primary };
             (name.to_string(), observation)
--- a/src/stages/mod.rs
+++ b/src/stages/mod.rs
@@ -9,7 +9,7 @@
 pub mod request_intake;
 pub mod response_delivery;
 
-use crate::api::{Ended, LoadReport, MemberId, Outcome, Request, RequestId, Span};
+use crate::api::{AttemptEnd, LoadReport, MemberId, Micros, Outcome, Request, RequestId};
 use crate::discovery::list::ListEvent;
 use crate::request::Payload;
 use crate::upstream::response::{MemberResponse, StreamingResponse};
@@ -29,7 +29,7 @@
     /// Rejected: a retry does no harm.
     Rejected {
         /// The time after which the client may retry.
-        retry_after: Option<Span>,
+        retry_after: Option<Micros>,
     },
     /// Failed: whether the request had an effect is not known.
     Failed,
@@ -62,8 +62,8 @@
     RequestAccepted(Box<AcceptedRequest>),
     /// The client of a request has left.
     ClientGone(RequestId),
-    /// An attempt ended; `closed` is filled in by the driver.
-    AttemptEnded(Ended, Option<MemberResponse>),
+    /// An attempt ended; `is_request_over` is filled in by the driver.
+    AttemptEnded(AttemptEnd, Option<MemberResponse>),
     /// A health check ended.
     HealthCheckEnded(MemberId, Outcome, LoadReport),
     /// An event of the endpoint list.
--- a/src/stages/request_intake.rs
+++ b/src/stages/request_intake.rs
@@ -1,7 +1,7 @@
 //! Turns a request as a protocol hands it in into one that the decisions know: names become numbers, waits become deadlines,
 //! positions become ages. It keeps the clients' ids that are open, so that no two requests run under the same one.
 
-use crate::api::{ClassId, GroupId, ReadLevel, Request, RequestId, SessionKey, Span};
+use crate::api::{ClassId, GroupId, Micros, ReadLevel, Request, RequestId, SessionKey};
 use crate::clock::Clock;
 use crate::request::Incoming;
 use crate::settings::Site;
@@ -83,7 +83,7 @@
     pub fn new(site: &Site, clock: Clock) -> RequestIntake {
         RequestIntake {
             classes: site.classes.clone(),
-            read_levels: site.settings.classes.iter().map(|class| class.read).collect(),
+            read_levels: site.settings.classes.iter().map(|class| class.read_level).collect(),
             clock,
             last_number: Cell::new(0),
             open_ids: Rc::default(),
@@ -135,13 +135,13 @@
         let has_session = matches!(level, ReadLevel::Write | ReadLevel::Session);
         let now = self.clock.now().0;
         // An age of 0 would mean that there was no write at all.
-        let age = |ms: u64| Span(now.saturating_sub(ms.saturating_mul(1_000)).max(1));
+        let age = |ms: u64| Micros(now.saturating_sub(ms.saturating_mul(1_000)).max(1));
         Request {
             id: self.next_id(),
             class,
-            left: Span(incoming.wait_ms.min(MAX_WAIT_MS) * 1_000),
+            time_left: Micros(incoming.wait_ms.min(MAX_WAIT_MS) * 1_000),
             tenant: None,
-            token_age: incoming.after_ms.filter(|_| level == ReadLevel::Session).map(age),
+            last_write_age: incoming.after_ms.filter(|_| level == ReadLevel::Session).map(age),
             group: GroupId(incoming.group),
             session: incoming.key.as_deref().filter(|_| has_session).map(session_key),
         }
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -5,7 +5,7 @@
 //! holds no quota; and it must never leave a connection open that still owes an answer, except to the task that
 //! forwards the rest of a long one.
 
-use crate::api::{LoadReport, MemberId, Outcome, Role, Time};
+use crate::api::{LoadReport, LogPosition, MemberId, Outcome, Role};
 use crate::close_reason::CloseReason;
 use crate::request::Payload;
 use crate::upstream::connection::{MemberConnection, StreamEvent};
@@ -50,7 +50,7 @@
     /// The response to relay; set when `outcome` is [`Outcome::Ok`].
     pub response: Option<MemberResponse>,
     /// The member's replication position, or the commit position of a write.
-    pub position: Option<Time>,
+    pub position: Option<LogPosition>,
     /// The member's role.
     pub role: Option<Role>,
     /// The member's load report.
@@ -103,7 +103,7 @@
         () = sleep_until(deadline) => {
             progress.set_close_reason(CloseReason::TimedOut);
             // A statement that was not written to its end can't have run.
-            let outcome = if progress.is_written() { Outcome::TimedOut } else { Outcome::Ignored };
+            let outcome = if progress.is_written() { Outcome::TimedOut } else { Outcome::NotSent };
             AttemptOutcome::without_response(outcome)
         }
     }
--- a/src/upstream/exchange.rs
+++ b/src/upstream/exchange.rs
@@ -71,7 +71,7 @@
             if self.pool.is_accepting(member) {
                 self.pool.put_back(member, connection);
             }
-            return Err(Outcome::Ignored);
+            return Err(Outcome::NotSent);
         };
         *self.progress.close_reason.borrow_mut() = Some(connection.close_reason());
         // The member may have ended the connection while the permit was waited for.
@@ -81,7 +81,7 @@
         // The quota is checked at the moment of use: a process that was stopped finds its lease expired here.
         let Some(_quota) = acquire_quota() else {
             self.pool.put_back(member, connection);
-            return Err(Outcome::Ignored);
+            return Err(Outcome::NotSent);
         };
         let (head, tail) = render();
         connection.write_statement(permit, head, tail).await?;
@@ -108,7 +108,7 @@
         let is_expired = self.pool.guard().check_lease() == Err(Withheld::Expired);
         let is_over = self.intent.is_request_over.get();
         let sendable = self.pool.is_accepting(self.intent.member) && !is_over && !is_expired;
-        if sendable { Ok(()) } else { Err(Outcome::Ignored) }
+        if sendable { Ok(()) } else { Err(Outcome::NotSent) }
     }
 }
 
@@ -119,8 +119,8 @@
     }
     let address = pool.address(member).ok_or(Outcome::ConnectError)?;
     // A proxy without a free descriptor or quota learns nothing about the member.
-    let descriptor = pool.reserve_descriptor().ok_or(Outcome::Ignored)?;
-    let quota = pool.connection_permit(member).ok_or(Outcome::Ignored)?;
+    let descriptor = pool.reserve_descriptor().ok_or(Outcome::NotSent)?;
+    let quota = pool.connection_permit(member).ok_or(Outcome::NotSent)?;
     let mut connection = MemberConnection::open(address, descriptor, pool.connect_timeout()).await?;
     // Bytes that a member sends before the statement would be taken for the reply.
     ensure_usable(&connection)?;
--- a/src/upstream/health_check.rs
+++ b/src/upstream/health_check.rs
@@ -34,7 +34,7 @@
     };
     // No report is long enough to be streamed.
     if reply.is_streaming {
-        return (Outcome::Garbled, LoadReport::default());
+        return (Outcome::MalformedReply, LoadReport::default());
     }
     (reply.outcome, load_report(reply))
 }
