--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -1,6 +1,7 @@
 //! What must hold whenever something is sent, answered or closed, checked where it happens and counted in service.
 //!
-//! The checks do not ask whoever decided: they look at what is true at the act. A violation is a fault of this program.
+//! A check looks at the state at the moment of the act, and not at what was decided before. A violation is a fault of this
+//! program.
 //! It is counted in the metrics and logged with its ids and the last changes of state, and it never ends the process.
 
 use log::error;
@@ -15,7 +16,7 @@
 /// Changes of state that are remembered for the log line of a violation.
 const RECENT_CHANGES: usize = 12;
 
-/// What must hold.
+/// A condition that must always hold; printed as its metric label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
     /// Nothing is sent to a member that drains, is gone, or is out of service.
@@ -28,7 +29,8 @@
     BeforeDeadline,
     /// What is written follows its permit at once.
     PermitCurrent,
-    /// No second attempt of a request runs beside one that was not called off, unless the settings allow copies.
+    /// No second attempt of a request runs beside one that was not cancelled, unless the settings allow hedged
+    /// requests.
     OneAttempt,
     /// Every request that was accepted is answered before its connection is closed by this side.
     AnsweredBeforeClose,
@@ -40,7 +42,7 @@
 }
 
 impl Invariant {
-    /// All of them.
+    /// All invariants, in the order of their declaration.
     pub const ALL: [Invariant; 9] = [
         Invariant::MemberAccepts,
         Invariant::ListLeased,
@@ -70,9 +72,10 @@
     }
 }
 
+/// The metric's labels, by name.
 type Labels = Vec<(String, String)>;
 
-/// Counts violations, and remembers what changed last.
+/// Counts violations, and keeps the last changes of state for their log lines.
 pub struct InvariantMonitor {
     violations: Family<Labels, Counter>,
     total: Cell<u64>,
@@ -96,7 +99,7 @@
 }
 
 impl InvariantMonitor {
-    /// Shows the counts among the metrics; each invariant is there from the start.
+    /// Registers the counts as metrics; each invariant has one from the start, of 0.
     pub fn register(&self, registry: &mut Registry) {
         let help = "Violated invariants: faults of this program";
         registry.register("invariant_violations", help, self.violations.clone());
@@ -111,7 +114,7 @@
         recent.push_back(format!("{:.3} s {change}", self.started.elapsed().as_secs_f64()));
     }
 
-    /// Counts and logs a violation unless `holds`. `ids` names who and what.
+    /// Counts and logs a violation unless `holds`. `ids` names the request, the member or the connection.
     pub fn check(&self, invariant: Invariant, holds: bool, ids: fmt::Arguments) {
         if holds {
             return;
@@ -126,7 +129,7 @@
         );
     }
 
-    /// How many violations were counted.
+    /// The number of violations since the start.
     pub fn total(&self) -> u64 {
         self.total.get()
     }
--- a/src/stages/dispatch.rs
+++ b/src/stages/dispatch.rs
@@ -31,7 +31,7 @@
 }
 
 impl DispatchedRequest {
-    /// When an attempt that starts now times out: at the request's deadline, or earlier where the decisions say so.
+    /// When an attempt that starts now times out: at the request's deadline, or earlier if the decisions set a timeout.
     fn attempt_deadline(&self, started: Instant, timeout: Option<Micros>) -> Instant {
         match timeout.filter(|timeout| timeout.0 > 0) {
             Some(timeout) => self.deadline.min(started + Duration::from_micros(timeout.0)),
--- a/src/stages/driver.rs
+++ b/src/stages/driver.rs
@@ -1,7 +1,7 @@
 //! The one driver of the decisions: handles one input at a time, passes it to the decisions as an event, and carries out the
 //! actions that they return, in order.
 //!
-//! It must never wait for an action: what an action brings about comes back as a later input. It chooses no member and makes
+//! It must never wait for an action: the result of an action arrives as a later input. It chooses no member and makes
 //! no retry; it rejects a request by itself only where the list, the operators or the fleet's budgets forbid it, and fails
 //! one that the decisions have left unanswered past its deadline.
 
@@ -30,7 +30,7 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-/// Past its deadline by this much, a request is answered whatever the decisions say.
+/// Past its deadline by this much, a request is answered as failed without an action of the decisions.
 const ANSWER_OVERDUE_GRACE: Duration = Duration::from_millis(40);
 
 /// Retry-After while nothing confirms the list: a call of discovery is on its way.
@@ -293,7 +293,7 @@
             Action::CheckHealth { member } => self.dispatcher.start_health_check(member),
             Action::Subscribe => self.subscribe.notify_one(),
             Action::CloseIdleConnections { member } => self.dispatcher.close_idle(member),
-            // Proxies have no way to talk to each other here, and the settings say so.
+            // Proxies cannot reach each other here, so the settings turn gossip off.
             Action::GossipPosition { member: MemberId(_), .. } => {}
         }
     }
--- a/src/stages/member_directory.rs
+++ b/src/stages/member_directory.rs
@@ -1,8 +1,8 @@
 //! The members that the endpoint list names, joined with the operators' orders: which entries the decisions are shown, and
 //! what the pool must know to reach a member.
 //!
-//! It decides nothing: [`Maintenance`] says who is out of service, and the decisions say which members are remembered. Names
-//! become numbers here, and a member's number must never come to mean another member.
+//! It decides nothing: [`Maintenance`] determines which members are out of service, and the decisions determine which members
+//! are remembered. Names become numbers here, and a member's number must never refer to another member.
 
 use super::MemberCounts;
 use crate::api::{GroupId, ListEntry, MemberId, MemberState};
@@ -21,7 +21,7 @@
 /// Changes of members that are logged for one list; the rest is counted.
 const LOGGED_CHANGES: usize = 16;
 
-/// What lists last said of one member.
+/// The last state of one member by the lists.
 #[derive(Clone)]
 struct DirectoryEntry {
     endpoint: Endpoint,
--- a/src/stages/request_intake.rs
+++ b/src/stages/request_intake.rs
@@ -10,7 +10,7 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// A client waits no longer than this, whatever its request says.
+/// A client waits no longer than this, in milliseconds: a longer wait of a request is cut.
 const MAX_WAIT_MS: u64 = 600_000;
 
 /// Digits of a session key that is a number of 64 bits already.
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -58,7 +58,7 @@
 }
 
 impl AttemptOutcome {
-    /// An outcome about which the member said nothing.
+    /// An outcome without a response, position or report of the member.
     pub fn without_response(outcome: Outcome) -> AttemptOutcome {
         AttemptOutcome { outcome, response: None, position: None, role: None, report: LoadReport::default() }
     }
@@ -109,7 +109,7 @@
     }
 }
 
-/// The outcome of an attempt that has a reply. A connection that came with it carries the rest of a long answer,
+/// The outcome of an attempt that has a reply. A connection in `exchanged` carries the rest of a long answer,
 /// which a new task forwards.
 fn answered(pool: &Pool, member: MemberId, exchanged: ExchangeReply) -> AttemptOutcome {
     let ExchangeReply { reply, streaming_connection } = exchanged;
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -2,7 +2,7 @@
 //! the reply, and forwards the rest of a long answer in chunks.
 //!
 //! It must never read a byte as part of a reply that the member sent before the statement, nor report a connection as
-//! reusable on which anything is still to come. Its end is logged once, under the reason set last.
+//! reusable on which anything is still to arrive. Its end is logged once, under the reason set last.
 
 use crate::api::Outcome;
 use crate::budget::Place;
@@ -60,7 +60,7 @@
     End(Bytes),
     /// The connection can carry another statement.
     Ready,
-    /// Nothing more comes: the connection is of no further use.
+    /// Nothing more arrives: the connection is of no further use.
     Broken,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl SessionError {
-    /// The connection failed, or what came on it can't be read.
+    /// The connection failed, or what arrived on it can't be read.
     const BROKEN: SessionError =
         SessionError { outcome: Outcome::ConnectError, close_reason: CloseReason::Reset };
 
@@ -208,7 +208,7 @@
                 ReplyProgress::Incomplete => {}
                 ReplyProgress::Streaming => return assembler.finish(Outcome::Ok),
                 ReplyProgress::Complete(outcome) => {
-                    // The answer counts even if more came after it, but the connection is not used again then.
+                    // The answer counts even if more arrived after it, but the connection is not used again then.
                     is_reusable = self.check_usable();
                     break outcome;
                 }
--- a/src/upstream/send_eligibility.rs
+++ b/src/upstream/send_eligibility.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What the list says of one member.
+/// The list's state of one member.
 #[derive(Default)]
 struct Entry {
     /// Nothing new may be sent to the member: it drains or is gone.
