--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -86,7 +86,7 @@
 ) -> Result<(), DriverEnded> {
     // Build.
     let capacity = Capacity::new(&config, listeners.operators.is_some());
-    let longest_wait = Duration::from_micros(config.site.longest.0);
+    let longest_wait = Duration::from_micros(config.site.max_client_timeout.0);
     let fleet_client = listeners.fleet.as_ref().map(|fleet| fleet.client.clone());
     let quota = listeners.fleet.as_ref().map(|fleet| fleet.shares.clone()).unwrap_or_default();
     let (inbox, inputs) = mpsc::unbounded_channel();
--- a/src/proxy/parts.rs
+++ b/src/proxy/parts.rs
@@ -106,14 +106,14 @@
     /// Where sessions submit requests.
     pub(super) fn request_gateway(&self, config: &Config, capacity: &Capacity) -> Rc<RequestGateway> {
         let intake = RequestIntake::new(&config.site, self.clock);
-        let admission = capacity.request_admission(config.site.max_open);
+        let admission = capacity.request_admission(config.site.max_open_requests);
         let accounting = self.accounting.clone();
         Rc::new(RequestGateway::new(intake, admission, accounting, self.inbox.clone(), self.guard.clone()))
     }
 
     /// The orders on members, with the file that two versions of an upgrade share.
     pub(super) fn maintenance_log(&self, config: &Config) -> Rc<MaintenanceLog> {
-        let file = config.shared.as_ref().map(|dir| dir.join(maintenance_log::FILE_NAME));
+        let file = config.shared_directory.as_ref().map(|dir| dir.join(maintenance_log::FILE_NAME));
         MaintenanceLog::new(self.maintenance.clone(), file, self.clock, self.inbox.clone())
     }
 
