--- a/src/clients/request_gateway.rs
+++ b/src/clients/request_gateway.rs
@@ -4,7 +4,7 @@
 use crate::api::{ClassId, Micros, ReadLevel, RequestId};
 use crate::budget::{Budget, Place};
 use crate::invariants::InvariantMonitor;
-use crate::request::Incoming;
+use crate::request::IncomingRequest;
 use crate::stages::accounting::{AccountingTicket, RequestAccounting};
 use crate::stages::admission::{RejectionCause, RequestAdmission};
 use crate::stages::request_intake::{IntakeError, OpenId, RequestIntake};
@@ -18,7 +18,7 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Time after which to retry, told to clients that are rejected for want of memory or of room among the requests held.
+/// Time after which to retry, sent to clients that are rejected for want of memory or of room among the requests held.
 pub const RETRY_AFTER: Micros = Micros(250_000);
 
 /// The entry to the stages that all sessions share.
@@ -32,7 +32,7 @@
 
 /// A request whose id is open, from its last byte to its answer.
 pub struct OpenRequest {
-    incoming: Incoming,
+    incoming: IncomingRequest,
     class: ClassId,
     writes: bool,
     id: OpenId,
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     /// The class is unknown, or a request with this id is open.
-    pub fn open(&self, incoming: Incoming) -> Result<OpenRequest, IntakeError> {
+    pub fn open(&self, incoming: IncomingRequest) -> Result<OpenRequest, IntakeError> {
         let class = self.intake.class_of(&incoming)?;
         let id = self.intake.claim_id(&incoming)?;
         let writes = self.intake.read_level(class) == ReadLevel::Write;
@@ -181,7 +181,7 @@
     pub fn submit(&self, request: OpenRequest, waited: Duration) -> Result<PendingRequest, FinalResponse> {
         let OpenRequest { mut incoming, class, id: open_id, ticket, .. } = request;
         let waited_ms = u64::try_from(waited.as_millis()).unwrap_or(u64::MAX);
-        incoming.wait_ms = incoming.wait_ms.saturating_sub(waited_ms);
+        incoming.timeout_ms = incoming.timeout_ms.saturating_sub(waited_ms);
         let request = self.intake.build_request(&incoming, class);
         let place = match self.admission.admit() {
             Ok(place) => place,
@@ -192,7 +192,7 @@
         let id = request.id;
         debug!(
             "request {id} is the client's {}, class {}, waits {} ms",
-            incoming.id, class.0, incoming.wait_ms
+            incoming.id, class.0, incoming.timeout_ms
         );
         let accepted = AcceptedRequest { request, payload: incoming.payload, deadline, reply };
         // Without a driver the channel is closed, and the answer is that it failed.
--- a/src/clients/session/replies.rs
+++ b/src/clients/session/replies.rs
@@ -2,7 +2,7 @@
 
 use crate::close_reason::CloseReason;
 use crate::pg::PgError;
-use crate::pg::frontend::Answer as Reply;
+use crate::pg::frontend::Reply;
 use crate::stages::FinalResponse;
 
 /// An error after which the connection goes on. `code` is its SQLSTATE.
@@ -19,7 +19,7 @@
 pub(super) fn final_answer(answer: FinalResponse, fatal: bool) -> Reply {
     match answer {
         FinalResponse::Served(raw) => Reply::Raw(raw),
-        // The rest is streamed by whoever holds it.
+        // The session streams the rest.
         FinalResponse::Streaming(response) => Reply::Raw(response.first),
         FinalResponse::Rejected { retry_after } => Reply::Error {
             fatal,
--- a/src/clients/session/respond.rs
+++ b/src/clients/session/respond.rs
@@ -8,7 +8,7 @@
 use crate::clients::pipeline::{PipelinedRequest, RequestState};
 use crate::clients::request_gateway::PendingRequest;
 use crate::close_reason::CloseReason;
-use crate::pg::frontend::Answer as Reply;
+use crate::pg::frontend::Reply;
 use crate::stages::FinalResponse;
 use crate::upstream::response::{ResponseChunk, StreamingResponse};
 use bytes::BytesMut;
@@ -36,7 +36,7 @@
     /// One request, to its answer.
     pub(super) async fn answer_request(&mut self, request: Box<PipelinedRequest>) -> Result<(), CloseReason> {
         // The memory of its message is held up to the end of its answer.
-        let PipelinedRequest { order, state, memory: _memory, long_memory: _long_memory } = *request;
+        let PipelinedRequest { order, state, memory: _memory } = *request;
         self.pipeline.begin(order);
         let submitted = match state {
             RequestState::Submitted(submitted) => submitted,
@@ -52,7 +52,7 @@
             Err(answer) => answer,
         };
         self.pipeline.finish();
-        self.send([replies::final_answer(answer, false), Reply::Ready]).await?;
+        self.send([replies::final_answer(answer, false), Reply::ReadyForQuery]).await?;
         self.shrink_buffers();
         Ok(())
     }
@@ -117,7 +117,7 @@
                 Some(ResponseChunk::Last(bytes)) => {
                     pending.streamed(true);
                     self.note_nothing_unread();
-                    self.send([Reply::Raw(bytes), Reply::Ready]).await?;
+                    self.send([Reply::Raw(bytes), Reply::ReadyForQuery]).await?;
                     self.pipeline.finish();
                     return Ok(());
                 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! The decisions do no I/O: a driver feeds [`api::Event`]s to [`policy::Router::handle`] with the current
 //! time, and carries out the [`api::Action`]s it pushes. [`proxy`] puts that driver together on real sockets, and
-//! [`process`] starts it; the adapter `linenhill-benchlink` is a driver on a simulator's wire.
+//! [`process`] starts it; the adapter `linenhill-simulator-adapter` is a driver on a simulator's wire.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/src/stages/request_intake.rs
+++ b/src/stages/request_intake.rs
@@ -3,7 +3,7 @@
 
 use crate::api::{ClassId, GroupId, Micros, ReadLevel, Request, RequestId, SessionKey};
 use crate::clock::Clock;
-use crate::request::Incoming;
+use crate::request::IncomingRequest;
 use crate::settings::Site;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// The settings name no such class.
-    pub fn class_of(&self, incoming: &Incoming) -> Result<ClassId, IntakeError> {
+    pub fn class_of(&self, incoming: &IncomingRequest) -> Result<ClassId, IntakeError> {
         self.class_named(&incoming.class).ok_or(IntakeError::UnknownClass)
     }
 
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     /// A request with this id is open.
-    pub fn claim_id(&self, incoming: &Incoming) -> Result<OpenId, IntakeError> {
+    pub fn claim_id(&self, incoming: &IncomingRequest) -> Result<OpenId, IntakeError> {
         let id = incoming.id.clone();
         if !self.open_ids.borrow_mut().insert(id.clone()) {
             return Err(IntakeError::IdInUse);
@@ -130,7 +130,7 @@
     }
 
     /// The request as the decisions know it.
-    pub fn build_request(&self, incoming: &Incoming, class: ClassId) -> Request {
+    pub fn build_request(&self, incoming: &IncomingRequest, class: ClassId) -> Request {
         let level = self.read_level(class);
         let has_session = matches!(level, ReadLevel::Write | ReadLevel::Session);
         let now = self.clock.now().0;
@@ -139,11 +139,11 @@
         Request {
             id: self.next_id(),
             class,
-            time_left: Micros(incoming.wait_ms.min(MAX_WAIT_MS) * 1_000),
+            time_left: Micros(incoming.timeout_ms.min(MAX_WAIT_MS) * 1_000),
             tenant: None,
-            last_write_age: incoming.after_ms.filter(|_| level == ReadLevel::Session).map(age),
+            last_write_age: incoming.required_position_ms.filter(|_| level == ReadLevel::Session).map(age),
             group: GroupId(incoming.group),
-            session: incoming.key.as_deref().filter(|_| has_session).map(session_key),
+            session: incoming.session_key.as_deref().filter(|_| has_session).map(session_key),
         }
     }
 }
