--- a/src/clients/request_gateway.rs
+++ b/src/clients/request_gateway.rs
@@ -2,9 +2,9 @@
 //! protocol. Every request that it opens is counted with exactly one end.
 
 use crate::api::{ClassId, Micros, ReadLevel, RequestId};
-use crate::budget::{Budget, Place};
 use crate::invariants::InvariantMonitor;
 use crate::request::IncomingRequest;
+use crate::resource_limit::{ResourceLimit, ResourcePermit};
 use crate::stages::accounting::{AccountingTicket, RequestAccounting};
 use crate::stages::admission::{RejectionCause, RequestAdmission};
 use crate::stages::request_intake::{IntakeError, OpenId, RequestIntake};
@@ -53,7 +53,7 @@
     answer: oneshot::Receiver<FinalResponse>,
     ticket: Option<AccountingTicket>,
     inbox: mpsc::UnboundedSender<DriverInput>,
-    _place: Place,
+    _place: ResourcePermit,
     _open_id: OpenId,
 }
 
@@ -140,7 +140,7 @@
     }
 
     /// The memory that clients' messages share, in bytes.
-    pub fn message_memory(&self) -> Budget {
+    pub fn message_memory(&self) -> ResourceLimit {
         self.admission.message_memory()
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,7 +3,7 @@
 
 use clap::Parser;
 use linenhill::cli::{self, Cli, Command, FleetCommand};
-use linenhill::fleet::tools;
+use linenhill::fleet::command_line;
 use linenhill::process::{self, ProcessError};
 use log::error;
 use std::error::Error;
@@ -37,9 +37,9 @@
 
 /// Prints what is wrong with an operators' file.
 fn check(file: &Path, json: bool) -> ExitCode {
-    let (report, is_valid) = tools::check(file, json);
-    println!("{report}");
-    if is_valid { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    let check = command_line::check_operator_file(file, json);
+    println!("{}", check.report);
+    if check.is_valid { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 /// Prints what a fleet answers; an error goes to standard error.
@@ -57,5 +57,5 @@
 }
 
 fn run_fleet_command(command: FleetCommand) -> Result<String, Box<dyn Error>> {
-    Ok(process::runtime()?.block_on(tools::ask(command))?)
+    Ok(process::runtime()?.block_on(command_line::run(command))?)
 }
--- a/src/pg/frontend.rs
+++ b/src/pg/frontend.rs
@@ -6,7 +6,7 @@
     HEADER_BYTES, LENGTH_BYTES, decode_header, first_length, put_message, put_text, take_message, take_text,
 };
 use super::{MAX_MESSAGE_BYTES, MAX_ORDINARY_MESSAGE_BYTES, PgError};
-use crate::budget::{Budget, Place};
+use crate::resource_limit::{ResourceLimit, ResourcePermit};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::ops::RangeInclusive;
 use tokio::sync::OwnedSemaphorePermit;
@@ -82,7 +82,7 @@
 #[derive(Default)]
 pub struct MessageMemory {
     /// Reserved by the codec, if the message is an ordinary one.
-    ordinary: Option<Place>,
+    ordinary: Option<ResourcePermit>,
     /// Granted by the codec's owner, if it is a long one.
     long: Option<OwnedSemaphorePermit>,
 }
@@ -91,7 +91,7 @@
 pub struct FrontendCodec {
     has_started: bool,
     /// From what ordinary messages reserve their memory.
-    ordinary_memory: Budget,
+    ordinary_memory: ResourceLimit,
     /// For the message that is arriving.
     arriving: MessageMemory,
     /// For the message decoded last.
@@ -103,13 +103,13 @@
 impl Default for FrontendCodec {
     /// A codec for tests and tools, whose ordinary messages have all the memory they need.
     fn default() -> FrontendCodec {
-        FrontendCodec::new(Budget::new(usize::MAX))
+        FrontendCodec::new(ResourceLimit::new(usize::MAX))
     }
 }
 
 impl FrontendCodec {
     /// A codec whose ordinary messages share `memory`, in bytes, with those of other connections.
-    pub fn new(memory: Budget) -> FrontendCodec {
+    pub fn new(memory: ResourceLimit) -> FrontendCodec {
         FrontendCodec {
             has_started: false,
             ordinary_memory: memory,
@@ -160,7 +160,7 @@
     /// Reserves the memory of an ordinary message of this length, unless that is done already.
     fn reserve_ordinary(&mut self, length: usize) -> Result<(), PgError> {
         if self.arriving.ordinary.is_none() {
-            let reserved = self.ordinary_memory.enter_by(length).ok_or(PgError::Memory(length))?;
+            let reserved = self.ordinary_memory.acquire_weighted(length).ok_or(PgError::Memory(length))?;
             self.arriving.ordinary = Some(reserved);
         }
         Ok(())
--- a/src/process/error.rs
+++ b/src/process/error.rs
@@ -1,8 +1,8 @@
 //! Why a process does not start, or ends.
 
 use crate::config::ConfigError;
+use crate::hot_restart::inherit::InheritError;
 use crate::proxy::DriverEnded;
-use crate::takeover::inherit::InheritError;
 use linenhill_cluster::keeper::KeeperError;
 use linenhill_decisions::membership::MAX_NAME_BYTES;
 use std::error::Error;
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -14,8 +14,8 @@
 use crate::clients::listener;
 use crate::config::Config;
 use crate::counters::Counters;
-use crate::fleet::Shares;
-use crate::fleet::outages;
+use crate::fleet::disruption;
+use crate::fleet::quota::FleetQuota;
 use crate::lifecycle::Event;
 use crate::stages::DriverInput;
 use crate::upstream::send_guard::SendGuard;
@@ -61,7 +61,7 @@
 /// This process as a member of a fleet.
 pub struct FleetMember {
     /// What it may use of the fleet's budgets.
-    pub shares: Shares,
+    pub quota: FleetQuota,
     /// Its client of the keepers.
     pub client: Rc<FleetClient>,
     /// Where other instances reach it, if they may.
@@ -88,7 +88,7 @@
     let capacity = Capacity::new(&config, listeners.operators.is_some());
     let longest_wait = Duration::from_micros(config.site.max_client_timeout.0);
     let fleet_client = listeners.fleet.as_ref().map(|fleet| fleet.client.clone());
-    let quota = listeners.fleet.as_ref().map(|fleet| fleet.shares.clone()).unwrap_or_default();
+    let quota = listeners.fleet.as_ref().map(|fleet| fleet.quota.clone()).unwrap_or_default();
     let (inbox, inputs) = mpsc::unbounded_channel();
     let parts = Parts::new(&mut config, &capacity, quota, counters, inbox);
     let connection_gate = parts.connection_gate(&config, &capacity);
@@ -114,8 +114,8 @@
     let serving = spawn_local(serving);
     spawn_local(maintenance_log.clone().follow_file());
     if let Some(operators) = listeners.operators {
-        let controls = parts.operator_controls(lifecycle.clone(), maintenance_log, fleet_client);
-        spawn_local(admin::run(operators, Rc::new(controls)));
+        let operator_api = parts.operator_api(lifecycle.clone(), maintenance_log, fleet_client);
+        spawn_local(admin::run(operators, Rc::new(operator_api)));
     }
 
     // Stop.
@@ -150,7 +150,7 @@
 ) {
     spawn_local(fleet.client.clone().run());
     if fleet.client.limits_disruptions() {
-        spawn_local(outages::look_after(fleet.client.clone(), lifecycle.clone(), inbox.clone()));
+        spawn_local(disruption::run(fleet.client.clone(), lifecycle.clone(), inbox.clone()));
     }
     if let Some(listener) = fleet.listener {
         spawn_local(fleet.client.serve(listener));
--- a/src/proxy/capacity.rs
+++ b/src/proxy/capacity.rs
@@ -1,7 +1,7 @@
 //! How the process divides its descriptors and its memory between clients, members and messages. It only computes limits;
 //! what is in use is counted where it is acquired.
 
-use crate::admin::OPERATORS;
+use crate::admin::MAX_OPERATOR_CONNECTIONS;
 use crate::api::Micros;
 use crate::config::Config;
 use crate::connection_admission::AdmissionLimits;
@@ -38,7 +38,7 @@
     /// What the configuration grants. Operators' calls need descriptors of their own, where they are configured.
     pub(super) fn new(config: &Config, has_operators: bool) -> Capacity {
         // A connection of each operator, the listener, and one more that waits to be accepted.
-        let operators = if has_operators { OPERATORS + 2 } else { 0 };
+        let operators = if has_operators { MAX_OPERATOR_CONNECTIONS + 2 } else { 0 };
         Capacity {
             descriptors: config.sockets,
             shared_descriptors: config.sockets.saturating_sub(OWN_DESCRIPTORS + operators),
--- a/src/proxy/parts.rs
+++ b/src/proxy/parts.rs
@@ -1,7 +1,7 @@
 //! Builds the parts of the proxy from the configuration. Nothing runs yet when a part is built: [`super`] starts the tasks.
 
 use super::capacity::Capacity;
-use crate::admin::Controls;
+use crate::admin::operator_api::OperatorApi;
 use crate::api;
 use crate::clients::connection_gate::ConnectionGate;
 use crate::clients::lifecycle_driver::LifecycleDriver;
@@ -13,10 +13,11 @@
 use crate::discovery::list::ListEvent;
 use crate::discovery::status::DiscoveryStatus;
 use crate::discovery::watch::first_message_timeout;
-use crate::figures::Figures;
-use crate::fleet::Shares;
+use crate::fleet::quota::FleetQuota;
+use crate::hot_restart::maintenance_log::{self, MaintenanceLog};
 use crate::list_lease::ListLease;
 use crate::maintenance::Maintenance;
+use crate::metrics::Metrics;
 use crate::policy::Router;
 use crate::stages::DriverInput;
 use crate::stages::accounting::RequestAccounting;
@@ -24,7 +25,6 @@
 use crate::stages::driver::{Driver, DriverParts};
 use crate::stages::request_intake::RequestIntake;
 use crate::stages::response_delivery::ResponseDelivery;
-use crate::takeover::maintenance_log::{self, MaintenanceLog};
 use crate::upstream::pool::Pool;
 use crate::upstream::send_guard::SendGuard;
 use crate::watch_schedule::WatchSchedule;
@@ -42,8 +42,8 @@
 pub(super) struct Parts {
     pub(super) clock: Clock,
     pub(super) counters: Rc<Counters>,
-    pub(super) metrics: Rc<Figures>,
-    pub(super) quota: Shares,
+    pub(super) metrics: Rc<Metrics>,
+    pub(super) quota: FleetQuota,
     pub(super) guard: SendGuard,
     pub(super) pool: Pool,
     pub(super) discovery_status: Rc<DiscoveryStatus>,
@@ -59,12 +59,12 @@
     /// Builds the shared parts; events for the driver go to `inbox`. The list that the configuration knows becomes the
     /// first of them, and is taken from it.
     pub(super) fn new(
-        config: &mut Config, capacity: &Capacity, quota: Shares, counters: Rc<Counters>,
+        config: &mut Config, capacity: &Capacity, quota: FleetQuota, counters: Rc<Counters>,
         inbox: mpsc::UnboundedSender<DriverInput>,
     ) -> Parts {
         let clock = Clock::start();
         let settings = &config.site.settings;
-        let metrics = Rc::new(Figures::new(config.site.class_names()));
+        let metrics = Rc::new(Metrics::new(config.site.class_names()));
         let known_version = config.known.as_ref().map_or(0, |known| known.version);
         let lease = ListLease::new(clock.now(), settings.discovery, settings.rules.drain_grace);
         let guard = SendGuard::new(lease, known_version, clock, metrics.invariants());
@@ -134,7 +134,7 @@
             status: self.discovery_status.clone(),
             inbox: self.inbox.clone(),
             counters: self.counters.clone(),
-            figures: self.metrics.clone(),
+            metrics: self.metrics.clone(),
             first_message_timeout: first_message_timeout(settings.discovery),
             rng: fastrand::Rng::with_seed(config.seed),
         }
@@ -156,20 +156,20 @@
             identifiers: config.names,
             subscribe: self.subscribe.clone(),
             maintenance: self.maintenance.clone(),
-            shares: self.quota.clone(),
+            quota: self.quota.clone(),
         })
     }
 
     /// What operators' calls read and change.
-    pub(super) fn operator_controls(
+    pub(super) fn operator_api(
         &self, lifecycle: Rc<LifecycleDriver>, maintenance_log: Rc<MaintenanceLog>,
         fleet: Option<Rc<FleetClient>>,
-    ) -> Controls {
-        Controls {
+    ) -> OperatorApi {
+        OperatorApi {
             lifecycle,
             maintenance_log,
-            figures: self.metrics.clone(),
-            status: self.discovery_status.clone(),
+            metrics: self.metrics.clone(),
+            discovery_status: self.discovery_status.clone(),
             inbox: self.inbox.clone(),
             fleet,
         }
--- a/src/stages/accounting.rs
+++ b/src/stages/accounting.rs
@@ -5,15 +5,15 @@
 use super::admission::RejectionCause;
 use crate::api::{ClassId, Outcome};
 use crate::counters::Counters;
-use crate::figures::{End, Figures};
 use crate::invariants::InvariantMonitor;
+use crate::metrics::{Metrics, RequestEnd};
 use std::rc::Rc;
 
 /// The counters and metrics of requests; copies share them.
 #[derive(Clone)]
 pub struct RequestAccounting {
     counters: Rc<Counters>,
-    metrics: Rc<Figures>,
+    metrics: Rc<Metrics>,
 }
 
 /// A request from its last byte to its one end. If it is dropped before [`AccountingTicket::end`], the request is counted as
@@ -36,14 +36,14 @@
     fn drop(&mut self) {
         if !self.is_ended {
             self.accounting.counters.lapsed.add();
-            self.accounting.metrics.ended(self.class.0, None);
+            self.accounting.metrics.record_ended(self.class.0, None);
         }
     }
 }
 
 impl RequestAccounting {
     /// Counts into these counters and metrics.
-    pub fn new(counters: Rc<Counters>, metrics: Rc<Figures>) -> RequestAccounting {
+    pub fn new(counters: Rc<Counters>, metrics: Rc<Metrics>) -> RequestAccounting {
         RequestAccounting { counters, metrics }
     }
 
@@ -55,13 +55,13 @@
     /// Counts a request that was accepted.
     pub fn begin_request(&self, class: ClassId) -> AccountingTicket {
         self.counters.taken.add();
-        self.metrics.taken();
+        self.metrics.record_accepted();
         AccountingTicket { accounting: self.clone(), class, is_ended: false }
     }
 
     /// Counts an attempt whose statement was written completely.
     pub fn record_statement_written(&self) {
-        self.metrics.written();
+        self.metrics.record_written_attempt();
     }
 
     /// Counts a request that could not be read.
@@ -81,12 +81,14 @@
 
     fn record_response(&self, class: ClassId, response: &FinalResponse) {
         let (counter, end) = match response {
-            FinalResponse::Served(_) | FinalResponse::Streaming(_) => (&self.counters.served, End::Completed),
-            FinalResponse::Rejected { .. } => (&self.counters.refused, End::Rejected),
-            FinalResponse::Failed => (&self.counters.failed, End::Failed),
+            FinalResponse::Served(_) | FinalResponse::Streaming(_) => {
+                (&self.counters.served, RequestEnd::Completed)
+            }
+            FinalResponse::Rejected { .. } => (&self.counters.refused, RequestEnd::Rejected),
+            FinalResponse::Failed => (&self.counters.failed, RequestEnd::Failed),
         };
         counter.add();
-        self.metrics.ended(class.0, Some(end));
+        self.metrics.record_ended(class.0, Some(end));
     }
 
     /// Counts a rejected request whose class is not known.
--- a/src/stages/admission.rs
+++ b/src/stages/admission.rs
@@ -1,7 +1,7 @@
 //! Admits a request, or rejects it before the decisions see it, by what this process may hold. It never waits, and it knows
 //! nothing of members.
 
-use crate::budget::{Budget, Place};
+use crate::resource_limit::{ResourceLimit, ResourcePermit};
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
@@ -23,8 +23,8 @@
 
 /// The limits on requests and their messages.
 pub struct RequestAdmission {
-    held_requests: Budget,
-    message_memory: Budget,
+    held_requests: ResourceLimit,
+    message_memory: ResourceLimit,
     long_message_memory: Arc<Semaphore>,
     /// In bytes.
     max_long_message: usize,
@@ -36,8 +36,8 @@
     pub fn new(max_requests: usize, message_bytes: usize, long_message_bytes: usize) -> RequestAdmission {
         let max_long_message = long_message_bytes.min(MAX_SEMAPHORE_PERMITS);
         RequestAdmission {
-            held_requests: Budget::new(max_requests),
-            message_memory: Budget::new(message_bytes),
+            held_requests: ResourceLimit::new(max_requests),
+            message_memory: ResourceLimit::new(message_bytes),
             long_message_memory: Arc::new(Semaphore::new(max_long_message)),
             max_long_message,
         }
@@ -54,17 +54,17 @@
     ///
     /// # Errors
     /// What is missing.
-    pub fn admit(&self) -> Result<Place, RejectionCause> {
-        self.held_requests.enter().ok_or(RejectionCause::HeldRequests)
+    pub fn admit(&self) -> Result<ResourcePermit, RejectionCause> {
+        self.held_requests.acquire().ok_or(RejectionCause::HeldRequests)
     }
 
     /// The memory that messages share, in bytes.
-    pub fn message_memory(&self) -> Budget {
+    pub fn message_memory(&self) -> ResourceLimit {
         self.message_memory.clone()
     }
 
     /// The number of requests held now.
     pub fn held_requests(&self) -> usize {
-        self.held_requests.held()
+        self.held_requests.in_use()
     }
 }
--- a/src/stages/driver.rs
+++ b/src/stages/driver.rs
@@ -14,7 +14,7 @@
 };
 use crate::clock::Clock;
 use crate::discovery::list::{EndpointList, IdentifierTable, ListEvent};
-use crate::fleet::Shares;
+use crate::fleet::quota::FleetQuota;
 use crate::invariants::Invariant;
 use crate::list_lease::Withheld;
 use crate::maintenance::Maintenance;
@@ -55,7 +55,7 @@
     timers: BTreeSet<Timer>,
     /// Empty between events; kept for its memory.
     actions: Vec<Action>,
-    shares: Shares,
+    quota: FleetQuota,
 }
 
 /// What the driver works with.
@@ -79,7 +79,7 @@
     /// The members that are out of service by operators' orders.
     pub maintenance: Rc<RefCell<Maintenance>>,
     /// This proxy's part of the fleet's budgets.
-    pub shares: Shares,
+    pub quota: FleetQuota,
 }
 
 impl Driver {
@@ -98,7 +98,7 @@
             subscribe: parts.subscribe,
             timers: BTreeSet::new(),
             actions: Vec::new(),
-            shares: parts.shares,
+            quota: parts.quota,
         }
     }
 
@@ -178,7 +178,7 @@
             let _ = reply.send(FinalResponse::Rejected { retry_after: Some(retry_after) });
             return;
         }
-        self.shares.work();
+        self.quota.record_demand();
         self.responses.register(request.id, reply, deadline + ANSWER_OVERDUE_GRACE);
         self.dispatcher.register(request.id, payload, deadline);
         self.handle_event(Event::RequestArrived(request));
@@ -189,8 +189,8 @@
         if self.pool.guard().check_lease() == Err(Withheld::Expired) {
             return Err(RETRY_AFTER_UNCONFIRMED_LIST);
         }
-        let is_closed = self.members.is_group_out(request.group) || !self.shares.serves();
-        if is_closed || !self.shares.admission(request.class) {
+        let is_closed = self.members.is_group_out(request.group) || !self.quota.may_serve();
+        if is_closed || !self.quota.try_spend_admission(request.class) {
             return Err(RETRY_AFTER_NOT_ADMITTED);
         }
         Ok(())
@@ -268,7 +268,7 @@
     /// Passes an event to the decisions, and carries out what they ask for.
     fn handle_event(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
-        if let Some(part) = self.shares.part() {
+        if let Some(part) = self.quota.load_part() {
             self.router.set_fleet_quota_part(part);
         }
         self.router.handle(self.clock.now(), event, &mut actions);
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -75,7 +75,7 @@
     let AttemptRequest { member, payload, deadline, is_retry, purpose, is_request_over } = attempt_request;
     let progress = ExchangeProgress::default();
     let acquire_quota = || {
-        if is_retry && !pool.shares().repeat() {
+        if is_retry && !pool.quota().try_spend_retry() {
             return None;
         }
         pool.attempt_permit(member)
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -5,12 +5,12 @@
 //! reusable on which anything is still to arrive. Its end is logged once, under the reason set last.
 
 use crate::api::Outcome;
-use crate::budget::Place;
 use crate::close_reason::{CloseReason, Side, log_close};
-use crate::fleet::Unit;
-use crate::peek::{Unread, unread};
+use crate::fleet::quota::QuotaUnit;
 use crate::pg::PgError;
 use crate::pg::backend::{BackendCodec, BackendMessage, Command};
+use crate::resource_limit::ResourcePermit;
+use crate::socket_state::{PendingInput, pending_input};
 use crate::upstream::reply::{ReplyAssembler, ReplyProgress, StatementReply, outcome_of};
 use crate::upstream::send_guard::SendPermit;
 use bytes::{Bytes, BytesMut};
@@ -41,9 +41,9 @@
     address: SocketAddr,
     close_reason: Rc<Cell<CloseReason>>,
     /// Held for its drop, which returns the descriptor.
-    _descriptor: Place,
+    _descriptor: ResourcePermit,
     /// Held for its drop, which returns this connection's part of the fleet's budgets.
-    _quota: Unit,
+    _quota: QuotaUnit,
 }
 
 impl Drop for MemberConnection {
@@ -91,7 +91,7 @@
     /// # Errors
     /// The outcome of the attempt that needed the connection.
     pub async fn open(
-        address: SocketAddr, descriptor: Place, connect_timeout: Duration,
+        address: SocketAddr, descriptor: ResourcePermit, connect_timeout: Duration,
     ) -> Result<MemberConnection, Outcome> {
         let deadline = Instant::now() + connect_timeout;
         let stream = connect(address, deadline).await?;
@@ -102,7 +102,7 @@
             address,
             close_reason: Rc::new(Cell::new(CloseReason::ConnectTimeout)),
             _descriptor: descriptor,
-            _quota: Unit::default(),
+            _quota: QuotaUnit::default(),
         };
         match timeout_at(deadline, connection.start_session()).await {
             Ok(Ok(())) => {
@@ -133,7 +133,7 @@
     }
 
     /// Keeps a part of the fleet's budgets until the connection is closed.
-    pub fn hold_quota(&mut self, quota: Unit) {
+    pub fn hold_quota(&mut self, quota: QuotaUnit) {
         self._quota = quota;
     }
 
@@ -164,10 +164,10 @@
     /// Like [`Self::unusable_reason`], but asks the kernel too: the runtime does not know of what arrived since it
     /// last polled. To be checked right before a statement is written.
     pub fn unusable_reason_now(&self) -> Option<CloseReason> {
-        self.unusable_reason().or_else(|| match unread(self.framed.get_ref()) {
-            Unread::Nothing => None,
-            Unread::Bytes => Some(CloseReason::Protocol),
-            Unread::End => Some(CloseReason::PeerClosed),
+        self.unusable_reason().or_else(|| match pending_input(self.framed.get_ref()) {
+            PendingInput::Empty => None,
+            PendingInput::Bytes => Some(CloseReason::Protocol),
+            PendingInput::Closed => Some(CloseReason::PeerClosed),
         })
     }
 
--- a/src/upstream/exchange.rs
+++ b/src/upstream/exchange.rs
@@ -5,7 +5,7 @@
 
 use crate::api::{MemberId, Outcome};
 use crate::close_reason::CloseReason;
-use crate::fleet::Unit;
+use crate::fleet::quota::QuotaUnit;
 use crate::list_lease::Withheld;
 use crate::upstream::connection::MemberConnection;
 use crate::upstream::pool::Pool;
@@ -58,7 +58,7 @@
     /// # Errors
     /// The outcome of a statement that has not run.
     pub(super) async fn run(
-        &self, acquire_quota: impl FnOnce() -> Option<Unit>, render: impl FnOnce() -> (Bytes, Bytes),
+        &self, acquire_quota: impl FnOnce() -> Option<QuotaUnit>, render: impl FnOnce() -> (Bytes, Bytes),
         on_written: impl FnOnce(),
     ) -> Result<ExchangeReply, Outcome> {
         self.check_sendable()?;
--- a/src/upstream/health_check.rs
+++ b/src/upstream/health_check.rs
@@ -2,7 +2,7 @@
 //! needs a quota of its own kind, and it must never outlast the time that a new connection may take.
 
 use crate::api::{LoadReport, MemberId, Outcome};
-use crate::fleet::Unit;
+use crate::fleet::quota::QuotaUnit;
 use crate::upstream::exchange::{Exchange, ExchangeProgress};
 use crate::upstream::pool::Pool;
 use crate::upstream::reply::StatementReply;
@@ -21,7 +21,7 @@
     let deadline = Instant::now() + pool.connect_timeout();
     let intent =
         SendIntent { member, purpose: Purpose::HealthCheck, deadline, is_request_over: Rc::default() };
-    let acquire_quota = || pool.shares().probe().then(Unit::default);
+    let acquire_quota = || pool.quota().try_spend_health_check().then(QuotaUnit::default);
     let render = || (Bytes::from_static(HEALTH_STATEMENT), Bytes::new());
     let exchange = Exchange { pool: &pool, intent: &intent, progress: &progress };
     let running = exchange.run(acquire_quota, render, || ());
--- a/tests/send_guard.rs
+++ b/tests/send_guard.rs
@@ -4,9 +4,9 @@
 use linenhill::api::{Discovery, MemberId, Micros, RequestId};
 use linenhill::clock::Clock;
 use linenhill::counters::Counters;
-use linenhill::figures::Figures;
-use linenhill::fleet::Shares;
+use linenhill::fleet::quota::FleetQuota;
 use linenhill::list_lease::{ListLease, Withheld};
+use linenhill::metrics::Metrics;
 use linenhill::upstream::pool::Pool;
 use linenhill::upstream::send_guard::{Purpose, SendGuard, SendIntent};
 use std::rc::Rc;
@@ -18,13 +18,13 @@
 const GRACE: Micros = Micros(2_000_000);
 
 /// A guard and a pool with one member that accepts.
-fn guarded(figures: &Figures) -> (SendGuard, Pool) {
+fn guarded(metrics: &Metrics) -> (SendGuard, Pool) {
     let clock = Clock::start();
     let lease = ListLease::new(clock.now(), Discovery::OnRequest, GRACE);
-    let guard = SendGuard::new(lease, 7, clock, figures.invariants());
+    let guard = SendGuard::new(lease, 7, clock, metrics.invariants());
     let long = Duration::from_secs(60);
     let counters = Rc::new(Counters::default());
-    let pool = Pool::with_quota(1, long, long, counters, Shares::default(), guard.clone());
+    let pool = Pool::with_quota(1, long, long, counters, FleetQuota::default(), guard.clone());
     pool.set_address(MEMBER, "127.0.0.1:1".parse().expect("an address"));
     (guard, pool)
 }
@@ -45,8 +45,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn no_permit_without_what_it_rests_on() {
-    let figures = Figures::new(["list"]);
-    let (guard, pool) = guarded(&figures);
+    let metrics = Metrics::new(["list"]);
+    let (guard, pool) = guarded(&metrics);
     assert!(pool.send_permit(intent(MS)).await.is_some());
     assert!(pool.send_permit(intent(Duration::ZERO)).await.is_none(), "its deadline has passed");
     let over = intent(MS);
@@ -68,14 +68,14 @@
 /// permitted just before, until it is added again.
 #[tokio::test(start_paused = true)]
 async fn removed_member_accepts_nothing() {
-    let figures = Figures::new(["list"]);
-    let (_, pool) = guarded(&figures);
+    let metrics = Metrics::new(["list"]);
+    let (_, pool) = guarded(&metrics);
     let permit = pool.send_permit(intent(MS)).await.expect("a permit");
     pool.retain(|_| false);
     assert!(!pool.is_accepting(MEMBER));
     assert!(pool.send_permit(intent(MS)).await.is_none());
     permit.check_at_write();
-    assert_eq!(figures.invariants().total(), 1);
+    assert_eq!(metrics.invariants().total(), 1);
     pool.set_address(MEMBER, "127.0.0.1:1".parse().expect("an address"));
     assert!(pool.send_permit(intent(MS)).await.is_some());
 }
@@ -83,8 +83,8 @@
 /// Guards against sends of a process that was stopped, before it has read what arrived meanwhile.
 #[tokio::test(start_paused = true)]
 async fn permit_waits_while_the_process_catches_up() {
-    let figures = Figures::new(["list"]);
-    let (guard, pool) = guarded(&figures);
+    let metrics = Metrics::new(["list"]);
+    let (guard, pool) = guarded(&metrics);
     guard.record_list_confirmed();
     run(&guard, 1_000 * MS).await;
     advance(3_000 * MS).await;
@@ -109,10 +109,10 @@
 /// what is still so is not.
 #[tokio::test(start_paused = true)]
 async fn write_without_what_its_permit_rested_on_is_counted() {
-    let figures = Figures::new(["list"]);
-    let (_, pool) = guarded(&figures);
+    let metrics = Metrics::new(["list"]);
+    let (_, pool) = guarded(&metrics);
     pool.send_permit(intent(MS)).await.expect("a permit").check_at_write();
-    assert_eq!(figures.invariants().total(), 0);
+    assert_eq!(metrics.invariants().total(), 0);
     let late = pool.send_permit(intent(1_000 * MS)).await.expect("a permit");
     advance(151 * MS).await;
     late.check_at_write();
@@ -123,8 +123,8 @@
     let permit = pool.send_permit(intent(MS)).await.expect("a permit");
     pool.set_accepting(|_| false);
     permit.check_at_write();
-    assert_eq!(figures.invariants().total(), 3);
-    let text = figures.text().expect("a text");
+    assert_eq!(metrics.invariants().total(), 3);
+    let text = metrics.text().expect("a text");
     for (invariant, count) in [
         ("permit-current", 1),
         ("request-open", 1),
