--- a/src/admin/operator_api.rs
+++ b/src/admin/operator_api.rs
@@ -10,7 +10,7 @@
 use crate::lifecycle::Event;
 use crate::maintenance::OrderRejected;
 use crate::metrics::Metrics;
-use crate::stages::Input;
+use crate::stages::DriverInput;
 use linenhill_cluster::client::FleetClient;
 use linenhill_decisions::disruption::Subject;
 use log::info;
@@ -34,7 +34,7 @@
     /// The state of discovery, for the metrics.
     pub discovery_status: Rc<DiscoveryStatus>,
     /// The inbox of the driver of the decisions, which knows the members.
-    pub inbox: mpsc::UnboundedSender<Input>,
+    pub inbox: mpsc::UnboundedSender<DriverInput>,
     /// The fleet, if this process is part of one.
     pub fleet: Option<Rc<FleetClient>>,
 }
@@ -54,10 +54,10 @@
 
     async fn metrics(&self) -> Response {
         let (reply, counts) = oneshot::channel();
-        let _ = self.inbox.send(Input::Asked(reply));
+        let _ = self.inbox.send(DriverInput::MemberCountsRequested(reply));
         // If the driver is late, counts that are a moment old are better than none.
-        if let Ok(Ok((listed, avoided))) = timeout(DRIVER_TIMEOUT, counts).await {
-            self.metrics.record_members(listed, avoided);
+        if let Ok(Ok(counts)) = timeout(DRIVER_TIMEOUT, counts).await {
+            self.metrics.record_members(counts.listed, counts.avoided);
         }
         let silence = seconds(self.discovery_status.silence());
         let list_age = self.discovery_status.list_age().map(seconds);
