--- a/src/process/error.rs
+++ b/src/process/error.rs
@@ -1,6 +1,8 @@
 //! Why a process does not start, or ends.
 
 use crate::config::ConfigError;
+use crate::fleet::command_line::OperatorFileError;
+use crate::fleet::quota::UnknownClass;
 use crate::hot_restart::inherit::InheritError;
 use crate::proxy::DriverEnded;
 use linenhill_cluster::keeper::KeeperError;
@@ -20,11 +22,11 @@
     /// There is no configuration.
     Config(ConfigError),
     /// The operators' file can't be used.
-    OperatorFile(Box<dyn Error>),
+    OperatorFile(OperatorFileError),
     /// The proxy's name is empty or too long for a fleet.
     ProxyName,
-    /// The fleet's budgets don't fit the settings.
-    FleetBudgets(Box<dyn Error>),
+    /// A budget of the fleet is for a class that the settings lack.
+    UnknownClass(UnknownClass),
     /// A socket can't be bound.
     Listen {
         /// What the socket is for, as the error names it.
@@ -50,7 +52,8 @@
             ProcessError::Runtime(error) => write!(f, "the runtime does not start: {error}"),
             ProcessError::Signals(_) => write!(f, "signals can't be received"),
             ProcessError::Config(error) => error.fmt(f),
-            ProcessError::OperatorFile(error) | ProcessError::FleetBudgets(error) => error.fmt(f),
+            ProcessError::OperatorFile(error) => error.fmt(f),
+            ProcessError::UnknownClass(error) => error.fmt(f),
             ProcessError::ProxyName => {
                 write!(f, "a proxy of a fleet needs a name of 1 to {MAX_NAME_BYTES} bytes: 'name' or LB_NAME")
             }
@@ -68,7 +71,8 @@
         match self {
             ProcessError::Runtime(error) | ProcessError::Signals(error) => Some(error),
             ProcessError::Config(error) => Some(error),
-            ProcessError::OperatorFile(error) | ProcessError::FleetBudgets(error) => Some(error.as_ref()),
+            ProcessError::OperatorFile(error) => Some(error),
+            ProcessError::UnknownClass(error) => Some(error),
             ProcessError::Listen { source, .. } => Some(source),
             ProcessError::Inherit(error) => Some(error),
             ProcessError::Keeper(error) => Some(error),
@@ -84,6 +88,18 @@
     }
 }
 
+impl From<OperatorFileError> for ProcessError {
+    fn from(error: OperatorFileError) -> ProcessError {
+        ProcessError::OperatorFile(error)
+    }
+}
+
+impl From<UnknownClass> for ProcessError {
+    fn from(error: UnknownClass) -> ProcessError {
+        ProcessError::UnknownClass(error)
+    }
+}
+
 impl From<InheritError> for ProcessError {
     fn from(error: InheritError) -> ProcessError {
         ProcessError::Inherit(error)
--- a/src/process/keep.rs
+++ b/src/process/keep.rs
@@ -17,8 +17,7 @@
 ///
 /// The operators' file or the store can't be used, the socket can't be bound, or the disk fails while it runs.
 pub fn keep(operator_file: &Path, name: &str, founds_fleet: bool) -> Result<(), ProcessError> {
-    let operator =
-        read_operator_file(operator_file).map_err(|error| ProcessError::OperatorFile(error.into()))?;
+    let operator = read_operator_file(operator_file)?;
     inject_fault()?;
     let store = keeper::open_store(&operator, name, founds_fleet)?;
     let asked = operator.listen.ok_or(KeeperError::MissingSetting("instance.listen"))?;
--- a/src/process/serve.rs
+++ b/src/process/serve.rs
@@ -34,8 +34,7 @@
         // First of all: a reload that comes while the configuration is read must neither end the process nor get lost.
         let signals = Signals::receive()?;
         let config = Config::from_environment(LoadReason::Start)?;
-        let operator = operator_file.map(read_operator_file).transpose();
-        let operator = operator.map_err(|error| ProcessError::OperatorFile(error.into()))?;
+        let operator = operator_file.map(read_operator_file).transpose()?;
         inject_fault()?;
         let listeners = open_listeners(&config, operator).await?;
         run(config, listeners, signals).await
@@ -81,8 +80,7 @@
     }
     let client = FleetClient::new(operator, &config.name, env!("CARGO_PKG_VERSION"));
     let listener = bind_if_given(LISTEN_FLEET, client.operator().listen).await?;
-    let quota = FleetQuota::new(client.clone(), &config.site.classes)
-        .map_err(|error| ProcessError::FleetBudgets(error.into()))?;
+    let quota = FleetQuota::new(client.clone(), &config.site.classes)?;
     Ok(FleetMember { quota, client, listener })
 }
 
