--- a/src/bin/linenhill-simulator-adapter/adapter.rs
+++ b/src/bin/linenhill-simulator-adapter/adapter.rs
@@ -172,7 +172,11 @@
         let profile: Profile = settings::parse(profile).map_err(MessageError::MalformedProfile)?;
         let site = profile.site(&mut self.member_names.zones).map_err(MessageError::UnusableProfile)?;
         let router = Router::new(site.settings, seed, now);
-        let names = InstanceNames { classes: site.classes, tenants: site.tenants, position_zero: site.zero };
+        let names = InstanceNames {
+            classes: site.classes,
+            tenants: site.tenants,
+            position_origin: site.position_origin,
+        };
         self.instances.insert(instance, Instance { router, names });
         Ok(())
     }
--- a/src/bin/linenhill-simulator-adapter/decode.rs
+++ b/src/bin/linenhill-simulator-adapter/decode.rs
@@ -11,7 +11,7 @@
     AttemptEnd, ClassId, Event, GroupId, KindId, ListEntry, ListUpdate, LogPosition, MemberId, MemberState,
     Micros, Request, Role, SessionKey, TenantId, Time, ZoneId,
 };
-use linenhill::settings::Names;
+use linenhill::settings::NameInterner;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -22,8 +22,8 @@
 #[derive(Default)]
 pub struct MemberNames {
     /// The zones, also those of the instances' settings.
-    pub zones: Names,
-    kinds: Names,
+    pub zones: NameInterner,
+    kinds: NameInterner,
 }
 
 /// What an instance's settings say of the fields of its messages.
@@ -33,14 +33,14 @@
     /// The tenants by their names.
     pub tenants: BTreeMap<String, TenantId>,
     /// The Unix time from which the simulator counts positions, in microseconds.
-    pub position_zero: u64,
+    pub position_origin: u64,
 }
 
 /// Decodes MEMBER, an entry of a list.
 pub fn decode_member(fields: &mut MessageFields, names: &mut MemberNames) -> Result<ListEntry, MessageError> {
     let member = MemberId(fields.number("member")?);
-    let zone = ZoneId(names.zones.number(fields.text("site")?));
-    let kind = KindId(names.kinds.number(fields.text("shape")?));
+    let zone = ZoneId(names.zones.intern(fields.text("site")?));
+    let kind = KindId(names.kinds.intern(fields.text("shape")?));
     let group = decode_group(fields, "group")?;
     let state = match fields.text("stageState")? {
         "in_service" => MemberState::InService,
@@ -133,17 +133,17 @@
     let latency = fields.duration("latency")?;
     let is_request_over = fields.flag("final")?;
     let mark = fields.number_or("mark", 0)?;
-    let (position, role) = split_mark(mark, names.position_zero);
-    let report = fields.load_report(names.position_zero)?;
+    let (position, role) = split_mark(mark, names.position_origin);
+    let report = fields.load_report(names.position_origin)?;
     Ok(AttemptEnd { id, attempt, member, outcome, latency, is_request_over, position, role, report })
 }
 
 /// The position and the role that a mark carries. The mark is four times the position in milliseconds since
-/// `position_zero`, in which 0 stands for none, and the role.
-fn split_mark(mark: u64, position_zero: u64) -> (Option<LogPosition>, Option<Role>) {
+/// `position_origin`, in which 0 stands for none, and the role.
+fn split_mark(mark: u64, position_origin: u64) -> (Option<LogPosition>, Option<Role>) {
     let position_ms = mark / 4;
-    let position =
-        (position_ms > 0).then(|| LogPosition(position_zero.saturating_add(position_ms * MICROS_PER_MILLI)));
+    let position = (position_ms > 0)
+        .then(|| LogPosition(position_origin.saturating_add(position_ms * MICROS_PER_MILLI)));
     let role = match mark % 4 {
         1 => Some(Role::Primary),
         2 => Some(Role::Replica),
@@ -157,7 +157,7 @@
     let outcome = fields.outcome()?;
     let _latency = fields.duration("latency")?;
     let member = MemberId(fields.number("member")?);
-    let report = fields.load_report(names.position_zero)?;
+    let report = fields.load_report(names.position_origin)?;
     Ok(Event::HealthCheckEnded { member, outcome, report })
 }
 
--- a/src/bin/linenhill-simulator-adapter/gossip.rs
+++ b/src/bin/linenhill-simulator-adapter/gossip.rs
@@ -3,12 +3,12 @@
 
 use crate::MICROS_PER_MILLI;
 use linenhill::api::{LogPosition, MemberId};
-use linenhill::settings::WORD_BYTES;
+use linenhill::settings::GOSSIP_MESSAGE_BYTES;
 
 /// Bytes of the member's number, which come first.
 const MEMBER_BYTES: usize = 4;
 /// Of the state as a number of 8 bytes, so many at the front are not sent: they are 0 for as long as positions matter.
-const UNSENT_STATE_BYTES: usize = 8 - (WORD_BYTES - MEMBER_BYTES);
+const UNSENT_STATE_BYTES: usize = 8 - (GOSSIP_MESSAGE_BYTES - MEMBER_BYTES);
 
 /// A position that a member has applied, and whether it was the primary then.
 pub struct PositionGossip {
@@ -29,7 +29,7 @@
 
     /// Decodes what [`PositionGossip::encode`] makes; `None` for bytes of any other length.
     pub fn decode(bytes: &[u8]) -> Option<PositionGossip> {
-        let bytes = <[u8; WORD_BYTES]>::try_from(bytes).ok()?;
+        let bytes = <[u8; GOSSIP_MESSAGE_BYTES]>::try_from(bytes).ok()?;
         let (member, state) = bytes.split_first_chunk::<MEMBER_BYTES>()?;
         let state = state.iter().fold(0, |state, byte| state << 8 | u64::from(*byte));
         Some(PositionGossip {
