--- a/src/takeover/maintenance_log.rs
+++ b/src/hot_restart/maintenance_log.rs
@@ -22,8 +22,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// The file's name in the directory that versions share. It stays as earlier versions have it, although the
-/// code says order where it said word.
+/// The file's name in the directory that versions share. Earlier versions wrote it under this name, so it must stay.
 pub const FILE_NAME: &str = "words";
 
 /// How often the file is checked: an order given to the other process binds this one well within any grace.
@@ -50,7 +49,7 @@
     }
 }
 
-/// Why the file's orders are not taken.
+/// Why the file's orders are not used.
 #[derive(Debug)]
 enum ReadError {
     Saved(SavedError),
@@ -75,7 +74,7 @@
     }
 }
 
-/// What tells one state of the file from another; each write makes a new file.
+/// What distinguishes one state of the file from another; each write makes a new file.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileStamp {
     inode: u64,
@@ -113,7 +112,10 @@
         Rc::new(log)
     }
 
-    /// Operators take a member out of service, or put it back. Returns whether that changes anything.
+    /// Records the order that a member is out of service, or back in it. Returns whether that changes anything.
+    ///
+    /// # Errors
+    /// No list has named the member recently, or there are too many orders.
     pub fn order(&self, id: &str, out_of_service: bool) -> Result<bool, OrderRejected> {
         self.sync();
         let changed = self.maintenance.borrow_mut().order(self.clock.now(), id, out_of_service)?;
@@ -149,8 +151,7 @@
             written.insert(record.id.clone(), record.order());
             self.merge(record);
         }
-        // Two processes that write at once overwrite each other's orders: whoever misses one of its own
-        // writes again.
+        // Two processes that write at once overwrite each other's orders: the one whose order is missing writes it again.
         let is_missing =
             |(id, order): (&str, MaintenanceOrder)| written.get(id).is_none_or(|written| *written < order);
         let any_missing = self.maintenance.borrow().orders().any(is_missing);
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -7,7 +7,6 @@
 use bytes::Bytes;
 use futures_util::FutureExt;
 use linenhill::api::{Discovery, GroupId, LogPosition, MemberId, MemberState, Micros, Outcome, RequestId};
-use linenhill::budget::Budget;
 use linenhill::clients::connection_gate::{AdmittedConnection, ConnectionGate};
 use linenhill::clients::listener;
 use linenhill::clients::request_gateway::RequestGateway;
@@ -20,12 +19,14 @@
 use linenhill::discovery::list::{self, DecodedList, ListEvent};
 use linenhill::discovery::status::DiscoveryStatus;
 use linenhill::discovery::watch::{first_message_timeout, read_watch};
-use linenhill::figures::Figures;
-use linenhill::fleet::Shares;
+use linenhill::fleet::quota::FleetQuota;
+use linenhill::hot_restart::{maintenance_log::MaintenanceLog, saved};
 use linenhill::lifecycle::ServingState;
 use linenhill::maintenance::{ListedMember, Maintenance};
+use linenhill::metrics::Metrics;
 use linenhill::policy::Router;
 use linenhill::request::Payload;
+use linenhill::resource_limit::ResourceLimit;
 use linenhill::stages::admit::Admit;
 use linenhill::stages::book::Book;
 use linenhill::stages::intake::Intake;
@@ -33,7 +34,6 @@
 use linenhill::stages::route::{Route, RouteParts};
 use linenhill::stages::send::Sender;
 use linenhill::stages::{Answer, Input};
-use linenhill::takeover::{maintenance_log::MaintenanceLog, saved};
 use linenhill::upstream::attempt::{self, AttemptRequest};
 use linenhill::upstream::connection::MemberConnection;
 use linenhill::upstream::pool::Pool;
@@ -138,14 +138,14 @@
         .expect("a configuration");
     let (inbox, events) = mpsc::unbounded_channel();
     let intake = Intake::new(&config.site, Clock::start());
-    let book = Book::new(Rc::new(Counters::default()), figures());
+    let book = Book::new(Rc::new(Counters::default()), metrics());
     let admit = Admit::new(9, 256 * 1024, 1 << 20);
     let guard = SendGuard::without_list();
     (Rc::new(RequestGateway::new(intake, admit, book, inbox, guard)), events)
 }
 
-fn figures() -> Rc<Figures> {
-    Rc::new(Figures::new(["list", "own", "order"]))
+fn metrics() -> Rc<Metrics> {
+    Rc::new(Metrics::new(["list", "own", "order"]))
 }
 
 fn admission_limits(max_served: usize) -> AdmissionLimits {
@@ -368,7 +368,7 @@
         drop(first);
     };
     tokio::join!(serve_first, serve_second, play);
-    assert!(gateway.message_memory().enter_by(256 * 1024).is_some(), "all of it is given back");
+    assert!(gateway.message_memory().acquire_weighted(256 * 1024).is_some(), "all of it is given back");
 }
 
 /// Guards against connections that take a descriptor for good and send nothing.
@@ -453,7 +453,7 @@
     let done = local.run_until(timeout(Duration::from_secs(20), asking)).await;
     assert!(done.is_ok(), "after {} connections no more could be opened", counters.clients.get());
     let made_room = counters.ended.get(CloseReason::MadeRoom);
-    let all_ended = counters.ended.sum();
+    let all_ended = counters.ended.total();
     assert!(made_room >= 32 && made_room == all_ended, "{made_room} of {all_ended}");
 }
 
@@ -732,7 +732,7 @@
     };
     let proxy = async {
         let long = Duration::from_secs(60);
-        let descriptor = Budget::new(1).enter().expect("a descriptor");
+        let descriptor = ResourceLimit::new(1).acquire().expect("a descriptor");
         let Ok(mut connection) = MemberConnection::open(at, descriptor, long).await else {
             panic!("no connection")
         };
@@ -804,7 +804,7 @@
     let second = Duration::from_secs(1);
     let pool = Pool::new(9, second, second, counters.clone());
     let (inbox, events) = mpsc::unbounded_channel();
-    let (clock, book) = (Clock::start(), Book::new(counters, figures()));
+    let (clock, book) = (Clock::start(), Book::new(counters, metrics()));
     let sender = Sender::new(pool.clone(), inbox.clone(), book.clone(), &config.site.settings.limits);
     let router = Router::new(config.site.settings, 42, clock.now());
     let (relay, asked) = (Relay::default(), Rc::new(Notify::new()));
@@ -818,7 +818,7 @@
         names: config.names,
         subscribe: asked,
         maintenance: Rc::default(),
-        shares: Shares::default(),
+        quota: FleetQuota::default(),
     });
     let list = |version: u64, id: &str| {
         let line = format!(
