--- a/crates/cluster/src/raft_node/status.rs
+++ b/crates/cluster/src/raft_node/status.rs
@@ -4,7 +4,7 @@
 use crate::protocol::{BudgetStatus, SessionStatus, Status, UnavailableStatus};
 use linenhill_decisions::disruption::Availability;
 use linenhill_decisions::disruption::table::{LivenessView, Permit};
-use linenhill_decisions::membership::Session;
+use linenhill_decisions::membership::ProxySession;
 use linenhill_decisions::quota::table::BudgetEntry;
 use raft::StateRole;
 
@@ -36,7 +36,7 @@
         }
     }
 
-    fn session_status(&self, name: &str, session: &Session) -> SessionStatus {
+    fn session_status(&self, name: &str, session: &ProxySession) -> SessionStatus {
         let quota = &self.state.quota;
         let now = quota.membership.now;
         let lease_us = quota.terms.with_drift_margin(quota.terms.lease_us);
--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -50,7 +50,7 @@
 
 /// The membership of one instance.
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct Session {
+pub struct ProxySession {
     /// The incarnation that holds the session.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
@@ -71,9 +71,9 @@
     pub zone: String,
 }
 
-impl Session {
-    fn opened(incarnation: u64, seq: u64, now: u64) -> Session {
-        Session { incarnation, joined_at: now, last_request_at: now, seq, ..Session::default() }
+impl ProxySession {
+    fn opened(incarnation: u64, seq: u64, now: u64) -> ProxySession {
+        ProxySession { incarnation, joined_at: now, last_request_at: now, seq, ..ProxySession::default() }
     }
 }
 
@@ -141,7 +141,7 @@
     pub now: u64,
     /// Sessions by the name of the instance.
     #[prost(btree_map = "string, message", tag = "2")]
-    pub sessions: BTreeMap<String, Session>,
+    pub sessions: BTreeMap<String, ProxySession>,
     /// Incarnations that were replaced or removed, with the order in which that happened. They are rejected for good,
     /// since a process that was suspended for hours resumes as one of them. At most [`MAX_SESSIONS`], newest kept.
     #[prost(btree_map = "uint64, uint64", tag = "3")]
@@ -195,7 +195,7 @@
             if is_full {
                 return Err(SessionRejected::TableFull);
             }
-            self.sessions.insert(name.to_string(), Session::opened(incarnation, seq, now));
+            self.sessions.insert(name.to_string(), ProxySession::opened(incarnation, seq, now));
             return Ok(SessionUpdate::Opened);
         };
         if session.incarnation == incarnation {
@@ -210,7 +210,7 @@
             return Err(SessionRejected::NameInUse);
         }
         let predecessor = session.incarnation;
-        *session = Session::opened(incarnation, seq, now);
+        *session = ProxySession::opened(incarnation, seq, now);
         self.retire(predecessor);
         Ok(SessionUpdate::Opened)
     }
--- a/crates/decisions/src/policy/member.rs
+++ b/crates/decisions/src/policy/member.rs
@@ -118,7 +118,7 @@
 pub(super) struct Member {
     pub(super) zone: Option<ZoneId>,
     pub(super) group: Option<GroupId>,
-    pub(super) state: MemberState,
+    pub(super) listed_state: MemberState,
     /// When its process started; zero if that is long ago.
     pub(super) started: Time,
     /// It is missing from the list since then.
@@ -146,7 +146,7 @@
         Member {
             zone: None,
             group: None,
-            state: MemberState::default(),
+            listed_state: MemberState::default(),
             started,
             absent_since: None,
             slow_start,
@@ -165,18 +165,18 @@
 
     /// Listed as serving, and not ejected.
     pub(super) fn is_healthy(&self) -> bool {
-        self.state == MemberState::InService && self.ejected.is_none()
+        self.listed_state == MemberState::InService && self.ejected.is_none()
     }
 
     /// Healthy, or ejected and due for one trial request.
     pub(super) fn may_receive_trial(&self) -> bool {
         let is_due = self.ejected.as_ref().is_none_or(|ejected| ejected.trial_ready);
-        self.state == MemberState::InService && is_due
+        self.listed_state == MemberState::InService && is_due
     }
 
     /// A health check is new work, too: none while one is in flight, or the member drains or is gone.
     pub(super) fn may_be_checked(&self) -> bool {
-        self.state == MemberState::InService && !self.health_check.is_in_flight
+        self.listed_state == MemberState::InService && !self.health_check.is_in_flight
     }
 
     /// When something was last learned from it: an answer or a position.
--- a/crates/decisions/src/policy/member_health.rs
+++ b/crates/decisions/src/policy/member_health.rs
@@ -16,7 +16,7 @@
 /// ... but for this long at least, in microseconds.
 const SILENCE_MIN: f64 = 120_000.0;
 /// Beyond this latency ratio a member that comes back does not keep its figures.
-const RETURN_RATIO_MAX: f64 = 2.0;
+const RETURN_LATENCY_RATIO_MAX: f64 = 2.0;
 /// A member counts as restarted only if it was away at least so long.
 const RESTART_TIME_MIN: Micros = Micros::from_millis(1_000);
 /// With so many failed connections in a row they are a sign, however lately the member responded.
@@ -77,7 +77,7 @@
             Router::begin_slow_start(member, now);
         }
         member.ejected = None;
-        member.concurrency.latency_ratio = member.concurrency.latency_ratio.min(RETURN_RATIO_MAX);
+        member.concurrency.latency_ratio = member.concurrency.latency_ratio.min(RETURN_LATENCY_RATIO_MAX);
     }
 
     /// Takes a member out of ordinary use, or puts off the next trial of one that is out already.
@@ -112,7 +112,7 @@
     }
 
     fn check_member(&mut self, id: MemberId, out: &mut Vec<Action>) {
-        if self.members.get(&id).is_none_or(|member| member.state == MemberState::Gone) {
+        if self.members.get(&id).is_none_or(|member| member.listed_state == MemberState::Gone) {
             return;
         }
         self.check_slow_start(id);
--- a/crates/decisions/src/policy/member_list.rs
+++ b/crates/decisions/src/policy/member_list.rs
@@ -76,10 +76,10 @@
         let Some(member) = self.members.get_mut(&id) else { return };
         member.absent_since.get_or_insert(self.now);
         let stays_usable = self.settings.rules.removed_members_stay_usable;
-        if member.state == MemberState::InService && stays_usable {
+        if member.listed_state == MemberState::InService && stays_usable {
             return;
         }
-        member.state = MemberState::Gone;
+        member.listed_state = MemberState::Gone;
         if let Some(group) = member.group.and_then(|group| self.groups.get_mut(&group)) {
             group.members.remove(&id);
         }
@@ -103,7 +103,7 @@
         }
         member.zone = Some(entry.zone);
         member.group = Some(entry.group);
-        member.state = entry.state;
+        member.listed_state = entry.state;
         member.absent_since = None;
         // The list's roles count only while there was never any better evidence.
         let has_only_list_evidence =
--- a/crates/decisions/src/policy/replica_selection.rs
+++ b/crates/decisions/src/policy/replica_selection.rs
@@ -139,7 +139,7 @@
         let is_usable = if draw.only_healthy {
             replica.may_receive_trial()
         } else {
-            replica.state == MemberState::InService
+            replica.listed_state == MemberState::InService
         };
         let is_too_fresh =
             draw.gathers_behind && self.current_lag(replica).as_f64() < draw.furthest_behind / 2.0;
--- a/crates/decisions/src/policy/router.rs
+++ b/crates/decisions/src/policy/router.rs
@@ -176,7 +176,7 @@
 
     /// Whether anything new may reach a member: it neither drains nor is gone.
     pub fn accepts_new_requests(&self, member: MemberId) -> bool {
-        self.members.get(&member).is_some_and(|member| member.state == MemberState::InService)
+        self.members.get(&member).is_some_and(|member| member.listed_state == MemberState::InService)
     }
 
     /// How a member is seen: why it is out, if it is, and whether it is its group's primary.
@@ -184,7 +184,7 @@
         let Some(member) = self.members.get(&member) else { return ObservedHealth::default() };
         let warming_until =
             member.slow_start.warming_since.map(|since| since + self.settings.rules.slow_start);
-        let availability = if member.state != MemberState::InService {
+        let availability = if member.listed_state != MemberState::InService {
             Availability::Delisted
         } else if member.ejected.is_some() {
             Availability::Unresponsive
--- a/crates/lab/src/decision_digest/history.rs
+++ b/crates/lab/src/decision_digest/history.rs
@@ -171,7 +171,7 @@
             Scheduled::ClientLeaves(id) => self.client_leaves(id),
             Scheduled::HealthCheckEnds(member) => self.health_check_ends(member),
             Scheduled::Timer(token) => self.handle(Event::TimerDue { token }),
-            Scheduled::MembersChange => self.members_change(),
+            Scheduled::MembersChange => self.change_members(),
             Scheduled::RareEvent => self.rare_event(),
             Scheduled::GroupReturns(group) => self.set_state_of_group(group, MemberState::InService),
         }
--- a/crates/lab/src/decision_digest/history/member_changes.rs
+++ b/crates/lab/src/decision_digest/history/member_changes.rs
@@ -6,7 +6,7 @@
 
 impl History<'_> {
     /// Something happens to members, and sometimes the list tells it.
-    pub(super) fn members_change(&mut self) {
+    pub(super) fn change_members(&mut self) {
         let index = self.rng.usize(..self.members.len());
         match self.rng.u32(..12) {
             0..4 => self.change_condition(index),
--- a/crates/lab/src/simulation/checker.rs
+++ b/crates/lab/src/simulation/checker.rs
@@ -124,7 +124,7 @@
         self.bound
     }
 
-    pub(super) fn set_bound(&mut self, units: u64) {
+    pub(super) fn set_max_units_in_use(&mut self, units: u64) {
         self.bound = units;
     }
 
--- a/crates/lab/src/simulation/keepers.rs
+++ b/crates/lab/src/simulation/keepers.rs
@@ -135,13 +135,13 @@
 
     /// Declares another total at the leader, by an operators' file of the next revision. The checker's bound is never
     /// lowered here: units that were granted of a larger total may stay in use until their leases are over. See
-    /// [`Simulation::set_bound`]. Without a leader the file changes and nobody is asked.
+    /// [`Simulation::set_max_units_in_use`]. Without a leader the file changes and nobody is asked.
     pub fn declare_total(&mut self, total: u64) {
         self.operator.revision += 1;
         if let Some(budget) = self.operator.budgets.get_mut(BUDGET_NAME) {
             budget.total = total;
         }
-        self.checker.set_bound(self.checker.bound().max(total));
+        self.checker.set_max_units_in_use(self.checker.bound().max(total));
         let Some(leader) = self.leader() else { return };
         let request = OperatorRequest {
             declare: Some(Declaration::from(&self.operator)),
--- a/crates/lab/src/simulation/mod.rs
+++ b/crates/lab/src/simulation/mod.rs
@@ -108,8 +108,8 @@
     }
 
     /// Sets how many units may be in use from now on: the checker's bound, of which the processes know nothing.
-    pub fn set_bound(&mut self, units: u64) {
-        self.checker.set_bound(units);
+    pub fn set_max_units_in_use(&mut self, units: u64) {
+        self.checker.set_max_units_in_use(units);
     }
 
     /// The first problem that the checker found, if any, with the seed and the history.
--- a/crates/lab/tests/simulation/budget.rs
+++ b/crates/lab/tests/simulation/budget.rs
@@ -12,7 +12,7 @@
     simulation.declare_total(2);
     simulation.run_for(5 * SECOND_US);
     assert_sound(&simulation);
-    simulation.set_bound(2);
+    simulation.set_max_units_in_use(2);
     for _ in 0..2 {
         let leader = simulation.leader().expect("a leader");
         simulation.kill_keeper(leader);
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -132,7 +132,7 @@
 
 impl Cli {
     /// The command; to serve if none is given.
-    pub fn command(self) -> Command {
+    pub fn selected_command(self) -> Command {
         self.command.unwrap_or(Command::Serve { operator: None })
     }
 }
--- a/src/clients/session/accept.rs
+++ b/src/clients/session/message_intake.rs
@@ -20,7 +20,7 @@
 
 impl<S: super::ClientStream> Session<S> {
     /// Decodes a message, and submits it if it is a request that depends on no earlier one of its connection.
-    pub(super) fn accept(&mut self, message: FrontendMessage) -> ClientMessage {
+    pub(super) fn take_in_message(&mut self, message: FrontendMessage) -> ClientMessage {
         self.has_sent_message = true;
         let memory = self.framed.codec_mut().take_message_memory();
         match message {
@@ -110,7 +110,7 @@
                 return Err(CloseReason::ClientGone);
             }
             Some(Ok(message)) => {
-                let message = self.accept(message);
+                let message = self.take_in_message(message);
                 self.pipeline.push(message);
             }
             Some(Err(problem)) => self.input_end = Some(InputEnd::Violation(problem)),
--- a/src/clients/session/mod.rs
+++ b/src/clients/session/mod.rs
@@ -7,8 +7,8 @@
 //!
 //! A session never drops a request that it has accepted: each gets its answer, unless its client has left.
 
-mod accept;
 mod input;
+mod message_intake;
 mod progress;
 mod replies;
 mod respond;
@@ -122,7 +122,7 @@
             let message = match self.pipeline.pop() {
                 Some(message) => message,
                 None => match self.read_message().await? {
-                    Some(message) => self.accept(message),
+                    Some(message) => self.take_in_message(message),
                     None => return Err(CloseReason::PeerClosed),
                 },
             };
--- a/src/main.rs
+++ b/src/main.rs
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match Cli::parse().command() {
+    match Cli::parse().selected_command() {
         Command::Serve { operator } => run_process(|| process::serve(operator.as_deref())),
         Command::Keep { operator, name, found } => run_process(|| process::keep(&operator, &name, found)),
         Command::Check { file, json } => check(&file, json),
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -72,7 +72,7 @@
 
 impl SessionError {
     /// The connection failed, or what arrived on it can't be read.
-    const BROKEN: SessionError =
+    const BROKEN_CONNECTION: SessionError =
         SessionError { outcome: Outcome::ConnectError, close_reason: CloseReason::Reset };
 
     /// The member answered the startup with an error.
@@ -119,7 +119,7 @@
 
     /// Sends the startup message and waits until the member is ready.
     async fn start_session(&mut self) -> Result<(), SessionError> {
-        self.framed.send(Command::Startup).await.map_err(|_| SessionError::BROKEN)?;
+        self.framed.send(Command::Startup).await.map_err(|_| SessionError::BROKEN_CONNECTION)?;
         loop {
             match self.framed.next().await {
                 Some(Ok(BackendMessage::ReadyForQuery)) => return Ok(()),
@@ -127,7 +127,7 @@
                     return Err(SessionError::rejected(&sqlstate));
                 }
                 Some(Ok(_)) => {}
-                Some(Err(_)) | None => return Err(SessionError::BROKEN),
+                Some(Err(_)) | None => return Err(SessionError::BROKEN_CONNECTION),
             }
         }
     }
