--- /dev/null
+++ b/tests/components/request_driver.rs
@@ -0,0 +1,105 @@
+//! What the driver keeps for members and requests, and that it lets go of it.
+
+use crate::session_fixture::{example_config, new_figures};
+use linenhill::api::{MemberId, RequestId};
+use linenhill::clock::Clock;
+use linenhill::counters::Counters;
+use linenhill::discovery::list::{self, ListEvent};
+use linenhill::fleet::Shares;
+use linenhill::policy::Router;
+use linenhill::stages::book::Book;
+use linenhill::stages::relay::Relay;
+use linenhill::stages::route::{Route, RouteParts};
+use linenhill::stages::send::Sender;
+use linenhill::stages::{Answer, Input};
+use linenhill::upstream::pool::Pool;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{Notify, mpsc, oneshot};
+use tokio::task::LocalSet;
+use tokio::time::{Instant, sleep};
+
+const SECOND: Duration = Duration::from_secs(1);
+
+/// A driver, its pool, and the sender of its inputs.
+fn new_driver() -> (Route, Pool, mpsc::UnboundedSender<Input>) {
+    let config = example_config();
+    let counters = Rc::new(Counters::default());
+    let pool = Pool::new(9, SECOND, SECOND, counters.clone());
+    let (inbox, events) = mpsc::unbounded_channel();
+    let clock = Clock::start();
+    let book = Book::new(counters, new_figures());
+    let limits = &config.site.settings.limits;
+    let sender = Sender::new(pool.clone(), inbox.clone(), book, limits);
+    let router = Router::new(config.site.settings, 42, clock.now());
+    let driver = Route::new(RouteParts {
+        router,
+        clock,
+        inbox: events,
+        sender,
+        relay: Relay::default(),
+        pool: pool.clone(),
+        names: config.names,
+        subscribe: Rc::new(Notify::new()),
+        maintenance: Rc::default(),
+        shares: Shares::default(),
+    });
+    (driver, pool, inbox)
+}
+
+/// A complete list of this version with one member.
+fn list_of_one(version: u64, id: &str) -> Input {
+    let line = format!(
+        r#"{{"version":{version},"full":true,"servers":[{{"id":"{id}","addr":"127.0.0.1:1",
+            "zone":"a","kind":"m2","cell":1,"state":"in_service"}}]}}"#
+    );
+    let decoded = list::decode(line.as_bytes()).expect("a list");
+    Input::List(ListEvent::Received(decoded.list))
+}
+
+/// Guards against a slot kept for every member that ever was, and against a number that comes to mean another member.
+#[tokio::test(start_paused = true)]
+async fn forgotten_members_are_dropped_everywhere() {
+    let (driver, pool, inbox) = new_driver();
+    let is_known = |number| pool.address(MemberId(number)).is_some();
+    let receive = |version: u64, id: &str| assert!(inbox.send(list_of_one(version, id)).is_ok());
+    let play = async {
+        for (version, id) in [(1, "old"), (2, "new")] {
+            receive(version, id);
+            sleep(SECOND).await;
+        }
+        assert!(is_known(0), "it may come back");
+        sleep(60 * SECOND).await;
+        receive(3, "new");
+        sleep(SECOND).await;
+        assert!(!is_known(0) && is_known(1));
+        receive(4, "newest");
+        sleep(SECOND).await;
+        assert!(!is_known(0) && is_known(2));
+    };
+    let run = async {
+        tokio::select! {
+            () = driver.run() => unreachable!(),
+            () = play => {}
+        }
+    };
+    LocalSet::new().run_until(run).await;
+}
+
+/// Guards against a time limit that is kept long after its request has ended.
+#[tokio::test(start_paused = true)]
+async fn nothing_is_due_once_it_is_answered() {
+    let mut relay = Relay::default();
+    let due = Instant::now() + Duration::from_secs(600);
+    let ids = [RequestId([1; 36]), RequestId([2; 36])];
+    let replies = ids.map(|id| {
+        let (reply, answer) = oneshot::channel();
+        relay.owe(id, reply, due);
+        answer
+    });
+    assert_eq!(relay.first_due(), Some((due, ids[0])));
+    assert!(relay.answer(&ids[0], Answer::Failed) && relay.lapse(&ids[1]));
+    assert!(!relay.answer(&ids[0], Answer::Failed), "one answer only");
+    assert_eq!(relay.first_due(), None);
+    drop(replies);
+}
--- /dev/null
+++ b/tests/components/session_fixture.rs
@@ -0,0 +1,148 @@
+//! A client session on an in-memory stream, in front of a request gateway whose events the test receives in place of the
+//! driver. It must not answer anything by itself.
+
+use crate::typed_message;
+use linenhill::api::Span;
+use linenhill::clients::connection_gate::{AdmittedConnection, ConnectionGate};
+use linenhill::clients::request_gateway::RequestGateway;
+use linenhill::clients::session;
+use linenhill::clock::Clock;
+use linenhill::close_reason::CloseReason;
+use linenhill::config::{Config, Reading, Variables};
+use linenhill::connection_admission::AdmissionLimits;
+use linenhill::counters::Counters;
+use linenhill::figures::Figures;
+use linenhill::lifecycle::ServingState;
+use linenhill::stages::admit::Admit;
+use linenhill::stages::book::Book;
+use linenhill::stages::intake::Intake;
+use linenhill::stages::{Answer, Input, Taken};
+use linenhill::upstream::send_guard::SendGuard;
+use std::path::Path;
+use std::pin::Pin;
+use std::rc::Rc;
+use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
+use tokio::sync::{mpsc, watch};
+
+/// Bytes that messages of clients may take in all.
+pub const MESSAGE_MEMORY: usize = 256 * 1024;
+/// The startup message of a client without parameters.
+pub const STARTUP: &[u8] = b"\0\0\0\x08\0\x03\0\0";
+/// The message with which a client ends its connection.
+pub const TERMINATE: &[u8] = b"X\0\0\0\x04";
+
+pub const SERVING: ServingState = ServingState {
+    reports_ready: true,
+    is_starting: false,
+    is_stopping: false,
+    accepts_connections: true,
+    closes_idle: false,
+    rejects_requests: false,
+};
+
+/// What the gateway hands to the driver.
+pub type Events = mpsc::UnboundedReceiver<Input>;
+
+/// A client session and its surroundings.
+pub struct SessionFixture {
+    /// The client's end of the connection.
+    pub client: DuplexStream,
+    /// The session itself; it runs only while the test polls it.
+    pub session: Pin<Box<dyn Future<Output = CloseReason>>>,
+    /// Changes how the session treats its client.
+    pub serving_state: watch::Sender<ServingState>,
+}
+
+impl SessionFixture {
+    /// A session with a gateway of its own.
+    pub fn with_own_gateway() -> (SessionFixture, Events) {
+        let (gateway, events) = new_gateway();
+        let connection = connection_gate(9).admit().expect("a place");
+        (SessionFixture::new(&gateway, connection), events)
+    }
+
+    pub fn new(gateway: &Rc<RequestGateway>, connection: AdmittedConnection) -> SessionFixture {
+        let (client, far) = duplex(4096);
+        let (serving_state, receiver) = watch::channel(SERVING);
+        let session = Box::pin(session::run(far, gateway.clone(), connection, receiver));
+        SessionFixture { client, session, serving_state }
+    }
+}
+
+/// The settings of the first kind of site.
+pub fn example_config() -> Config {
+    let text = include_str!("../../examples/config.json");
+    Config::parse(text, Path::new("config.json"), Variables::default(), Reading::Start)
+        .expect("a configuration")
+}
+
+/// A gateway whose events the test receives.
+pub fn new_gateway() -> (Rc<RequestGateway>, Events) {
+    let (inbox, events) = mpsc::unbounded_channel();
+    let intake = Intake::new(&example_config().site, Clock::start());
+    let book = Book::new(Rc::new(Counters::default()), new_figures());
+    let admit = Admit::new(9, MESSAGE_MEMORY, 1 << 20);
+    let guard = SendGuard::without_list();
+    (Rc::new(RequestGateway::new(intake, admit, book, inbox, guard)), events)
+}
+
+pub fn new_figures() -> Rc<Figures> {
+    Rc::new(Figures::new(["list", "own", "order"]))
+}
+
+pub fn admission_limits(max_served: usize) -> AdmissionLimits {
+    AdmissionLimits {
+        max_served,
+        max_rejected: 0,
+        max_closing: 2,
+        max_request_connections: 99,
+        max_retry_after: Span(2_000_000),
+    }
+}
+
+pub fn connection_gate(max_served: usize) -> Rc<ConnectionGate> {
+    ConnectionGate::new(admission_limits(max_served), Clock::start())
+}
+
+/// A query of this id and class.
+pub fn query(id: &str, class: &str) -> Vec<u8> {
+    statement(id, class, "SELECT 1")
+}
+
+/// A query of this id, class and SQL text.
+pub fn statement(id: &str, class: &str, sql: &str) -> Vec<u8> {
+    typed_message(b'Q', format!("/* id={id},c={class},d=900,cluster=1 */ {sql}\0").as_bytes())
+}
+
+/// The next event, which must be a request that the gateway accepted.
+pub async fn next_accepted(events: &mut Events) -> Taken {
+    let Some(Input::Taken(accepted)) = events.recv().await else { panic!("no request was accepted") };
+    *accepted
+}
+
+/// Answers an accepted request with these bytes; the session must still wait for them.
+pub fn serve(accepted: Taken, bytes: &'static str) {
+    accepted.reply.send(Answer::Served(bytes.as_bytes().into())).expect("a session that waits");
+}
+
+pub async fn write(client: &mut DuplexStream, bytes: &[u8]) {
+    client.write_all(bytes).await.expect("written");
+}
+
+/// All that the session still writes, up to the end of the connection.
+pub async fn read_to_end(client: &mut DuplexStream) -> String {
+    let mut received = Vec::new();
+    client.read_to_end(&mut received).await.expect("read");
+    String::from_utf8_lossy(&received).into_owned()
+}
+
+/// What the session writes, up to the end of this text at least.
+pub async fn read_until(client: &mut DuplexStream, wanted: &str) -> String {
+    let mut buffer = [0; 512];
+    let mut text = String::new();
+    while !text.contains(wanted) {
+        let length = client.read(&mut buffer).await.expect("read");
+        text.push_str(&String::from_utf8_lossy(&buffer[..length]));
+    }
+    text
+}
