--- /dev/null
+++ b/tests/cluster_harness/clients.rs
@@ -0,0 +1,102 @@
+//! Clients of a cluster's proxies, for as long as the test runs or for a while.
+
+use super::Cluster;
+use crate::harness::{encode, query_command};
+use linenhill::pg::backend::Command;
+use std::io;
+use std::net::SocketAddr;
+use std::ops::Range;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep, timeout};
+
+/// A client waits so long for an answer.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
+/// And so long after it.
+const PAUSE: Duration = Duration::from_millis(5);
+/// ReadyForQuery, which ends the answer to the startup message, and that to a statement.
+const READY_FOR_QUERY: &[u8] = b"Z\0\0\0\x05I";
+
+impl Cluster {
+    /// Starts so many clients that write at each proxy.
+    pub fn start_writers(&self, clients: usize) {
+        self.start_writers_at(0..self.proxies.len(), clients);
+    }
+
+    /// Starts so many clients that write at each of these proxies.
+    pub fn start_writers_at(&self, proxies: Range<usize>, clients: usize) {
+        for proxy in proxies {
+            self.start_writers_until(proxy, clients, None);
+        }
+    }
+
+    /// Starts so many clients that write at one proxy for this long.
+    pub fn start_writers_for(&self, proxy: usize, clients: usize, length: Duration) {
+        self.start_writers_until(proxy, clients, Some(Instant::now() + length));
+    }
+
+    fn start_writers_until(&self, proxy: usize, clients: usize, end: Option<Instant>) {
+        for client in 0..clients {
+            self.start_client(proxy, end, move |round| write_statement(&format!("{proxy}x{client}x{round}")));
+        }
+    }
+
+    /// Starts so many clients that read at each proxy.
+    pub fn start_readers(&self, clients: usize) {
+        for client in 0..self.proxies.len() * clients {
+            let proxy = client % self.proxies.len();
+            self.start_client(proxy, None, move |round| read_statement(&format!("{client}r{round}")));
+        }
+    }
+
+    /// Starts a client that sends one statement after the other, each on a connection of its own.
+    fn start_client(&self, proxy: usize, end: Option<Instant>, statement: impl Fn(u64) -> String + 'static) {
+        let addresses = self.addresses.clone();
+        spawn_local(async move {
+            for round in 0u64.. {
+                if end.is_some_and(|end| Instant::now() >= end) {
+                    return;
+                }
+                let address = addresses.borrow()[proxy];
+                if let Some(address) = address {
+                    let _ = timeout(CLIENT_TIMEOUT, send_statement(address, &statement(round))).await;
+                }
+                sleep(PAUSE).await;
+            }
+        });
+    }
+
+    /// Sends one read to a proxy and waits for its answer.
+    pub async fn read_once(&self, proxy: usize, number: usize) {
+        let address = self.addresses.borrow()[proxy].expect("a proxy");
+        let read = read_statement(&format!("l{proxy}x{number}"));
+        send_statement(address, &read).await.expect("an answer");
+    }
+}
+
+fn read_statement(id: &str) -> String {
+    format!("/* id={id},c=list,d=900,cluster=1 */ SELECT val FROM state WHERE uid = 'a'")
+}
+
+fn write_statement(id: &str) -> String {
+    format!(
+        "/* id={id},c=order,d=900,k={id},cluster=1 */ INSERT INTO state VALUES ('{id}', 'x') RETURNING val"
+    )
+}
+
+/// Sends a statement on a new connection, and waits for its answer, whatever it is.
+async fn send_statement(address: SocketAddr, statement: &str) -> io::Result<()> {
+    let mut stream = TcpStream::connect(address).await?;
+    stream.write_all(&encode(&[Command::Startup, query_command(statement)])).await?;
+    let mut received = Vec::new();
+    while received.windows(READY_FOR_QUERY.len()).filter(|bytes| *bytes == READY_FOR_QUERY).count() < 2 {
+        let mut buffer = [0; 1024];
+        match stream.read(&mut buffer).await? {
+            0 => break,
+            length => received.extend_from_slice(&buffer[..length]),
+        }
+    }
+    Ok(())
+}
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -6,7 +6,8 @@
 
 use harness::peer::{self, Act};
 use harness::{
-    CONFIG, HEAD, Program, READ, WRITE, answer, client, encoded, file, program, query, start, tell, watched,
+    CONFIG, Program, READ, WATCH_HEAD, WRITE, accept_watch, connect_client, encode, program_command,
+    query_command, read_answer, send_watch_line, start_program, write_test_file,
 };
 use linenhill::pg::backend::Command as Sent;
 use std::cell::{Cell, RefCell};
@@ -62,8 +63,8 @@
         .replace("127.0.0.1:8500", &at)
         .replace("\"fleetSize\": 1", "\"fleetSize\": 300, \"me\": 299")
         .replace("\"mayProbe\": true", "\"mayProbe\": false");
-    let path = file(&format!("{name}.json"), &config);
-    start(program(&path), path)
+    let path = write_test_file(&format!("{name}.json"), &config);
+    start_program(program_command(&path), path)
 }
 
 /// Writes of one client after the other, for as long as the test runs.
@@ -75,8 +76,8 @@
             .replace("k=b2", &format!("k={:x}", asked.get()))
             .replace("d=60000", "d=2000");
         let answered = async {
-            let mut stream = client(at, &[&statement]).await;
-            answer(&mut stream).await
+            let mut stream = connect_client(at, &[&statement]).await;
+            read_answer(&mut stream).await
         };
         let _ = timeout(Duration::from_millis(400), answered).await;
         sleep(Duration::from_millis(25)).await;
@@ -99,7 +100,7 @@
         let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let program = start_last_of_fleet("saved-list", &config, &discovery).await;
         let started = Instant::now();
-        let at = program.address("listens on ");
+        let at = program.logged_address("listens on ");
         // Discovery takes every call and says nothing before the observation ends.
         let calls = Rc::new(RefCell::new(Vec::new()));
         let held = calls.clone();
@@ -127,8 +128,9 @@
         let (config, addresses) = members(CONFIG, &sent).await;
         let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let program = start_last_of_fleet("first-call", &config, &discovery).await;
-        let (mut call, from) =
-            timeout(LAST_SEND_AFTER_START + TEST_SLACK, watched(&discovery)).await.expect("a call in time");
+        let (mut call, from) = timeout(LAST_SEND_AFTER_START + TEST_SLACK, accept_watch(&discovery))
+            .await
+            .expect("a call in time");
         assert_eq!(from, 1);
         // The member that serves is named as draining: nothing is sent there from then on.
         let gone: Vec<String> = addresses
@@ -142,8 +144,8 @@
             })
             .collect();
         let line = format!(r#"{{"version":2,"full":false,"servers":[{}]}}"#, gone.join(","));
-        tell(&mut call, HEAD, &line).await;
-        program.says("list version 2 with 3 entries").await;
+        send_watch_line(&mut call, WATCH_HEAD, &line).await;
+        program.wait_for_log("list version 2 with 3 entries").await;
     });
 }
 
@@ -169,7 +171,7 @@
 /// The length of what a client is answered to its startup message.
 async fn length_of_welcome(at: SocketAddr) -> usize {
     let mut stream = TcpStream::connect(at).await.expect("a connection");
-    stream.write_all(&encoded(&[Sent::Startup])).await.expect("written");
+    stream.write_all(&encode(&[Sent::Startup])).await.expect("written");
     let mut got = Vec::new();
     while !got.ends_with(b"Z\0\0\0\x05I") {
         got.push(stream.read_u8().await.expect("a welcome"));
@@ -186,12 +188,12 @@
         let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let at = discovery.local_addr().expect("an address").to_string();
         spawn_local(peer::discovery(discovery, r#"{"version":2,"full":false,"servers":[]}"#.to_string()));
-        let path = file("stopped.json", &config.replace("127.0.0.1:8500", &at));
-        let program = start(program(&path), path);
-        let at = program.address("listens on ");
+        let path = write_test_file("stopped.json", &config.replace("127.0.0.1:8500", &at));
+        let program = start_program(program_command(&path), path);
+        let at = program.logged_address("listens on ");
         let welcome = length_of_welcome(at).await;
-        let startup = encoded(&[Sent::Startup]).to_vec();
-        let whole = encoded(&[Sent::Startup, query(READ)]).to_vec();
+        let startup = encode(&[Sent::Startup]).to_vec();
+        let whole = encode(&[Sent::Startup, query_command(READ)]).to_vec();
         let mut clients = Vec::new();
         for length in 1..whole.len() {
             // A whole startup message and nothing more is a client between requests.
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -2,7 +2,10 @@
 
 mod harness;
 
-use harness::{Act, CONFIG, READ, answer, client, encoded, file, inheriting, play_with, query, start};
+use harness::{
+    Act, CONFIG, READ, connect_client, encode, inheriting_command, query_command, read_answer,
+    run_with_config, start_program, write_test_file,
+};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -28,8 +31,8 @@
 #[test]
 fn operators_are_answered_whoever_else_holds_the_door() {
     let act = |_, _| std::future::ready(Act::Row("served".into()));
-    play_with("door", &with_door(), act, |_, program| async move {
-        let at = program.address("operators call at ");
+    run_with_config("door", &with_door(), act, |_, program| async move {
+        let at = program.logged_address("operators call at ");
         let mut slow = Vec::new();
         for _ in 0..40 {
             let mut stream = TcpStream::connect(at).await.expect("a connection");
@@ -47,8 +50,8 @@
             let (got, text) = call(at, line).await;
             assert!(got == status && text.trim().lines().count() == 1, "{line}: {got} {text:?}");
         }
-        program.says("closed operator").await;
-        program.says("code=made-room").await;
+        program.wait_for_log("closed operator").await;
+        program.wait_for_log("code=made-room").await;
     });
 }
 
@@ -56,30 +59,30 @@
 #[test]
 fn a_drain_says_no_to_the_front_ends_connections_and_can_be_taken_back() {
     let act = |_, _| std::future::ready(Act::Row("served".into()));
-    play_with("standby", &with_door(), act, |at, program| async move {
-        let operators = program.address("operators call at ");
-        let mut kept = client(at, &[READ]).await;
-        assert!(answer(&mut kept).await.contains("served"));
+    run_with_config("standby", &with_door(), act, |at, program| async move {
+        let operators = program.logged_address("operators call at ");
+        let mut kept = connect_client(at, &[READ]).await;
+        assert!(read_answer(&mut kept).await.contains("served"));
         for _ in 0..2 {
             assert_eq!(call(operators, "POST /standby").await.0, 200);
         }
         assert_eq!(call(operators, "GET /status").await.0, 503);
-        let mut front = client(at, &[""]).await;
-        assert!(answer(&mut front).await.contains("C57P03\0"));
-        kept.write_all(&encoded(&[query(READ)])).await.expect("written");
-        assert!(answer(&mut kept).await.contains("served"), "kept connections stay in use at first");
-        assert_eq!(answer(&mut kept).await, "", "and then they end");
-        let mut late = client(at, &[READ]).await;
-        assert!(answer(&mut late).await.contains("served"), "who comes late is served");
-        assert_eq!(answer(&mut late).await, "", "once");
+        let mut front = connect_client(at, &[""]).await;
+        assert!(read_answer(&mut front).await.contains("C57P03\0"));
+        kept.write_all(&encode(&[query_command(READ)])).await.expect("written");
+        assert!(read_answer(&mut kept).await.contains("served"), "kept connections stay in use at first");
+        assert_eq!(read_answer(&mut kept).await, "", "and then they end");
+        let mut late = connect_client(at, &[READ]).await;
+        assert!(read_answer(&mut late).await.contains("served"), "who comes late is served");
+        assert_eq!(read_answer(&mut late).await, "", "once");
         assert_eq!(call(operators, "POST /active").await.0, 200);
         assert_eq!(call(operators, "GET /status").await.0, 200);
-        let mut front = client(at, &["", READ]).await;
-        assert!(answer(&mut front).await.starts_with('I'));
-        assert!(answer(&mut front).await.contains("served"));
+        let mut front = connect_client(at, &["", READ]).await;
+        assert!(read_answer(&mut front).await.starts_with('I'));
+        assert!(read_answer(&mut front).await.contains("served"));
         assert_eq!(call(operators, "POST /standby").await.0, 200);
         program.signal("-TERM");
-        assert!(program.end().await.success());
+        assert!(program.wait_for_exit().await.success());
     });
 }
 
@@ -108,8 +111,8 @@
             }
         }
     };
-    play_with("figures", &with_door(), act, |at, program| async move {
-        let door = program.address("operators call at ");
+    run_with_config("figures", &with_door(), act, |at, program| async move {
+        let door = program.logged_address("operators call at ");
         let fetch = || async { call(door, "GET /status/metrics").await.1 };
         let ended = |text: &str, class: &str, result: &str| {
             figure(text, &format!("proxy_downstream_requests_total{{lane=\"{class}\",result=\"{result}\"}}"))
@@ -120,20 +123,20 @@
         }
         assert_eq!((figure(&text, "proxy_members"), figure(&text, "proxy_members_unavailable")), (3, 0));
         let read = |n: u32, what: &str| READ.replace("id=a1", &format!("id=f{n}")).replace("'aa'", what);
-        let mut held = client(at, &[&read(1, "'hold'")]).await;
-        let mut one = client(at, &[&read(2, "'x'"), &read(1, "'again'"), &read(3, "'full'")]).await;
+        let mut held = connect_client(at, &[&read(1, "'hold'")]).await;
+        let mut one = connect_client(at, &[&read(2, "'x'"), &read(1, "'again'"), &read(3, "'full'")]).await;
         for words in ["served", "C42710\0", "C53300\0"] {
-            assert!(answer(&mut one).await.contains(words));
+            assert!(read_answer(&mut one).await.contains(words));
         }
         let write = READ.replace("c=list", "c=order").replace("id=a1", "id=f4").replace("'aa'", "'error'");
-        let mut failing = client(at, &[&write]).await;
-        assert!(answer(&mut failing).await.contains("C08007\0"));
-        let left = client(at, &[&read(5, "'hold'")]).await;
+        let mut failing = connect_client(at, &[&write]).await;
+        assert!(read_answer(&mut failing).await.contains("C08007\0"));
+        let left = connect_client(at, &[&read(5, "'hold'")]).await;
         while figure(&fetch().await, "proxy_pending") != 2 {}
         drop(left);
         while figure(&fetch().await, "proxy_pending") != 1 {}
         go.add_permits(9);
-        assert!(answer(&mut held).await.contains("served"));
+        assert!(read_answer(&mut held).await.contains("served"));
         assert_eq!(call(door, "POST /maintenance/enter?name=m-2").await.0, 200);
         let text = fetch().await;
         assert_eq!(["completed", "rejected", "failed"].map(|r| ended(&text, "list", r)), [2, 1, 1]);
@@ -157,12 +160,12 @@
     let dir = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-out", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     std::fs::create_dir_all(&dir).expect("a folder");
-    play_with("out", &with_door(), act, |_, first| async move {
+    run_with_config("out", &with_door(), act, |_, first| async move {
         let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let at = socket.local_addr().expect("an address");
         let version = || {
-            let mut command = inheriting(&first.config, &socket, "5");
-            start(
+            let mut command = inheriting_command(&first.config, &socket, "5");
+            start_program(
                 {
                     command.env("TMPDIR", &dir);
                     command
@@ -172,11 +175,11 @@
         };
         let ask = || async {
             for _ in 0..30 {
-                assert!(answer(&mut client(at, &[READ]).await).await.contains("served"));
+                assert!(read_answer(&mut connect_client(at, &[READ]).await).await.contains("served"));
             }
         };
         let old = version();
-        let door = old.address("operators call at ");
+        let door = old.logged_address("operators call at ");
         for _ in 0..2 {
             assert_eq!(call(door, "POST /maintenance/enter?name=m%2D3").await.0, 200);
         }
@@ -185,30 +188,36 @@
         ask().await;
         assert_eq!(heard.borrow()[2], before, "out at once");
         let new = version();
-        assert_eq!(call(new.address("operators call at "), "POST /maintenance/enter?name=m-2").await.0, 200);
-        old.says("m-2 is out").await;
+        assert_eq!(
+            call(new.logged_address("operators call at "), "POST /maintenance/enter?name=m-2").await.0,
+            200
+        );
+        old.wait_for_log("m-2 is out").await;
         let before = heard.borrow()[2];
         ask().await;
         old.signal("-TERM");
-        assert!(old.end().await.success());
+        assert!(old.wait_for_exit().await.success());
         ask().await;
         assert_eq!(heard.borrow()[2], before, "an upgrade forgets nothing");
-        assert_eq!(call(new.address("operators call at "), "POST /maintenance/exit?name=m-3").await.0, 200);
+        assert_eq!(
+            call(new.logged_address("operators call at "), "POST /maintenance/exit?name=m-3").await.0,
+            200
+        );
         while heard.borrow()[2] == before {
             ask().await;
         }
         for id in ["m-1", "m-2", "m-3"] {
             assert_eq!(
-                call(new.address("operators call at "), &format!("POST /maintenance/enter?name={id}"))
+                call(new.logged_address("operators call at "), &format!("POST /maintenance/enter?name={id}"))
                     .await
                     .0,
                 200
             );
         }
-        let got = answer(&mut client(at, &[READ]).await).await;
+        let got = read_answer(&mut connect_client(at, &[READ]).await).await;
         assert!(got.contains("C53300\0") && got.contains("\0D1000\0"), "a group that is out whole: {got:?}");
         new.signal("-TERM");
-        assert!(new.end().await.success());
+        assert!(new.wait_for_exit().await.success());
     });
 }
 
@@ -216,36 +225,37 @@
 #[test]
 fn a_new_version_takes_over_the_same_socket_while_clients_ask() {
     let act = |_, _| std::future::ready(Act::Row("served".into()));
-    play_with("upgrade", &with_door(), act, |_, first| async move {
+    run_with_config("upgrade", &with_door(), act, |_, first| async move {
         let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let at = socket.local_addr().expect("an address");
-        let old = start(inheriting(&first.config, &socket, "5"), first.config.clone());
-        assert_eq!(old.address("listens on "), at);
-        let mut kept = client(at, &[READ]).await;
-        assert!(answer(&mut kept).await.contains("served"));
-        let new = Rc::new(start(inheriting(&first.config, &socket, "5"), first.config.clone()));
-        assert_eq!(call(new.address("operators call at "), "GET /status").await.0, 200);
+        let old = start_program(inheriting_command(&first.config, &socket, "5"), first.config.clone());
+        assert_eq!(old.logged_address("listens on "), at);
+        let mut kept = connect_client(at, &[READ]).await;
+        assert!(read_answer(&mut kept).await.contains("served"));
+        let new =
+            Rc::new(start_program(inheriting_command(&first.config, &socket, "5"), first.config.clone()));
+        assert_eq!(call(new.logged_address("operators call at "), "GET /status").await.0, 200);
         old.signal("-TERM");
         let asking = async {
             for _ in 0..200 {
-                let mut one = client(at, &[READ]).await;
-                assert!(answer(&mut one).await.contains("served"));
+                let mut one = connect_client(at, &[READ]).await;
+                assert!(read_answer(&mut one).await.contains("served"));
             }
         };
-        let (ended, ()) = tokio::join!(old.end(), asking);
+        let (ended, ()) = tokio::join!(old.wait_for_exit(), asking);
         assert!(ended.success());
-        assert_eq!(answer(&mut kept).await, "", "the old version's connections have ended");
-        let mut one = client(at, &[READ]).await;
-        assert!(answer(&mut one).await.contains("served"), "the new version serves on");
+        assert_eq!(read_answer(&mut kept).await, "", "the old version's connections have ended");
+        let mut one = connect_client(at, &[READ]).await;
+        assert!(read_answer(&mut one).await.contains("served"), "the new version serves on");
         new.signal("-TERM");
-        assert!(new.end().await.success());
+        assert!(new.wait_for_exit().await.success());
     });
 }
 
 // Guards against a start at a socket that never brings a client, and against closing a descriptor that isn't ours.
 #[test]
 fn a_descriptor_that_is_no_listening_socket_ends_the_start_with_one_line() {
-    let config = file("inherit.json", CONFIG);
+    let config = write_test_file("inherit.json", CONFIG);
     let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = socket.local_addr().expect("an address");
     let plain = std::net::TcpStream::connect(at).expect("connected");
@@ -258,7 +268,7 @@
         (&as_listener(plain.into()), "5", "it does not listen"),
         (&as_listener(datagrams.into()), "5", "it is not of TCP"),
     ] {
-        let done = inheriting(&config, socket, number).output().expect("the program");
+        let done = inheriting_command(&config, socket, number).output().expect("the program");
         let said = String::from_utf8_lossy(&done.stderr).into_owned();
         assert!(!done.status.success() && said.lines().count() == 1, "{number}: {said}");
         assert!(said.contains(words), "{number}: {said}");
--- a/tests/outages.rs
+++ b/tests/outages.rs
@@ -1,264 +1,306 @@
-//! Several processes of the program that agree on who may be out: what operators hear, against who serves and whom members
-//! hear from, seen from outside.
+//! Several processes of the program that agree on who may be out: what operators are answered, against who serves and which
+//! members get requests, seen from outside.
 
+mod cluster_harness;
 mod harness;
-mod together;
 
-use linenhill_standins::Weather;
+use cluster_harness::{Cluster, ClusterConfig, KEEPERS, PROGRESS_TIMEOUT};
+use harness::run_local;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
-use together::{KEEPERS, LONG, World, play};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
+use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-const ONE: &str = "outages { proxies { count: 1 } members { count: 1 } members_least: 1 }\n";
+/// One proxy and one member may be out at once, and one replica of each group must stay.
+const ONE_OF_EACH: &str = "outages { proxies { count: 1 } members { count: 1 } members_least: 1 }\n";
 
-/// One call at a proxy's door: the status and the text, if it answers.
-async fn call(at: SocketAddr, line: &str) -> Option<(u16, String)> {
-    let talk = async {
+/// A proxy answers an operator within this time, or is taken for silent.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// One call at a proxy's address for operators: the status and the text, if it answers.
+async fn call(at: SocketAddr, target: &str) -> Option<(u16, String)> {
+    let exchange = async {
         let mut stream = TcpStream::connect(at).await.ok()?;
-        stream.write_all(format!("POST {line} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).await.ok()?;
-        let mut got = String::new();
-        stream.read_to_string(&mut got).await.ok()?;
-        let status = got.split(' ').nth(1)?.parse().ok()?;
-        Some((status, got.split_once("\r\n\r\n")?.1.to_string()))
+        stream.write_all(format!("POST {target} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).await.ok()?;
+        let mut response = String::new();
+        stream.read_to_string(&mut response).await.ok()?;
+        let status = response.split(' ').nth(1)?.parse().ok()?;
+        Some((status, response.split_once("\r\n\r\n")?.1.to_string()))
     };
-    timeout(Duration::from_secs(10), talk).await.ok()?
+    timeout(CALL_TIMEOUT, exchange).await.ok()?
+}
+
+/// The status of such a call.
+async fn call_status(at: SocketAddr, target: &str) -> Option<u16> {
+    call(at, target).await.map(|(status, _)| status)
+}
+
+/// The call that takes a member out of service.
+fn enter_maintenance(id: &str) -> String {
+    format!("/maintenance/enter?name={id}")
 }
 
-impl World {
-    fn door(&self, i: usize) -> SocketAddr {
-        self.proxies[i].program.as_ref().expect("a proxy").address("operators call at ")
+impl Cluster {
+    /// Where operators call a proxy.
+    fn operator_address(&self, proxy: usize) -> SocketAddr {
+        self.proxies[proxy].running().logged_address("operators call at ")
     }
 
-    /// Calls until the answer is this status.
-    async fn called(&self, i: usize, line: &str, status: u16) {
+    /// Calls until the answer has this status.
+    async fn call_until(&self, proxy: usize, target: &str, wanted: u16) {
         let mut last = None;
         let done = async {
             loop {
-                last = call(self.door(i), line).await;
-                if last.as_ref().is_some_and(|(got, _)| *got == status) {
+                last = call(self.operator_address(proxy), target).await;
+                if last.as_ref().is_some_and(|(status, _)| *status == wanted) {
                     return;
                 }
                 sleep(Duration::from_millis(100)).await;
             }
         };
-        let done = timeout(LONG, done).await;
-        done.unwrap_or_else(|_| panic!("{line} at p{i} never led to {status}: {last:?}, {:?}", self.history));
+        let done = timeout(PROGRESS_TIMEOUT, done).await;
+        done.unwrap_or_else(|_| {
+            panic!("{target} at p{proxy} never led to {wanted}: {last:?}, {:?}", self.history)
+        });
     }
 
-    /// Waits until the leader says nobody is out.
-    async fn all_in(&self) {
-        let nobody = async {
-            while self.status().await.is_none_or(|s| !s.contains("\"out\":[]")) {
-                sleep(Duration::from_millis(100)).await;
+    /// Waits until the leader says that none is out.
+    async fn wait_until_none_is_out(&self) {
+        self.wait_for_status("all in service", |status| status.contains("\"out\":[]")).await;
+    }
+
+    /// Waits until a member has served at least so many requests.
+    async fn wait_until_served(&self, member: usize, count: u64) {
+        let served = async {
+            while self.members[member].served.get() < count {
+                sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(LONG, nobody).await.unwrap_or_else(|_| panic!("somebody stays out: {:?}", self.history));
+        let served = timeout(PROGRESS_TIMEOUT, served).await;
+        served.unwrap_or_else(|_| panic!("m-{} serves too little: {:?}", member + 1, self.history));
     }
-}
 
-// Guards against two proxies that drain where one may, whoever asks when; against a permit that is lost with its holder
-// or with the leader; and against one that never ends.
-#[test]
-fn one_proxy_goes_at_a_time_through_deaths_and_elections() {
-    play(async {
-        let mut world = World::bounded("outages-one", 4, ONE, None).await;
-        world.settled().await;
-        world.all_in().await;
-        let doors: Vec<SocketAddr> = (0..4).map(|i| world.door(i)).collect();
-        let asked: Vec<_> = doors.iter().map(|at| tokio::task::spawn_local(call(*at, "/standby"))).collect();
-        let mut gone = Vec::new();
-        for (i, answer) in asked.into_iter().enumerate() {
+    /// Waits until the proxies know the primary: until then, and afterwards, it may not be taken out.
+    async fn wait_until_primary_is_known(&self) {
+        let known = async {
+            loop {
+                let answer = call(self.operator_address(0), &enter_maintenance("m-1")).await;
+                let (status, text) = answer.expect("an answer");
+                assert_eq!(status, 409, "the primary, or none is known: {text}");
+                if text.contains("hands over") {
+                    return;
+                }
+                sleep(Duration::from_millis(50)).await;
+            }
+        };
+        timeout(PROGRESS_TIMEOUT, known).await.expect("the primary is known");
+    }
+
+    /// Asks all proxies at once to stand by, and returns those that may.
+    async fn ask_all_to_stand_by(&self) -> Vec<usize> {
+        let addresses: Vec<SocketAddr> =
+            (0..self.proxies.len()).map(|proxy| self.operator_address(proxy)).collect();
+        let calls: Vec<_> = addresses.iter().map(|at| spawn_local(call(*at, "/standby"))).collect();
+        let mut standing_by = Vec::new();
+        for (proxy, answer) in calls.into_iter().enumerate() {
             match answer.await.expect("done").expect("an answer") {
-                (200, _) => gone.push(i),
+                (200, _) => standing_by.push(proxy),
                 (409, text) => assert!(text.contains("out"), "it says who is out: {text}"),
-                other => panic!("p{i}: {other:?}"),
+                other => panic!("p{proxy}: {other:?}"),
             }
         }
-        assert_eq!(gone.len(), 1, "all asked at once");
-        let (out, other) = (gone[0], (gone[0] + 1) % 4);
-        world.proxies[out].program = None;
-        world.history.push(format!("p{out} killed while it stands by"));
-        for k in 0..KEEPERS {
-            world.keepers[k].program = None;
-            world.start_keeper(k, false);
-            world.history.push(format!("k{k} killed and started"));
-            world.called(other, "/standby", 409).await;
+        standing_by
+    }
+}
+
+/// A settled fleet in which one proxy and one member may be out at once.
+async fn start_cluster(label: &str, proxies: usize) -> Cluster {
+    let config = ClusterConfig { disruption_limits: ONE_OF_EACH, ..ClusterConfig::new(label, proxies) };
+    let cluster = Cluster::start_with(config).await;
+    cluster.wait_until_settled().await;
+    cluster.wait_until_none_is_out().await;
+    cluster
+}
+
+/// Guards against two proxies that drain where one may, whichever is asked when; against a permit that is lost with its
+/// holder or with the leader; and against one that never ends.
+#[test]
+fn one_proxy_is_out_at_a_time_through_deaths_and_elections() {
+    run_local(async {
+        let mut cluster = start_cluster("outages-one", 4).await;
+        let standing_by = cluster.ask_all_to_stand_by().await;
+        assert_eq!(standing_by.len(), 1, "all asked at once");
+        let out = standing_by[0];
+        let next = (out + 1) % 4;
+        let last = (out + 2) % 4;
+        cluster.proxies[out].program = None;
+        cluster.history.push(format!("p{out} killed while it stands by"));
+        for keeper in 0..KEEPERS {
+            let done = cluster.restart_keeper(keeper);
+            cluster.history.push(done);
+            cluster.call_until(next, "/standby", 409).await;
         }
-        world.start_proxy(out);
-        world.history.push(format!("p{out} started"));
-        world.called(other, "/standby", 200).await;
-        assert_eq!(call(world.door(out), "/standby").await.map(|a| a.0), Some(409));
-        assert_eq!(call(world.door(out), "/standby?force=1").await.map(|a| a.0), Some(200));
-        world.called(other, "/active", 200).await;
-        assert_eq!(call(world.door((out + 2) % 4), "/standby").await.map(|a| a.0), Some(409), "force counts");
-        world.called(out, "/active", 200).await;
-        world.called((out + 2) % 4, "/standby", 200).await;
+        cluster.start_proxy(out);
+        cluster.history.push(format!("p{out} started"));
+        cluster.call_until(next, "/standby", 200).await;
+        assert_eq!(call_status(cluster.operator_address(out), "/standby").await, Some(409));
+        assert_eq!(call_status(cluster.operator_address(out), "/standby?force=1").await, Some(200));
+        cluster.call_until(next, "/active", 200).await;
+        let status = call_status(cluster.operator_address(last), "/standby").await;
+        assert_eq!(status, Some(409), "force counts");
+        cluster.call_until(out, "/active", 200).await;
+        cluster.call_until(last, "/standby", 200).await;
     });
 }
 
-// Guards against a release that goes on while a part of the fleet is hidden, and against permits given without a majority.
+/// Guards against a release that goes on while a part of the fleet is hidden, and against permits given without a majority.
 #[test]
-fn what_is_hidden_counts_as_out_and_a_minority_gives_no_leave() {
-    play(async {
-        let mut world = World::bounded("outages-hidden", 3, ONE, None).await;
-        world.settled().await;
-        world.all_in().await;
-        for way in &world.proxies[0].ways {
-            way.weather(|w| (w.held_to, w.held_from) = (true, true));
-        }
-        world.history.push("p0 hidden".into());
-        let hidden = async {
-            while world.status().await.is_none_or(|s| !s.contains("not heard of")) {
-                sleep(Duration::from_millis(100)).await;
-            }
-        };
-        timeout(LONG, hidden).await.expect("it counts as out");
-        world.called(1, "/standby", 409).await;
-        world.heal();
-        world.all_in().await;
-        for k in 1..KEEPERS {
-            world.keepers[k].program = None;
-        }
-        world.history.push("one keeper is left".into());
-        let (status, text) = call(world.door(0), "/standby").await.expect("an answer");
+fn hidden_proxies_count_as_out_and_a_minority_permits_nothing() {
+    run_local(async {
+        let mut cluster = start_cluster("outages-hidden", 3).await;
+        cluster.proxies[0].cut_off();
+        cluster.history.push("p0 hidden".into());
+        cluster.wait_for_status("hidden", |status| status.contains("not heard of")).await;
+        cluster.call_until(1, "/standby", 409).await;
+        cluster.heal();
+        cluster.wait_until_none_is_out().await;
+        cluster.keepers[1..].iter_mut().for_each(|keeper| keeper.program = None);
+        cluster.history.push("one keeper is left".into());
+        let answer = call(cluster.operator_address(0), "/standby").await;
+        let (status, text) = answer.expect("an answer");
         assert!(status == 503 || status == 409, "{status} {text}");
-        assert_ne!(status, 200, "a minority gave leave: {text}");
+        assert_ne!(status, 200, "a minority permitted it: {text}");
     });
 }
 
-// Guards against a yes while some proxy still sends to the member, against the last two of a group taken out through two
-// proxies, and against a member that is never used again.
+/// Guards against a yes while some proxy still sends to the member, against the last two of a group taken out through two
+/// proxies, and against a member that is never used again.
 #[test]
-fn a_member_is_out_for_every_proxy_once_anybody_hears_yes() {
-    play(async {
-        let mut world = World::bounded("outages-member", 3, ONE, None).await;
-        world.settled().await;
-        world.all_in().await;
-        world.clients(1);
-        world.readers(4);
-        let served = |world: &World, i: usize| world.counted[i].served.get();
-        let busy = async {
-            while served(&world, 1) < 20 || served(&world, 2) < 20 {
-                sleep(Duration::from_millis(20)).await;
-            }
-        };
-        timeout(LONG, busy).await.expect("both replicas serve");
-        let enter = |id: &str| format!("/maintenance/enter?name={id}");
-        let primary = async {
-            loop {
-                let (status, text) = call(world.door(0), &enter("m-1")).await.expect("an answer");
-                assert_eq!(status, 409, "the primary, or nobody knows who it is: {text}");
-                if text.contains("hands over") {
-                    return;
-                }
-                sleep(Duration::from_millis(50)).await;
-            }
-        };
-        timeout(LONG, primary).await.expect("the primary is known");
-        // A proxy that hears nothing of it: nobody hears yes while it may send.
-        for way in &world.proxies[0].ways {
-            way.weather(|w| *w = Weather { held_from: true, ..Weather::FINE });
-        }
-        world.history.push("p0 hears nothing".into());
-        let (status, text) = call(world.door(1), &enter("m-2")).await.expect("an answer");
-        if status == 200 {
-            // It was let out of the fleet meanwhile, and serves nobody any more.
-            assert!(!world.status().await.is_some_and(|s| s.contains("\"name\":\"p0\"")), "{text}");
-        } else {
-            assert!(status == 503 && text.contains("p0"), "{status} {text}");
-        }
-        world.called(1, &enter("m-2"), 200).await;
-        let before = served(&world, 1);
-        assert_eq!(call(world.door(2), &enter("m-3")).await.map(|a| a.0), Some(409), "the last replica");
-        world.heal();
-        world.history.push("p0 hears again".into());
-        world.settled().await;
-        let others = served(&world, 2);
-        let goes_on = async {
-            while served(&world, 2) < others + 100 {
-                sleep(Duration::from_millis(20)).await;
-            }
-        };
-        timeout(LONG, goes_on).await.expect("the others serve");
-        // What was under way when yes was said may still have ended there.
-        assert!(served(&world, 1) <= before + 12, "{} after yes", served(&world, 1) - before);
-        world.called(1, "/maintenance/exit?name=m-2", 200).await;
-        let back = async {
-            while served(&world, 1) < before + 100 {
-                sleep(Duration::from_millis(20)).await;
-            }
-        };
-        timeout(LONG, back).await.expect("it serves again");
-        world.called(1, &enter("m-3"), 200).await;
+fn a_member_is_out_for_every_proxy_once_one_has_permitted_it() {
+    run_local(async {
+        let mut cluster = start_cluster("outages-member", 3).await;
+        cluster.start_writers(1);
+        cluster.start_readers(4);
+        cluster.wait_until_served(1, 20).await;
+        cluster.wait_until_served(2, 20).await;
+        cluster.wait_until_primary_is_known().await;
+        take_out_with_a_deaf_proxy(&mut cluster).await;
+        let before = cluster.members[1].served.get();
+        let status = call_status(cluster.operator_address(2), &enter_maintenance("m-3")).await;
+        assert_eq!(status, Some(409), "the last replica");
+        cluster.heal();
+        cluster.history.push("p0 receives again".into());
+        cluster.wait_until_settled().await;
+        let others = cluster.members[2].served.get();
+        cluster.wait_until_served(2, others + 100).await;
+        // Attempts in flight when it was permitted may still have ended there.
+        let after = cluster.members[1].served.get() - before;
+        assert!(after <= 12, "{after} after it was permitted");
+        cluster.call_until(1, "/maintenance/exit?name=m-2", 200).await;
+        cluster.wait_until_served(1, before + 100).await;
+        cluster.call_until(1, &enter_maintenance("m-3"), 200).await;
     });
 }
 
-/// A seeded sequence: proxies ask to go, come back, are killed, stopped and cut off. The checker knows to whom yes was said.
-async fn sequence(seed: u64, steps: usize) {
-    let mut rng = fastrand::Rng::with_seed(seed);
-    let label = format!("outages-{seed}");
-    let mut world = World::bounded(&label, 4, ONE, None).await;
-    world.settled().await;
-    world.all_in().await;
-    let mut gone: BTreeSet<usize> = BTreeSet::new();
-    for _ in 0..steps {
-        let i = rng.usize(0..4);
-        match rng.u8(0..8) {
-            0..4 if !world.proxies[i].stopped => {
-                let answer = call(world.door(i), "/standby").await;
-                world.history.push(format!("p{i} asks: {answer:?}"));
-                if answer.is_some_and(|(status, _)| status == 200) {
-                    gone.insert(i);
-                }
-                assert!(gone.len() <= 1, "seed {seed}: {gone:?} are out: {:#?}", world.history);
-            }
-            4 if !world.proxies[i].stopped => {
-                if call(world.door(i), "/active").await.is_some_and(|(status, _)| status == 200) {
-                    world.history.push(format!("p{i} is back"));
-                    gone.remove(&i);
-                }
-            }
-            5 if gone.is_empty() => {
-                // Started anew it serves: it is out only until it is heard of.
-                world.proxies[i].program = None;
-                world.start_proxy(i);
-                world.history.push(format!("p{i} killed and started"));
+/// Takes m-2 out while p0 receives nothing from the keepers: it is not permitted while p0 may still send there.
+async fn take_out_with_a_deaf_proxy(cluster: &mut Cluster) {
+    cluster.proxies[0].hold_replies();
+    cluster.history.push("p0 receives nothing".into());
+    let answer = call(cluster.operator_address(1), &enter_maintenance("m-2")).await;
+    let (status, text) = answer.expect("an answer");
+    if status == 200 {
+        // p0 was removed from the fleet meanwhile, and serves no client any more.
+        let fleet_status = cluster.status().await;
+        assert!(!fleet_status.is_some_and(|status| status.contains("\"name\":\"p0\"")), "{text}");
+    } else {
+        assert!(status == 503 && text.contains("p0"), "{status} {text}");
+    }
+    cluster.call_until(1, &enter_maintenance("m-2"), 200).await;
+}
+
+/// Proxies ask to go, come back, are killed, suspended and cut off, by seed. It knows which were permitted to be out.
+struct OutageSequence {
+    seed: u64,
+    random: fastrand::Rng,
+    cluster: Cluster,
+    out: BTreeSet<usize>,
+}
+
+impl OutageSequence {
+    async fn play(seed: u64, steps: usize) {
+        let cluster = start_cluster(&format!("outages-{seed}"), 4).await;
+        let random = fastrand::Rng::with_seed(seed);
+        let mut sequence = OutageSequence { seed, random, cluster, out: BTreeSet::new() };
+        for _ in 0..steps {
+            sequence.step().await;
+        }
+        sequence.cluster.heal();
+        for proxy in sequence.out {
+            sequence.cluster.call_until(proxy, "/active", 200).await;
+        }
+        sequence.cluster.wait_until_none_is_out().await;
+    }
+
+    async fn step(&mut self) {
+        let proxy = self.random.usize(0..4);
+        let is_suspended = self.cluster.proxies[proxy].is_suspended;
+        match self.random.u8(0..8) {
+            0..4 if !is_suspended => self.ask_to_stand_by(proxy).await,
+            4 if !is_suspended => self.ask_to_come_back(proxy).await,
+            5 if self.out.is_empty() => {
+                // Started anew it serves: it is out only until the keepers receive from it.
+                let done = self.cluster.restart_proxy(proxy);
+                self.cluster.history.push(done);
             }
             6 => {
-                let k = rng.usize(0..KEEPERS);
-                world.keepers[k].program = None;
-                world.start_keeper(k, false);
-                world.history.push(format!("k{k} killed and started"));
+                let keeper = self.random.usize(0..KEEPERS);
+                let done = self.cluster.restart_keeper(keeper);
+                self.cluster.history.push(done);
             }
-            7 => {
-                let (k, held) = (rng.usize(0..KEEPERS), rng.bool());
-                world.proxies[i].ways[k].weather(|w| (w.held_to, w.held_from) = (held, true));
-                world.history.push(format!("p{i} and k{k} cut"));
-                sleep(Duration::from_millis(rng.u64(100..2_500))).await;
-                world.heal();
-            }
-            _ => sleep(Duration::from_millis(rng.u64(50..600))).await,
+            7 => self.cut_link_for_a_while(proxy).await,
+            _ => sleep(Duration::from_millis(self.random.u64(50..600))).await,
+        }
+    }
+
+    async fn ask_to_stand_by(&mut self, proxy: usize) {
+        let answer = call(self.cluster.operator_address(proxy), "/standby").await;
+        self.cluster.history.push(format!("p{proxy} asks: {answer:?}"));
+        if answer.is_some_and(|(status, _)| status == 200) {
+            self.out.insert(proxy);
         }
+        let OutageSequence { seed, out, .. } = self;
+        assert!(out.len() <= 1, "seed {seed}: {out:?} are out: {:#?}", self.cluster.history);
     }
-    world.heal();
-    for i in gone {
-        world.called(i, "/active", 200).await;
+
+    async fn ask_to_come_back(&mut self, proxy: usize) {
+        if call_status(self.cluster.operator_address(proxy), "/active").await == Some(200) {
+            self.cluster.history.push(format!("p{proxy} is back"));
+            self.out.remove(&proxy);
+        }
+    }
+
+    async fn cut_link_for_a_while(&mut self, proxy: usize) {
+        let keeper = self.random.usize(0..KEEPERS);
+        let is_held_to = self.random.bool();
+        self.cluster.proxies[proxy].hold_link(keeper, is_held_to, true);
+        self.cluster.history.push(format!("p{proxy} and k{keeper} cut"));
+        sleep(Duration::from_millis(self.random.u64(100..2_500))).await;
+        self.cluster.heal();
     }
-    world.all_in().await;
 }
 
-// Guards against more out at once than is allowed, and against permits that stay for ever, over sequences by seed.
+/// Guards against more out at once than is allowed, and against permits that stay for ever, over sequences by seed.
 #[test]
-fn never_more_are_let_out_than_may_be() {
-    let count = |name: &str| std::env::var(name).ok().and_then(|n| n.parse().ok());
-    let (many, from): (u64, u64) =
-        (count("LINENHILL_SEQUENCES").unwrap_or(1), count("LINENHILL_SEED").unwrap_or(1));
-    for seed in from..from + many {
-        play(sequence(seed, if many > 1 { 40 } else { 16 }));
+fn never_more_are_out_than_is_permitted() {
+    let number = |variable: &str| std::env::var(variable).ok().and_then(|text| text.parse().ok());
+    let sequences: u64 = number("LINENHILL_SEQUENCES").unwrap_or(1);
+    let first_seed: u64 = number("LINENHILL_SEED").unwrap_or(1);
+    let steps = if sequences > 1 { 40 } else { 16 };
+    for seed in first_seed..first_seed + sequences {
+        run_local(OutageSequence::play(seed, steps));
         println!("seed {seed}: never more than one");
     }
 }
--- a/tests/pipeline.rs
+++ b/tests/pipeline.rs
@@ -3,7 +3,7 @@
 
 mod harness;
 
-use harness::{Act, CONFIG, Program, READ, answer, client, play_with};
+use harness::{Act, CONFIG, Program, READ, connect_client, read_answer, run_with_config};
 use linenhill::clients::pipeline::MAX_MESSAGES;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
     R: Future<Output = Act> + 'static,
     F: Future<Output = ()>,
 {
-    play_with(name, CONFIG, act, |at, program| async move {
+    run_with_config(name, CONFIG, act, |at, program| async move {
         let seen = program.clone();
         if timeout(NEVER, test(at, program)).await.is_err() {
             panic!("{name}: a step that never came: {}", seen.log.lock().expect("the log"));
@@ -43,7 +43,7 @@
 async fn flooding_client(at: SocketAddr) -> TcpStream {
     let queries = flood();
     let queries: Vec<&str> = queries.iter().map(String::as_str).collect();
-    client(at, &queries).await
+    connect_client(at, &queries).await
 }
 
 /// What an answer says: its value, or all of it where it is no row.
@@ -88,7 +88,7 @@
 async fn answers_in_order(client: &mut TcpStream) -> (usize, usize) {
     let (mut served, mut rejected) = (0, 0);
     for number in 0..FLOOD {
-        let got = answer(client).await;
+        let got = read_answer(client).await;
         if got.contains(&format!("row {number}.")) {
             served += 1;
         } else {
@@ -108,14 +108,14 @@
     play("flood-read", gated(&gate, &sent), |at, program| async move {
         let mut flooding = flooding_client_under_way(at, &sent).await;
         // Another client is not held up by what waits behind the flood.
-        let mut other = client(at, &[READ]).await;
-        assert_eq!(value(&answer(&mut other).await), "other");
+        let mut other = connect_client(at, &[READ]).await;
+        assert_eq!(value(&read_answer(&mut other).await), "other");
         assert!(sent.get() <= 1 + MAX_MESSAGES, "{} are at members", sent.get());
         gate.add_permits(FLOOD);
         let (served, rejected) = answers_in_order(&mut flooding).await;
         assert!(served > MAX_MESSAGES, "{served} served, {rejected} rejected");
         program.signal("-TERM");
-        assert!(program.end().await.success());
+        assert!(program.wait_for_exit().await.success());
         assert_eq!(flooding.read(&mut [0; 1]).await.expect("the end"), 0, "no answer is left over");
     });
 }
@@ -129,11 +129,11 @@
     };
     play("flood-unread", act, |at, program| async move {
         let flooding = flooding_client(at).await;
-        let mut other = client(at, &[READ]).await;
-        assert_eq!(value(&answer(&mut other).await), "other");
-        program.says("code=write-timeout").await;
-        let mut other = client(at, &[READ]).await;
-        assert_eq!(value(&answer(&mut other).await), "other");
+        let mut other = connect_client(at, &[READ]).await;
+        assert_eq!(value(&read_answer(&mut other).await), "other");
+        program.wait_for_log("code=write-timeout").await;
+        let mut other = connect_client(at, &[READ]).await;
+        assert_eq!(value(&read_answer(&mut other).await), "other");
         drop(flooding);
     });
 }
@@ -146,14 +146,14 @@
     play("flood-left", gated(&gate, &sent), |at, program| async move {
         let flooding = flooding_client_under_way(at, &sent).await;
         drop(flooding);
-        program.says("code=client-gone").await;
+        program.wait_for_log("code=client-gone").await;
         let before = sent.get();
         gate.add_permits(FLOOD);
-        let mut other = client(at, &[READ]).await;
-        assert_eq!(value(&answer(&mut other).await), "other");
+        let mut other = connect_client(at, &[READ]).await;
+        assert_eq!(value(&read_answer(&mut other).await), "other");
         assert_eq!(sent.get(), before, "nothing is sent for a client that has left");
         program.signal("-TERM");
-        assert!(program.end().await.success());
+        assert!(program.wait_for_exit().await.success());
     });
 }
 
@@ -165,11 +165,11 @@
     play("flood-stop", gated(&gate, &sent), |at, program| async move {
         let mut flooding = flooding_client_under_way(at, &sent).await;
         program.signal("-TERM");
-        program.says("stopping, ").await;
+        program.wait_for_log("stopping, ").await;
         gate.add_permits(FLOOD);
         let (served, _) = answers_in_order(&mut flooding).await;
         assert!(served > 0, "what was accepted before the stop is served");
-        assert!(program.end().await.success());
+        assert!(program.wait_for_exit().await.success());
         assert_eq!(flooding.read(&mut [0; 1]).await.expect("the end"), 0, "no answer is left over");
         assert!(program.log.lock().expect("the log").contains("stopped, all answered"));
     });
@@ -185,17 +185,17 @@
         let mut queries = vec![first.as_str()];
         queries.extend(["SELECT 1"; 8]);
         queries.push(&last);
-        let mut flooding = client(at, &queries).await;
+        let mut flooding = connect_client(at, &queries).await;
         while sent.get() == 0 {
             tokio::task::yield_now().await;
         }
         gate.add_permits(2);
-        assert!(answer(&mut flooding).await.contains("row 1."));
+        assert!(read_answer(&mut flooding).await.contains("row 1."));
         for _ in 0..8 {
-            assert!(answer(&mut flooding).await.contains("C42601\0"));
+            assert!(read_answer(&mut flooding).await.contains("C42601\0"));
         }
-        assert_eq!(answer(&mut flooding).await, "", "the connection ends");
-        program.says("code=protocol").await;
+        assert_eq!(read_answer(&mut flooding).await, "", "the connection ends");
+        program.wait_for_log("code=protocol").await;
         assert_eq!(sent.get(), 1, "what came behind is not accepted");
     });
 }
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -3,7 +3,10 @@
 
 mod harness;
 
-use harness::{Act, CONFIG, READ, WRITE, answer, client, encoded, file, play, play_with, program, query};
+use harness::{
+    Act, CONFIG, READ, WRITE, connect_client, encode, program_command, query_command, read_answer,
+    run_with_config, run_with_members, write_test_file,
+};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -22,11 +25,11 @@
         let row = if statement.contains("INSERT") && member > 0 { None } else { Some(statement) };
         std::future::ready(row.map_or(Act::Error("25006"), |s| Act::Row(s[..8].to_string())))
     };
-    play("served", act, |at, _program| async move {
-        let mut c = client(at, &["", READ, WRITE]).await;
-        assert!(answer(&mut c).await.starts_with('I'), "the empty query comes first");
-        assert!(answer(&mut c).await.contains("/* id=a1"));
-        assert!(answer(&mut c).await.contains("/* id=a2"));
+    run_with_members("served", act, |at, _program| async move {
+        let mut c = connect_client(at, &["", READ, WRITE]).await;
+        assert!(read_answer(&mut c).await.starts_with('I'), "the empty query comes first");
+        assert!(read_answer(&mut c).await.contains("/* id=a1"));
+        assert!(read_answer(&mut c).await.contains("/* id=a2"));
         let cut = |s: &str| {
             let (head, tail) = s.split_once(",d=").expect("d");
             (head.to_string(), tail.split_once(',').expect("more").1.to_string())
@@ -52,7 +55,7 @@
         std::future::ready(if write && member > 0 { Act::Error("25006") } else { Act::Row(row) })
     };
     let config = CONFIG.replace("\"memory_mb\": 192", "\"memory_mb\": 32");
-    play_with("long", &config, act, |at, _program| async move {
+    run_with_config("long", &config, act, |at, _program| async move {
         let write =
             |n: usize| WRITE.replace("id=a2", &format!("id=w{n}")).replace("'x'", &format!("'{long}{long}'"));
         let statements: Vec<String> = (0..3).map(write).collect();
@@ -60,10 +63,10 @@
             let (statement, long) = (statements[n].clone(), long.clone());
             async move {
                 let read = READ.replace("id=a1", &format!("id=r{n}"));
-                let mut c = client(at, &[&read, &statement]).await;
-                let whole = answer(&mut c).await;
+                let mut c = connect_client(at, &[&read, &statement]).await;
+                let whole = read_answer(&mut c).await;
                 assert!(whole.contains(&long) && whole.contains("SELECT 1"), "{}", whole.len());
-                assert!(answer(&mut c).await.contains("written"));
+                assert!(read_answer(&mut c).await.contains("written"));
             }
         };
         tokio::join!(ask(0), ask(1), ask(2));
@@ -84,11 +87,11 @@
         *count.borrow_mut() += 1;
         std::future::ready(Act::Torn("v".repeat(1_000_000)))
     };
-    play("torn", act, |at, program| async move {
-        let mut c = client(at, &[READ]).await;
-        let got = answer(&mut c).await;
+    run_with_members("torn", act, |at, program| async move {
+        let mut c = connect_client(at, &[READ]).await;
+        let got = read_answer(&mut c).await;
         assert!(got.contains("vvvv") && got.len() < 1_000_000 && !got.contains("SELECT 1"), "{}", got.len());
-        program.says("code=cut-off").await;
+        program.wait_for_log("code=cut-off").await;
         assert_eq!(*asked.borrow(), 1);
     });
 }
@@ -99,12 +102,12 @@
     let act = |_, statement: String| {
         std::future::ready(Act::Error(if statement.contains("INSERT") { "XX000" } else { "53300" }))
     };
-    play("refused", act, |at, _program| async move {
-        let mut c = client(at, &[READ, WRITE]).await;
-        let refused = answer(&mut c).await;
+    run_with_members("refused", act, |at, _program| async move {
+        let mut c = connect_client(at, &[READ, WRITE]).await;
+        let refused = read_answer(&mut c).await;
         let advice = refused.split("\0D").nth(1).and_then(|d| d.split('\0').next()).expect("a field D");
         assert!(refused.contains("C53300\0") && advice.parse::<u64>().is_ok_and(|ms| ms > 0), "{refused:?}");
-        let failed = answer(&mut c).await;
+        let failed = read_answer(&mut c).await;
         assert!(failed.contains("C08007\0"), "{failed:?}");
     });
 }
@@ -120,10 +123,10 @@
             _ => Act::Row("from the primary".into()),
         })
     };
-    play("miss", act, |at, _program| async move {
-        let mut c = client(at, &[WRITE, READ]).await;
-        assert!(answer(&mut c).await.contains("from the primary"));
-        assert!(answer(&mut c).await.contains("from the primary"));
+    run_with_members("miss", act, |at, _program| async move {
+        let mut c = connect_client(at, &[WRITE, READ]).await;
+        assert!(read_answer(&mut c).await.contains("from the primary"));
+        assert!(read_answer(&mut c).await.contains("from the primary"));
     });
 }
 
@@ -134,9 +137,9 @@
         let first = !broken.replace(true);
         std::future::ready(if first { Act::Break } else { Act::Row("second".into()) })
     };
-    play("reset", act, |at, _program| async move {
-        let mut c = client(at, &[READ]).await;
-        assert!(answer(&mut c).await.contains("second"));
+    run_with_members("reset", act, |at, _program| async move {
+        let mut c = connect_client(at, &[READ]).await;
+        assert!(read_answer(&mut c).await.contains("second"));
     });
 }
 
@@ -150,8 +153,8 @@
         let told = told.clone();
         std::future::ready(Act::Silence(Box::new(move || told.notify_one())))
     };
-    play("gone", act, |at, _program| async move {
-        let c = client(at, &[READ]).await;
+    run_with_members("gone", act, |at, _program| async move {
+        let c = connect_client(at, &[READ]).await;
         heard.notified().await;
         drop(c);
         hung_up.notified().await;
@@ -171,15 +174,15 @@
             Act::Row("kept".into())
         }
     };
-    play("stop", act, |at, program| async move {
-        let mut idle = client(at, &[]).await;
-        let mut busy = client(at, &[READ]).await;
+    run_with_members("stop", act, |at, program| async move {
+        let mut idle = connect_client(at, &[]).await;
+        let mut busy = connect_client(at, &[READ]).await;
         heard.notified().await;
         program.signal("-TERM");
         go.notify_one();
-        assert!(answer(&mut busy).await.contains("kept"));
-        assert_eq!(answer(&mut idle).await, "", "between requests a connection is just closed");
-        assert!(program.end().await.success());
+        assert!(read_answer(&mut busy).await.contains("kept"));
+        assert_eq!(read_answer(&mut idle).await, "", "between requests a connection is just closed");
+        assert!(program.wait_for_exit().await.success());
     });
 }
 
@@ -187,15 +190,15 @@
 #[test]
 fn a_reload_moves_discovery_and_keeps_the_rest() {
     let act = |_, _| std::future::ready(Act::Row("served".into()));
-    play("reload", act, |at, program| async move {
-        let mut before = client(at, &[READ]).await;
-        assert!(answer(&mut before).await.contains("served"));
-        program.says("list version 2").await;
+    run_with_members("reload", act, |at, program| async move {
+        let mut before = connect_client(at, &[READ]).await;
+        assert!(read_answer(&mut before).await.contains("served"));
+        program.wait_for_log("list version 2").await;
         let text = std::fs::read_to_string(&program.config).expect("the file");
         std::fs::write(&program.config, text.replace("\"discovery\":", "\"discovery\": 5, \"x\":"))
             .expect("a file");
         program.signal("-HUP");
-        program.says("the old configuration is kept: ").await;
+        program.wait_for_log("the old configuration is kept: ").await;
         let old = text.split("\"discovery\": \"").nth(1).and_then(|t| t.split('"').next()).expect("it");
         for _ in 0..2 {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -207,12 +210,12 @@
             let got = call.read(&mut head).await.expect("read");
             assert!(head[..got].starts_with(b"GET /v1/endpoints?watch=1&from=2 "), "{head:?}");
         }
-        program.says("code=moved").await;
-        before.write_all(&encoded(&[query(READ)])).await.expect("written");
-        assert!(answer(&mut before).await.contains("served"), "clients and members stay");
+        program.wait_for_log("code=moved").await;
+        before.write_all(&encode(&[query_command(READ)])).await.expect("written");
+        assert!(read_answer(&mut before).await.contains("served"), "clients and members stay");
         program.signal("-HUP");
         program.signal("-TERM");
-        assert!(program.end().await.success());
+        assert!(program.wait_for_exit().await.success());
     });
 }
 
@@ -230,30 +233,30 @@
         }
     };
     let config = CONFIG.replace("\"sockets\": 1024", "\"sockets\": 96");
-    play_with("edge", &config, act, |at, program| async move {
+    run_with_config("edge", &config, act, |at, program| async move {
         let read = |n: usize| READ.replace("id=a1", &format!("id=a{n}"));
         let mut inside = Vec::new();
         for n in 0..PLACES {
-            inside.push(client(at, &[&read(n)]).await);
+            inside.push(connect_client(at, &[&read(n)]).await);
         }
         for n in 0..3 {
-            let mut refused = client(at, &[&read(PLACES + n)]).await;
-            let got = answer(&mut refused).await;
+            let mut refused = connect_client(at, &[&read(PLACES + n)]).await;
+            let got = read_answer(&mut refused).await;
             assert!(got.contains("C53300\0") && got.contains("\0D"), "{got:?}");
-            assert_eq!(answer(&mut refused).await, "", "the refused connection ends");
+            assert_eq!(read_answer(&mut refused).await, "", "the refused connection ends");
         }
         go.add_permits(1_000);
         let (mut served, mut refused) = (0, 3);
         for client in &mut inside {
             // One link a member is not enough for all: what finds none may be refused, and says so.
-            let got = answer(client).await;
+            let got = read_answer(client).await;
             served += u64::from(got.contains("served"));
             refused += u64::from(got.contains("C53300\0"));
         }
         assert_eq!(served + refused, 3 + PLACES as u64);
         program.signal("-TERM");
-        assert!(program.end().await.success());
-        program.says("counters taken").await;
+        assert!(program.wait_for_exit().await.success());
+        program.wait_for_log("counters taken").await;
         let log = program.log.lock().expect("the log").clone();
         let line = log.lines().find(|l| l.contains("counters taken")).expect("a line");
         let count = |name: &str| -> u64 {
@@ -273,17 +276,18 @@
 #[test]
 fn what_breaks_the_protocol_is_told_so() {
     let act = |_, _| std::future::ready(Act::Row("served".into()));
-    play("protocol", act, |at, _program| async move {
-        let mut c = client(at, &["/* id=1,c=none,d=9 */ SELECT 1", "/* id=1,c=list */ SELECT 1"]).await;
-        assert!(answer(&mut c).await.contains("field c"));
-        assert!(answer(&mut c).await.contains("field d"));
+    run_with_members("protocol", act, |at, _program| async move {
+        let mut c =
+            connect_client(at, &["/* id=1,c=none,d=9 */ SELECT 1", "/* id=1,c=list */ SELECT 1"]).await;
+        assert!(read_answer(&mut c).await.contains("field c"));
+        assert!(read_answer(&mut c).await.contains("field d"));
         c.write_all(b"P\0\0\0\x08a\0b\0S\0\0\0\x04").await.expect("written");
-        assert!(answer(&mut c).await.contains("C0A000\0"));
-        c.write_all(&encoded(&[query(READ)])).await.expect("written");
-        assert!(answer(&mut c).await.contains("served"), "the connection was kept");
+        assert!(read_answer(&mut c).await.contains("C0A000\0"));
+        c.write_all(&encode(&[query_command(READ)])).await.expect("written");
+        assert!(read_answer(&mut c).await.contains("served"), "the connection was kept");
         c.write_all(b"Q\0\0\0\x01").await.expect("written");
-        assert!(answer(&mut c).await.contains("C08P01\0"));
-        assert_eq!(answer(&mut c).await, "", "and then it ends");
+        assert!(read_answer(&mut c).await.contains("C08P01\0"));
+        assert_eq!(read_answer(&mut c).await, "", "and then it ends");
         let mut c = TcpStream::connect(at).await.expect("a connection");
         c.write_all(b"\0\0\0\x08\x04\xd2\x16\x2f").await.expect("written");
         assert_eq!(c.read_u8().await.ok(), Some(b'N'));
@@ -292,12 +296,12 @@
 
 #[test]
 fn a_bad_configuration_is_one_line_that_names_the_file_and_the_field() {
-    let path = file("bad.json", &CONFIG.replace("\"fleetSize\": 1", "\"fleetSize\": []"));
+    let path = write_test_file("bad.json", &CONFIG.replace("\"fleetSize\": 1", "\"fleetSize\": []"));
     // Nobody shares the members with no proxy: shares of what all may do would be of nothing.
-    let none = file("bad.zero.json", &CONFIG.replace("\"fleetSize\": 1", "\"fleetSize\": 0"));
+    let none = write_test_file("bad.zero.json", &CONFIG.replace("\"fleetSize\": 1", "\"fleetSize\": 0"));
     let field = "'settings.fleetSize'";
     for (config, words) in [(&path, field), (&none, field), (&path.with_extension("none"), "bad.none")] {
-        let done = program(config).output().expect("the program");
+        let done = program_command(config).output().expect("the program");
         let said = String::from_utf8_lossy(&done.stderr).into_owned();
         assert!(!done.status.success() && said.lines().count() == 1, "{said}");
         assert!(said.contains("bad.") && said.contains(words), "{said}");
--- a/tests/pushed.rs
+++ b/tests/pushed.rs
@@ -3,7 +3,10 @@
 
 mod harness;
 
-use harness::{Act, HEAD, Program, answer, client, file, peer, program, start, tell, watched};
+use harness::{
+    Act, Program, WATCH_HEAD, accept_watch, connect_client, peer, program_command, read_answer,
+    send_watch_line, start_program, write_test_file,
+};
 use linenhill::api::{Discovery, Span};
 use linenhill::config::{Config, Reading, Variables};
 use std::net::SocketAddr;
@@ -83,10 +86,10 @@
         let config = config.replace("127.0.0.1:8500", &at).replace("\"slo\": 800000", "\"slo\": 30000000");
         let config = config.replace("\"connectTimeout\": 250000", "\"connectTimeout\": 5000000");
         let config = config.replace("\"seed\"", "\"admin\": \"127.0.0.1:0\", \"seed\"");
-        let path = file(&format!("{name}.json"), &config);
-        let program = Rc::new(start(program(&path), path));
+        let path = write_test_file(&format!("{name}.json"), &config);
+        let program = Rc::new(start_program(program_command(&path), path));
         let members = members.try_into().unwrap_or_else(|_| panic!("three members"));
-        test(program.address("listens on "), program.clone(), agent, members).await;
+        test(program.logged_address("listens on "), program.clone(), agent, members).await;
     };
     runtime.block_on(tokio::task::LocalSet::new().run_until(all));
 }
@@ -96,31 +99,31 @@
 #[test]
 fn the_watch_is_open_from_the_start_and_again_whenever_it_ends() {
     play("watch", |_, program, agent, [first, ..]| async move {
-        let (mut call, from) = watched(&agent).await;
+        let (mut call, from) = accept_watch(&agent).await;
         assert_eq!(from, 1, "the version of the saved list");
-        tell(&mut call, HEAD, &list(5, "m-1", &first, "in_service")).await;
-        program.says("list version 5").await;
+        send_watch_line(&mut call, WATCH_HEAD, &list(5, "m-1", &first, "in_service")).await;
+        program.wait_for_log("list version 5").await;
         drop(call);
-        let (call, from) = watched(&agent).await;
+        let (call, from) = accept_watch(&agent).await;
         assert_eq!(from, 5);
         // Ended without a word, many times over; and then nobody listens for a while.
         drop(call);
         for _ in 0..5 {
-            assert_eq!(watched(&agent).await.1, 5);
+            assert_eq!(accept_watch(&agent).await.1, 5);
         }
         let at = agent.local_addr().expect("an address");
         drop(agent);
-        program.says("code=refused").await;
+        program.wait_for_log("code=refused").await;
         let agent = TcpListener::bind(at).await.expect("the port again");
-        let (mut call, from) = watched(&agent).await;
+        let (mut call, from) = accept_watch(&agent).await;
         assert_eq!(from, 5);
-        tell(&mut call, HEAD, "").await;
-        tell(&mut call, "", &list(6, "m-1", &first, "in_service")).await;
-        program.says("list version 6").await;
+        send_watch_line(&mut call, WATCH_HEAD, "").await;
+        send_watch_line(&mut call, "", &list(6, "m-1", &first, "in_service")).await;
+        program.wait_for_log("list version 6").await;
         program.signal("-TERM");
-        assert!(program.end().await.success());
-        let again = start(harness::program(&program.config), program.config.clone());
-        assert_eq!(watched(&agent).await.1, 1, "a new process begins at its saved list");
+        assert!(program.wait_for_exit().await.success());
+        let again = start_program(harness::program_command(&program.config), program.config.clone());
+        assert_eq!(accept_watch(&agent).await.1, 1, "a new process begins at its saved list");
         drop(again);
     });
 }
@@ -129,18 +132,18 @@
 #[test]
 fn a_reload_moves_the_watch_to_the_new_agent() {
     play("moved", |_, program, agent, [first, ..]| async move {
-        let (mut old, _) = watched(&agent).await;
-        tell(&mut old, HEAD, &list(5, "m-1", &first, "in_service")).await;
-        program.says("list version 5").await;
+        let (mut old, _) = accept_watch(&agent).await;
+        send_watch_line(&mut old, WATCH_HEAD, &list(5, "m-1", &first, "in_service")).await;
+        program.wait_for_log("list version 5").await;
         let (other, at) = bind().await;
         let text = std::fs::read_to_string(&program.config).expect("a file");
         let before = agent.local_addr().expect("an address").to_string();
         std::fs::write(&program.config, text.replace(&before, &at)).expect("a file");
         program.signal("-HUP");
-        let (mut call, from) = watched(&other).await;
+        let (mut call, from) = accept_watch(&other).await;
         assert_eq!(from, 5);
-        tell(&mut call, HEAD, &list(6, "m-1", &first, "in_service")).await;
-        program.says("list version 6").await;
+        send_watch_line(&mut call, WATCH_HEAD, &list(6, "m-1", &first, "in_service")).await;
+        program.wait_for_log("list version 6").await;
         assert_eq!(old.read(&mut [0; 8]).await.unwrap_or(0), 0, "the old watch is closed");
     });
 }
@@ -150,20 +153,20 @@
 #[test]
 fn what_the_agent_tells_is_acted_on_at_once() {
     play("drained", |at, program, agent, [_, second, third]| async move {
-        let (mut call, _) = watched(&agent).await;
-        tell(&mut call, HEAD, &list(5, "m-2", &second, "terminating")).await;
-        tell(&mut call, "", &list(6, "m-3", &third, "terminated")).await;
-        program.says("list version 6").await;
+        let (mut call, _) = accept_watch(&agent).await;
+        send_watch_line(&mut call, WATCH_HEAD, &list(5, "m-2", &second, "terminating")).await;
+        send_watch_line(&mut call, "", &list(6, "m-3", &third, "terminated")).await;
+        program.wait_for_log("list version 6").await;
         let write = READ.replace("c=any", "c=order").replace(
             "SELECT val FROM state WHERE uid = 'aa'",
             "INSERT INTO state VALUES ('aa', 'x') RETURNING val",
         );
-        let mut c = client(at, &[&write]).await;
-        assert!(answer(&mut c).await.contains("from 0"));
+        let mut c = connect_client(at, &[&write]).await;
+        assert!(read_answer(&mut c).await.contains("from 0"));
         for n in 0..40 {
             let read = READ.replace("id=a1", &format!("id=r{n}"));
-            c.write_all(&harness::encoded(&[harness::query(&read)])).await.expect("written");
-            let got = answer(&mut c).await;
+            c.write_all(&harness::encode(&[harness::query_command(&read)])).await.expect("written");
+            let got = read_answer(&mut c).await;
             assert!(!got.contains("from 1") && !got.contains("from 2"), "{got}");
         }
     });
@@ -173,23 +176,23 @@
 #[test]
 fn the_watch_is_kept_in_standby_and_back_in_service() {
     play("standby", |_, program, agent, [first, ..]| async move {
-        let (mut call, _) = watched(&agent).await;
-        tell(&mut call, HEAD, &list(5, "m-1", &first, "in_service")).await;
-        program.says("list version 5").await;
-        let operators = program.address("operators call at ");
+        let (mut call, _) = accept_watch(&agent).await;
+        send_watch_line(&mut call, WATCH_HEAD, &list(5, "m-1", &first, "in_service")).await;
+        program.wait_for_log("list version 5").await;
+        let operators = program.logged_address("operators call at ");
         for (path, said, version) in
             [("/standby", "operators: draining", 6), ("/active", "operators: serving", 7)]
         {
             let mut door = TcpStream::connect(operators).await.expect("the operators' door");
             let post = format!("POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
             door.write_all(post.as_bytes()).await.expect("written");
-            program.says(said).await;
+            program.wait_for_log(said).await;
             drop(std::mem::replace(&mut call, TcpStream::connect(operators).await.expect("a connection")));
-            let (again, from) = watched(&agent).await;
+            let (again, from) = accept_watch(&agent).await;
             assert_eq!(from, version - 1);
             call = again;
-            tell(&mut call, HEAD, &list(version, "m-1", &first, "in_service")).await;
-            program.says(&format!("list version {version}")).await;
+            send_watch_line(&mut call, WATCH_HEAD, &list(version, "m-1", &first, "in_service")).await;
+            program.wait_for_log(&format!("list version {version}")).await;
         }
     });
 }
@@ -199,29 +202,30 @@
 #[test]
 fn an_upgrade_leaves_no_moment_without_a_watch() {
     play("upgrade", |_, first, agent, [m1, ..]| async move {
-        let (call, _) = watched(&agent).await;
+        let (call, _) = accept_watch(&agent).await;
         first.signal("-KILL");
-        first.end().await;
+        first.wait_for_exit().await;
         drop(call);
         let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let version = || start(harness::inheriting(&first.config, &socket, "5"), first.config.clone());
+        let version =
+            || start_program(harness::inheriting_command(&first.config, &socket, "5"), first.config.clone());
         let old = version();
-        let (mut olds, from) = watched(&agent).await;
+        let (mut olds, from) = accept_watch(&agent).await;
         assert_eq!(from, 1);
-        tell(&mut olds, HEAD, &list(5, "m-1", &m1, "in_service")).await;
-        old.says("list version 5").await;
+        send_watch_line(&mut olds, WATCH_HEAD, &list(5, "m-1", &m1, "in_service")).await;
+        old.wait_for_log("list version 5").await;
         let new = version();
-        let (mut news, from) = watched(&agent).await;
+        let (mut news, from) = accept_watch(&agent).await;
         assert_eq!(from, 1, "it knows the saved list only");
-        tell(&mut news, HEAD, &list(6, "m-1", &m1, "in_service")).await;
-        new.says("list version 6").await;
-        tell(&mut olds, "", &list(7, "m-1", &m1, "in_service")).await;
-        old.says("list version 7").await;
+        send_watch_line(&mut news, WATCH_HEAD, &list(6, "m-1", &m1, "in_service")).await;
+        new.wait_for_log("list version 6").await;
+        send_watch_line(&mut olds, "", &list(7, "m-1", &m1, "in_service")).await;
+        old.wait_for_log("list version 7").await;
         old.signal("-TERM");
-        assert!(old.end().await.success());
-        tell(&mut news, "", &list(8, "m-1", &m1, "in_service")).await;
-        new.says("list version 8").await;
+        assert!(old.wait_for_exit().await.success());
+        send_watch_line(&mut news, "", &list(8, "m-1", &m1, "in_service")).await;
+        new.wait_for_log("list version 8").await;
         drop(news);
-        assert_eq!(watched(&agent).await.1, 8, "opened again when it ends, also after the upgrade");
+        assert_eq!(accept_watch(&agent).await.1, 8, "opened again when it ends, also after the upgrade");
     });
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -3,7 +3,7 @@
 
 mod harness;
 
-use harness::{CONFIG, Program, file, program, start};
+use harness::{CONFIG, Program, program_command, start_program, write_test_file};
 use miniserde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -89,7 +89,7 @@
          budget {{ name: \"connections\" what: CONNECTIONS held {{ units: 7 outlives_ms: 2000 }} floor: 1 }}\n",
         store.display()
     );
-    file(&format!("stored-{name}.textproto"), &text)
+    write_test_file(&format!("stored-{name}.textproto"), &text)
 }
 
 impl Keeper {
@@ -102,8 +102,8 @@
         let mut command = Command::new(env!("CARGO_BIN_EXE_linenhill"));
         command.args(["keep", "--name", "k1", "--operator"]).arg(&served);
         command.env("RUST_LOG", "info").stderr(std::process::Stdio::piped());
-        let program = start(command, served);
-        let at = program.address(" listens on ");
+        let program = start_program(command, served);
+        let at = program.logged_address(" listens on ");
         let operator = operator_file(&format!("{fixture_name}-asked"), at, &folder);
         Keeper { _program: program, operator, folder }
     }
@@ -191,11 +191,11 @@
         let config = CONFIG.replacen("\"seed\"", "\"admin\": \"127.0.0.1:0\", \"seed\"", 1);
         // Nobody listens there: the saved list of three members stays in use.
         let config = config.replace("127.0.0.1:8500", "127.0.0.1:1");
-        let path = file("stored-orders.json", &config);
-        let mut command = program(&path);
+        let path = write_test_file("stored-orders.json", &config);
+        let mut command = program_command(&path);
         command.env("LB_NAME", "stored").env("TMPDIR", &folder);
-        let program = start(command, path);
-        let at = program.address("operators call at ");
+        let program = start_program(command, path);
+        let at = program.logged_address("operators call at ");
         let (status, text) = call(at, "GET /status/metrics").await;
         assert!(status == 200 && text.contains("proxy_members 3\n"), "{text}");
         let enter = |id: &str| format!("POST /maintenance/enter?name={id}");
