--- a/tests/components/client_requests.rs
+++ b/tests/components/client_requests.rs
@@ -52,7 +52,7 @@
             sleep(Duration::from_millis(100)).await;
         }
         let third = next_accepted(&mut events).await;
-        assert_eq!(third.request.left.0, 700_000, "its time has run since it came");
+        assert_eq!(third.request.time_left.0, 700_000, "its time has run since it came");
         serve(third, "row 3");
         write(&mut client, TERMINATE).await;
         let received = read_to_end(&mut client).await;
--- a/tests/components/member_connection.rs
+++ b/tests/components/member_connection.rs
@@ -2,7 +2,7 @@
 
 use crate::{peer, typed_message};
 use bytes::Bytes;
-use linenhill::api::{MemberId, Outcome, RequestId, Time};
+use linenhill::api::{LogPosition, MemberId, Outcome, RequestId};
 use linenhill::budget::Budget;
 use linenhill::counters::Counters;
 use linenhill::request::Payload;
@@ -141,7 +141,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let pool = new_pool(2, LONG, listener.local_addr().expect("an address"));
         for (is_draining, first_byte, outcome) in
-            [(true, None, Outcome::Ignored), (false, Some(b'Q'), Outcome::Reset)]
+            [(true, None, Outcome::NotSent), (false, Some(b'Q'), Outcome::Reset)]
         {
             pool.set_accepting(|_| true);
             let attempt_request = AttemptRequest {
@@ -179,16 +179,17 @@
 struct ReadReply {
     outcome: Outcome,
     /// The position of its load report.
-    position: Option<Time>,
+    position: Option<LogPosition>,
     /// Whether the connection may be used again.
     is_reusable: bool,
 }
 
-fn served(position: Option<Time>, is_reusable: bool) -> ReadReply {
+fn served(position: Option<LogPosition>, is_reusable: bool) -> ReadReply {
     ReadReply { outcome: Outcome::Ok, position, is_reusable }
 }
 
-const GARBLED: ReadReply = ReadReply { outcome: Outcome::Garbled, position: None, is_reusable: false };
+const MALFORMED: ReadReply =
+    ReadReply { outcome: Outcome::MalformedReply, position: None, is_reusable: false };
 
 /// The reply that a connection reads from these bytes, sent in answer to a statement; the connection stays open.
 async fn reply_to(bytes: Vec<u8>) -> ReadReply {
@@ -274,10 +275,10 @@
 /// Guards against relaying what no member made for the request, against waiting for an end that never comes, and
 /// against losing a good answer to what arrives along with it.
 #[tokio::test]
-async fn malformed_replies_are_garbled_and_good_ones_served() {
+async fn malformed_replies_are_recognised_and_good_ones_served() {
     let messages = ReplyMessages::new();
     for bytes in messages.malformed() {
-        assert_eq!(reply_to(bytes.clone()).await, GARBLED, "{bytes:?}");
+        assert_eq!(reply_to(bytes.clone()).await, MALFORMED, "{bytes:?}");
     }
     let good = messages.with_row(&messages.row);
     assert_eq!(reply_to(good.clone()).await, served(None, true));
@@ -286,7 +287,7 @@
     }
     let health = |text: &[u8]| typed_message(b'S', &[b"health\0", text, b"\0"].concat());
     let with_report = |report: Vec<u8>| [&report[..], &good].concat();
-    let position = Some(Time(7_000_000));
+    let position = Some(LogPosition(7_000_000));
     assert_eq!(reply_to(with_report(health(b"x0=7,x1=1"))).await, served(position, true));
     for report in [health(b"x0=7,x1=\xff"), health(b"x0=7,x1"), typed_message(b'S', b"health")] {
         assert_eq!(reply_to(with_report(report)).await, served(None, true));
--- a/tests/components/session_fixture.rs
+++ b/tests/components/session_fixture.rs
@@ -2,7 +2,7 @@
 //! driver. It must not answer anything by itself.
 
 use crate::typed_message;
-use linenhill::api::Span;
+use linenhill::api::Micros;
 use linenhill::clients::connection_gate::{AdmittedConnection, ConnectionGate};
 use linenhill::clients::request_gateway::RequestGateway;
 use linenhill::clients::session;
@@ -96,7 +96,7 @@
         max_rejected: 0,
         max_closing: 2,
         max_request_connections: 99,
-        max_retry_after: Span(2_000_000),
+        max_retry_after: Micros(2_000_000),
     }
 }
 
