--- a/examples/toy/peer.rs
+++ b/examples/toy/peer.rs
@@ -66,7 +66,17 @@
     serve_until_idle(stream, primary, act, Duration::from_secs(86_400)).await
 }
 
-/// Plays one connection, until nothing was said on it for `idle`.
+/// Writes the first part of a row's description and of the row itself.
+async fn write_torn_row(stream: &mut TcpStream, value: &str) -> Option<()> {
+    for part in row(value).into_iter().take(2) {
+        let Answer::Raw(raw) = part else { return None };
+        let length = raw.len().div_ceil(2).max(64).min(raw.len());
+        stream.write_all(&raw[..length]).await.ok()?;
+    }
+    Some(())
+}
+
+/// Plays one connection, until nothing was received on it for `idle`.
 pub async fn serve_until_idle<F, R>(stream: TcpStream, primary: bool, act: F, idle: Duration) -> Option<()>
 where
     F: Fn(String) -> R,
@@ -90,14 +100,7 @@
                     }
                     Act::Break => return None,
                     Act::Torn(value) => {
-                        for part in row(&value).into_iter().take(2) {
-                            let Answer::Raw(raw) = part else { return None };
-                            framed
-                                .get_mut()
-                                .write_all(&raw[..raw.len().div_ceil(2).max(64).min(raw.len())])
-                                .await
-                                .ok()?;
-                        }
+                        write_torn_row(framed.get_mut(), &value).await?;
                         return None;
                     }
                     Act::Silence(hung_up) => {
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -8,10 +8,12 @@
 
 mod client;
 mod discovery;
+mod operator_calls;
 mod program;
 
 pub use client::{connect_client, encode, query_command, read_answer};
 pub use discovery::{WATCH_HEAD, accept_watch, send_watch_line};
+pub use operator_calls::{operator_call, try_operator_call};
 pub use peer::Act;
 pub use program::{
     Program, inheriting_command, program_command, start_program, try_wait_until_listening,
@@ -30,6 +32,11 @@
 pub const WRITE: &str =
     "/* id=a2,c=order,d=60000,k=b2,cluster=1 */ INSERT INTO state VALUES ('aa', 'x') RETURNING val";
 
+/// The settings with an address for operators, at a free port.
+pub fn config_with_operators() -> String {
+    CONFIG.replacen("\"seed\"", "\"admin\": \"127.0.0.1:0\", \"seed\"", 1)
+}
+
 /// Runs a test on a runtime of its own, with tasks that stay on this thread.
 pub fn run_local<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -6,12 +6,11 @@
 
 use harness::peer::{self, Act};
 use harness::{
-    CONFIG, Program, READ, WATCH_HEAD, WRITE, accept_watch, connect_client, encode, program_command,
-    query_command, read_answer, send_watch_line, start_program, write_test_file,
+    CONFIG, Program, READ, WATCH_HEAD, WRITE, accept_watch, bind_loopback, connect_client, encode,
+    program_command, query_command, read_answer, run_local, send_watch_line, start_program, write_test_file,
 };
-use linenhill::pg::backend::Command as Sent;
+use linenhill::pg::backend::Command;
 use std::cell::{Cell, RefCell};
-use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -30,18 +29,12 @@
 /// Longer than the program may use a saved list, and than the place of the last of 300 proxies.
 const OBSERVED: Duration = Duration::from_secs(6);
 
-fn in_runtime(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    runtime.block_on(tokio::task::LocalSet::new().run_until(test));
-}
-
 /// Three members that serve every statement and note when; the addresses stand in the configuration.
-async fn members(config: &str, sent: &Rc<RefCell<Vec<Instant>>>) -> (String, Vec<SocketAddr>) {
+async fn start_members(config: &str, sent: &Rc<RefCell<Vec<Instant>>>) -> (String, Vec<SocketAddr>) {
     let mut config = config.to_string();
     let mut addresses = Vec::new();
     for (index, named) in ["127.0.0.1:7001", "127.0.0.1:7002", "127.0.0.1:7003"].iter().enumerate() {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let (listener, address) = bind_loopback().await;
         config = config.replace(named, &address.to_string());
         addresses.push(address);
         let sent = sent.clone();
@@ -68,12 +61,12 @@
 }
 
 /// Writes of one client after the other, for as long as the test runs.
-async fn ask_all_the_time(at: SocketAddr, asked: Rc<Cell<u32>>) {
+async fn write_all_the_time(at: SocketAddr, written: Rc<Cell<u32>>) {
     loop {
-        asked.set(asked.get() + 1);
+        written.set(written.get() + 1);
         let statement = WRITE
-            .replace("id=a2", &format!("id=q{}", asked.get()))
-            .replace("k=b2", &format!("k={:x}", asked.get()))
+            .replace("id=a2", &format!("id=q{}", written.get()))
+            .replace("k=b2", &format!("k={:x}", written.get()))
             .replace("d=60000", "d=2000");
         let answered = async {
             let mut stream = connect_client(at, &[&statement]).await;
@@ -89,19 +82,19 @@
     ages.into_iter().filter(|age| *age > LAST_SEND_AFTER_START + TEST_SLACK).collect()
 }
 
-// Guards against sends by a saved list whose changes count as notified while the first call of discovery waits for the
-// process's place in a fleet of 300: its members were all gone, and came back under their names, before the process
-// started. With the fault, sends went on for 8 s.
+/// Guards against sends by a saved list whose changes count as notified while the first call of discovery waits for the
+/// process's place in a fleet of 300: its members were all gone, and came back under their names, before the process
+/// started. With the fault, sends went on for 8 s.
 #[test]
-fn restarted_process_stops_using_a_saved_list_that_nobody_has_confirmed() {
-    in_runtime(async {
+fn restarted_process_stops_using_an_unconfirmed_saved_list() {
+    run_local(async {
         let sent = Rc::new(RefCell::new(Vec::new()));
-        let (config, _) = members(CONFIG, &sent).await;
-        let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let (config, _) = start_members(CONFIG, &sent).await;
+        let (discovery, _) = bind_loopback().await;
         let program = start_last_of_fleet("saved-list", &config, &discovery).await;
         let started = Instant::now();
         let at = program.logged_address("listens on ");
-        // Discovery takes every call and says nothing before the observation ends.
+        // Discovery accepts every call and sends nothing before the observation ends.
         let calls = Rc::new(RefCell::new(Vec::new()));
         let held = calls.clone();
         spawn_local(async move {
@@ -110,23 +103,23 @@
                 held.borrow_mut().push(call);
             }
         });
-        let asked = Rc::new(Cell::new(0));
-        spawn_local(ask_all_the_time(at, asked.clone()));
+        let written = Rc::new(Cell::new(0));
+        spawn_local(write_all_the_time(at, written.clone()));
         sleep(OBSERVED).await;
         assert!(!sent.borrow().is_empty(), "the saved list is used at first");
         let late = late_sends(&sent, started);
         assert!(late.is_empty(), "{} of {} sends were late: {late:?}", late.len(), sent.borrow().len());
-        assert!(asked.get() > 50, "clients are answered at once: {}", asked.get());
+        assert!(written.get() > 50, "clients are answered at once: {}", written.get());
     });
 }
 
-// Guards against a first call that comes after what the process missed binds.
+/// Guards against a first call that comes after what the process missed binds.
 #[test]
 fn last_of_a_large_fleet_calls_discovery_before_what_it_missed_binds() {
-    in_runtime(async {
+    run_local(async {
         let sent = Rc::default();
-        let (config, addresses) = members(CONFIG, &sent).await;
-        let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let (config, addresses) = start_members(CONFIG, &sent).await;
+        let (discovery, _) = bind_loopback().await;
         let program = start_last_of_fleet("first-call", &config, &discovery).await;
         let (mut call, from) = timeout(LAST_SEND_AFTER_START + TEST_SLACK, accept_watch(&discovery))
             .await
@@ -149,20 +142,20 @@
     });
 }
 
-/// Sends `bytes`, stays, and returns after how long the proxy said something more or closed.
+/// Sends `bytes`, stays, and returns after how long the proxy sent something more or closed.
 async fn stop_after(at: SocketAddr, bytes: Vec<u8>, answers_before: usize) -> Duration {
     let mut stream = TcpStream::connect(at).await.expect("a connection");
     stream.set_nodelay(true).expect("an option");
     stream.write_all(&bytes).await.expect("written");
     let stopped = Instant::now();
-    let mut got = Vec::new();
+    let mut received = Vec::new();
     loop {
         let mut piece = [0; 1024];
         match stream.read(&mut piece).await {
             Ok(0) | Err(_) => return stopped.elapsed(),
-            Ok(n) => got.extend_from_slice(&piece[..n]),
+            Ok(length) => received.extend_from_slice(&piece[..length]),
         }
-        if got.len() > answers_before {
+        if received.len() > answers_before {
             return stopped.elapsed();
         }
     }
@@ -171,35 +164,37 @@
 /// The length of what a client is answered to its startup message.
 async fn length_of_welcome(at: SocketAddr) -> usize {
     let mut stream = TcpStream::connect(at).await.expect("a connection");
-    stream.write_all(&encode(&[Sent::Startup])).await.expect("written");
-    let mut got = Vec::new();
-    while !got.ends_with(b"Z\0\0\0\x05I") {
-        got.push(stream.read_u8().await.expect("a welcome"));
+    stream.write_all(&encode(&[Command::Startup])).await.expect("written");
+    let mut received = Vec::new();
+    while !received.ends_with(b"Z\0\0\0\x05I") {
+        received.push(stream.read_u8().await.expect("a welcome"));
     }
-    got.len()
+    received.len()
 }
 
-// Guards against limits that are longer than what bad clients are owed: with the fault, their end came after 3.5 s.
+/// Guards against limits that are longer than the platform's for bad clients: with the fault, their end came after 3.5 s.
 #[test]
 fn client_that_stops_at_any_byte_gets_its_end_in_time() {
-    in_runtime(async {
+    run_local(async {
         let sent = Rc::default();
-        let (config, _) = members(CONFIG, &sent).await;
-        let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let at = discovery.local_addr().expect("an address").to_string();
+        let (config, _) = start_members(CONFIG, &sent).await;
+        let (discovery, discovery_address) = bind_loopback().await;
         spawn_local(peer::discovery(discovery, r#"{"version":2,"full":false,"servers":[]}"#.to_string()));
-        let path = write_test_file("stopped.json", &config.replace("127.0.0.1:8500", &at));
+        let path = write_test_file(
+            "stopped.json",
+            &config.replace("127.0.0.1:8500", &discovery_address.to_string()),
+        );
         let program = start_program(program_command(&path), path);
         let at = program.logged_address("listens on ");
         let welcome = length_of_welcome(at).await;
-        let startup = encode(&[Sent::Startup]).to_vec();
-        let whole = encode(&[Sent::Startup, query_command(READ)]).to_vec();
+        let startup = encode(&[Command::Startup]).to_vec();
+        let request = encode(&[Command::Startup, query_command(READ)]).to_vec();
         let mut clients = Vec::new();
-        for length in 1..whole.len() {
-            // A whole startup message and nothing more is a client between requests.
+        for length in 1..request.len() {
+            // A complete startup message and nothing more is a client between requests.
             if length != startup.len() {
                 let before = if length > startup.len() { welcome } else { 0 };
-                let client = stop_after(at, whole[..length].to_vec(), before);
+                let client = stop_after(at, request[..length].to_vec(), before);
                 clients.push((length, spawn_local(client)));
             }
         }
--- a/tests/outages.rs
+++ b/tests/outages.rs
@@ -5,12 +5,10 @@
 mod harness;
 
 use cluster_harness::{Cluster, ClusterConfig, KEEPERS, PROGRESS_TIMEOUT};
-use harness::run_local;
+use harness::{run_local, try_operator_call};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
@@ -22,15 +20,7 @@
 
 /// One call at a proxy's address for operators: the status and the text, if it answers.
 async fn call(at: SocketAddr, target: &str) -> Option<(u16, String)> {
-    let exchange = async {
-        let mut stream = TcpStream::connect(at).await.ok()?;
-        stream.write_all(format!("POST {target} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).await.ok()?;
-        let mut response = String::new();
-        stream.read_to_string(&mut response).await.ok()?;
-        let status = response.split(' ').nth(1)?.parse().ok()?;
-        Some((status, response.split_once("\r\n\r\n")?.1.to_string()))
-    };
-    timeout(CALL_TIMEOUT, exchange).await.ok()?
+    timeout(CALL_TIMEOUT, try_operator_call(at, &format!("POST {target}"))).await.ok()?
 }
 
 /// The status of such a call.
--- a/tests/pipeline.rs
+++ b/tests/pipeline.rs
@@ -20,17 +20,17 @@
 /// No step takes so long, however slow the machine: what is waited for never comes.
 const NEVER: Duration = Duration::from_secs(100);
 
-/// Plays a test with the program and members that do what `act` says, and fails it if a step never comes.
-fn play<A, R, F>(name: &str, act: A, test: impl FnOnce(SocketAddr, Rc<Program>) -> F)
+/// Runs a test with the program and members that do what `act` says, and fails it if a step never comes.
+fn run_within_time<A, R, F>(name: &str, act: A, test: impl FnOnce(SocketAddr, Rc<Program>) -> F)
 where
     A: Fn(usize, String) -> R + Clone + 'static,
     R: Future<Output = Act> + 'static,
     F: Future<Output = ()>,
 {
-    run_with_config(name, CONFIG, act, |at, program| async move {
-        let seen = program.clone();
-        if timeout(NEVER, test(at, program)).await.is_err() {
-            panic!("{name}: a step that never came: {}", seen.log.lock().expect("the log"));
+    run_with_config(name, CONFIG, act, |address, program| async move {
+        let logging = program.clone();
+        if timeout(NEVER, test(address, program)).await.is_err() {
+            panic!("{name}: a step that never came: {}", logging.log.lock().expect("the log"));
         }
     });
 }
@@ -40,20 +40,20 @@
     (0..FLOOD).map(|n| READ.replace("id=a1", &format!("id=f{n}."))).collect()
 }
 
-async fn flooding_client(at: SocketAddr) -> TcpStream {
+async fn flooding_client(address: SocketAddr) -> TcpStream {
     let queries = flood();
     let queries: Vec<&str> = queries.iter().map(String::as_str).collect();
-    connect_client(at, &queries).await
+    connect_client(address, &queries).await
 }
 
-/// What an answer says: its value, or all of it where it is no row.
+/// The value of an answer, or all of it where it is no row.
 fn value(answer: &str) -> &str {
     if answer.contains("SELECT 1") && answer.contains("other") { "other" } else { answer }
 }
 
 /// The same, once the first of its reads has reached a member.
-async fn flooding_client_under_way(at: SocketAddr, sent: &Cell<usize>) -> TcpStream {
-    let client = flooding_client(at).await;
+async fn flooding_client_under_way(address: SocketAddr, sent: &Cell<usize>) -> TcpStream {
+    let client = flooding_client(address).await;
     while sent.get() == 0 {
         tokio::task::yield_now().await;
     }
@@ -88,11 +88,11 @@
 async fn answers_in_order(client: &mut TcpStream) -> (usize, usize) {
     let (mut served, mut rejected) = (0, 0);
     for number in 0..FLOOD {
-        let got = read_answer(client).await;
-        if got.contains(&format!("row {number}.")) {
+        let answer = read_answer(client).await;
+        if answer.contains(&format!("row {number}.")) {
             served += 1;
         } else {
-            assert!(got.contains("C53300\0") && got.contains("\0D"), "answer {number}: {got:?}");
+            assert!(answer.contains("C53300\0") && answer.contains("\0D"), "answer {number}: {answer:?}");
             rejected += 1;
         }
     }
@@ -104,11 +104,12 @@
 /// every bound.
 #[test]
 fn a_flood_is_answered_in_order() {
-    let (gate, sent) = (Rc::new(Semaphore::new(0)), Rc::new(Cell::new(0)));
-    play("flood-read", gated(&gate, &sent), |at, program| async move {
-        let mut flooding = flooding_client_under_way(at, &sent).await;
+    let gate = Rc::new(Semaphore::new(0));
+    let sent = Rc::new(Cell::new(0));
+    run_within_time("flood-read", gated(&gate, &sent), |address, program| async move {
+        let mut flooding = flooding_client_under_way(address, &sent).await;
         // Another client is not held up by what waits behind the flood.
-        let mut other = connect_client(at, &[READ]).await;
+        let mut other = connect_client(address, &[READ]).await;
         assert_eq!(value(&read_answer(&mut other).await), "other");
         assert!(sent.get() <= 1 + MAX_MESSAGES, "{} are at members", sent.get());
         gate.add_permits(FLOOD);
@@ -122,34 +123,35 @@
 
 /// Guards against memory and time that a client which reads nothing takes for ever, or from others.
 #[test]
-fn a_flood_from_a_client_that_does_not_read_is_let_go() {
+fn flood_from_a_client_that_does_not_read_is_dropped() {
     let act = |_, statement: String| {
         let row = if number(&statement).is_some() { "v".repeat(60_000) } else { "other".into() };
         std::future::ready(Act::Row(row))
     };
-    play("flood-unread", act, |at, program| async move {
-        let flooding = flooding_client(at).await;
-        let mut other = connect_client(at, &[READ]).await;
+    run_within_time("flood-unread", act, |address, program| async move {
+        let flooding = flooding_client(address).await;
+        let mut other = connect_client(address, &[READ]).await;
         assert_eq!(value(&read_answer(&mut other).await), "other");
         program.wait_for_log("code=write-timeout").await;
-        let mut other = connect_client(at, &[READ]).await;
+        let mut other = connect_client(address, &[READ]).await;
         assert_eq!(value(&read_answer(&mut other).await), "other");
         drop(flooding);
     });
 }
 
-/// Guards against a client's end that is not seen behind the input that stays unread, and against requests that are held
-/// or sent on for it.
+/// Guards against a client's end that is not seen behind the input that stays unread, and against requests that are queued
+/// or forwarded for it.
 #[test]
 fn a_client_that_leaves_in_mid_flood_is_seen() {
-    let (gate, sent) = (Rc::new(Semaphore::new(0)), Rc::new(Cell::new(0)));
-    play("flood-left", gated(&gate, &sent), |at, program| async move {
-        let flooding = flooding_client_under_way(at, &sent).await;
+    let gate = Rc::new(Semaphore::new(0));
+    let sent = Rc::new(Cell::new(0));
+    run_within_time("flood-left", gated(&gate, &sent), |address, program| async move {
+        let flooding = flooding_client_under_way(address, &sent).await;
         drop(flooding);
         program.wait_for_log("code=client-gone").await;
         let before = sent.get();
         gate.add_permits(FLOOD);
-        let mut other = connect_client(at, &[READ]).await;
+        let mut other = connect_client(address, &[READ]).await;
         assert_eq!(value(&read_answer(&mut other).await), "other");
         assert_eq!(sent.get(), before, "nothing is sent for a client that has left");
         program.signal("-TERM");
@@ -161,9 +163,10 @@
 /// unread then.
 #[test]
 fn a_flood_is_answered_through_a_stop() {
-    let (gate, sent) = (Rc::new(Semaphore::new(0)), Rc::new(Cell::new(0)));
-    play("flood-stop", gated(&gate, &sent), |at, program| async move {
-        let mut flooding = flooding_client_under_way(at, &sent).await;
+    let gate = Rc::new(Semaphore::new(0));
+    let sent = Rc::new(Cell::new(0));
+    run_within_time("flood-stop", gated(&gate, &sent), |address, program| async move {
+        let mut flooding = flooding_client_under_way(address, &sent).await;
         program.signal("-TERM");
         program.wait_for_log("stopping, ").await;
         gate.add_permits(FLOOD);
@@ -179,13 +182,14 @@
 /// answered, and what comes behind the last of them is not accepted.
 #[test]
 fn too_many_malformed_statements_end_the_connection_behind_what_was_accepted() {
-    let (gate, sent) = (Rc::new(Semaphore::new(0)), Rc::new(Cell::new(0)));
-    play("flood-malformed", gated(&gate, &sent), |at, program| async move {
+    let gate = Rc::new(Semaphore::new(0));
+    let sent = Rc::new(Cell::new(0));
+    run_within_time("flood-malformed", gated(&gate, &sent), |address, program| async move {
         let (first, last) = (READ.replace("id=a1", "id=f1."), READ.replace("id=a1", "id=f2."));
         let mut queries = vec![first.as_str()];
         queries.extend(["SELECT 1"; 8]);
         queries.push(&last);
-        let mut flooding = connect_client(at, &queries).await;
+        let mut flooding = connect_client(address, &queries).await;
         while sent.get() == 0 {
             tokio::task::yield_now().await;
         }
--- a/tests/pushed.rs
+++ b/tests/pushed.rs
@@ -4,8 +4,8 @@
 mod harness;
 
 use harness::{
-    Act, Program, WATCH_HEAD, accept_watch, connect_client, peer, program_command, read_answer,
-    send_watch_line, start_program, write_test_file,
+    Act, Program, WATCH_HEAD, accept_watch, bind_loopback, connect_client, peer, program_command,
+    read_answer, run_local, send_watch_line, start_program, write_test_file,
 };
 use linenhill::api::{Discovery, Micros};
 use linenhill::config::{Config, Reading, Variables};
@@ -18,23 +18,30 @@
 const READ: &str = "/* id=a1,c=any,d=60000,cluster=1 */ SELECT val FROM state WHERE uid = 'aa'";
 
 /// What a configuration comes to: the grace of drains, or the line that names what is wrong.
-fn read(config: &str) -> Result<Micros, String> {
-    let read =
+fn drain_grace_of(config: &str) -> Result<Micros, String> {
+    let parsed =
         Config::parse(config, std::path::Path::new("pushed.json"), Variables::default(), Reading::Start);
-    let config = read.map_err(|e| e.to_string())?;
+    let config = parsed.map_err(|error| error.to_string())?;
     assert_eq!(config.site.settings.discovery, Discovery::Pushed);
     Ok(config.site.settings.rules.drain_grace)
 }
 
-// Guards against a panic or a silent guess on settings that only the other kind of site has, or lacks.
+/// Guards against a panic or a silent guess on settings that only the other kind of site has, or lacks.
 #[test]
-fn what_the_other_kind_of_site_lacks_has_its_default_and_what_is_wrong_is_named() {
-    assert_eq!(read(PUSHED), Ok(Micros(250_000)));
-    assert_eq!(read(&PUSHED.replace("250000, \"fall\"", "90000, \"fall\"")), Ok(Micros(90_000)));
-    assert_eq!(read(&PUSHED.replace("\"drainGrace\": 250000, ", "")), Ok(Micros(250_000)), "the default");
-    assert_eq!(read(&PUSHED.replace("\"zones\": [\"a\", \"b\", \"c\"], ", "")), Ok(Micros(250_000)));
+fn missing_settings_have_defaults_and_wrong_ones_are_named() {
+    assert_eq!(drain_grace_of(PUSHED), Ok(Micros(250_000)));
+    assert_eq!(drain_grace_of(&PUSHED.replace("250000, \"fall\"", "90000, \"fall\"")), Ok(Micros(90_000)));
+    assert_eq!(
+        drain_grace_of(&PUSHED.replace("\"drainGrace\": 250000, ", "")),
+        Ok(Micros(250_000)),
+        "the default"
+    );
+    assert_eq!(
+        drain_grace_of(&PUSHED.replace("\"zones\": [\"a\", \"b\", \"c\"], ", "")),
+        Ok(Micros(250_000))
+    );
     let reports = "\"report\": {\"how\": \"probe\", \"names\": [\"x0\", \"x1\", \"queue\"]},";
-    assert_eq!(read(&PUSHED.replace(reports, "")), Ok(Micros(250_000)));
+    assert_eq!(drain_grace_of(&PUSHED.replace(reports, "")), Ok(Micros(250_000)));
     for (right, wrong, field) in [
         ("\"pushed\"", "\"polled\"", "settings.discovery"),
         ("\"drainGrace\": 250000", "\"drainGrace\": -1", "settings.rules.drainGrace"),
@@ -50,17 +57,11 @@
     ] {
         let text = PUSHED.replacen(right, wrong, 1);
         assert_ne!(text, PUSHED, "{right}");
-        let said = read(&text).expect_err(field);
-        assert!(said.contains(&format!("'{field}'")) && said.lines().count() == 1, "{field}: {said}");
+        let error = drain_grace_of(&text).expect_err(field);
+        assert!(error.contains(&format!("'{field}'")) && error.lines().count() == 1, "{field}: {error}");
     }
 }
 
-async fn bind() -> (TcpListener, String) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let at = listener.local_addr().expect("an address").to_string();
-    (listener, at)
-}
-
 fn list(version: u64, id: &str, addr: &str, state: &str) -> String {
     format!(
         r#"{{"version":{version},"full":false,"servers":[{{"id":"{id}","addr":"{addr}","zone":"a","kind":"toy","cell":1,"state":"{state}","weight":1.0,"started_ms":0,"recovery":"on"}}]}}"#
@@ -68,45 +69,45 @@
 }
 
 /// Starts three members, the first of them primary, and the program before an agent that the test plays.
-fn play<F: Future<Output = ()>>(
+fn run_with_agent<F: Future<Output = ()>>(
     name: &str, test: impl FnOnce(SocketAddr, Rc<Program>, TcpListener, [String; 3]) -> F,
 ) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let all = async {
+    run_local(async {
         let mut config = PUSHED.to_string();
         let mut members = Vec::new();
         for i in 0..3 {
-            let (listener, at) = bind().await;
-            config = config.replace(&format!("127.0.0.1:700{}", i + 1), &at);
-            members.push(at);
+            let (listener, address) = bind_loopback().await;
+            config = config.replace(&format!("127.0.0.1:700{}", i + 1), &address.to_string());
+            members.push(address.to_string());
             let act = move |_: String| std::future::ready(Act::Row(format!("from {i}")));
             tokio::task::spawn_local(peer::member(listener, i == 0, act));
         }
-        let (agent, at) = bind().await;
-        let config = config.replace("127.0.0.1:8500", &at).replace("\"slo\": 800000", "\"slo\": 30000000");
+        let (agent, agent_address) = bind_loopback().await;
+        let config = config
+            .replace("127.0.0.1:8500", &agent_address.to_string())
+            .replace("\"slo\": 800000", "\"slo\": 30000000");
         let config = config.replace("\"connectTimeout\": 250000", "\"connectTimeout\": 5000000");
         let config = config.replace("\"seed\"", "\"admin\": \"127.0.0.1:0\", \"seed\"");
         let path = write_test_file(&format!("{name}.json"), &config);
         let program = Rc::new(start_program(program_command(&path), path));
         let members = members.try_into().unwrap_or_else(|_| panic!("three members"));
         test(program.logged_address("listens on "), program.clone(), agent, members).await;
-    };
-    runtime.block_on(tokio::task::LocalSet::new().run_until(all));
+    });
 }
 
-// Guards against a program that lives on its saved list for ever, since nobody asks for a watch where lists are
-// pushed: from the start, after a watch that ended, after an agent that was away, and over a start anew.
+/// Guards against a program that keeps its saved list for ever, since no watch is asked for where lists are
+/// pushed: from the start, after a watch that ended, after an agent that was away, and over a restart.
 #[test]
-fn the_watch_is_open_from_the_start_and_again_whenever_it_ends() {
-    play("watch", |_, program, agent, [first, ..]| async move {
-        let (mut call, from) = accept_watch(&agent).await;
-        assert_eq!(from, 1, "the version of the saved list");
+fn watch_is_open_from_the_start_and_reopened() {
+    run_with_agent("watch", |_, program, agent, [first, ..]| async move {
+        let (mut call, version) = accept_watch(&agent).await;
+        assert_eq!(version, 1, "the version of the saved list");
         send_watch_line(&mut call, WATCH_HEAD, &list(5, "m-1", &first, "in_service")).await;
         program.wait_for_log("list version 5").await;
         drop(call);
-        let (call, from) = accept_watch(&agent).await;
-        assert_eq!(from, 5);
-        // Ended without a word, many times over; and then nobody listens for a while.
+        let (call, version) = accept_watch(&agent).await;
+        assert_eq!(version, 5);
+        // Ended without a line, many times over; and then nothing listens for a while.
         drop(call);
         for _ in 0..5 {
             assert_eq!(accept_watch(&agent).await.1, 5);
@@ -115,8 +116,8 @@
         drop(agent);
         program.wait_for_log("code=refused").await;
         let agent = TcpListener::bind(at).await.expect("the port again");
-        let (mut call, from) = accept_watch(&agent).await;
-        assert_eq!(from, 5);
+        let (mut call, version) = accept_watch(&agent).await;
+        assert_eq!(version, 5);
         send_watch_line(&mut call, WATCH_HEAD, "").await;
         send_watch_line(&mut call, "", &list(6, "m-1", &first, "in_service")).await;
         program.wait_for_log("list version 6").await;
@@ -128,31 +129,31 @@
     });
 }
 
-// Guards against a reload that leaves the program without a watch, or with the one at the old agent.
+/// Guards against a reload that leaves the program without a watch, or with the one at the old agent.
 #[test]
 fn a_reload_moves_the_watch_to_the_new_agent() {
-    play("moved", |_, program, agent, [first, ..]| async move {
+    run_with_agent("moved", |_, program, agent, [first, ..]| async move {
         let (mut old, _) = accept_watch(&agent).await;
         send_watch_line(&mut old, WATCH_HEAD, &list(5, "m-1", &first, "in_service")).await;
         program.wait_for_log("list version 5").await;
-        let (other, at) = bind().await;
+        let (other, other_address) = bind_loopback().await;
         let text = std::fs::read_to_string(&program.config).expect("a file");
         let before = agent.local_addr().expect("an address").to_string();
-        std::fs::write(&program.config, text.replace(&before, &at)).expect("a file");
+        std::fs::write(&program.config, text.replace(&before, &other_address.to_string())).expect("a file");
         program.signal("-HUP");
-        let (mut call, from) = accept_watch(&other).await;
-        assert_eq!(from, 5);
+        let (mut call, version) = accept_watch(&other).await;
+        assert_eq!(version, 5);
         send_watch_line(&mut call, WATCH_HEAD, &list(6, "m-1", &first, "in_service")).await;
         program.wait_for_log("list version 6").await;
         assert_eq!(old.read(&mut [0; 8]).await.unwrap_or(0), 0, "the old watch is closed");
     });
 }
 
-// Guards against new work at a member whose drain the agent has told of, and against a list of roles that is not read:
-// the write must find the primary that only the list names.
+/// Guards against new work at a member whose drain the agent has announced, and against a list of roles that is not read:
+/// the write must find the primary that only the list names.
 #[test]
-fn what_the_agent_tells_is_acted_on_at_once() {
-    play("drained", |at, program, agent, [_, second, third]| async move {
+fn list_changes_apply_at_once() {
+    run_with_agent("drained", |address, program, agent, [_, second, third]| async move {
         let (mut call, _) = accept_watch(&agent).await;
         send_watch_line(&mut call, WATCH_HEAD, &list(5, "m-2", &second, "terminating")).await;
         send_watch_line(&mut call, "", &list(6, "m-3", &third, "terminated")).await;
@@ -161,71 +162,71 @@
             "SELECT val FROM state WHERE uid = 'aa'",
             "INSERT INTO state VALUES ('aa', 'x') RETURNING val",
         );
-        let mut c = connect_client(at, &[&write]).await;
-        assert!(read_answer(&mut c).await.contains("from 0"));
+        let mut client = connect_client(address, &[&write]).await;
+        assert!(read_answer(&mut client).await.contains("from 0"));
         for n in 0..40 {
             let read = READ.replace("id=a1", &format!("id=r{n}"));
-            c.write_all(&harness::encode(&[harness::query_command(&read)])).await.expect("written");
-            let got = read_answer(&mut c).await;
-            assert!(!got.contains("from 1") && !got.contains("from 2"), "{got}");
+            client.write_all(&harness::encode(&[harness::query_command(&read)])).await.expect("written");
+            let answer = read_answer(&mut client).await;
+            assert!(!answer.contains("from 1") && !answer.contains("from 2"), "{answer}");
         }
     });
 }
 
-// Guards against a proxy that stands by, or stops with requests still out, and hears of no drain meanwhile.
+/// Guards against a proxy that stands by, or stops with requests in flight, and receives no drain meanwhile.
 #[test]
 fn the_watch_is_kept_in_standby_and_back_in_service() {
-    play("standby", |_, program, agent, [first, ..]| async move {
+    run_with_agent("standby", |_, program, agent, [first, ..]| async move {
         let (mut call, _) = accept_watch(&agent).await;
         send_watch_line(&mut call, WATCH_HEAD, &list(5, "m-1", &first, "in_service")).await;
         program.wait_for_log("list version 5").await;
         let operators = program.logged_address("operators call at ");
-        for (path, said, version) in
+        for (path, log_text, list_version) in
             [("/standby", "operators: draining", 6), ("/active", "operators: serving", 7)]
         {
-            let mut door = TcpStream::connect(operators).await.expect("the operators' door");
+            let mut operator = TcpStream::connect(operators).await.expect("a connection");
             let post = format!("POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
-            door.write_all(post.as_bytes()).await.expect("written");
-            program.wait_for_log(said).await;
+            operator.write_all(post.as_bytes()).await.expect("written");
+            program.wait_for_log(log_text).await;
             drop(std::mem::replace(&mut call, TcpStream::connect(operators).await.expect("a connection")));
-            let (again, from) = accept_watch(&agent).await;
-            assert_eq!(from, version - 1);
+            let (again, version) = accept_watch(&agent).await;
+            assert_eq!(version, list_version - 1);
             call = again;
-            send_watch_line(&mut call, WATCH_HEAD, &list(version, "m-1", &first, "in_service")).await;
-            program.wait_for_log(&format!("list version {version}")).await;
+            send_watch_line(&mut call, WATCH_HEAD, &list(list_version, "m-1", &first, "in_service")).await;
+            program.wait_for_log(&format!("list version {list_version}")).await;
         }
     });
 }
 
-// Guards against an upgrade after which nobody watches: the newcomer opens its own watch at once, whatever the old one
-// still has, and keeps it when the old one ends; until then the old one goes on hearing.
+/// Guards against an upgrade after which no version watches: the new one opens its own watch at once, whatever the old one
+/// still has, and keeps it when the old one ends; until then the old one goes on receiving.
 #[test]
 fn an_upgrade_leaves_no_moment_without_a_watch() {
-    play("upgrade", |_, first, agent, [m1, ..]| async move {
+    run_with_agent("upgrade", |_, first, agent, [m1, ..]| async move {
         let (call, _) = accept_watch(&agent).await;
         first.signal("-KILL");
         first.wait_for_exit().await;
         drop(call);
         let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let version =
+        let start_version =
             || start_program(harness::inheriting_command(&first.config, &socket, "5"), first.config.clone());
-        let old = version();
-        let (mut olds, from) = accept_watch(&agent).await;
-        assert_eq!(from, 1);
-        send_watch_line(&mut olds, WATCH_HEAD, &list(5, "m-1", &m1, "in_service")).await;
+        let old = start_version();
+        let (mut old_watch, version) = accept_watch(&agent).await;
+        assert_eq!(version, 1);
+        send_watch_line(&mut old_watch, WATCH_HEAD, &list(5, "m-1", &m1, "in_service")).await;
         old.wait_for_log("list version 5").await;
-        let new = version();
-        let (mut news, from) = accept_watch(&agent).await;
-        assert_eq!(from, 1, "it knows the saved list only");
-        send_watch_line(&mut news, WATCH_HEAD, &list(6, "m-1", &m1, "in_service")).await;
+        let new = start_version();
+        let (mut new_watch, version) = accept_watch(&agent).await;
+        assert_eq!(version, 1, "it knows the saved list only");
+        send_watch_line(&mut new_watch, WATCH_HEAD, &list(6, "m-1", &m1, "in_service")).await;
         new.wait_for_log("list version 6").await;
-        send_watch_line(&mut olds, "", &list(7, "m-1", &m1, "in_service")).await;
+        send_watch_line(&mut old_watch, "", &list(7, "m-1", &m1, "in_service")).await;
         old.wait_for_log("list version 7").await;
         old.signal("-TERM");
         assert!(old.wait_for_exit().await.success());
-        send_watch_line(&mut news, "", &list(8, "m-1", &m1, "in_service")).await;
+        send_watch_line(&mut new_watch, "", &list(8, "m-1", &m1, "in_service")).await;
         new.wait_for_log("list version 8").await;
-        drop(news);
+        drop(new_watch);
         assert_eq!(accept_watch(&agent).await.1, 8, "opened again when it ends, also after the upgrade");
     });
 }
--- a/tests/race_conditions/client_departure.rs
+++ b/tests/race_conditions/client_departure.rs
@@ -89,7 +89,8 @@
                     setup.program.signal("-CONT");
                     let statements = serve_at_first_member(&setup);
                     read_answer(&mut staying).await;
-                    assert!(read_answer(&mut staying).await.contains("mine"));
+                    let answer = read_answer(&mut staying).await;
+                    assert!(answer.contains("mine"), "{answer}");
                     assert_eq!(read_answer(&mut staying).await, "", "then it is closed");
                     assert!(setup.program.wait_for_exit().await.success());
                     let statements = statements.borrow();
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -3,18 +3,18 @@
 
 mod harness;
 
-use harness::{CONFIG, Program, program_command, start_program, write_test_file};
+use harness::{
+    Program, config_with_operators, operator_call, program_command, run_local, start_program, write_test_file,
+};
 use miniserde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
 /// A state that must come has come by then, on the slowest machine.
-const LONG: Duration = Duration::from_secs(120);
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A file of this repository.
 fn fixture(path: &str) -> PathBuf {
@@ -22,18 +22,13 @@
 }
 
 /// An empty folder under the build's own one for temporary files.
-fn folder(name: &str) -> PathBuf {
+fn empty_folder(name: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-stored-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).expect("a folder");
     path
 }
 
-fn block_on(work: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    runtime.block_on(work);
-}
-
 /// What `fleet status --json` prints; scripts of operators read the same names.
 #[derive(Deserialize)]
 struct Status {
@@ -67,7 +62,13 @@
     forced: bool,
 }
 
-/// A keeper on a copy of a stored log, and the operators' file by which it is asked.
+impl Out {
+    fn fields(&self) -> (&str, u64, &str, &str, bool) {
+        (&self.thing, self.permit, &self.by, &self.reason, self.forced)
+    }
+}
+
+/// A keeper on a copy of a stored log, and the operators' file with which it is called.
 struct Keeper {
     _program: Program,
     operator: PathBuf,
@@ -93,8 +94,8 @@
 }
 
 impl Keeper {
-    fn on(fixture_name: &str) -> Keeper {
-        let folder = folder(fixture_name);
+    fn start_on(fixture_name: &str) -> Keeper {
+        let folder = empty_folder(fixture_name);
         let from = fixture("crates/cluster/tests/fixtures").join(fixture_name);
         std::fs::copy(from.join("agreed.redb"), folder.join("agreed.redb")).expect("a copy");
         let any: SocketAddr = "127.0.0.1:1".parse().expect("an address");
@@ -108,7 +109,7 @@
         Keeper { _program: program, operator, folder }
     }
 
-    /// `linenhill fleet ...`: what it prints, if it is a yes.
+    /// `linenhill fleet ...`: what it prints, if it succeeds.
     fn fleet(&self, args: &[&str]) -> Option<String> {
         let mut command = Command::new(env!("CARGO_BIN_EXE_linenhill"));
         let run = command.arg("fleet").args(args).arg("--operator").arg(&self.operator).output();
@@ -117,7 +118,7 @@
     }
 
     /// The state once this keeper leads again and knows what was agreed on.
-    async fn leads(&self) -> Status {
+    async fn wait_until_leader(&self) -> Status {
         let leads = async {
             loop {
                 let status = self.fleet(&["status", "--json"]);
@@ -128,29 +129,31 @@
                 }
             }
         };
-        timeout(LONG, leads).await.expect("the keeper leads")
+        timeout(PROGRESS_TIMEOUT, leads).await.expect("the keeper leads")
     }
 }
 
-// Guards against a keeper of a later version that comes up on the disk of an earlier one without what was agreed on, begins a
-// log of its own there, or gives a permit's number twice. The log and the snapshot of it must lead to the same.
+/// Guards against a keeper of a later version that comes up on the disk of an earlier one without what was agreed on, begins a
+/// log of its own there, or gives a permit's number twice. The log and the snapshot of it must lead to the same.
 #[test]
-fn a_keeper_goes_on_from_the_store_of_an_earlier_version() {
+fn a_keeper_continues_from_an_earlier_versions_store() {
     for fixture_name in ["keeper-log", "keeper-snapshot"] {
-        block_on(async {
-            let keeper = Keeper::on(fixture_name);
-            let Status { term, instances, budgets, out, .. } = keeper.leads().await;
+        run_local(async {
+            let keeper = Keeper::start_on(fixture_name);
+            let Status { term, instances, budgets, out, .. } = keeper.wait_until_leader().await;
             assert!(term > 2, "{fixture_name}: an election after that of the fixture");
-            let instances: Vec<(&str, &str, &str)> =
-                instances.iter().map(|i| (&*i.name, &*i.incarnation, &*i.zone)).collect();
+            let instances: Vec<(&str, &str, &str)> = instances
+                .iter()
+                .map(|instance| (&*instance.name, &*instance.incarnation, &*instance.zone))
+                .collect();
             assert_eq!(instances, [("p1", "303968bf6019890c", "a"), ("p2", "92b4c9defbe252d6", "a")]);
-            let budgets: Vec<(&str, u64)> = budgets.iter().map(|b| (&*b.name, b.whole)).collect();
+            let budgets: Vec<(&str, u64)> =
+                budgets.iter().map(|budget| (&*budget.name, budget.whole)).collect();
             let connections =
                 ["connections/m-1", "connections/m-2", "connections/m-3"].map(|name| (name, 40));
             assert_eq!(budgets, [&connections[..], &[("orders", 50_000)]].concat());
-            let permitted = out.iter().filter(|o| o.permit > 0);
-            let permitted: Vec<(&str, u64, &str, &str, bool)> =
-                permitted.map(|o| (&*o.thing, o.permit, &*o.by, &*o.reason, o.forced)).collect();
+            let permitted = out.iter().filter(|disruption| disruption.permit > 0);
+            let permitted: Vec<(&str, u64, &str, &str, bool)> = permitted.map(Out::fields).collect();
             assert_eq!(
                 permitted,
                 [
@@ -169,40 +172,29 @@
     }
 }
 
-/// One call of operators: the status and the text.
-async fn call(at: SocketAddr, line: &str) -> (u16, String) {
-    let mut stream = TcpStream::connect(at).await.expect("a connection");
-    stream.write_all(format!("{line} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).await.expect("written");
-    let mut got = String::new();
-    stream.read_to_string(&mut got).await.expect("an answer");
-    let status = got.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
-    (status, got.split_once("\r\n\r\n").expect("a head").1.trim().to_string())
-}
-
-// Guards against an upgrade that sends to a member which operators took out with the version before: the file of orders is
-// read as it was written, also the order of a member that came back, and the next order doesn't drop it.
+/// Guards against an upgrade that sends to a member which operators took out with the version before: the file of orders is
+/// read as it was written, also the order of a member that came back, and the next order doesn't drop it.
 #[test]
-fn orders_on_members_of_an_earlier_version_hold() {
-    block_on(async {
-        let folder = folder("orders");
+fn maintenance_orders_of_an_earlier_version_hold() {
+    run_local(async {
+        let folder = empty_folder("orders");
         let orders = folder.join("linenhill-stored").join("words");
         std::fs::create_dir_all(orders.parent().expect("a folder")).expect("a folder");
         std::fs::copy(fixture("tests/fixtures/words"), &orders).expect("a copy");
-        let config = CONFIG.replacen("\"seed\"", "\"admin\": \"127.0.0.1:0\", \"seed\"", 1);
-        // Nobody listens there: the saved list of three members stays in use.
-        let config = config.replace("127.0.0.1:8500", "127.0.0.1:1");
+        // Nothing listens there: the saved list of three members stays in use.
+        let config = config_with_operators().replace("127.0.0.1:8500", "127.0.0.1:1");
         let path = write_test_file("stored-orders.json", &config);
         let mut command = program_command(&path);
         command.env("LB_NAME", "stored").env("TMPDIR", &folder);
         let program = start_program(command, path);
         let at = program.logged_address("operators call at ");
-        let (status, text) = call(at, "GET /status/metrics").await;
+        let (status, text) = operator_call(at, "GET /status/metrics").await;
         assert!(status == 200 && text.contains("proxy_members 3\n"), "{text}");
         let enter = |id: &str| format!("POST /maintenance/enter?name={id}");
         let exit = |id: &str| format!("POST /maintenance/exit?name={id}");
-        assert_eq!(call(at, &enter("m-2")).await, (200, "m-2 is out, as before".into()));
-        assert_eq!(call(at, &exit("m-3")).await, (200, "m-3 is in use, as before".into()));
-        assert_eq!(call(at, &enter("m-1")).await, (200, "m-1 is out".into()));
+        assert_eq!(operator_call(at, &enter("m-2")).await, (200, "m-2 is out, as before\n".into()));
+        assert_eq!(operator_call(at, &exit("m-3")).await, (200, "m-3 is in use, as before\n".into()));
+        assert_eq!(operator_call(at, &enter("m-1")).await, (200, "m-1 is out\n".into()));
         let written = std::fs::read_to_string(&orders).expect("the file");
         for order in [
             r#"{"id":"m-2","out":true,"at_us":1796190415946207}"#,
