--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter binary: one exchange on the wire, and plain words on malformed input.
+//! The adapter binary: one exchange on the wire, and a message that names malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -11,7 +11,7 @@
 "fallMultiple":4.0},"specifics":{"classBound":[0,0],"countedFrom":1000,"readLevel":["mutate","eventual"],
 "serverChecks":"await","showsRole":"off","wait":50000,"writeMarks":"brought"},"tick":5000,"zone":"a"}"#;
 
-fn run(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_linenhill-benchlink"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -23,7 +23,8 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn start() -> String {
+/// The first turn: one instance with two members.
+fn first_turn() -> String {
     let profile = PROFILE.replace('\n', "");
     format!(
         "TURN\t5000000\t1\nINSTANCE\t3\nATTACH\t99\t{profile}\nCENSUS\t0\t2\n\
@@ -33,32 +34,32 @@
 }
 
 #[test]
-fn an_exchange() {
+fn a_query_is_sent_and_its_end_reported() {
     let id = "5d3a91c4-d5c0-47f4-affb-84fa938da30b";
-    let input = start()
+    let input = first_turn()
         + &format!(
             "TURN\t5010000\t2\nINSTANCE\t3\nQUERY\t{id}\tw\t3000000\t-\t4\t-\t-\t4\t91f03b7c55d20a64\nGO\n"
         )
         + &format!("TURN\t5100000\t3\nINSTANCE\t3\nRETURNED\t{id}\t0\t51\tOk\t90000\t1\t20397\t-\nGO\n")
         + "TURN\t5200000\t4\nINSTANCE\t3\nCRASH_NOW\nGO\n";
-    let done = run(&input);
-    let text = String::from_utf8(done.stdout).expect("UTF-8");
-    assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
+    let output = run_adapter(&input);
+    let text = String::from_utf8(output.stdout).expect("UTF-8");
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     assert!(text.contains(&format!("BY\t3\nHAND_OFF\t{id}\t51\t0\n")), "{text}");
-    let ends: Vec<&str> = text.lines().filter(|l| l.starts_with("DONE")).collect();
+    let ends: Vec<&str> = text.lines().filter(|line| line.starts_with("DONE")).collect();
     assert_eq!(ends, ["DONE\t1", "DONE\t2", "DONE\t3", "DONE\t4"]);
 }
 
 #[test]
-fn words_to_peers_are_priced_by_their_bytes() {
+fn gossip_is_sent_encoded() {
     let id = "5d3a91c4-d5c0-47f4-affb-84fa938da30b";
-    let first = start()
+    let first = first_turn()
         .replace("\"fleetSize\":1", "\"fleetSize\":3,\"prices\":{\"peer\":0.0256}")
         .replace("\"mayProbe\":true", "\"mayProbe\":true,\"peers\":true");
     let input = first
         + &format!("TURN\t5010000\t2\nINSTANCE\t3\nQUERY\t{id}\tw\t3000000\t-\t4\t-\t-\t4\t-\nGO\n")
         + "TURN\t5050000\t3\nINSTANCE\t3\nCHECK_RESULT\tOk\t900\t52\tx0:5.0,x1:0\nGO\n";
-    let text = String::from_utf8(run(&input).stdout).expect("UTF-8");
+    let text = String::from_utf8(run_adapter(&input).stdout).expect("UTF-8");
     // Member 52 at 4,999 ms after zero (1 ms): twice 5,000, and not primary.
     assert!(text.contains("POST\t*\tAAAANAAAAAAnEA==\n"), "{text}");
 }
@@ -74,11 +75,11 @@
         ("TURN\t1\t1\nCENSUS\t0\t1\nGO\n", "MEMBER"),
         ("TURN\t1\t1\n", "inside a batch"),
     ];
-    for (input, word) in cases {
-        let done = run(input);
-        let said = String::from_utf8_lossy(&done.stderr).into_owned();
-        assert!(!done.status.success(), "{input:?}");
-        assert!(said.contains(word) && !said.contains("panicked"), "{input:?}: {said}");
+    for (input, named) in cases {
+        let output = run_adapter(input);
+        let errors = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success(), "{input:?}");
+        assert!(errors.contains(named) && !errors.contains("panicked"), "{input:?}: {errors}");
     }
     let tail = [
         ("QUERY\tshort\tw\t1\t-\t0\t-\t-\t4\t-\n", "ref"),
@@ -87,16 +88,16 @@
         ("NOSUCH\t1\n", "NOSUCH"),
         ("DISCOVERY\t9\tsnapshot\t1\n", "list 9"),
     ];
-    for (line, word) in tail {
-        let done = run(&format!("{}TURN\t5010000\t2\nINSTANCE\t3\n{line}GO\n", start()));
-        let said = String::from_utf8_lossy(&done.stderr).into_owned();
-        assert!(!done.status.success() && said.contains(word), "{line:?}: {said}");
+    for (line, named) in tail {
+        let output = run_adapter(&format!("{}TURN\t5010000\t2\nINSTANCE\t3\n{line}GO\n", first_turn()));
+        let errors = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success() && errors.contains(named), "{line:?}: {errors}");
     }
 }
 
 #[test]
 fn end_of_input_is_a_clean_exit() {
-    let done = run("TURN\t1\t1\nGO\n");
-    assert!(done.status.success());
-    assert_eq!(done.stdout, b"DONE\t1\n");
+    let output = run_adapter("TURN\t1\t1\nGO\n");
+    assert!(output.status.success());
+    assert_eq!(output.stdout, b"DONE\t1\n");
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,5 +1,5 @@
-//! Every parser that reads what others write: random cuts of valid input, and random garbage, from fixed
-//! seeds. One helper serves them all.
+//! Every parser of input from outside the process: random cuts of valid input, and random garbage, from fixed seeds. No
+//! input may make one panic, and no result may depend on how a stream is cut.
 
 use bytes::{Bytes, BytesMut};
 use linenhill::admin::call::{self, Call, CallCodec};
@@ -17,13 +17,14 @@
 use std::path::Path;
 use tokio_util::codec::Decoder;
 
-/// All that a decoder makes of these parts, up to its first error.
+/// All that a decoder makes of these parts, up to its first error, and whether there was one.
 fn items<D>(mut decoder: D, parts: &[&[u8]]) -> (Vec<String>, bool)
 where
     D: Decoder,
     D::Item: Debug,
 {
-    let (mut buffer, mut items) = (BytesMut::new(), Vec::new());
+    let mut buffer = BytesMut::new();
+    let mut items = Vec::new();
     for part in parts {
         buffer.extend_from_slice(part);
         loop {
@@ -34,34 +35,35 @@
             }
         }
     }
-    let ended = decoder.decode_eof(&mut buffer).is_err();
-    (items, ended)
+    let has_failed = decoder.decode_eof(&mut buffer).is_err();
+    (items, has_failed)
 }
 
 /// A parser as a function of parts. Its result may not depend on the cuts, and neither garbage nor valid
 /// input with a stretch of garbage in it may make it panic.
 fn check<T: PartialEq + Debug>(seed: u64, valid: &[u8], parse: impl Fn(&[&[u8]]) -> T) {
-    let mut g = Gen::from_size_and_seed(64, seed);
-    let whole = parse(&[valid]);
+    let mut random = Gen::from_size_and_seed(64, seed);
+    let uncut = parse(&[valid]);
     for _ in 0..200 {
-        let (mut rest, mut parts) = (valid, Vec::new());
+        let mut rest = valid;
+        let mut parts = Vec::new();
         while !rest.is_empty() {
-            let cut = usize::from(u8::arbitrary(&mut g)) % rest.len() + 1;
+            let cut = usize::from(u8::arbitrary(&mut random)) % rest.len() + 1;
             let (part, after) = rest.split_at(cut);
             parts.push(part);
             rest = after;
         }
-        assert_eq!(parse(&parts), whole, "cut as {parts:?}");
-        let garbage = Vec::<u8>::arbitrary(&mut g);
+        assert_eq!(parse(&parts), uncut, "cut as {parts:?}");
+        let garbage = Vec::<u8>::arbitrary(&mut random);
         parse(&[&garbage]);
-        let at = usize::arbitrary(&mut g) % (valid.len() + 1);
+        let at = usize::arbitrary(&mut random) % (valid.len() + 1);
         parse(&[&valid[..at], &garbage, &valid[at..]]);
         parse(&[&valid[..at]]);
     }
 }
 
-/// A parser that takes all at once.
-fn check_whole<T: Debug>(seed: u64, valid: &[u8], parse: impl Fn(&[u8]) -> T) {
+/// The same for a parser that takes its input at once.
+fn check_at_once<T: Debug>(seed: u64, valid: &[u8], parse: impl Fn(&[u8]) -> T) {
     check(seed, valid, |parts| format!("{:?}", parse(&parts.concat())));
 }
 
@@ -69,27 +71,35 @@
     b"/* id=9b1f03aa5c7e2d41,c=own,d=480,cluster=2,after=1767225600123 */ SELECT val FROM state \
     WHERE uid = '7f3a9c21e0b4d655'";
 
-fn typed(kind: u8, body: &[u8]) -> Vec<u8> {
+fn typed_message(kind: u8, body: &[u8]) -> Vec<u8> {
     [&[kind], &(4 + body.len() as u32).to_be_bytes()[..], body].concat()
 }
 
-fn from_client() -> Vec<u8> {
+fn client_stream() -> Vec<u8> {
     let startup = b"\0\0\0\x15\0\x03\0\0user\0client\0\0".to_vec();
-    let query = typed(b'Q', &[QUERY, b"\0"].concat());
-    [startup, query, typed(b'Q', b"\0"), typed(b'P', b"x"), typed(b'S', b""), typed(b'X', b"")].concat()
+    let query = typed_message(b'Q', &[QUERY, b"\0"].concat());
+    [
+        startup,
+        query,
+        typed_message(b'Q', b"\0"),
+        typed_message(b'P', b"x"),
+        typed_message(b'S', b""),
+        typed_message(b'X', b""),
+    ]
+    .concat()
 }
 
-fn from_member() -> Vec<u8> {
+fn member_stream() -> Vec<u8> {
     let row = [b"\0\x01\0\0\0\x02".as_slice(), &[0x9f, 0x03]].concat();
     [
-        typed(b'R', &[0; 4]),
-        typed(b'Z', b"I"),
-        typed(b'T', &[b"\0\x01val\0".as_slice(), &[0; 18]].concat()),
-        typed(b'D', &row),
-        typed(b'C', b"SELECT 1\0"),
-        typed(b'S', b"lsn_ms\x001767225600123\0"),
-        typed(b'E', b"SERROR\0C72000\0Mbehind\0\0"),
-        typed(b'Z', b"I"),
+        typed_message(b'R', &[0; 4]),
+        typed_message(b'Z', b"I"),
+        typed_message(b'T', &[b"\0\x01val\0".as_slice(), &[0; 18]].concat()),
+        typed_message(b'D', &row),
+        typed_message(b'C', b"SELECT 1\0"),
+        typed_message(b'S', b"lsn_ms\x001767225600123\0"),
+        typed_message(b'E', b"SERROR\0C72000\0Mbehind\0\0"),
+        typed_message(b'Z', b"I"),
     ]
     .concat()
 }
@@ -97,80 +107,83 @@
 const LIST: &[u8] = br#"{"version":43,"full":false,"servers":[{"id":"s-5be2a07c","addr":"127.1.0.18:6543",
     "zone":"a","kind":"m2","cell":3,"state":"terminating","weight":1.0,"started_ms":0}]}"#;
 
-fn from_discovery() -> Vec<u8> {
+fn discovery_stream() -> Vec<u8> {
     let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n".as_slice();
     let line = [&[LIST, b"\n"].concat()[..], b"\n"].concat();
     [head, format!("{:x}\r\n", line.len()).as_bytes(), &line, b"\r\n0\r\n\r\n"].concat()
 }
 
-// Guards against answers that depend on how the network happens to cut a stream.
+/// Guards against answers that depend on how the network happens to cut a stream.
 #[test]
 fn streams_of_clients_members_and_discovery() {
-    assert_eq!(items(FrontendCodec::default(), &[&from_client()]).0.len(), 6);
-    assert_eq!(items(BackendCodec::default(), &[&from_member()]).0.len(), 8);
-    assert!(items(WatchCodec::default(), &[&from_discovery()]).0.len() > 4);
-    check(1, &from_client(), |parts| items(FrontendCodec::default(), parts));
-    check(2, &from_member(), |parts| items(BackendCodec::default(), parts));
-    check(3, &from_discovery(), |parts| items(WatchCodec::default(), parts));
+    assert_eq!(items(FrontendCodec::default(), &[&client_stream()]).0.len(), 6);
+    assert_eq!(items(BackendCodec::default(), &[&member_stream()]).0.len(), 8);
+    assert!(items(WatchCodec::default(), &[&discovery_stream()]).0.len() > 4);
+    check(1, &client_stream(), |parts| items(FrontendCodec::default(), parts));
+    check(2, &member_stream(), |parts| items(BackendCodec::default(), parts));
+    check(3, &discovery_stream(), |parts| items(WatchCodec::default(), parts));
 }
 
-// Guards against a panic, or a half-read text taken for a whole one.
+/// Guards against a panic, or a half-read text taken for a complete one.
 #[test]
 fn statements_lists_reports_and_configurations() {
     let config = include_bytes!("../examples/config.json");
     let parse = |text: &[u8]| {
         let text = String::from_utf8_lossy(text);
         let config = Config::parse(&text, Path::new("config.json"), Variables::default(), Reading::Start);
-        config.map(|c| c.sockets).map_err(|e| e.to_string())
+        config.map(|config| config.sockets).map_err(|error| error.to_string())
     };
     assert_eq!(parse(config), Ok(1_024));
     assert!(parse(&config[..config.len() - 2]).is_err());
-    check_whole(4, QUERY, |text| statement::parse(&Bytes::copy_from_slice(text)));
-    check_whole(5, LIST, list::decode);
-    check_whole(6, b"x0=1767225600.123,x1=1,util=0.61", |t| {
+    check_at_once(4, QUERY, |text| statement::parse(&Bytes::copy_from_slice(text)));
+    check_at_once(5, LIST, list::decode);
+    check_at_once(6, b"x0=1767225600.123,x1=1,util=0.61", |t| {
         report::parse(&String::from_utf8_lossy(t)).position
     });
-    check_whole(7, config, parse);
+    check_at_once(7, config, parse);
 }
 
-// Guards against members seeing anything but the client's own statement with the time left.
+/// Guards against members seeing anything but the client's own statement with the time left.
 #[test]
 fn only_d_is_written_anew() {
-    fn same(before: u32, left: u64, k: u64) -> bool {
-        let text = |d: u64| format!("/* id=a,c=order,d={d},k={k:x},cluster=2 */ INSERT 'x' 'd=1'");
+    fn is_same(before: u32, left: u64, key: u64) -> bool {
+        let text =
+            |deadline: u64| format!("/* id=a,c=order,d={deadline},k={key:x},cluster=2 */ INSERT 'x' 'd=1'");
         let read = statement::parse(&Bytes::from(text(u64::from(before))));
         read.is_ok_and(|r| {
             r.wait_ms == u64::from(before) && Payload::cut(&r.whole, r.wait_at).render(left) == text(left)
         })
     }
     let mut random = QuickCheck::new().rng(Gen::from_size_and_seed(64, 8)).tests(200);
-    random.quickcheck(same as fn(u32, u64, u64) -> bool);
+    random.quickcheck(is_same as fn(u32, u64, u64) -> bool);
 }
 
-// Guards against a length that makes the proxy set memory aside for what never comes.
+/// Guards against a length that makes the proxy reserve memory for what never comes.
 #[test]
 fn lengths_out_of_bounds_are_errors_at_once() {
     for length in [0u32, 3, 1 << 24, u32::MAX] {
         let message = [b"Q", &length.to_be_bytes()[..]].concat();
-        let (read, failed) = items(FrontendCodec::default(), &[&from_client()[..21], &message]);
-        assert!(read == ["Startup"] && failed, "{length}");
+        let (read, has_failed) = items(FrontendCodec::default(), &[&client_stream()[..21], &message]);
+        assert!(read == ["Startup"] && has_failed, "{length}");
         assert!(items(BackendCodec::default(), &[&message]).1, "{length}");
         assert!(items(FrontendCodec::default(), &[&length.to_be_bytes()]).1, "{length}");
     }
 }
 
-// Guards against a long value that is gathered, or whose parts depend on how it came.
+/// Guards against a long value that is gathered in memory, or whose parts depend on how it came.
 #[test]
-fn a_long_value_comes_in_parts_that_are_its_bytes_whatever_the_cuts() {
+fn long_value_is_passed_in_parts_whatever_the_cuts() {
     let value: Vec<u8> = (0..100_000u32).map(|n| (n % 251) as u8).collect();
     let length = value.len() as u32;
     let row =
         [b"D", &(length + 10).to_be_bytes()[..], &[0, 1], &length.to_be_bytes(), &value, b"Z\0\0\0\x05I"]
             .concat();
     let parts = |cuts: &[&[u8]]| {
-        let (mut codec, mut buffer, mut got, mut largest) =
-            (BackendCodec::default(), BytesMut::new(), Vec::new(), 0);
-        let mut ready = false;
+        let mut codec = BackendCodec::default();
+        let mut buffer = BytesMut::new();
+        let mut received = Vec::new();
+        let mut largest = 0;
+        let mut is_ready = false;
         for cut in cuts {
             buffer.extend_from_slice(cut);
             while let Some(item) = codec.decode(&mut buffer).expect("well formed") {
@@ -178,14 +191,14 @@
                     Backend::RowBegins(head) => assert_eq!(head[..], row[..11]),
                     Backend::Part(part) => {
                         largest = largest.max(part.len());
-                        got.extend_from_slice(&part);
+                        received.extend_from_slice(&part);
                     }
-                    item => ready = item == Backend::Ready,
+                    item => is_ready = item == Backend::Ready,
                 }
             }
         }
         assert!(largest <= 16 * 1024);
-        (got, ready)
+        (received, is_ready)
     };
     check(9, &row, |cuts| if cuts.concat() == row { parts(cuts) } else { (value.clone(), true) });
     assert_eq!(parts(&[&row]), (value.clone(), true));
@@ -193,10 +206,11 @@
     assert!(items(BackendCodec::default(), &[&wrong]).1, "a column that does not fill its row");
 }
 
-// Guards against an error that leaves its reader to guess which field is meant.
+/// Guards against an error that leaves its reader to guess which field is meant.
 #[test]
 fn errors_name_the_field() {
-    let statement = |text: &str| statement::parse(&Bytes::from(text.to_string())).map_err(|e| e.to_string());
+    let statement =
+        |text: &str| statement::parse(&Bytes::from(text.to_string())).map_err(|error| error.to_string());
     for (text, field) in [
         ("/* c=own,d=4 */ SELECT 1", "field id"),
         ("/* id=1,d=4 */ SELECT 1", "field c"),
@@ -206,7 +220,7 @@
         ("/* id=1,c=own,d=1,after=x */ SELECT 1", "field after"),
         ("SELECT 1", "comment"),
     ] {
-        assert!(statement(text).is_err_and(|e| e.contains(field)), "{text}");
+        assert!(statement(text).is_err_and(|error| error.contains(field)), "{text}");
     }
     let config = include_str!("../examples/config.json");
     for (from, to, field) in [
@@ -221,46 +235,50 @@
         ("\"name\": \"toy\"", "name", "JSON"),
     ] {
         let text = config.replace(from, to);
-        let problem =
+        let error =
             Config::parse(&text, Path::new("config.json"), Variables::default(), Reading::Start).err();
-        let problem = problem.map(|p| p.to_string()).unwrap_or_default();
-        assert!(problem.starts_with("config.json: ") && problem.contains(field), "{field}: {problem}");
-        assert!(!problem.contains('\n'));
+        let error = error.map(|error| error.to_string()).unwrap_or_default();
+        assert!(error.starts_with("config.json: ") && error.contains(field), "{field}: {error}");
+        assert!(!error.contains('\n'));
     }
 }
 
-// Guards against a call that is taken for another one, however it is cut, and against a file left half written,
-// or by somebody else, that is believed.
+/// Guards against a call that is taken for another one, however it is cut, and against a file that is used though it is half
+/// written or not the program's own.
 #[test]
-fn calls_and_saved_files_are_read_whole_or_not_at_all() {
+fn calls_and_saved_files_are_read_complete_or_not_at_all() {
     let valid = b"POST /maintenance/enter?name=s%2D1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
     check(31, valid, |parts| items(CallCodec, parts));
     assert_eq!(items(CallCodec, &[valid]).0, ["Enter(\"s-1\", false)"]);
-    let ask = |line: &str| call::call("POST", line).map_err(|e| e.status());
-    assert_eq!(ask("/maintenance/exit?name=a+b%7e"), Ok(Call::Exit("a b~".into())));
+    let call_or_status = |line: &str| call::call("POST", line).map_err(|error| error.status());
+    assert_eq!(call_or_status("/maintenance/exit?name=a+b%7e"), Ok(Call::Exit("a b~".into())));
     for wrong in
         ["", "?name=", "?name=a&name=b", "?name=%f", "?name=%zz", "?name=%00", "?nam=a", "?name=a&x=1"]
     {
-        assert_eq!(ask(&format!("/maintenance/enter{wrong}")), Err(400), "{wrong}");
+        assert_eq!(call_or_status(&format!("/maintenance/enter{wrong}")), Err(400), "{wrong}");
     }
-    assert_eq!(ask("/maintenance/enter?force=1&name=a"), Ok(Call::Enter("a".into(), true)));
-    assert_eq!(ask("/standby?force=1"), Ok(Call::Standby(true)));
-    assert_eq!(ask("/standby?force=yes"), Err(400));
+    assert_eq!(call_or_status("/maintenance/enter?force=1&name=a"), Ok(Call::Enter("a".into(), true)));
+    assert_eq!(call_or_status("/standby?force=1"), Ok(Call::Standby(true)));
+    assert_eq!(call_or_status("/standby?force=yes"), Err(400));
     let long = format!("/maintenance/enter?name={}", "a".repeat(300));
-    assert_eq!(ask(&long), Err(400));
+    assert_eq!(call_or_status(&long), Err(400));
     for (head, status) in [
         ("Content-Length: 99999999999999999999\r\n", 413),
         ("Content-Length: 3\r\nContent-Length: 4\r\n", 411),
         ("Content-Length: +3\r\n", 411),
         ("Transfer-Encoding: chunked\r\n", 411),
     ] {
-        let mut whole = BytesMut::from(format!("GET /status HTTP/1.1\r\n{head}\r\nabcd").as_bytes());
-        assert_eq!(CallCodec.decode(&mut whole).map_err(|e| e.status()).err(), Some(status), "{head}");
+        let mut request = BytesMut::from(format!("GET /status HTTP/1.1\r\n{head}\r\nabcd").as_bytes());
+        assert_eq!(
+            CallCodec.decode(&mut request).map_err(|error| error.status()).err(),
+            Some(status),
+            "{head}"
+        );
     }
     let text = r#"[{"id":"a","out":true,"at_us":5}]"#;
     let sealed = saved::seal(text);
     assert_eq!(saved::unseal(sealed.as_bytes()).ok(), Some(text));
-    check_whole(32, sealed.as_bytes(), |bytes| saved::unseal(bytes).ok().map(str::to_string));
+    check_at_once(32, sealed.as_bytes(), |bytes| saved::unseal(bytes).ok().map(str::to_string));
     for at in 0..sealed.len() {
         assert!(saved::unseal(&sealed.as_bytes()[..at]).is_err(), "torn at {at}");
         let mut flipped = sealed.clone().into_bytes();
@@ -269,14 +287,16 @@
     }
 }
 
-// Guards against a reload that moves nothing, and against a start that overlooks the variable.
+/// Guards against a reload that moves nothing, and against a start that ignores the variable.
 #[test]
-fn at_a_reload_the_files_discovery_stands_above_its_variable() {
+fn at_a_reload_the_files_discovery_overrides_the_variable() {
     let config = include_str!("../examples/config.json");
     let without = config.replace("\"discovery\": \"127.0.0.1:8500\",", "");
     let read = |text: &str, reading| {
         let variables = Variables { discovery: Some("127.0.0.1:1".into()), ..Variables::default() };
-        Config::parse(text, Path::new("config.json"), variables, reading).map(|c| c.discovery.port()).ok()
+        Config::parse(text, Path::new("config.json"), variables, reading)
+            .map(|config| config.discovery.port())
+            .ok()
     };
     assert_eq!(read(config, Reading::Start), Some(1));
     assert_eq!(read(config, Reading::Again), Some(8500));
--- a/tests/send_guard.rs
+++ b/tests/send_guard.rs
@@ -1,5 +1,5 @@
-//! The guard for sends, with paused time: no permit without what it rests on, and a count of whatever is written all the
-//! same.
+//! The guard for sends, with paused time: no permit where one of its conditions does not hold, and a count of what is written
+//! all the same.
 
 use linenhill::api::{Discovery, MemberId, Micros, RequestId};
 use linenhill::clock::Clock;
@@ -18,7 +18,7 @@
 const GRACE: Micros = Micros(2_000_000);
 
 /// A guard and a pool with one member that accepts.
-fn guarded(figures: &Figures) -> (SendGuard, Pool) {
+fn new_guard_and_pool(figures: &Figures) -> (SendGuard, Pool) {
     let clock = Clock::start();
     let lease = ListLease::new(clock.now(), Discovery::OnRequest, GRACE);
     let guard = SendGuard::new(lease, 7, clock, figures.invariants());
@@ -35,7 +35,7 @@
 }
 
 /// Lets time pass as the driver sees it: a turn every 100 ms.
-async fn run(guard: &SendGuard, length: Duration) {
+async fn run_turns(guard: &SendGuard, length: Duration) {
     let end = Instant::now() + length;
     while Instant::now() < end {
         advance((100 * MS).min(end - Instant::now())).await;
@@ -43,21 +43,22 @@
     }
 }
 
+/// Guards against a send for which one condition of its permit does not hold.
 #[tokio::test(start_paused = true)]
-async fn no_permit_without_what_it_rests_on() {
+async fn no_permit_where_a_condition_fails() {
     let figures = Figures::new(["list"]);
-    let (guard, pool) = guarded(&figures);
+    let (guard, pool) = new_guard_and_pool(&figures);
     assert!(guard.permit(&pool, intent(MS)).await.is_some());
     assert!(guard.permit(&pool, intent(Duration::ZERO)).await.is_none(), "its deadline has passed");
     let over = intent(MS);
     over.is_request_over.set(true);
     assert!(guard.permit(&pool, over).await.is_none(), "its request is over");
     let unknown = SendIntent { member: MemberId(2), ..intent(MS) };
-    assert!(guard.permit(&pool, unknown).await.is_none(), "nobody knows the member");
+    assert!(guard.permit(&pool, unknown).await.is_none(), "the member is unknown");
     pool.set_accepting(|_| false);
     assert!(guard.permit(&pool, intent(MS)).await.is_none(), "the member drains");
     pool.set_accepting(|_| true);
-    run(&guard, 2_900 * MS).await;
+    run_turns(&guard, 2_900 * MS).await;
     assert_eq!(guard.check(), Err(Withheld::Expired));
     assert!(guard.permit(&pool, intent(MS)).await.is_none(), "the list's lease is over");
     guard.list_confirmed();
@@ -68,13 +69,13 @@
 #[tokio::test(start_paused = true)]
 async fn permit_waits_while_the_process_catches_up() {
     let figures = Figures::new(["list"]);
-    let (guard, pool) = guarded(&figures);
+    let (guard, pool) = new_guard_and_pool(&figures);
     guard.list_confirmed();
-    run(&guard, 1_000 * MS).await;
+    run_turns(&guard, 1_000 * MS).await;
     advance(3_000 * MS).await;
-    let asked = Instant::now();
+    let resumed = Instant::now();
     let held_up_since = guard.held_up_since().expect("no turn was taken");
-    assert_eq!(asked - held_up_since, 3_000 * MS);
+    assert_eq!(resumed - held_up_since, 3_000 * MS);
     guard.turn();
     // What arrived meanwhile is a drain: the permit that waits is not given.
     let read = async {
@@ -85,16 +86,16 @@
     assert!(permit.is_none());
     pool.set_accepting(|_| true);
     let permit = guard.permit(&pool, intent(1_000 * MS)).await.expect("a permit");
-    assert!(permit.has_waited() && asked.elapsed() >= 50 * MS);
+    assert!(permit.has_waited() && resumed.elapsed() >= 50 * MS);
     assert!(guard.held_up_since().is_none());
 }
 
-/// Guards against checks that see nothing: what has changed between a permit and its write is counted by its name, and
+/// Guards against checks that can't fail: what has changed between a permit and its write is counted by its name, and
 /// what is still so is not.
 #[tokio::test(start_paused = true)]
-async fn write_without_what_its_permit_rested_on_is_counted() {
+async fn write_with_an_outdated_permit_is_counted() {
     let figures = Figures::new(["list"]);
-    let (guard, pool) = guarded(&figures);
+    let (guard, pool) = new_guard_and_pool(&figures);
     guard.permit(&pool, intent(MS)).await.expect("a permit").check_at_write();
     assert_eq!(figures.invariants().total(), 0);
     let late = guard.permit(&pool, intent(1_000 * MS)).await.expect("a permit");
