--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,8 @@
 //! a request, when, and what happens after failures.
 //!
 //! The decisions do no I/O: a driver feeds [`api::Event`]s to [`policy::Router::handle`] with the current
-//! time, and carries out the [`api::Action`]s it pushes. [`proxy`] is that driver on real sockets; the
-//! adapter `linenhill-benchlink` is one on a simulator's wire.
+//! time, and carries out the [`api::Action`]s it pushes. [`proxy`] puts that driver together on real sockets, and
+//! [`process`] starts it; the adapter `linenhill-simulator-adapter` is a driver on a simulator's wire.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -14,7 +14,6 @@
 pub use linenhill_settings as settings;
 
 pub mod admin;
-pub mod budget;
 pub mod cli;
 pub mod clients;
 pub mod clock;
@@ -22,15 +21,17 @@
 pub mod config;
 pub mod counters;
 pub mod discovery;
-pub mod figures;
 pub mod fleet;
+pub mod hot_restart;
 pub mod invariants;
-pub mod peek;
+pub mod metrics;
 pub mod pg;
+pub mod process;
 pub mod proxy;
 pub mod request;
+pub mod resource_limit;
+pub mod socket_state;
 pub mod stages;
-pub mod takeover;
 pub mod timeouts;
 pub mod upstream;
 
--- a/tests/components/client_input.rs
+++ b/tests/components/client_input.rs
@@ -127,7 +127,7 @@
         drop(first.client);
     };
     tokio::join!(first.session, second.session, play);
-    assert!(gateway.message_memory().enter_by(MESSAGE_MEMORY).is_some(), "all of it is given back");
+    assert!(gateway.message_memory().acquire_weighted(MESSAGE_MEMORY).is_some(), "all of it is given back");
 }
 
 /// Guards against connections that take a descriptor for good and send nothing.
--- a/tests/components/connection_admission.rs
+++ b/tests/components/connection_admission.rs
@@ -94,7 +94,7 @@
     let done = local.run_until(timeout(Duration::from_secs(20), hold_connections(at))).await;
     assert!(done.is_ok(), "after {} connections no more could be opened", counters.clients.get());
     let made_room = counters.ended.get(CloseReason::MadeRoom);
-    let all_ended = counters.ended.sum();
+    let all_ended = counters.ended.total();
     assert!(made_room >= 32 && made_room == all_ended, "{made_room} of {all_ended}");
 }
 
--- a/tests/components/maintenance_log.rs
+++ b/tests/components/maintenance_log.rs
@@ -2,8 +2,8 @@
 
 use linenhill::api::{GroupId, MemberState};
 use linenhill::clock::Clock;
+use linenhill::hot_restart::{maintenance_log::MaintenanceLog, saved};
 use linenhill::maintenance::{ListedMember, Maintenance};
-use linenhill::takeover::{maintenance_log::MaintenanceLog, saved};
 use std::cell::RefCell;
 use std::path::Path;
 use std::rc::Rc;
--- a/tests/components/member_connection.rs
+++ b/tests/components/member_connection.rs
@@ -3,9 +3,9 @@
 use crate::{peer, typed_message};
 use bytes::Bytes;
 use linenhill::api::{LogPosition, MemberId, Outcome, RequestId};
-use linenhill::budget::Budget;
 use linenhill::counters::Counters;
 use linenhill::request::Payload;
+use linenhill::resource_limit::ResourceLimit;
 use linenhill::upstream::attempt::{self, AttemptRequest};
 use linenhill::upstream::connection::MemberConnection;
 use linenhill::upstream::pool::Pool;
@@ -205,7 +205,7 @@
         while stream.read(&mut received).await.is_ok_and(|length| length > 0) {}
     };
     let proxy = async {
-        let descriptor = Budget::new(1).enter().expect("a descriptor");
+        let descriptor = ResourceLimit::new(1).acquire().expect("a descriptor");
         let Ok(mut connection) = MemberConnection::open(address, descriptor, LONG).await else {
             panic!("no connection")
         };
--- a/tests/components/request_driver.rs
+++ b/tests/components/request_driver.rs
@@ -1,11 +1,11 @@
 //! What the driver keeps for members and requests, and that it lets go of it.
 
-use crate::session_fixture::{example_config, new_figures};
+use crate::session_fixture::{example_config, new_metrics};
 use linenhill::api::{MemberId, RequestId};
 use linenhill::clock::Clock;
 use linenhill::counters::Counters;
 use linenhill::discovery::list::{self, ListEvent};
-use linenhill::fleet::Shares;
+use linenhill::fleet::quota::FleetQuota;
 use linenhill::policy::Router;
 use linenhill::stages::book::Book;
 use linenhill::stages::relay::Relay;
@@ -28,7 +28,7 @@
     let pool = Pool::new(9, SECOND, SECOND, counters.clone());
     let (inbox, events) = mpsc::unbounded_channel();
     let clock = Clock::start();
-    let book = Book::new(counters, new_figures());
+    let book = Book::new(counters, new_metrics());
     let limits = &config.site.settings.limits;
     let sender = Sender::new(pool.clone(), inbox.clone(), book, limits);
     let router = Router::new(config.site.settings, 42, clock.now());
@@ -42,7 +42,7 @@
         names: config.names,
         subscribe: Rc::new(Notify::new()),
         maintenance: Rc::default(),
-        shares: Shares::default(),
+        quota: FleetQuota::default(),
     });
     (driver, pool, inbox)
 }
--- a/tests/components/session_fixture.rs
+++ b/tests/components/session_fixture.rs
@@ -8,11 +8,11 @@
 use linenhill::clients::session;
 use linenhill::clock::Clock;
 use linenhill::close_reason::CloseReason;
-use linenhill::config::{Config, Reading, Variables};
+use linenhill::config::{Config, LoadReason, Variables};
 use linenhill::connection_admission::AdmissionLimits;
 use linenhill::counters::Counters;
-use linenhill::figures::Figures;
 use linenhill::lifecycle::ServingState;
+use linenhill::metrics::Metrics;
 use linenhill::stages::admit::Admit;
 use linenhill::stages::book::Book;
 use linenhill::stages::intake::Intake;
@@ -72,7 +72,7 @@
 /// The settings of the first kind of site.
 pub fn example_config() -> Config {
     let text = include_str!("../../examples/config.json");
-    Config::parse(text, Path::new("config.json"), Variables::default(), Reading::Start)
+    Config::parse(text, Path::new("config.json"), Variables::default(), LoadReason::Start)
         .expect("a configuration")
 }
 
@@ -80,14 +80,14 @@
 pub fn new_gateway() -> (Rc<RequestGateway>, Events) {
     let (inbox, events) = mpsc::unbounded_channel();
     let intake = Intake::new(&example_config().site, Clock::start());
-    let book = Book::new(Rc::new(Counters::default()), new_figures());
+    let book = Book::new(Rc::new(Counters::default()), new_metrics());
     let admit = Admit::new(9, MESSAGE_MEMORY, 1 << 20);
     let guard = SendGuard::without_list();
     (Rc::new(RequestGateway::new(intake, admit, book, inbox, guard)), events)
 }
 
-pub fn new_figures() -> Rc<Figures> {
-    Rc::new(Figures::new(["list", "own", "order"]))
+pub fn new_metrics() -> Rc<Metrics> {
+    Rc::new(Metrics::new(["list", "own", "order"]))
 }
 
 pub fn admission_limits(max_served: usize) -> AdmissionLimits {
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -2,15 +2,14 @@
 //! input may make one panic, and no result may depend on how a stream is cut.
 
 use bytes::{Bytes, BytesMut};
-use linenhill::admin::call::{self, Call, CallCodec};
-use linenhill::config::{Config, Reading, Variables};
+use linenhill::admin::call::{Call, CallCodec, parse_call};
+use linenhill::config::{Config, LoadReason, Variables};
 use linenhill::discovery::http::WatchCodec;
 use linenhill::discovery::list;
-use linenhill::pg::backend::{Backend, BackendCodec};
+use linenhill::hot_restart::saved;
+use linenhill::pg::backend::{BackendCodec, BackendMessage};
 use linenhill::pg::frontend::FrontendCodec;
 use linenhill::pg::statement;
-use linenhill::request::Payload;
-use linenhill::takeover::saved;
 use linenhill::upstream::report;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::fmt::Debug;
@@ -130,7 +129,7 @@
     let config = include_bytes!("../examples/config.json");
     let parse = |text: &[u8]| {
         let text = String::from_utf8_lossy(text);
-        let config = Config::parse(&text, Path::new("config.json"), Variables::default(), Reading::Start);
+        let config = Config::parse(&text, Path::new("config.json"), Variables::default(), LoadReason::Start);
         config.map(|config| config.sockets).map_err(|error| error.to_string())
     };
     assert_eq!(parse(config), Ok(1_024));
@@ -150,9 +149,7 @@
         let text =
             |deadline: u64| format!("/* id=a,c=order,d={deadline},k={key:x},cluster=2 */ INSERT 'x' 'd=1'");
         let read = statement::parse(&Bytes::from(text(u64::from(before))));
-        read.is_ok_and(|r| {
-            r.wait_ms == u64::from(before) && Payload::cut(&r.whole, r.wait_at).render(left) == text(left)
-        })
+        read.is_ok_and(|r| r.timeout_ms == u64::from(before) && r.payload.render(left) == text(left))
     }
     let mut random = QuickCheck::new().rng(Gen::from_size_and_seed(64, 8)).tests(200);
     random.quickcheck(is_same as fn(u32, u64, u64) -> bool);
@@ -188,12 +185,12 @@
             buffer.extend_from_slice(cut);
             while let Some(item) = codec.decode(&mut buffer).expect("well formed") {
                 match item {
-                    Backend::RowBegins(head) => assert_eq!(head[..], row[..11]),
-                    Backend::Part(part) => {
+                    BackendMessage::LongRowHead(head) => assert_eq!(head[..], row[..11]),
+                    BackendMessage::ValueChunk(part) => {
                         largest = largest.max(part.len());
                         received.extend_from_slice(&part);
                     }
-                    item => is_ready = item == Backend::Ready,
+                    item => is_ready = item == BackendMessage::ReadyForQuery,
                 }
             }
         }
@@ -236,7 +233,7 @@
     ] {
         let text = config.replace(from, to);
         let error =
-            Config::parse(&text, Path::new("config.json"), Variables::default(), Reading::Start).err();
+            Config::parse(&text, Path::new("config.json"), Variables::default(), LoadReason::Start).err();
         let error = error.map(|error| error.to_string()).unwrap_or_default();
         assert!(error.starts_with("config.json: ") && error.contains(field), "{field}: {error}");
         assert!(!error.contains('\n'));
@@ -249,16 +246,22 @@
 fn calls_and_saved_files_are_read_complete_or_not_at_all() {
     let valid = b"POST /maintenance/enter?name=s%2D1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
     check(31, valid, |parts| items(CallCodec, parts));
-    assert_eq!(items(CallCodec, &[valid]).0, ["Enter(\"s-1\", false)"]);
-    let call_or_status = |line: &str| call::call("POST", line).map_err(|error| error.status());
-    assert_eq!(call_or_status("/maintenance/exit?name=a+b%7e"), Ok(Call::Exit("a b~".into())));
+    assert_eq!(items(CallCodec, &[valid]).0, ["EnterMaintenance { member: \"s-1\", is_forced: false }"]);
+    let call_or_status = |line: &str| parse_call("POST", line).map_err(|error| error.status());
+    assert_eq!(
+        call_or_status("/maintenance/exit?name=a+b%7e"),
+        Ok(Call::ExitMaintenance { member: "a b~".into() })
+    );
     for wrong in
         ["", "?name=", "?name=a&name=b", "?name=%f", "?name=%zz", "?name=%00", "?nam=a", "?name=a&x=1"]
     {
         assert_eq!(call_or_status(&format!("/maintenance/enter{wrong}")), Err(400), "{wrong}");
     }
-    assert_eq!(call_or_status("/maintenance/enter?force=1&name=a"), Ok(Call::Enter("a".into(), true)));
-    assert_eq!(call_or_status("/standby?force=1"), Ok(Call::Standby(true)));
+    assert_eq!(
+        call_or_status("/maintenance/enter?force=1&name=a"),
+        Ok(Call::EnterMaintenance { member: "a".into(), is_forced: true })
+    );
+    assert_eq!(call_or_status("/standby?force=1"), Ok(Call::Standby { is_forced: true }));
     assert_eq!(call_or_status("/standby?force=yes"), Err(400));
     let long = format!("/maintenance/enter?name={}", "a".repeat(300));
     assert_eq!(call_or_status(&long), Err(400));
@@ -292,13 +295,13 @@
 fn at_a_reload_the_files_discovery_overrides_the_variable() {
     let config = include_str!("../examples/config.json");
     let without = config.replace("\"discovery\": \"127.0.0.1:8500\",", "");
-    let read = |text: &str, reading| {
+    let read = |text: &str, reason| {
         let variables = Variables { discovery: Some("127.0.0.1:1".into()), ..Variables::default() };
-        Config::parse(text, Path::new("config.json"), variables, reading)
+        Config::parse(text, Path::new("config.json"), variables, reason)
             .map(|config| config.discovery.port())
             .ok()
     };
-    assert_eq!(read(config, Reading::Start), Some(1));
-    assert_eq!(read(config, Reading::Again), Some(8500));
-    assert_eq!(read(&without, Reading::Again), Some(1));
+    assert_eq!(read(config, LoadReason::Start), Some(1));
+    assert_eq!(read(config, LoadReason::Reload), Some(8500));
+    assert_eq!(read(&without, LoadReason::Reload), Some(1));
 }
--- a/tests/pushed.rs
+++ b/tests/pushed.rs
@@ -8,7 +8,7 @@
     read_answer, run_local, send_watch_line, start_program, write_test_file,
 };
 use linenhill::api::{Discovery, Micros};
-use linenhill::config::{Config, Reading, Variables};
+use linenhill::config::{Config, LoadReason, Variables};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -20,7 +20,7 @@
 /// What a configuration comes to: the grace of drains, or the line that names what is wrong.
 fn drain_grace_of(config: &str) -> Result<Micros, String> {
     let parsed =
-        Config::parse(config, std::path::Path::new("pushed.json"), Variables::default(), Reading::Start);
+        Config::parse(config, std::path::Path::new("pushed.json"), Variables::default(), LoadReason::Start);
     let config = parsed.map_err(|error| error.to_string())?;
     assert_eq!(config.site.settings.discovery, Discovery::Pushed);
     Ok(config.site.settings.rules.drain_grace)
--- a/tests/send_guard.rs
+++ b/tests/send_guard.rs
@@ -4,9 +4,9 @@
 use linenhill::api::{Discovery, MemberId, Micros, RequestId};
 use linenhill::clock::Clock;
 use linenhill::counters::Counters;
-use linenhill::figures::Figures;
-use linenhill::fleet::Shares;
+use linenhill::fleet::quota::FleetQuota;
 use linenhill::list_lease::{ListLease, Withheld};
+use linenhill::metrics::Metrics;
 use linenhill::upstream::pool::Pool;
 use linenhill::upstream::send_guard::{Purpose, SendGuard, SendIntent};
 use std::rc::Rc;
@@ -18,13 +18,13 @@
 const GRACE: Micros = Micros(2_000_000);
 
 /// A guard and a pool with one member that accepts.
-fn new_guard_and_pool(figures: &Figures) -> (SendGuard, Pool) {
+fn new_guard_and_pool(metrics: &Metrics) -> (SendGuard, Pool) {
     let clock = Clock::start();
     let lease = ListLease::new(clock.now(), Discovery::OnRequest, GRACE);
-    let guard = SendGuard::new(lease, 7, clock, figures.invariants());
+    let guard = SendGuard::new(lease, 7, clock, metrics.invariants());
     let long = Duration::from_secs(60);
     let counters = Rc::new(Counters::default());
-    let pool = Pool::with_quota(1, long, long, counters, Shares::default(), guard.clone());
+    let pool = Pool::with_quota(1, long, long, counters, FleetQuota::default(), guard.clone());
     pool.set_address(MEMBER, "127.0.0.1:1".parse().expect("an address"));
     (guard, pool)
 }
@@ -46,8 +46,8 @@
 /// Guards against a send for which one condition of its permit does not hold.
 #[tokio::test(start_paused = true)]
 async fn no_permit_where_a_condition_fails() {
-    let figures = Figures::new(["list"]);
-    let (guard, pool) = new_guard_and_pool(&figures);
+    let metrics = Metrics::new(["list"]);
+    let (guard, pool) = new_guard_and_pool(&metrics);
     assert!(guard.permit(&pool, intent(MS)).await.is_some());
     assert!(guard.permit(&pool, intent(Duration::ZERO)).await.is_none(), "its deadline has passed");
     let over = intent(MS);
@@ -68,8 +68,8 @@
 /// Guards against sends of a process that was stopped, before it has read what arrived meanwhile.
 #[tokio::test(start_paused = true)]
 async fn permit_waits_while_the_process_catches_up() {
-    let figures = Figures::new(["list"]);
-    let (guard, pool) = new_guard_and_pool(&figures);
+    let metrics = Metrics::new(["list"]);
+    let (guard, pool) = new_guard_and_pool(&metrics);
     guard.list_confirmed();
     run_turns(&guard, 1_000 * MS).await;
     advance(3_000 * MS).await;
@@ -94,10 +94,10 @@
 /// what is still so is not.
 #[tokio::test(start_paused = true)]
 async fn write_with_an_outdated_permit_is_counted() {
-    let figures = Figures::new(["list"]);
-    let (guard, pool) = new_guard_and_pool(&figures);
+    let metrics = Metrics::new(["list"]);
+    let (guard, pool) = new_guard_and_pool(&metrics);
     guard.permit(&pool, intent(MS)).await.expect("a permit").check_at_write();
-    assert_eq!(figures.invariants().total(), 0);
+    assert_eq!(metrics.invariants().total(), 0);
     let late = guard.permit(&pool, intent(1_000 * MS)).await.expect("a permit");
     advance(151 * MS).await;
     late.check_at_write();
@@ -108,8 +108,8 @@
     let permit = guard.permit(&pool, intent(MS)).await.expect("a permit");
     pool.set_accepting(|_| false);
     permit.check_at_write();
-    assert_eq!(figures.invariants().total(), 3);
-    let text = figures.text().expect("a text");
+    assert_eq!(metrics.invariants().total(), 3);
+    let text = metrics.text().expect("a text");
     for (invariant, count) in [
         ("permit-current", 1),
         ("request-open", 1),
