--- a/src/clients/listener.rs
+++ b/src/clients/listener.rs
@@ -1,6 +1,6 @@
 //! Accepts connections of clients, within the limit on descriptors, and runs a session for each.
 
-use super::connection_gate::ConnectionGate;
+use super::connection_gate::{AdmittedConnection, ConnectionGate};
 use super::request_gateway::RequestGateway;
 use super::session;
 use crate::close_reason::{CloseReason, Side, log_close};
@@ -99,12 +99,7 @@
         };
         counters.clients.add();
         accept_errors.in_row = 0;
-        let admitted = connection_gate.admit();
-        if connection_gate.has_closing() {
-            // A connection that was asked to close gives its descriptor back when its task runs.
-            tokio::task::yield_now().await;
-        }
-        let Some(connection) = admitted else {
+        let Some(connection) = admit(&connection_gate).await else {
             // Nothing is written: a reply that the client's unread request cuts off would make that request lost, while
             // a connection that ends in silence lets the client send it anew.
             record_end(&counters, peer, CloseReason::EdgeFull);
@@ -123,6 +118,16 @@
     while sessions.join_next().await.is_some() {}
 }
 
+/// Admits a connection; `None` if it must end in silence.
+async fn admit(connection_gate: &Rc<ConnectionGate>) -> Option<AdmittedConnection> {
+    let admitted = connection_gate.admit();
+    if connection_gate.has_closing() {
+        // A connection that was asked to close gives its descriptor back when its task runs.
+        tokio::task::yield_now().await;
+    }
+    admitted
+}
+
 /// Counts and logs the end of a connection.
 fn record_end(counters: &Counters, peer: SocketAddr, reason: CloseReason) {
     counters.ended.add(reason);
