--- a/tests/race_conditions/client_departure.rs
+++ b/tests/race_conditions/client_departure.rs
@@ -1,6 +1,8 @@
 //! A client leaves while its request is on the way. Nothing may be sent for it afterwards, and its end must be seen.
 
-use crate::harness::{CONFIG, connect_client, encode, query_command, read_answer};
+use crate::harness::{
+    CONFIG, WATCH_HEAD, accept_watch, connect_client, encode, query_command, read_answer, send_watch_line,
+};
 use crate::member_side::{accept_startup, greet, read_statement, reply_with_row, send_row};
 use crate::setup::{
     SITES, WITHOUT_CANCEL, accept_statement, greet_for_statement, read_with_id, replica_read,
@@ -73,6 +75,11 @@
                 1,
                 &[WITHOUT_CANCEL],
                 |setup| async move {
+                    // The list is confirmed: the lease on a saved one would be over after the stop, or on a slow machine
+                    // before it, and the request be rejected.
+                    let (mut watch, _) = accept_watch(&setup.discovery).await;
+                    send_watch_line(&mut watch, WATCH_HEAD, "").await;
+                    setup.program.wait_for_log("saved to confirmed").await;
                     setup.program.suspend();
                     let mut leaving = TcpStream::connect(setup.address).await.expect("a connection");
                     let request =
