--- a/src/bin/linenhill-simulator-adapter/adapter.rs
+++ b/src/bin/linenhill-simulator-adapter/adapter.rs
@@ -175,7 +175,7 @@
         let names = InstanceNames {
             classes: site.classes,
             tenants: site.tenants,
-            position_zero: site.position_origin,
+            position_origin: site.position_origin,
         };
         self.instances.insert(instance, Instance { router, names });
         Ok(())
--- a/src/bin/linenhill-simulator-adapter/fields.rs
+++ b/src/bin/linenhill-simulator-adapter/fields.rs
@@ -104,9 +104,9 @@
         }
     }
 
-    /// The next field as a member's load report: pairs of a name and a finite number. `position_zero` is the Unix time
+    /// The next field as a member's load report: pairs of a name and a finite number. `position_origin` is the Unix time
     /// in microseconds from which the simulator counts positions, in seconds. Names that are not known are ignored.
-    pub fn load_report(&mut self, position_zero: u64) -> Result<LoadReport, MessageError> {
+    pub fn load_report(&mut self, position_origin: u64) -> Result<LoadReport, MessageError> {
         let mut report = LoadReport::default();
         let Some(text) = self.optional_text("pressure")? else { return Ok(report) };
         for pair in text.split(',').filter(|pair| !pair.is_empty()) {
@@ -114,7 +114,7 @@
             match name {
                 "x0" => {
                     let micros = (value * MICROS_PER_SECOND).floor() as i64;
-                    report.position = Some(LogPosition(position_zero.saturating_add_signed(micros)));
+                    report.position = Some(LogPosition(position_origin.saturating_add_signed(micros)));
                 }
                 "x1" => report.role = Some(if value >= IS_PRIMARY { Role::Primary } else { Role::Replica }),
                 "busy_reqs" | "pending" => report.load = Some(value),
--- a/src/clients/pipeline.rs
+++ b/src/clients/pipeline.rs
@@ -4,7 +4,7 @@
 use super::request_gateway::{OpenRequest, PendingRequest};
 use crate::api::Micros;
 use crate::pg::frontend::{MessageMemory, Reply};
-use crate::stages::Answer;
+use crate::stages::FinalResponse;
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
@@ -45,7 +45,7 @@
 /// How far a request has come.
 pub enum RequestState {
     /// Submitted, or answered at the edge.
-    Submitted(Result<PendingRequest, Answer>),
+    Submitted(Result<PendingRequest, FinalResponse>),
     /// It waits for the requests that it must not run beside, since the given moment.
     Blocked(OpenRequest, Instant),
 }
--- a/src/clients/session/mod.rs
+++ b/src/clients/session/mod.rs
@@ -7,8 +7,8 @@
 //!
 //! A session never drops a request that it has accepted: each gets its answer, unless its client has left.
 
-mod accept;
 mod input;
+mod message_intake;
 mod progress;
 mod replies;
 mod respond;
@@ -24,7 +24,7 @@
 use crate::lifecycle::ServingState;
 use crate::pg::PgError;
 use crate::pg::frontend::{FrontendCodec, FrontendMessage, Reply};
-use crate::stages::admit::Edge;
+use crate::stages::admission::RejectionCause;
 use crate::timeouts::timeout_with_final_poll;
 use progress::InputProgress;
 use std::rc::Rc;
@@ -122,7 +122,7 @@
             let message = match self.pipeline.pop() {
                 Some(message) => message,
                 None => match self.read_message().await? {
-                    Some(message) => self.accept(message),
+                    Some(message) => self.take_in_message(message),
                     None => return Err(CloseReason::PeerClosed),
                 },
             };
@@ -195,7 +195,11 @@
                 self.send([replies::error("0A000", "the extended query protocol is not supported")]).await
             }
             ClientMessage::ConnectionRefused(retry_after, class) => {
-                let rejected = self.gateway.reject_unopened(Edge::Door, retry_after, class.as_deref());
+                let rejected = self.gateway.reject_unopened(
+                    RejectionCause::ConnectionSlots,
+                    retry_after,
+                    class.as_deref(),
+                );
                 self.send([replies::final_answer(rejected, true)]).await?;
                 Err(CloseReason::EdgeFull)
             }
--- a/src/fleet/disruption.rs
+++ b/src/fleet/disruption.rs
@@ -4,7 +4,7 @@
 //! quarantine that the driver has not applied.
 
 use crate::clients::lifecycle_driver::LifecycleDriver;
-use crate::stages::Input;
+use crate::stages::DriverInput;
 use linenhill_cluster::client::FleetClient;
 use linenhill_cluster::log_entry::{DisruptionAction, DisruptionRequest};
 use linenhill_cluster::protocol::OperatorReply;
@@ -25,7 +25,7 @@
 
 /// Reports availability to the fleet and applies its quarantine, for as long as the program runs.
 pub async fn run(
-    fleet: Rc<FleetClient>, lifecycle: Rc<LifecycleDriver>, inbox: mpsc::UnboundedSender<Input>,
+    fleet: Rc<FleetClient>, lifecycle: Rc<LifecycleDriver>, inbox: mpsc::UnboundedSender<DriverInput>,
 ) {
     let mut serving_state = lifecycle.subscribe();
     let mut quarantine = fleet.subscribe_quarantine();
@@ -48,18 +48,20 @@
 }
 
 /// Passes on how the driver observes the members.
-async fn report_members(fleet: &FleetClient, inbox: &mpsc::UnboundedSender<Input>) {
+async fn report_members(fleet: &FleetClient, inbox: &mpsc::UnboundedSender<DriverInput>) {
     let (reply, observations) = oneshot::channel();
-    let _ = inbox.send(Input::Sights(reply));
+    let _ = inbox.send(DriverInput::HealthObservationsRequested(reply));
     if let Ok(observations) = observations.await {
         fleet.observe_members(observations);
     }
 }
 
 /// Confirms a quarantine once the driver has applied it: nothing new is sent to those members after that.
-async fn apply_quarantine(fleet: &FleetClient, inbox: &mpsc::UnboundedSender<Input>, quarantine: Quarantine) {
+async fn apply_quarantine(
+    fleet: &FleetClient, inbox: &mpsc::UnboundedSender<DriverInput>, quarantine: Quarantine,
+) {
     let (reply, applied) = oneshot::channel();
-    let _ = inbox.send(Input::Fence(quarantine.members, reply));
+    let _ = inbox.send(DriverInput::QuarantineChanged(quarantine.members, reply));
     if applied.await.is_ok() {
         fleet.quarantine_applied(quarantine.edition);
     }
--- a/tests/cluster_harness/instance.rs
+++ b/tests/cluster_harness/instance.rs
@@ -2,7 +2,7 @@
 
 use super::KEEPERS;
 use crate::harness::Program;
-use linenhill_standins::{Relay, Weather};
+use linenhill_standins::{NetworkFaults, Relay};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -55,20 +55,21 @@
             program.signal("-CONT");
         }
         for relay in &self.relays {
-            relay.weather(|faults| *faults = Weather { resets: faults.resets, ..Weather::FINE });
+            relay.change_faults(|faults| {
+                *faults = NetworkFaults { resets: faults.resets, ..NetworkFaults::NONE }
+            });
         }
     }
 
     /// Lets the relay to a keeper lead to where that listens now.
     pub fn connect_to_keeper(&self, keeper: usize, address: SocketAddr) {
-        self.relays[keeper].lead_to(address);
+        self.relays[keeper].set_target(address);
     }
 
     /// Holds what is sent to a keeper, or what comes from it, without a sign of it.
     pub fn hold_link(&self, keeper: usize, is_held_to: bool, is_held_from: bool) {
-        self.relays[keeper].weather(|faults| {
-            faults.held_to = is_held_to;
-            faults.held_from = is_held_from;
+        self.relays[keeper].change_faults(|faults| {
+            faults.hold(is_held_to, is_held_from);
         });
     }
 
@@ -80,18 +81,18 @@
     /// Holds what comes from the keepers; what is sent to them arrives.
     pub fn hold_replies(&self) {
         for relay in &self.relays {
-            relay.weather(|faults| faults.held_from = true);
+            relay.change_faults(|faults| faults.holds_replies = true);
         }
     }
 
     /// Resets all connections to a keeper.
     pub fn reset_link(&self, keeper: usize) {
-        self.relays[keeper].weather(|faults| faults.resets += 1);
+        self.relays[keeper].change_faults(|faults| faults.resets += 1);
     }
 
     /// Delays what is sent to a keeper, and what comes from it.
     pub fn delay_link(&self, keeper: usize, delay: Duration) {
-        self.relays[keeper].weather(|faults| faults.delay = delay);
+        self.relays[keeper].change_faults(|faults| faults.delay = delay);
     }
 
     /// The same for all keepers.
--- a/tests/cluster_harness/operator_file.rs
+++ b/tests/cluster_harness/operator_file.rs
@@ -76,7 +76,7 @@
     fn keepers(&self) -> String {
         let mut text = String::new();
         for (index, relay) in self.relays.iter().enumerate() {
-            let address = relay.at;
+            let address = relay.address;
             writeln!(text, "keeper {{ name: \"k{index}\" address: \"{address}\" }}").expect("a string");
         }
         text
--- a/tests/components/connection_admission.rs
+++ b/tests/components/connection_admission.rs
@@ -11,7 +11,7 @@
 use linenhill::close_reason::CloseReason;
 use linenhill::connection_admission::AdmissionLimits;
 use linenhill::counters::Counters;
-use linenhill::stages::{Answer, Input};
+use linenhill::stages::{DriverInput, FinalResponse};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -82,8 +82,8 @@
     let counters = Rc::new(Counters::default());
     let answer_requests = async move {
         while let Some(input) = events.recv().await {
-            if let Input::Taken(accepted) = input {
-                let _ = accepted.reply.send(Answer::Served(b"the row".as_slice().into()));
+            if let DriverInput::RequestAccepted(accepted) = input {
+                let _ = accepted.reply.send(FinalResponse::Served(b"the row".as_slice().into()));
             }
         }
     };
--- a/tests/components/discovery_watch.rs
+++ b/tests/components/discovery_watch.rs
@@ -7,7 +7,7 @@
 use linenhill::discovery::list::{self, DecodedList, ListEvent};
 use linenhill::discovery::status::DiscoveryStatus;
 use linenhill::discovery::watch::{first_message_timeout, read_watch};
-use linenhill::stages::Input;
+use linenhill::stages::DriverInput;
 use linenhill::upstream::send_guard::SendGuard;
 use std::time::Duration;
 use tokio::io::{AsyncWriteExt, duplex};
@@ -70,7 +70,7 @@
     };
     let mut lists_received = 0;
     while let Ok(input) = events.try_recv() {
-        lists_received += usize::from(matches!(input, Input::List(ListEvent::Received(_))));
+        lists_received += usize::from(matches!(input, DriverInput::List(ListEvent::Received(_))));
     }
     ended(status.list_version(), lists_received, reason)
 }
@@ -83,7 +83,7 @@
     let reason = read_watch(text.as_bytes(), &status, &inbox, FIRST_MESSAGE_TIMEOUT).await;
     assert_eq!(reason, CloseReason::WatchEnded);
     let received = std::iter::from_fn(|| events.try_recv().ok());
-    received.map(|input| matches!(input, Input::List(ListEvent::Unchanged))).collect()
+    received.map(|input| matches!(input, DriverInput::List(ListEvent::Unchanged))).collect()
 }
 
 /// Guards against trusting a watch whose service hangs: only its blank lines show that it lives, and a line that never
--- a/tests/components/member_connection.rs
+++ b/tests/components/member_connection.rs
@@ -169,9 +169,13 @@
 async fn permit_for_test() -> SendPermit {
     let pool = new_pool(1, LONG, "127.0.0.1:1".parse().expect("an address"));
     let deadline = Instant::now() + LONG;
-    let intent =
-        SendIntent { member: MEMBER, purpose: Purpose::Probe, deadline, is_request_over: Rc::default() };
-    pool.guard().permit(&pool, intent).await.expect("a permit")
+    let intent = SendIntent {
+        member: MEMBER,
+        purpose: Purpose::HealthCheck,
+        deadline,
+        is_request_over: Rc::default(),
+    };
+    pool.send_permit(intent).await.expect("a permit")
 }
 
 /// What a connection makes of a member's reply.
--- a/tests/components/request_driver.rs
+++ b/tests/components/request_driver.rs
@@ -7,11 +7,11 @@
 use linenhill::discovery::list::{self, ListEvent};
 use linenhill::fleet::quota::FleetQuota;
 use linenhill::policy::Router;
-use linenhill::stages::book::Book;
-use linenhill::stages::relay::Relay;
-use linenhill::stages::route::{Route, RouteParts};
-use linenhill::stages::send::Sender;
-use linenhill::stages::{Answer, Input};
+use linenhill::stages::accounting::RequestAccounting;
+use linenhill::stages::dispatch::Dispatcher;
+use linenhill::stages::driver::{Driver, DriverParts};
+use linenhill::stages::response_delivery::ResponseDelivery;
+use linenhill::stages::{DriverInput, FinalResponse};
 use linenhill::upstream::pool::Pool;
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,24 +22,24 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// A driver, its pool, and the sender of its inputs.
-fn new_driver() -> (Route, Pool, mpsc::UnboundedSender<Input>) {
+fn new_driver() -> (Driver, Pool, mpsc::UnboundedSender<DriverInput>) {
     let config = example_config();
     let counters = Rc::new(Counters::default());
     let pool = Pool::new(9, SECOND, SECOND, counters.clone());
     let (inbox, events) = mpsc::unbounded_channel();
     let clock = Clock::start();
-    let book = Book::new(counters, new_metrics());
+    let accounting = RequestAccounting::new(counters, new_metrics());
     let limits = &config.site.settings.limits;
-    let sender = Sender::new(pool.clone(), inbox.clone(), book, limits);
+    let dispatcher = Dispatcher::new(pool.clone(), inbox.clone(), accounting, limits);
     let router = Router::new(config.site.settings, 42, clock.now());
-    let driver = Route::new(RouteParts {
+    let driver = Driver::new(DriverParts {
         router,
         clock,
-        inbox: events,
-        sender,
-        relay: Relay::default(),
+        inputs: events,
+        dispatcher,
+        responses: ResponseDelivery::default(),
         pool: pool.clone(),
-        names: config.names,
+        identifiers: config.names,
         subscribe: Rc::new(Notify::new()),
         maintenance: Rc::default(),
         quota: FleetQuota::default(),
@@ -48,13 +48,13 @@
 }
 
 /// A complete list of this version with one member.
-fn list_of_one(version: u64, id: &str) -> Input {
+fn list_of_one(version: u64, id: &str) -> DriverInput {
     let line = format!(
         r#"{{"version":{version},"full":true,"servers":[{{"id":"{id}","addr":"127.0.0.1:1",
             "zone":"a","kind":"m2","cell":1,"state":"in_service"}}]}}"#
     );
     let decoded = list::decode(line.as_bytes()).expect("a list");
-    Input::List(ListEvent::Received(decoded.list))
+    DriverInput::List(ListEvent::Received(decoded.list))
 }
 
 /// Guards against a slot kept for every member that ever was, and against a number that comes to mean another member.
@@ -89,17 +89,17 @@
 /// Guards against a time limit that is kept long after its request has ended.
 #[tokio::test(start_paused = true)]
 async fn nothing_is_due_once_it_is_answered() {
-    let mut relay = Relay::default();
+    let mut responses = ResponseDelivery::default();
     let due = Instant::now() + Duration::from_secs(600);
     let ids = [RequestId([1; 36]), RequestId([2; 36])];
     let replies = ids.map(|id| {
         let (reply, answer) = oneshot::channel();
-        relay.owe(id, reply, due);
+        responses.register(id, reply, due);
         answer
     });
-    assert_eq!(relay.first_due(), Some((due, ids[0])));
-    assert!(relay.answer(&ids[0], Answer::Failed) && relay.lapse(&ids[1]));
-    assert!(!relay.answer(&ids[0], Answer::Failed), "one answer only");
-    assert_eq!(relay.first_due(), None);
+    assert_eq!(responses.next_due(), Some((due, ids[0])));
+    assert!(responses.deliver(&ids[0], FinalResponse::Failed) && responses.abandon(&ids[1]));
+    assert!(!responses.deliver(&ids[0], FinalResponse::Failed), "one answer only");
+    assert_eq!(responses.next_due(), None);
     drop(replies);
 }
--- a/tests/components/session_fixture.rs
+++ b/tests/components/session_fixture.rs
@@ -13,10 +13,10 @@
 use linenhill::counters::Counters;
 use linenhill::lifecycle::ServingState;
 use linenhill::metrics::Metrics;
-use linenhill::stages::admit::Admit;
-use linenhill::stages::book::Book;
-use linenhill::stages::intake::Intake;
-use linenhill::stages::{Answer, Input, Taken};
+use linenhill::stages::accounting::RequestAccounting;
+use linenhill::stages::admission::RequestAdmission;
+use linenhill::stages::request_intake::RequestIntake;
+use linenhill::stages::{AcceptedRequest, DriverInput, FinalResponse};
 use linenhill::upstream::send_guard::SendGuard;
 use std::path::Path;
 use std::pin::Pin;
@@ -41,7 +41,7 @@
 };
 
 /// What the gateway hands to the driver.
-pub type Events = mpsc::UnboundedReceiver<Input>;
+pub type Events = mpsc::UnboundedReceiver<DriverInput>;
 
 /// A client session and its surroundings.
 pub struct SessionFixture {
@@ -79,11 +79,11 @@
 /// A gateway whose events the test receives.
 pub fn new_gateway() -> (Rc<RequestGateway>, Events) {
     let (inbox, events) = mpsc::unbounded_channel();
-    let intake = Intake::new(&example_config().site, Clock::start());
-    let book = Book::new(Rc::new(Counters::default()), new_metrics());
-    let admit = Admit::new(9, MESSAGE_MEMORY, 1 << 20);
+    let intake = RequestIntake::new(&example_config().site, Clock::start());
+    let accounting = RequestAccounting::new(Rc::new(Counters::default()), new_metrics());
+    let admission = RequestAdmission::new(9, MESSAGE_MEMORY, 1 << 20);
     let guard = SendGuard::without_list();
-    (Rc::new(RequestGateway::new(intake, admit, book, inbox, guard)), events)
+    (Rc::new(RequestGateway::new(intake, admission, accounting, inbox, guard)), events)
 }
 
 pub fn new_metrics() -> Rc<Metrics> {
@@ -115,14 +115,16 @@
 }
 
 /// The next event, which must be a request that the gateway accepted.
-pub async fn next_accepted(events: &mut Events) -> Taken {
-    let Some(Input::Taken(accepted)) = events.recv().await else { panic!("no request was accepted") };
+pub async fn next_accepted(events: &mut Events) -> AcceptedRequest {
+    let Some(DriverInput::RequestAccepted(accepted)) = events.recv().await else {
+        panic!("no request was accepted")
+    };
     *accepted
 }
 
 /// Answers an accepted request with these bytes; the session must still wait for them.
-pub fn serve(accepted: Taken, bytes: &'static str) {
-    accepted.reply.send(Answer::Served(bytes.as_bytes().into())).expect("a session that waits");
+pub fn serve(accepted: AcceptedRequest, bytes: &'static str) {
+    accepted.reply.send(FinalResponse::Served(bytes.as_bytes().into())).expect("a session that waits");
 }
 
 pub async fn write(client: &mut DuplexStream, bytes: &[u8]) {
