--- a/crates/decisions/src/policy/member_health.rs
+++ b/crates/decisions/src/policy/member_health.rs
@@ -20,7 +20,7 @@
 /// A member counts as restarted only if it was away at least so long.
 const RESTART_TIME_MIN: Micros = Micros::from_millis(1_000);
 /// With so many failed connections in a row they are a sign, however lately the member responded.
-const FAILURES_THAT_TELL: u32 = 2;
+const SIGNIFICANT_CONNECT_FAILURES: u32 = 2;
 
 /// What was seen of a member that is ejected.
 #[derive(Clone, Copy)]
@@ -94,7 +94,7 @@
     pub(super) fn has_just_responded(&self, id: MemberId) -> bool {
         let Some(member) = self.members.get(&id) else { return false };
         let is_recent = self.now <= member.last_sign_of_life() + RECENT_RESPONSE;
-        let has_connected = member.connections.consecutive_failures < FAILURES_THAT_TELL;
+        let has_connected = member.connections.consecutive_failures < SIGNIFICANT_CONNECT_FAILURES;
         member.ejected.is_none() && has_connected && is_recent
     }
 
