--- a/src/clients/request_gateway.rs
+++ b/src/clients/request_gateway.rs
@@ -126,7 +126,7 @@
 
     /// Whether the process may report that it is ready.
     pub fn may_report_ready(&self) -> bool {
-        self.guard.is_ready()
+        self.guard.may_report_ready()
     }
 
     /// What counts violated invariants.
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -54,7 +54,7 @@
         group: fields.group.unwrap_or(0),
         session_key: first_quoted(sql),
         required_position_ms: fields.position_ms.filter(|ms| *ms > 0),
-        payload: Payload::cut(statement, timeout.range),
+        payload: Payload::split_at_timeout(statement, timeout.range),
     })
 }
 
--- a/src/request.rs
+++ b/src/request.rs
@@ -18,7 +18,7 @@
 
 impl Payload {
     /// Cuts `text` where it has the timeout, which is the range `timeout` of its bytes. Panics if that is out of it.
-    pub fn cut(text: &Bytes, timeout: Range<usize>) -> Payload {
+    pub fn split_at_timeout(text: &Bytes, timeout: Range<usize>) -> Payload {
         Payload { head: text.slice(..timeout.start), tail: text.slice(timeout.end..) }
     }
 
--- a/src/upstream/send_guard.rs
+++ b/src/upstream/send_guard.rs
@@ -182,7 +182,7 @@
     }
 
     /// Whether the process may report that it is ready.
-    pub fn is_ready(&self) -> bool {
+    pub fn may_report_ready(&self) -> bool {
         let now = self.0.clock.now();
         self.0.lease.as_ref().is_none_or(|lease| lease.borrow().may_report_ready(now))
     }
--- a/tests/components/member_connection.rs
+++ b/tests/components/member_connection.rs
@@ -146,7 +146,7 @@
             pool.set_accepting(|_| true);
             let attempt_request = AttemptRequest {
                 member: MEMBER,
-                payload: Payload::cut(&Bytes::from_static(b"/* d=9 */ SELECT 1"), 5..6),
+                payload: Payload::split_at_timeout(&Bytes::from_static(b"/* d=9 */ SELECT 1"), 5..6),
                 deadline: Instant::now() + LONG,
                 is_retry: false,
                 purpose: Purpose::Attempt(RequestId([b'a'; 36]), 0),
