--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -2,7 +2,7 @@
 //!
 //! A check looks at the state at the moment of the act, and not at what was decided before. A violation is a fault of this
 //! program.
-//! It is counted in the metrics and logged with its ids and the last changes of state, and it never ends the process.
+//! It is counted in the metrics and logged with its context and the last changes of state, and it never ends the process.
 
 use log::error;
 use prometheus_client::metrics::counter::Counter;
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 /// Changes of state that are remembered for the log line of a violation.
-const RECENT_CHANGES: usize = 12;
+const MAX_RECENT_CHANGES: usize = 12;
 
 /// A condition that must always hold; printed as its metric label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -108,14 +108,14 @@
     /// Remembers a change of state for the log line of a violation. For rare events, not for each request.
     pub fn record_change(&self, change: fmt::Arguments) {
         let mut recent = self.recent.borrow_mut();
-        if recent.len() >= RECENT_CHANGES {
+        if recent.len() >= MAX_RECENT_CHANGES {
             recent.pop_front();
         }
         recent.push_back(format!("{:.3} s {change}", self.started.elapsed().as_secs_f64()));
     }
 
-    /// Counts and logs a violation unless `holds`. `ids` names the request, the member or the connection.
-    pub fn check(&self, invariant: Invariant, holds: bool, ids: fmt::Arguments) {
+    /// Counts and logs a violation unless `holds`. `context` names the request, the member or the connection.
+    pub fn check(&self, invariant: Invariant, holds: bool, context: fmt::Arguments) {
         if holds {
             return;
         }
@@ -123,7 +123,7 @@
         self.violations.get_or_create_owned(&labels(invariant)).inc();
         let recent: Vec<String> = self.recent.borrow().iter().cloned().collect();
         error!(
-            "invariant {invariant} violated at {:.3} s: {ids}; last changes: {}",
+            "invariant {invariant} violated at {:.3} s: {context}; last changes: {}",
             self.started.elapsed().as_secs_f64(),
             recent.join("; ")
         );
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -86,7 +86,7 @@
 ) -> Result<(), DriverEnded> {
     // Build.
     let capacity = Capacity::new(&config, listeners.operators.is_some());
-    let longest_wait = Duration::from_micros(config.site.max_client_timeout.0);
+    let max_client_timeout = Duration::from_micros(config.site.max_client_timeout.0);
     let fleet_client = listeners.fleet.as_ref().map(|fleet| fleet.client.clone());
     let quota = listeners.fleet.as_ref().map(|fleet| fleet.quota.clone()).unwrap_or_default();
     let (inbox, inputs) = mpsc::unbounded_channel();
@@ -100,7 +100,7 @@
     // Run.
     let driver = spawn_local(driver.run());
     spawn_local(discovery_client.run());
-    spawn_upkeep(&parts);
+    spawn_background_tasks(&parts);
     let lifecycle = LifecycleDriver::starting(parts.clock);
     spawn_local(announce_ready(parts.guard.clone(), lifecycle.clone()));
     if let Some(fleet) = listeners.fleet {
@@ -126,12 +126,12 @@
     let _ = lifecycle.handle(Event::Stop { handed_over: false });
     // Logged once the stop has taken effect: a reader of the line may rely on it.
     info!("stopping, {} requests held", gateway.held_requests());
-    wait_for_answers(serving, longest_wait).await;
+    wait_for_answers(serving, max_client_timeout).await;
     Ok(())
 }
 
 /// Starts what logs and tidies at intervals.
-fn spawn_upkeep(parts: &Parts) {
+fn spawn_background_tasks(parts: &Parts) {
     let status = parts.discovery_status.clone();
     spawn_local(async move { status.log_silence().await });
     spawn_local(parts.pool.clone().run_quota_enforcement());
@@ -158,7 +158,7 @@
 }
 
 /// Waits until all sessions have ended, for [`STOP_GRACE`] past the longest deadline at most.
-async fn wait_for_answers(serving: JoinHandle<()>, longest_wait: Duration) {
-    let is_over = timeout(longest_wait + STOP_GRACE, serving).await.is_ok();
+async fn wait_for_answers(serving: JoinHandle<()>, max_client_timeout: Duration) {
+    let is_over = timeout(max_client_timeout + STOP_GRACE, serving).await.is_ok();
     info!("stopped, {}", if is_over { "all answered" } else { "some still held" });
 }
--- a/src/request.rs
+++ b/src/request.rs
@@ -22,8 +22,8 @@
         Payload { head: text.slice(..timeout.start), tail: text.slice(timeout.end..) }
     }
 
-    /// The request with this timeout in milliseconds, in two pieces where it is long: nothing long is copied.
-    pub fn pieces(&self, timeout_ms: u64) -> (Bytes, Bytes) {
+    /// The request with this timeout in milliseconds, in two parts if it is long: a long tail is not copied.
+    pub fn render_parts(&self, timeout_ms: u64) -> (Bytes, Bytes) {
         if self.tail.len() <= MAX_COPIED_BYTES {
             return (self.render(timeout_ms), Bytes::new());
         }
--- a/src/stages/dispatch.rs
+++ b/src/stages/dispatch.rs
@@ -51,7 +51,7 @@
 
 impl AttemptId {
     /// The driver's input for the end of the attempt.
-    fn ended(self, end: AttemptOutcome) -> DriverInput {
+    fn into_input(self, end: AttemptOutcome) -> DriverInput {
         let AttemptOutcome { outcome, response, position, role, report } = end;
         let ended = AttemptEnd {
             id: self.request,
@@ -111,13 +111,13 @@
         let started = Instant::now();
         let Some(request) = self.requests.get_mut(&id) else {
             // Not one of ours, or long over: it was never sent.
-            return self.ignore(AttemptId { request: id, number: 0, member, started });
+            return self.report_not_sent(AttemptId { request: id, number: 0, member, started });
         };
         let number = request.next_attempt;
         request.next_attempt += 1;
         let attempt_id = AttemptId { request: id, number, member, started };
         if request.is_over.get() || number >= self.max_attempts || started >= request.deadline {
-            return self.ignore(attempt_id);
+            return self.report_not_sent(attempt_id);
         }
         self.pool.guard().monitor().check(
             Invariant::OneAttempt,
@@ -152,14 +152,14 @@
             let on_written = || accounting.record_statement_written();
             let end = attempt::run(pool, attempt_request, cancelled, on_written).await;
             accounting.record_attempt_outcome(end.outcome);
-            let _ = inbox.send(attempt_id.ended(end));
+            let _ = inbox.send(attempt_id.into_input(end));
         });
     }
 
     /// Ends an attempt that is not started.
-    fn ignore(&self, attempt_id: AttemptId) {
+    fn report_not_sent(&self, attempt_id: AttemptId) {
         let end = AttemptOutcome::without_response(Outcome::NotSent);
-        let _ = self.inbox.send(attempt_id.ended(end));
+        let _ = self.inbox.send(attempt_id.into_input(end));
     }
 
     /// Cancels an attempt; one that has ended in the meantime stays as it ended.
--- a/src/stages/driver.rs
+++ b/src/stages/driver.rs
@@ -144,8 +144,8 @@
         while let Some((_, id)) = self.responses.next_due().filter(|(due, _)| *due <= now) {
             // A process that was stopped answers late, whatever it does.
             let guard = self.pool.guard();
-            let ids = format_args!("request {id} was overdue");
-            guard.monitor().check(Invariant::AnsweredInTime, guard.is_catching_up(), ids);
+            let context = format_args!("request {id} was overdue");
+            guard.monitor().check(Invariant::AnsweredInTime, guard.is_catching_up(), context);
             self.respond(id, FinalResponse::Failed);
             self.handle_event(Event::ClientGone { id });
         }
@@ -189,8 +189,8 @@
         if self.pool.guard().check_lease() == Err(Withheld::Expired) {
             return Err(RETRY_AFTER_UNCONFIRMED_LIST);
         }
-        let is_closed = self.members.is_group_out(request.group) || !self.quota.may_serve();
-        if is_closed || !self.quota.try_spend_admission(request.class) {
+        let is_blocked = self.members.is_group_out(request.group) || !self.quota.may_serve();
+        if is_blocked || !self.quota.try_spend_admission(request.class) {
             return Err(RETRY_AFTER_NOT_ADMITTED);
         }
         Ok(())
@@ -210,7 +210,7 @@
         );
         self.dispatcher.record_attempt_end(end.id, end.attempt);
         if let (Outcome::Ok, Some(response)) = (end.outcome, response) {
-            self.respond(end.id, served(response));
+            self.respond(end.id, served_response(response));
         }
         end.is_request_over = !self.responses.is_open(&end.id);
         self.handle_event(Event::AttemptEnded(end));
@@ -228,11 +228,11 @@
                 let entries = self.members.record_list(list);
                 self.update_list(ListUpdate::Cached(entries));
             }
-            ListEvent::Received(list) => self.list_received(list),
+            ListEvent::Received(list) => self.apply_received_list(list),
         }
     }
 
-    fn list_received(&mut self, list: EndpointList) {
+    fn apply_received_list(&mut self, list: EndpointList) {
         let is_full = list.is_full;
         info!("list version {} with {} entries, full={is_full}", list.version, list.endpoints.len());
         self.pool.guard().set_list_version(list.version);
@@ -262,7 +262,7 @@
     /// Passes a list to the decisions, and forgets whom they forget.
     fn update_list(&mut self, update: ListUpdate) {
         self.handle_event(Event::ListUpdated(update));
-        self.members.follow(&self.router);
+        self.members.sync_with_router(&self.router);
     }
 
     /// Passes an event to the decisions, and carries out what they ask for.
@@ -273,12 +273,12 @@
         }
         self.router.handle(self.clock.now(), event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(action);
+            self.execute(action);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { id, member, timeout } => {
                 debug!("attempt_started request={id} member={}", member.0);
@@ -317,7 +317,7 @@
 }
 
 /// The final response of a request that a member has served.
-fn served(response: MemberResponse) -> FinalResponse {
+fn served_response(response: MemberResponse) -> FinalResponse {
     match response {
         MemberResponse::Complete(raw) => FinalResponse::Served(raw),
         MemberResponse::Streaming(response) => FinalResponse::Streaming(response),
--- a/src/stages/member_directory.rs
+++ b/src/stages/member_directory.rs
@@ -79,7 +79,7 @@
     }
 
     /// Forgets the members that the decisions have forgotten, and closes those to new statements that they have closed.
-    pub(super) fn follow(&mut self, router: &Router) {
+    pub(super) fn sync_with_router(&mut self, router: &Router) {
         self.identifiers.retain(|member| router.has_record_of(member));
         self.pool.retain(|member| router.has_record_of(member));
         self.pool.set_accepting(|member| router.accepts_new_requests(member));
--- a/src/stages/request_intake.rs
+++ b/src/stages/request_intake.rs
@@ -11,10 +11,10 @@
 use std::rc::Rc;
 
 /// A client waits no longer than this, in milliseconds: a longer wait of a request is cut.
-const MAX_WAIT_MS: u64 = 600_000;
+const MAX_TIMEOUT_MS: u64 = 600_000;
 
 /// Digits of a session key that is a number of 64 bits already.
-const HEXADECIMAL_KEY_LENGTH: usize = 16;
+const HEX_KEY_DIGITS: usize = 16;
 
 /// The prime of FNV-1a for 64 bits.
 const FNV_PRIME: u64 = 0x100_0000_01b3;
@@ -48,7 +48,7 @@
     /// By the classes' numbers.
     read_levels: Vec<ReadLevel>,
     clock: Clock,
-    last_number: Cell<u64>,
+    last_request_number: Cell<u64>,
     open_ids: Rc<RefCell<BTreeSet<String>>>,
 }
 
@@ -65,9 +65,9 @@
     }
 }
 
-/// The session's number: a key of [`HEXADECIMAL_KEY_LENGTH`] hexadecimal digits as it is, any other by its hash.
+/// The session's number: a key of [`HEX_KEY_DIGITS`] hexadecimal digits as it is, any other by its hash.
 fn session_key(key: &str) -> SessionKey {
-    let is_number = key.len() == HEXADECIMAL_KEY_LENGTH;
+    let is_number = key.len() == HEX_KEY_DIGITS;
     let number = if is_number { u64::from_str_radix(key, 16).ok() } else { None };
     SessionKey(number.unwrap_or_else(|| fnv_1a(key.as_bytes())))
 }
@@ -85,7 +85,7 @@
             classes: site.classes.clone(),
             read_levels: site.settings.classes.iter().map(|class| class.read_level).collect(),
             clock,
-            last_number: Cell::new(0),
+            last_request_number: Cell::new(0),
             open_ids: Rc::default(),
         }
     }
@@ -122,8 +122,8 @@
 
     /// A fresh id of our own, since clients may use one again: the number of the request, with zeros before it.
     fn next_id(&self) -> RequestId {
-        let number = self.last_number.get() + 1;
-        self.last_number.set(number);
+        let number = self.last_request_number.get() + 1;
+        self.last_request_number.set(number);
         let mut id = [b'0'; 36];
         id[16..].copy_from_slice(format!("{number:020}").as_bytes());
         RequestId(id)
@@ -139,7 +139,7 @@
         Request {
             id: self.next_id(),
             class,
-            time_left: Micros(incoming.timeout_ms.min(MAX_WAIT_MS) * 1_000),
+            time_left: Micros(incoming.timeout_ms.min(MAX_TIMEOUT_MS) * 1_000),
             tenant: None,
             last_write_age: incoming.required_position_ms.filter(|_| level == ReadLevel::Session).map(age),
             group: GroupId(incoming.group),
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -21,7 +21,7 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 /// Chunks of a long answer that may wait for the client to take them.
-const STREAM_WINDOW: usize = 4;
+const STREAM_WINDOW_CHUNKS: usize = 4;
 
 /// Time in which a long answer is forwarded, however slow the member or the client: it must not occupy its connection
 /// for ever.
@@ -78,12 +78,12 @@
         if is_retry && !pool.quota().try_spend_retry() {
             return None;
         }
-        pool.attempt_permit(member)
+        pool.acquire_attempt_quota(member)
     };
     let render = || {
         let time_left = deadline.saturating_duration_since(Instant::now());
         let time_left_ms = time_left.as_millis() as u64;
-        payload.pieces(time_left_ms.max(1))
+        payload.render_parts(time_left_ms.max(1))
     };
     let intent = SendIntent { member, purpose, deadline, is_request_over };
     let exchange = Exchange { pool: &pool, intent: &intent, progress: &progress };
@@ -93,7 +93,7 @@
     tokio::select! {
         biased;
         result = &mut running => match result {
-            Ok(exchanged) => answered(&pool, member, exchanged),
+            Ok(exchange_reply) => outcome_from_reply(&pool, member, exchange_reply),
             Err(outcome) => AttemptOutcome::without_response(outcome),
         },
         _ = cancelled => {
@@ -109,15 +109,15 @@
     }
 }
 
-/// The outcome of an attempt that has a reply. A connection in `exchanged` carries the rest of a long answer,
+/// The outcome of an attempt that has a reply. A connection in `exchange_reply` carries the rest of a long answer,
 /// which a new task forwards.
-fn answered(pool: &Pool, member: MemberId, exchanged: ExchangeReply) -> AttemptOutcome {
-    let ExchangeReply { reply, streaming_connection } = exchanged;
+fn outcome_from_reply(pool: &Pool, member: MemberId, exchange_reply: ExchangeReply) -> AttemptOutcome {
+    let ExchangeReply { reply, streaming_connection } = exchange_reply;
     let StatementReply { outcome, raw, position, role, report, .. } = reply;
     let response = (outcome == Outcome::Ok).then(|| match streaming_connection {
         None => MemberResponse::Complete(raw),
         Some(connection) => {
-            let (chunks, rest) = mpsc::channel(STREAM_WINDOW);
+            let (chunks, rest) = mpsc::channel(STREAM_WINDOW_CHUNKS);
             tokio::task::spawn_local(forward_rest(pool.clone(), member, connection, chunks));
             MemberResponse::Streaming(StreamingResponse { first: raw, rest })
         }
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -26,14 +26,14 @@
 use tokio_util::codec::Framed;
 
 /// A reply that has begun continues within this time, or its rest is not coming.
-const ANSWER_GAP: Duration = Duration::from_millis(250);
-/// The longest time between two chunks of a long answer. Longer than [`ANSWER_GAP`], since members may pause for
+const REPLY_GAP_TIMEOUT: Duration = Duration::from_millis(250);
+/// The longest time between two chunks of a long answer. Longer than [`REPLY_GAP_TIMEOUT`], since members may pause for
 /// seconds within one.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(10);
 /// A buffer that grew beyond this many bytes is released after the reply.
-const MAX_KEPT_BUFFER: usize = 32 * 1024;
+const MAX_KEPT_BUFFER_BYTES: usize = 32 * 1024;
 /// The size of a new buffer, in bytes: the codec's own default.
-const INITIAL_BUFFER: usize = 8 * 1024;
+const INITIAL_BUFFER_BYTES: usize = 8 * 1024;
 
 /// An open connection. Dropping it closes the socket, logs the close reason, and returns the descriptor and the quota.
 pub struct MemberConnection {
@@ -163,7 +163,7 @@
 
     /// Like [`Self::unusable_reason`], but asks the kernel too: the runtime does not know of what arrived since it
     /// last polled. To be checked right before a statement is written.
-    pub fn unusable_reason_now(&self) -> Option<CloseReason> {
+    pub fn unusable_reason_with_peek(&self) -> Option<CloseReason> {
         self.unusable_reason().or_else(|| match pending_input(self.framed.get_ref()) {
             PendingInput::Empty => None,
             PendingInput::Bytes => Some(CloseReason::Protocol),
@@ -182,7 +182,7 @@
         let result = if tail.is_empty() {
             self.framed.send(Command::Query(head)).await
         } else {
-            self.write_long(&head, &tail).await
+            self.write_unbuffered(&head, &tail).await
         };
         result.map_err(|_| {
             self.close_reason.set(CloseReason::Reset);
@@ -191,7 +191,7 @@
     }
 
     /// Writes a long statement past the codec's buffer, into which it would be copied.
-    async fn write_long(&mut self, head: &[u8], tail: &[u8]) -> Result<(), PgError> {
+    async fn write_unbuffered(&mut self, head: &[u8], tail: &[u8]) -> Result<(), PgError> {
         let length = (4 + head.len() + tail.len() + 1) as u32;
         let stream = self.framed.get_mut();
         stream.write_all(&[b"Q", &length.to_be_bytes()[..], head].concat()).await?;
@@ -234,11 +234,11 @@
     }
 
     /// The next message of a reply. The first one may take any time; once bytes of the reply have arrived, others
-    /// must follow within [`ANSWER_GAP`].
+    /// must follow within [`REPLY_GAP_TIMEOUT`].
     async fn next_message(&mut self, has_begun: bool) -> Option<Result<BackendMessage, PgError>> {
         let mut buffered = self.framed.read_buffer().len();
         loop {
-            if let Ok(message) = timeout(ANSWER_GAP, self.framed.next()).await {
+            if let Ok(message) = timeout(REPLY_GAP_TIMEOUT, self.framed.next()).await {
                 return message;
             }
             let buffered_before = buffered;
@@ -281,12 +281,12 @@
 
     /// Replaces empty buffers that a long statement or answer made large.
     fn release_large_buffers(&mut self) {
-        let is_large = |buffer: &BytesMut| buffer.capacity() > MAX_KEPT_BUFFER && buffer.is_empty();
+        let is_large = |buffer: &BytesMut| buffer.capacity() > MAX_KEPT_BUFFER_BYTES && buffer.is_empty();
         if is_large(self.framed.read_buffer()) {
-            *self.framed.read_buffer_mut() = BytesMut::with_capacity(INITIAL_BUFFER);
+            *self.framed.read_buffer_mut() = BytesMut::with_capacity(INITIAL_BUFFER_BYTES);
         }
         if is_large(self.framed.write_buffer()) {
-            *self.framed.write_buffer_mut() = BytesMut::with_capacity(INITIAL_BUFFER);
+            *self.framed.write_buffer_mut() = BytesMut::with_capacity(INITIAL_BUFFER_BYTES);
         }
     }
 }
--- a/src/upstream/exchange.rs
+++ b/src/upstream/exchange.rs
@@ -120,7 +120,7 @@
     let address = pool.address(member).ok_or(Outcome::ConnectError)?;
     // A proxy without a free descriptor or quota learns nothing about the member.
     let descriptor = pool.reserve_descriptor().ok_or(Outcome::NotSent)?;
-    let quota = pool.connection_permit(member).ok_or(Outcome::NotSent)?;
+    let quota = pool.acquire_connection_quota(member).ok_or(Outcome::NotSent)?;
     let mut connection = MemberConnection::open(address, descriptor, pool.connect_timeout()).await?;
     // Bytes that a member sends before the statement would be taken for the reply.
     ensure_usable(&connection)?;
@@ -130,7 +130,7 @@
 
 /// Checks with the kernel that a connection is open and silent; if not, sets its close reason.
 fn ensure_usable(connection: &MemberConnection) -> Result<(), Outcome> {
-    let Some(reason) = connection.unusable_reason_now() else { return Ok(()) };
+    let Some(reason) = connection.unusable_reason_with_peek() else { return Ok(()) };
     connection.close_reason().set(reason);
     Err(Outcome::ConnectError)
 }
--- a/src/upstream/health_check.rs
+++ b/src/upstream/health_check.rs
@@ -29,7 +29,7 @@
         return (Outcome::TimedOut, LoadReport::default());
     };
     let reply = match result {
-        Ok(exchanged) => exchanged.reply,
+        Ok(exchange_reply) => exchange_reply.reply,
         Err(outcome) => return (outcome, LoadReport::default()),
     };
     // No report is long enough to be streamed.
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -20,7 +20,7 @@
 use tokio::time::Instant;
 
 /// Idle connections are retired at this part of the time after which members close them.
-const RETIRE_PART: f64 = 0.6;
+const RETIRE_FRACTION: f64 = 0.6;
 /// A connection is not used again for this long after a reply: excess bytes of a member would be taken for the next
 /// one.
 const SETTLE_TIME: Duration = Duration::from_millis(2);
@@ -84,7 +84,7 @@
             slots: RefCell::default(),
             eligibility: SendEligibility::default(),
             descriptors: ResourceLimit::new(max_connections),
-            retire_after: idle_close.mul_f64(RETIRE_PART),
+            retire_after: idle_close.mul_f64(RETIRE_FRACTION),
             connect_timeout,
             counters,
             quota,
@@ -118,7 +118,7 @@
     /// A permit to write a statement now, or `None` if the guard allows none. To be asked for right before the write;
     /// waits while the process catches up after a hold-up.
     pub async fn send_permit(&self, intent: SendIntent) -> Option<SendPermit> {
-        self.0.guard.permit(&self.0.eligibility, intent).await
+        self.0.guard.issue_permit(&self.0.eligibility, intent).await
     }
 
     /// Sets the name by which the fleet's budgets know a member. Only the first one counts.
@@ -132,20 +132,20 @@
         }
     }
 
-    fn with_name<T>(
+    fn with_budget_name<T>(
         &self, member: MemberId, apply: impl FnOnce(&FleetQuota, &str) -> Option<T>,
     ) -> Option<T> {
         apply(&self.0.quota, &self.0.slots.borrow().get(&member)?.name)
     }
 
     /// A permit for a new connection to a member; none if this proxy's quota is used up or the member is not known.
-    pub fn connection_permit(&self, member: MemberId) -> Option<QuotaUnit> {
-        self.with_name(member, |quota, name| quota.acquire_connection(name))
+    pub fn acquire_connection_quota(&self, member: MemberId) -> Option<QuotaUnit> {
+        self.with_budget_name(member, |quota, name| quota.acquire_connection(name))
     }
 
     /// A permit for an attempt at a member; none if this proxy's quota is used up or the member is not known.
-    pub fn attempt_permit(&self, member: MemberId) -> Option<QuotaUnit> {
-        self.with_name(member, |quota, name| quota.acquire_attempt(name))
+    pub fn acquire_attempt_quota(&self, member: MemberId) -> Option<QuotaUnit> {
+        self.with_budget_name(member, |quota, name| quota.acquire_attempt(name))
     }
 
     /// What this proxy may use of the fleet's budgets.
@@ -157,12 +157,12 @@
     pub async fn run_quota_enforcement(self) {
         loop {
             self.0.quota.changed().await;
-            self.close_excess();
+            self.close_idle_over_quota();
         }
     }
 
     /// Closes idle connections beyond the quota, those used longest ago first.
-    fn close_excess(&self) {
+    fn close_idle_over_quota(&self) {
         let mut excess = Vec::new();
         for slot in self.0.slots.borrow_mut().values_mut() {
             let over_quota =
@@ -175,18 +175,18 @@
 
     /// Forgets the members for which `keep` is false, and closes their idle connections.
     pub fn retain(&self, keep: impl Fn(MemberId) -> bool) {
-        let mut orphaned = Vec::new();
+        let mut removed_idle = Vec::new();
         let mut removed_names = Vec::new();
         self.0.slots.borrow_mut().retain(|member, slot| {
             let is_kept = keep(*member);
             if !is_kept {
                 self.0.eligibility.remove(*member);
-                orphaned.append(&mut slot.idle);
+                removed_idle.append(&mut slot.idle);
                 removed_names.push(std::mem::take(&mut slot.name));
             }
             is_kept
         });
-        close_all(orphaned);
+        close_all(removed_idle);
         removed_names.iter().for_each(|name| self.0.quota.member_removed(name));
     }
 
@@ -222,7 +222,7 @@
             } else if idle_since.elapsed() >= self.0.retire_after {
                 Some(CloseReason::Retired)
             } else {
-                connection.unusable_reason_now()
+                connection.unusable_reason_with_peek()
             };
             connection.close_reason().set(close_reason.unwrap_or(CloseReason::Cancelled));
             if close_reason.is_none() {
@@ -240,7 +240,7 @@
 
     /// Whether more connections to a member are open than this proxy's quota allows.
     fn is_over_quota(&self, member: MemberId) -> bool {
-        self.with_name(member, |quota, name| Some(quota.excess_connections(name) > 0)).unwrap_or(false)
+        self.with_budget_name(member, |quota, name| Some(quota.excess_connections(name) > 0)).unwrap_or(false)
     }
 
     /// Keeps a connection for its next use, or closes it: where the member has moved or is forgotten, and where it is
--- a/src/upstream/send_guard.rs
+++ b/src/upstream/send_guard.rs
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, sleep};
 
 /// Interval at which a send asks again while the process catches up after a hold-up.
-const CATCH_UP_POLL: Duration = Duration::from_millis(10);
+const CATCH_UP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What a statement is sent for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -105,7 +105,7 @@
     list_version: Cell<u64>,
     /// Whether the lease had expired at the driver's last turn.
     was_expired: Cell<bool>,
-    is_ready: watch::Sender<bool>,
+    readiness: watch::Sender<bool>,
     monitor: Rc<InvariantMonitor>,
 }
 
@@ -118,24 +118,24 @@
     pub fn new(
         lease: ListLease, list_version: u64, clock: Clock, monitor: Rc<InvariantMonitor>,
     ) -> SendGuard {
-        SendGuard::with(Some(RefCell::new(lease)), list_version, clock, monitor)
+        SendGuard::from_lease(Some(RefCell::new(lease)), list_version, clock, monitor)
     }
 
     /// A guard where no list binds, for a pool of members that no discovery names.
     pub fn without_list() -> SendGuard {
-        SendGuard::with(None, 0, Clock::start(), Rc::default())
+        SendGuard::from_lease(None, 0, Clock::start(), Rc::default())
     }
 
-    fn with(
+    fn from_lease(
         lease: Option<RefCell<ListLease>>, list_version: u64, clock: Clock, monitor: Rc<InvariantMonitor>,
     ) -> SendGuard {
-        let (is_ready, _) = watch::channel(lease.is_none());
+        let (readiness, _) = watch::channel(lease.is_none());
         SendGuard(Rc::new(Inner {
             lease,
             clock,
             list_version: Cell::new(list_version),
             was_expired: Cell::new(false),
-            is_ready,
+            readiness,
             monitor,
         }))
     }
@@ -177,7 +177,7 @@
             info!("list lease: {before} to {after}, list version {}", self.0.list_version.get());
         }
         if lease.borrow().is_ready(self.0.clock.now()) {
-            self.0.is_ready.send_if_modified(|ready| !std::mem::replace(ready, true));
+            self.0.readiness.send_if_modified(|ready| !std::mem::replace(ready, true));
         }
     }
 
@@ -189,7 +189,7 @@
 
     /// Returns once discovery has confirmed the list, or has had its time for that.
     pub async fn wait_until_ready(&self) {
-        let _ = self.0.is_ready.subscribe().wait_for(|ready| *ready).await;
+        let _ = self.0.readiness.subscribe().wait_for(|ready| *ready).await;
     }
 
     /// While the process catches up after a hold-up: since when it was held up. What it reads now may have arrived as
@@ -241,7 +241,7 @@
 
     /// A permit to write now; none if the member accepts nothing new, the request is over, its deadline has passed, or
     /// the list's lease is over. Waits while the process catches up after a hold-up.
-    pub(super) async fn permit(
+    pub(super) async fn issue_permit(
         &self, eligibility: &SendEligibility, intent: SendIntent,
     ) -> Option<SendPermit> {
         let mut has_waited = false;
@@ -264,7 +264,7 @@
                     });
                 }
                 Err(Withheld::Expired) => return None,
-                Err(Withheld::CatchingUp) => sleep(CATCH_UP_POLL).await,
+                Err(Withheld::CatchingUp) => sleep(CATCH_UP_POLL_INTERVAL).await,
             }
             has_waited = true;
         }
