--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -1,8 +1,8 @@
-//! What must hold whenever something is sent, answered or closed, checked where it happens and counted in service.
+//! Invariants of sending, answering and closing, checked at run time in production.
 //!
-//! A check looks at the state at the moment of the act, and not at what was decided before. A violation is a fault of this
-//! program.
-//! It is counted in the metrics and logged with its context and the last changes of state, and it never ends the process.
+//! A check evaluates the state at the moment of the operation, not the state at which the operation was decided. A
+//! violation is a bug in this program: it is counted in the metrics and logged with its context and the most recent state
+//! changes. It never ends the process.
 
 use log::error;
 use prometheus_client::metrics::counter::Counter;
@@ -13,31 +13,30 @@
 use std::fmt;
 use tokio::time::Instant;
 
-/// Changes of state that are remembered for the log line of a violation.
+/// State changes kept for the log line of a violation.
 const MAX_RECENT_CHANGES: usize = 12;
 
-/// A condition that must always hold; printed as its metric label.
+/// A condition that must always hold. Its `Display` form is the value of the metric label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// Nothing is sent to a member that drains, is gone, or is out of service.
+    /// No statement is sent to a member that is draining, gone, or out of service.
     MemberAccepts,
-    /// Nothing is sent by a list whose lease is over.
+    /// No statement is sent while the lease on the endpoint list is expired.
     ListLeased,
-    /// Nothing is sent for a request that is answered, or whose client has left.
+    /// No statement is sent for a request that has its final answer or whose client has disconnected.
     RequestOpen,
-    /// Nothing is sent after the request's deadline.
+    /// No statement is sent after the deadline of its request.
     BeforeDeadline,
-    /// What is written follows its permit at once.
+    /// No statement is written later than [`HOLD_UP`](crate::platform_bounds::HOLD_UP) after its permit was issued.
     PermitCurrent,
-    /// No second attempt of a request runs beside one that was not cancelled, unless the settings allow hedged
+    /// No attempt of a request starts while another one is in flight and not cancelled, unless the settings allow hedged
     /// requests.
     OneAttempt,
-    /// Every request that was accepted is answered before its connection is closed by this side.
+    /// The proxy closes no connection before the requests accepted on it are answered.
     AnsweredBeforeClose,
     /// Every request is answered by its deadline.
     AnsweredInTime,
-    /// No process that has just started reports that it is ready before its list is confirmed, or its time for that is
-    /// over.
+    /// A starting process does not report readiness before its list is confirmed or the time limit for that has passed.
     ReadyWithList,
 }
 
@@ -72,10 +71,10 @@
     }
 }
 
-/// The metric's labels, by name.
+/// Label names and values of the metric.
 type Labels = Vec<(String, String)>;
 
-/// Counts violations, and keeps the last changes of state for their log lines.
+/// Counts violations, and keeps the most recent state changes for their log lines.
 pub struct InvariantMonitor {
     violations: Family<Labels, Counter>,
     total: Cell<u64>,
@@ -99,13 +98,13 @@
 }
 
 impl InvariantMonitor {
-    /// Registers the counts as metrics; each invariant has one from the start, of 0.
+    /// Registers the counter of violations. It has a series for each invariant from the start, with value 0.
     pub fn register(&self, registry: &mut Registry) {
         let help = "Violated invariants: faults of this program";
         registry.register("invariant_violations", help, self.violations.clone());
     }
 
-    /// Remembers a change of state for the log line of a violation. For rare events, not for each request.
+    /// Records a state change for the log line of a violation. Meant for rare events, not for each request.
     pub fn record_change(&self, change: fmt::Arguments) {
         let mut recent = self.recent.borrow_mut();
         if recent.len() >= MAX_RECENT_CHANGES {
@@ -114,7 +113,7 @@
         recent.push_back(format!("{:.3} s {change}", self.started.elapsed().as_secs_f64()));
     }
 
-    /// Counts and logs a violation unless `holds`. `context` names the request, the member or the connection.
+    /// Counts and logs a violation if `holds` is false. `context` identifies the request, the member or the connection.
     pub fn check(&self, invariant: Invariant, holds: bool, context: fmt::Arguments) {
         if holds {
             return;
@@ -129,7 +128,7 @@
         );
     }
 
-    /// The number of violations since the start.
+    /// The number of violations of all invariants since the start.
     pub fn total(&self) -> u64 {
         self.total.get()
     }
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -1,8 +1,8 @@
-//! The proxy as a whole: builds the parts, starts their tasks, waits for the stop, and lets what was accepted be answered.
+//! The top level of the proxy: builds the components, starts their tasks, waits for the stop signal, and then waits until
+//! accepted requests are answered.
 //!
-//! This is the place to begin reading: `serve` names every task. All of them run on one thread. Only the driver
-//! ([`crate::stages::driver`]) talks to the decisions; everything else sends it events or carries out what it asks for. Nothing
-//! here decides anything.
+//! Start reading here: `serve` starts every task, all of them on one thread. Only the driver ([`crate::stages::driver`])
+//! calls the router; all other tasks send it inputs or execute its actions.
 
 mod capacity;
 mod parts;
@@ -31,48 +31,48 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::timeout;
 
-/// How long after the longest deadline a stopping process waits for answers. A request that was accepted ends by its
-/// deadline, which counts from its last byte, and a slow client's last byte comes late. An answer that the platform's SIGKILL
-/// finds under way is not lost, while one that an early exit breaks is; so the process rather waits.
+/// Time beyond the longest client timeout for which a stopping process waits for outstanding answers. A deadline counts
+/// from the last byte of its request, which a slow client may send late. The wait errs on the long side: the platform
+/// counts an answer that an early exit interrupts as lost, but not one that its own SIGKILL interrupts.
 const STOP_GRACE: Duration = Duration::from_secs(3);
 
-/// The driver of the decisions has ended, which it never should: without it nothing is answered.
+/// The driver task ended. It runs for the lifetime of the process, and without it no request is answered.
 #[derive(Debug)]
 pub struct DriverEnded;
 
 impl fmt::Display for DriverEnded {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "the driver of the decisions has ended")
+        write!(f, "the driver task ended unexpectedly; requests can no longer be answered")
     }
 }
 
 impl std::error::Error for DriverEnded {}
 
-/// The sockets that the proxy serves at.
+/// The sockets on which the proxy listens.
 pub struct Listeners {
-    /// For clients.
+    /// The socket for clients.
     pub clients: TcpListener,
-    /// For operators' calls, if `admin` is configured.
+    /// The socket for operators' calls, if `admin` is configured.
     pub operators: Option<TcpListener>,
-    /// For other instances, if this process is a member of a fleet.
+    /// The membership in a fleet, if this process is part of one.
     pub fleet: Option<FleetMember>,
 }
 
 /// This process as a member of a fleet.
 pub struct FleetMember {
-    /// What it may use of the fleet's budgets.
+    /// The quota of this process in the fleet's budgets.
     pub quota: FleetQuota,
-    /// Its client of the keepers.
+    /// The client for the keepers.
     pub client: Rc<FleetClient>,
-    /// Where other instances reach it, if they may.
+    /// The socket for other instances, if connections from them are enabled.
     pub listener: Option<TcpListener>,
 }
 
-/// Serves until `stop` is ready and all that was accepted is answered. `discovery` is the address of discovery, and each
-/// address that it moves to.
+/// Serves until `stop` completes, then waits for the accepted requests to be answered, for a limited time. `discovery`
+/// holds the current address of discovery.
 ///
 /// # Errors
-/// The driver has ended.
+/// The driver task ended.
 pub async fn run(
     config: Config, listeners: Listeners, counters: Rc<Counters>, discovery: watch::Receiver<SocketAddr>,
     stop: impl Future<Output = ()>,
@@ -124,13 +124,13 @@
         _ = driver => return Err(DriverEnded),
     }
     let _ = lifecycle.handle(Event::Stop { handed_over: false });
-    // Logged once the stop has taken effect: a reader of the line may rely on it.
+    // Logged after the stop has taken effect, so that readers of the log can rely on it.
     info!("stopping, {} requests held", gateway.held_requests());
     wait_for_answers(serving, max_client_timeout).await;
     Ok(())
 }
 
-/// Starts what logs and tidies at intervals.
+/// Starts the tasks that log discovery silence and close idle connections.
 fn spawn_background_tasks(parts: &Parts) {
     let status = parts.discovery_status.clone();
     spawn_local(async move { status.log_silence().await });
@@ -138,13 +138,14 @@
     spawn_local(parts.pool.clone().run_sweeper());
 }
 
-/// Lets the process report that it is ready once the list is confirmed, or the time for that is over.
+/// Ends the starting phase of the lifecycle once the list is confirmed or discovery is unreachable. The lifecycle's own
+/// time limit ends it otherwise.
 async fn announce_ready(guard: SendGuard, lifecycle: Rc<LifecycleDriver>) {
     guard.wait_until_ready().await;
     let _ = lifecycle.handle(Event::ListKnown);
 }
 
-/// Starts what this process does as a member of a fleet.
+/// Starts the tasks of a fleet member.
 fn spawn_fleet(
     fleet: FleetMember, lifecycle: &Rc<LifecycleDriver>, inbox: &mpsc::UnboundedSender<DriverInput>,
 ) {
@@ -157,7 +158,7 @@
     }
 }
 
-/// Waits until all sessions have ended, for [`STOP_GRACE`] past the longest deadline at most.
+/// Waits until all sessions have ended, for at most [`STOP_GRACE`] beyond the longest client timeout.
 async fn wait_for_answers(serving: JoinHandle<()>, max_client_timeout: Duration) {
     let is_over = timeout(max_client_timeout + STOP_GRACE, serving).await.is_ok();
     info!("stopped, {}", if is_over { "all answered" } else { "some still held" });
--- a/src/proxy/capacity.rs
+++ b/src/proxy/capacity.rs
@@ -1,5 +1,5 @@
-//! How the process divides its descriptors and its memory between clients, members and messages. It only computes limits;
-//! what is in use is counted where it is acquired.
+//! Divides the descriptors and the memory of the process between clients, members and messages. Computes limits only;
+//! usage is counted where a resource is acquired.
 
 use crate::admin::MAX_OPERATOR_CONNECTIONS;
 use crate::api::Micros;
@@ -7,37 +7,38 @@
 use crate::connection_admission::AdmissionLimits;
 use crate::stages::admission::RequestAdmission;
 
-/// Descriptors kept for what is neither a client nor a member: the listener, discovery, the runtime, the log.
+/// Descriptors reserved for the listener, discovery, the runtime and the log.
 const RESERVED_DESCRIPTORS: usize = 20;
-/// Of the other descriptors, the part for clients that are served.
+/// Fraction of the shared descriptors for clients that are served.
 const SERVED_FRACTION: f64 = 0.60;
-/// Of the other descriptors, the part for clients that are rejected at the edge.
+/// Fraction of the shared descriptors for clients whose connection is rejected.
 const REJECTED_FRACTION: f64 = 0.05;
-/// Of the other descriptors, the part for members. Requests come over a third of the descriptors at most, so that as many
-/// attempts may be in flight at once.
+/// Fraction of the shared descriptors for members. Clients may use up to a third of the descriptors for requests, so up
+/// to as many attempts may be in flight at once.
 const MEMBERS_FRACTION: f64 = 0.34;
-/// The platform's clients may hold one in so many of all descriptors for requests.
+/// The platform lets its clients hold this fraction (1/n) of all descriptors for requests.
 const REQUEST_CONNECTIONS_DIVISOR: usize = 3;
-/// Of the program's own descriptors, those that new clients may take before the ones that make room for them have left.
+/// Connections that may exist beyond the served ones while connections asked to close for them are still open. Taken from
+/// [`RESERVED_DESCRIPTORS`].
 const MAX_CLOSING_CONNECTIONS: usize = 6;
-/// One in so many bytes of the memory is for what clients have sent and was not answered yet.
+/// Fraction (1/n) of the memory for messages of clients that are not answered yet.
 const MESSAGES_DIVISOR: usize = 4;
-/// Of the memory, the part for long messages: at the least limit of 32 MB, one of the longest.
+/// Fraction of the memory for long messages. At the smallest memory limit, 32 MB, it holds one message of maximum length.
 const LONG_MESSAGES_FRACTION: f64 = 0.4;
 
-/// The descriptors and the memory that the configuration grants.
+/// The descriptors and the memory of the process, from the configuration.
 pub(super) struct Capacity {
     descriptors: usize,
-    /// The descriptors that are not kept for the process itself.
+    /// The descriptors that are not reserved for the process itself.
     shared_descriptors: usize,
     /// In bytes.
     memory: usize,
 }
 
 impl Capacity {
-    /// What the configuration grants. Operators' calls need descriptors of their own, where they are configured.
+    /// Reads the limits of the configuration. Operators' calls get descriptors of their own if they are enabled.
     pub(super) fn new(config: &Config, has_operators: bool) -> Capacity {
-        // A connection of each operator, the listener, and one more that waits to be accepted.
+        // The connections of operators, the listener, and one connection in the accept queue.
         let operators = if has_operators { MAX_OPERATOR_CONNECTIONS + 2 } else { 0 };
         Capacity {
             descriptors: config.sockets,
@@ -50,12 +51,12 @@
         (self.shared_descriptors as f64 * part) as usize
     }
 
-    /// The most connections to members.
+    /// The maximum number of connections to members.
     pub(super) fn max_member_connections(&self) -> usize {
         self.descriptor_share(MEMBERS_FRACTION)
     }
 
-    /// The limits of the admission of clients' connections.
+    /// The limits for admitting clients' connections.
     pub(super) fn admission_limits(&self, max_retry_after: Micros) -> AdmissionLimits {
         AdmissionLimits {
             max_served: self.descriptor_share(SERVED_FRACTION),
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The admission of requests, of which `max_open` may be held at a time.
+    /// The admission of requests, of which at most `max_open` are held at a time.
     pub(super) fn request_admission(&self, max_open: usize) -> RequestAdmission {
         let long_messages = (self.memory as f64 * LONG_MESSAGES_FRACTION) as usize;
         RequestAdmission::new(max_open, self.memory / MESSAGES_DIVISOR, long_messages)
--- a/src/proxy/parts.rs
+++ b/src/proxy/parts.rs
@@ -1,4 +1,4 @@
-//! Builds the parts of the proxy from the configuration. Nothing runs yet when a part is built: [`super`] starts the tasks.
+//! Builds the components of the proxy from the configuration. Building starts no task; [`super`] does.
 
 use super::capacity::Capacity;
 use crate::admin::operator_api::OperatorApi;
@@ -35,10 +35,10 @@
 use std::time::Duration;
 use tokio::sync::{Notify, mpsc, watch};
 
-/// The shortest time that a connection to a member is given to come up.
+/// Lower bound of the configured connect timeout.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// The parts that several tasks share.
+/// The components that several tasks share.
 pub(super) struct Parts {
     pub(super) clock: Clock,
     pub(super) counters: Rc<Counters>,
@@ -47,17 +47,17 @@
     pub(super) guard: SendGuard,
     pub(super) pool: Pool,
     pub(super) discovery_status: Rc<DiscoveryStatus>,
-    /// Where everything sends its events for the driver.
+    /// The sender of inputs to the driver.
     pub(super) inbox: mpsc::UnboundedSender<DriverInput>,
     accounting: RequestAccounting,
     maintenance: Rc<RefCell<Maintenance>>,
-    /// Notified when the decisions ask for a watch of the list.
+    /// Notified when the router requests a watch of the list.
     subscribe: Rc<Notify>,
 }
 
 impl Parts {
-    /// Builds the shared parts; events for the driver go to `inbox`. The list that the configuration knows becomes the
-    /// first of them, and is taken from it.
+    /// Builds the shared components. The cached list of the configuration, if any, is moved out of it and sent to `inbox`
+    /// as the first input of the driver.
     pub(super) fn new(
         config: &mut Config, capacity: &Capacity, quota: FleetQuota, counters: Rc<Counters>,
         inbox: mpsc::UnboundedSender<DriverInput>,
@@ -97,13 +97,13 @@
         }
     }
 
-    /// Admits or rejects connections of clients.
+    /// The gate that admits or rejects connections of clients.
     pub(super) fn connection_gate(&self, config: &Config, capacity: &Capacity) -> Rc<ConnectionGate> {
         let limits = &config.site.settings.limits;
         ConnectionGate::new(capacity.admission_limits(limits.max_retry_after), self.clock)
     }
 
-    /// Where sessions submit requests.
+    /// The gateway through which clients' sessions submit requests.
     pub(super) fn request_gateway(&self, config: &Config, capacity: &Capacity) -> Rc<RequestGateway> {
         let intake = RequestIntake::new(&config.site, self.clock);
         let admission = capacity.request_admission(config.site.max_open_requests);
@@ -111,13 +111,13 @@
         Rc::new(RequestGateway::new(intake, admission, accounting, self.inbox.clone(), self.guard.clone()))
     }
 
-    /// The orders on members, with the file that two versions of an upgrade share.
+    /// The log of maintenance orders, in the file that the old and the new process share during an upgrade.
     pub(super) fn maintenance_log(&self, config: &Config) -> Rc<MaintenanceLog> {
         let file = config.shared_directory.as_ref().map(|dir| dir.join(maintenance_log::FILE_NAME));
         MaintenanceLog::new(self.maintenance.clone(), file, self.clock, self.inbox.clone())
     }
 
-    /// Watches the list at `address`, and where that moves to.
+    /// The client that watches the endpoint list at the current `address` of discovery.
     pub(super) fn discovery_client(
         &self, config: &Config, address: watch::Receiver<SocketAddr>,
     ) -> DiscoveryClient {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The driver of the decisions, which reads `inputs`.
+    /// The driver of the router, which reads `inputs`.
     pub(super) fn driver(&self, config: Config, inputs: mpsc::UnboundedReceiver<DriverInput>) -> Driver {
         let settings = config.site.settings;
         let pool = self.pool.clone();
@@ -160,7 +160,7 @@
         })
     }
 
-    /// What operators' calls read and change.
+    /// The state that operators' calls read and change.
     pub(super) fn operator_api(
         &self, lifecycle: Rc<LifecycleDriver>, maintenance_log: Rc<MaintenanceLog>,
         fleet: Option<Rc<FleetClient>>,
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,13 +1,13 @@
-//! A request between the protocols: what the side of the clients hands in, and what an attempt renders for a member. It
-//! knows no stage and no codec.
+//! The protocol-independent form of a request: as received from a client, and as rendered for a member. Depends on no
+//! stage and no codec.
 
 use bytes::Bytes;
 use std::ops::Range;
 
-/// A request whose text after the timeout is longer than this, in bytes, is not copied for an attempt.
+/// Longest text after the timeout that is copied for an attempt; a longer one is shared.
 const MAX_COPIED_BYTES: usize = 64 * 1024;
 
-/// The text of a request without its timeout, which each attempt gets anew: the time that is left then.
+/// The text of a request without its timeout. Each attempt inserts the time left at its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Payload {
     /// The text before the timeout.
@@ -17,12 +17,16 @@
 }
 
 impl Payload {
-    /// Cuts `text` where it has the timeout, which is the range `timeout` of its bytes. Panics if that is out of it.
+    /// Removes the byte range `timeout` from `text`.
+    ///
+    /// # Panics
+    /// The range exceeds `text`.
     pub fn split_at_timeout(text: &Bytes, timeout: Range<usize>) -> Payload {
         Payload { head: text.slice(..timeout.start), tail: text.slice(timeout.end..) }
     }
 
-    /// The request with this timeout in milliseconds, in two parts if it is long: a long tail is not copied.
+    /// The request with this timeout, in two parts: the second one is empty unless the text after the timeout is too long
+    /// to be copied.
     pub fn render_parts(&self, timeout_ms: u64) -> (Bytes, Bytes) {
         if self.tail.len() <= MAX_COPIED_BYTES {
             return (self.render(timeout_ms), Bytes::new());
@@ -30,7 +34,7 @@
         (self.join(timeout_ms, &[]), self.tail.clone())
     }
 
-    /// The request with this timeout in milliseconds.
+    /// The request with this timeout.
     pub fn render(&self, timeout_ms: u64) -> Bytes {
         self.join(timeout_ms, &self.tail)
     }
@@ -40,21 +44,21 @@
     }
 }
 
-/// A request as a protocol hands it in.
+/// A request as parsed from the client's protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IncomingRequest {
-    /// The client's id for it, under which one request may be open at a time.
+    /// The id that the client chose. Only one request may be open under an id.
     pub id: String,
-    /// The name of its class.
+    /// The name of the request class.
     pub class: String,
-    /// How long the client waits, in milliseconds.
+    /// The time that the client waits for an answer, in milliseconds.
     pub timeout_ms: u64,
-    /// The group.
+    /// The number of the group that the request is for.
     pub group: u32,
-    /// The key of its session, if it has one.
+    /// The session key of a session read or a write, if given.
     pub session_key: Option<String>,
-    /// The position that a read must see, in Unix milliseconds.
+    /// The replication position that a read must observe, in Unix milliseconds.
     pub required_position_ms: Option<u64>,
-    /// What members are sent.
+    /// The statement that is sent to members.
     pub payload: Payload,
 }
--- a/src/stages/driver.rs
+++ b/src/stages/driver.rs
@@ -1,9 +1,9 @@
-//! The one driver of the decisions: handles one input at a time, passes it to the decisions as an event, and carries out the
-//! actions that they return, in order.
+//! The event loop around [`Router`]: passes each input to the router as an event, and executes the returned actions in
+//! order.
 //!
-//! It must never wait for an action: the result of an action arrives as a later input. It chooses no member and makes
-//! no retry; it rejects a request by itself only where the list, the operators or the fleet's budgets forbid it, and fails
-//! one that the decisions have left unanswered past its deadline.
+//! The driver must never wait for an action; the result of an action arrives as a later input. The router chooses members
+//! and schedules retries. The driver itself rejects a request only if the list lease, an operators' order or the fleet's
+//! budgets forbid serving it, and fails a request that the router has left unanswered past its deadline.
 
 use super::dispatch::Dispatcher;
 use super::member_directory::MemberDirectory;
@@ -30,19 +30,19 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-/// Past its deadline by this much, a request is answered as failed without an action of the decisions.
+/// Time after the deadline at which the driver fails a request that the router has not answered.
 const ANSWER_OVERDUE_GRACE: Duration = Duration::from_millis(40);
 
-/// Retry-After while nothing confirms the list: a call of discovery is on its way.
+/// Retry-After while the list lease has expired. Kept short since a call to discovery is in progress.
 const RETRY_AFTER_UNCONFIRMED_LIST: Micros = Micros(500_000);
 
-/// Retry-After for a group that operators have taken out completely, and beyond the fleet's budgets.
+/// Retry-After while a group has no member in service because of orders, or the fleet does not admit requests here.
 const RETRY_AFTER_NOT_ADMITTED: Micros = Micros(1_000_000);
 
-/// A timer of the decisions: when it is due, and the token that they know it by.
+/// A timer of the router: its due time and its token.
 type Timer = (Time, u64);
 
-/// The driver.
+/// The event loop around the router; see [`Driver::run`].
 pub struct Driver {
     router: Router,
     clock: Clock,
@@ -53,18 +53,18 @@
     members: MemberDirectory,
     subscribe: Rc<Notify>,
     timers: BTreeSet<Timer>,
-    /// Empty between events; kept for its memory.
+    /// Empty between events; kept to reuse its allocation.
     actions: Vec<Action>,
     quota: FleetQuota,
 }
 
-/// What the driver works with.
+/// The components that a [`Driver`] is built from.
 pub struct DriverParts {
-    /// The decisions.
+    /// Chooses the member of each attempt, and the time and member of each retry.
     pub router: Router,
-    /// The clock of all events.
+    /// The clock that supplies the time of each event.
     pub clock: Clock,
-    /// The inputs, in the order in which they are handled.
+    /// The inputs, handled in order of arrival.
     pub inputs: mpsc::UnboundedReceiver<DriverInput>,
     /// Starts and cancels attempts.
     pub dispatcher: Dispatcher,
@@ -72,18 +72,18 @@
     pub responses: ResponseDelivery,
     /// The connections to members.
     pub pool: Pool,
-    /// The members' names and numbers.
+    /// The mapping between the names and the numeric ids of members.
     pub identifiers: IdentifierTable,
-    /// Notified when the decisions ask for a watch of the list.
+    /// Notified when the router requests a watch of the list.
     pub subscribe: Rc<Notify>,
-    /// The members that are out of service by operators' orders.
+    /// The members that operators or the fleet have taken out of service.
     pub maintenance: Rc<RefCell<Maintenance>>,
-    /// This proxy's part of the fleet's budgets.
+    /// This proxy's quota of the fleet's budgets.
     pub quota: FleetQuota,
 }
 
 impl Driver {
-    /// A driver that knows no member yet.
+    /// Creates a driver whose member table is empty.
     pub fn new(parts: DriverParts) -> Driver {
         let members =
             MemberDirectory::new(parts.identifiers, parts.maintenance, parts.pool.clone(), parts.clock);
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Runs until nothing can send inputs any more.
+    /// Runs until all senders of inputs are dropped.
     pub async fn run(mut self) {
         loop {
             let wake_at = self.next_wake();
@@ -121,7 +121,7 @@
         }
     }
 
-    /// When the next timer of the decisions or the next response is due.
+    /// The time at which the next router timer or the next response is due.
     fn next_wake(&self) -> Option<Instant> {
         let timer = self.timers.first().map(|(due, _)| self.clock.instant(*due));
         let response = self.responses.next_due().map(|(due, _)| due);
@@ -138,13 +138,13 @@
         self.fail_overdue_requests();
     }
 
-    /// Fails the requests that the decisions have left unanswered.
+    /// Fails the requests that the router has left unanswered past their deadlines.
     fn fail_overdue_requests(&mut self) {
         let now = Instant::now();
         while let Some((_, id)) = self.responses.next_due().filter(|(due, _)| *due <= now) {
-            // A process that was stopped answers late, whatever it does.
+            // After a hold-up late answers are unavoidable, and do not violate the invariant.
             let guard = self.pool.guard();
-            let context = format_args!("request {id} was overdue");
+            let context = format_args!("request {id} was not answered by its deadline");
             guard.monitor().check(Invariant::AnsweredInTime, guard.is_catching_up(), context);
             self.respond(id, FinalResponse::Failed);
             self.handle_event(Event::ClientGone { id });
@@ -184,7 +184,10 @@
         self.handle_event(Event::RequestArrived(request));
     }
 
-    /// Whether a request may go to the decisions; if not, its Retry-After.
+    /// Checks whether a request may be passed to the router.
+    ///
+    /// # Errors
+    /// The Retry-After with which the request is rejected.
     fn admit(&self, request: &Request) -> Result<(), Micros> {
         if self.pool.guard().check_lease() == Err(Withheld::Expired) {
             return Err(RETRY_AFTER_UNCONFIRMED_LIST);
@@ -241,7 +244,8 @@
         self.update_list(update);
     }
 
-    /// Shows a member to the decisions anew, by the orders on it now, and closes its idle connections.
+    /// Updates the entries that the router has of a member, according to its current orders, and closes its idle
+    /// connections.
     fn maintenance_changed(&mut self, name: &str) {
         let Some(entries) = self.members.current_entries(name) else { return };
         let member = entries.first().map(|entry: &ListEntry| entry.member);
@@ -251,7 +255,8 @@
         }
     }
 
-    /// Takes the fleet's choice of members out of service. It is confirmed once nothing new is sent to them.
+    /// Sets the members that the fleet takes out of service to `names`, and confirms on `done` once nothing new is sent to
+    /// them.
     fn quarantine_changed(&mut self, names: Vec<String>, done: oneshot::Sender<()>) {
         for name in self.members.set_quarantine(names) {
             self.maintenance_changed(&name);
@@ -259,13 +264,13 @@
         let _ = done.send(());
     }
 
-    /// Passes a list to the decisions, and forgets whom they forget.
+    /// Passes a list to the router, and drops the members that the router no longer tracks.
     fn update_list(&mut self, update: ListUpdate) {
         self.handle_event(Event::ListUpdated(update));
         self.members.sync_with_router(&self.router);
     }
 
-    /// Passes an event to the decisions, and carries out what they ask for.
+    /// Passes an event to the router, and executes the resulting actions.
     fn handle_event(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         if let Some(part) = self.quota.load_part() {
@@ -293,12 +298,12 @@
             Action::CheckHealth { member } => self.dispatcher.start_health_check(member),
             Action::Subscribe => self.subscribe.notify_one(),
             Action::CloseIdleConnections { member } => self.dispatcher.close_idle(member),
-            // Proxies cannot reach each other here, so the settings turn gossip off.
+            // Gossip is turned off in the settings, since proxies have no connection to each other for it.
             Action::GossipPosition { member: MemberId(_), .. } => {}
         }
     }
 
-    /// Delivers the final response of a request, unless it is over.
+    /// Delivers the final response of a request, unless the request is over already.
     fn respond(&mut self, id: RequestId, response: FinalResponse) {
         match &response {
             FinalResponse::Rejected { retry_after } => {
@@ -316,7 +321,7 @@
     }
 }
 
-/// The final response of a request that a member has served.
+/// The final response that carries the response of a member.
 fn served_response(response: MemberResponse) -> FinalResponse {
     match response {
         MemberResponse::Complete(raw) => FinalResponse::Served(raw),
--- a/src/upstream/send_guard.rs
+++ b/src/upstream/send_guard.rs
@@ -1,8 +1,8 @@
-//! The one place that allows a statement to be written to a member.
+//! Issues the permits without which no statement is written to a member.
 //!
-//! A write needs a [`SendPermit`], and only [`SendGuard`] makes one: right before the write, from what is true at that
-//! moment. The guard applies [`ListLease`] with a clock, and decides nothing itself. A permit must never be kept across a
-//! wait.
+//! Every write requires a [`SendPermit`]. [`SendGuard`] issues it right before the write, from the state at that moment
+//! rather than from the state at which the attempt was decided. The guard evaluates [`ListLease`] against a clock and
+//! makes no decisions of its own. A permit must not be held across an `await` before its write.
 
 use crate::api::{MemberId, RequestId, Time};
 use crate::clock::Clock;
@@ -18,15 +18,15 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-/// Interval at which a send asks again while the process catches up after a hold-up.
+/// Interval at which a pending send polls the lease while the process catches up after a hold-up.
 const CATCH_UP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a statement is sent for.
+/// The reason for sending a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// An attempt of a request.
+    /// An attempt of a request, with its number.
     Attempt(RequestId, u32),
-    /// A health check of the member. Printed as `probe`, as the metrics call it.
+    /// A health check of the member. Printed as `probe`, as in the counters.
     HealthCheck,
 }
 
@@ -39,23 +39,23 @@
     }
 }
 
-/// What a permit is asked for.
+/// The statement that a permit is requested for.
 #[derive(Clone, Debug)]
 pub struct SendIntent {
     /// The member to send to.
     pub member: MemberId,
-    /// What it is sent for.
+    /// Identifies the statement in the log.
     pub purpose: Purpose,
-    /// From then on nothing is sent.
+    /// No permit is issued at or after this time.
     pub deadline: Instant,
-    /// Set once the request is answered or its client has left.
+    /// Set once the request has its final answer or its client has disconnected; no permit is issued from then on.
     pub is_request_over: Rc<Cell<bool>>,
 }
 
-/// The proof that a statement may be written now.
+/// Proof that a statement may be written now; consumed by the write.
 pub struct SendPermit {
     intent: SendIntent,
-    /// When the member last started, by the list; `None` if long ago.
+    /// Start time of the member according to the endpoint list; `None` if it started long ago.
     incarnation: Option<Time>,
     list_version: u64,
     issued_at: Instant,
@@ -65,13 +65,14 @@
 }
 
 impl SendPermit {
-    /// Whether the process was catching up when the permit was asked for, so that time has passed since.
+    /// Whether the request for the permit had to wait because the process was catching up after a hold-up. The state of
+    /// the connection may have changed in that time.
     pub fn has_waited(&self) -> bool {
         self.has_waited
     }
 
-    /// Checks at the write that the permit's conditions still hold, and counts each one that does not as a violated
-    /// invariant. It stops nothing.
+    /// Checks that the permit's conditions still hold, and counts each one that does not as a violated invariant. The
+    /// write proceeds in either case.
     pub fn check_at_write(&self) {
         let SendIntent { member, purpose, deadline, is_request_over } = &self.intent;
         let age = self.issued_at.elapsed();
@@ -99,29 +100,30 @@
 }
 
 struct Inner {
-    /// `None` where no list binds: a pool without discovery.
+    /// `None` for a pool without discovery, to which no list lease applies.
     lease: Option<RefCell<ListLease>>,
     clock: Clock,
     list_version: Cell<u64>,
-    /// Whether the lease had expired at the driver's last turn.
+    /// Whether the lease had expired at the driver's last turn; only changes are logged.
     was_expired: Cell<bool>,
+    /// Set once [`ListLease::is_ready`] holds, and never reset.
     readiness: watch::Sender<bool>,
     monitor: Rc<InvariantMonitor>,
 }
 
-/// The guard; copies share its state.
+/// Checks the conditions of every send. Clones share their state.
 #[derive(Clone)]
 pub struct SendGuard(Rc<Inner>);
 
 impl SendGuard {
-    /// A guard by this lease on the list of this version.
+    /// A guard for the endpoint list of version `list_version`, used under `lease`.
     pub fn new(
         lease: ListLease, list_version: u64, clock: Clock, monitor: Rc<InvariantMonitor>,
     ) -> SendGuard {
         SendGuard::from_lease(Some(RefCell::new(lease)), list_version, clock, monitor)
     }
 
-    /// A guard where no list binds, for a pool of members that no discovery names.
+    /// A guard without a list lease, for a pool whose members do not come from discovery.
     pub fn without_list() -> SendGuard {
         SendGuard::from_lease(None, 0, Clock::start(), Rc::default())
     }
@@ -145,17 +147,18 @@
         &self.0.monitor
     }
 
-    /// Records that discovery sent a message on the open watch.
+    /// Records that discovery sent a message on the open watch, which renews the lease.
     pub fn record_list_confirmed(&self) {
         self.update_lease(|lease, now| lease.confirmed(now));
     }
 
-    /// Records that a call of discovery, begun at `began`, failed before it brought anything.
+    /// Records that a call to discovery, started at `began`, failed before a message was received.
     pub fn record_call_failed(&self, began: Time) {
         self.update_lease(|lease, now| lease.call_failed(now, began));
     }
 
-    /// Records the end of a watch that had brought something; `was_silent` if it ended for silence.
+    /// Records the end of a watch on which a message had been received. `was_silent` if it timed out without a further
+    /// message.
     pub fn record_watch_ended(&self, was_silent: bool) {
         self.update_lease(|lease, now| lease.watch_ended(now, was_silent));
     }
@@ -166,7 +169,7 @@
         self.0.monitor.record_change(format_args!("list version {version}"));
     }
 
-    /// Applies an event to the lease, logs a change of its basis, and reports readiness.
+    /// Applies an event to the lease, logs a change of its basis, and publishes readiness.
     fn update_lease(&self, apply: impl FnOnce(&mut ListLease, Time)) {
         let Some(lease) = &self.0.lease else { return };
         let before = lease.borrow().basis();
@@ -181,30 +184,32 @@
         }
     }
 
-    /// Whether the process may report that it is ready.
+    /// Whether the process may report readiness: the list is confirmed, discovery is unreachable, or the time limit of
+    /// [`ListLease::may_report_ready`] has passed.
     pub fn may_report_ready(&self) -> bool {
         let now = self.0.clock.now();
         self.0.lease.as_ref().is_none_or(|lease| lease.borrow().may_report_ready(now))
     }
 
-    /// Returns once discovery has confirmed the list, or has had its time for that.
+    /// Returns once discovery has confirmed the list, or failed calls have shown that it is unreachable and the list in
+    /// use may be used without a confirmation.
     pub async fn wait_until_ready(&self) {
         let _ = self.0.readiness.subscribe().wait_for(|ready| *ready).await;
     }
 
-    /// While the process catches up after a hold-up: since when it was held up. What it reads now may have arrived as
-    /// early as that.
+    /// The start of the hold-up after which the process is catching up; `None` if it is not. Input read now may have
+    /// arrived at any time since then.
     pub fn held_up_since(&self) -> Option<Instant> {
         let lease = self.0.lease.as_ref()?.borrow();
         lease.held_up_since(self.0.clock.now()).map(|since| self.0.clock.instant(since))
     }
 
-    /// Whether the process was held up, and has not read yet what arrived meanwhile.
+    /// Whether the process was held up and may not yet have read the input that arrived during the hold-up.
     pub fn is_catching_up(&self) -> bool {
         self.check_lease() == Err(Withheld::CatchingUp)
     }
 
-    /// Records that the driver of the decisions begins a turn. A long gap since the last one is a hold-up.
+    /// Records the start of a turn of the driver. A long gap since the previous turn is a hold-up.
     pub fn begin_turn(&self) {
         let Some(lease) = &self.0.lease else { return };
         let now = self.0.clock.now();
@@ -212,7 +217,9 @@
         if let Some(held_up) = held_up {
             let seconds = held_up.0 as f64 / 1e6;
             self.0.monitor.record_change(format_args!("held up for {seconds:.3} s"));
-            warn!("held up for {seconds:.3} s: nothing is sent before what arrived meanwhile is read");
+            warn!(
+                "held up for {seconds:.3} s: sends wait until input that arrived in the meantime has been read"
+            );
         }
         let is_expired = lease.borrow().check(now) == Err(Withheld::Expired);
         if self.0.was_expired.replace(is_expired) != is_expired {
@@ -223,15 +230,16 @@
         }
     }
 
-    /// Checks that the list in use allows sends now.
+    /// Checks whether the list in use allows sends now.
     ///
     /// # Errors
-    /// Why it does not: its lease has expired, or the process is catching up after a hold-up.
+    /// The lease has expired, or the process is catching up after a hold-up.
     pub fn check_lease(&self) -> Result<(), Withheld> {
         self.check_lease_at(Instant::now())
     }
 
-    /// Like [`Self::check_lease`], at a moment just past. The lease allows for a hold-up between a permit and its write.
+    /// Like [`Self::check_lease`], at a time in the recent past. The lease ends early enough to allow for a hold-up
+    /// between issuing a permit and the write.
     fn check_lease_at(&self, moment: Instant) -> Result<(), Withheld> {
         match &self.0.lease {
             Some(lease) => lease.borrow().check(self.0.clock.time(moment)),
@@ -239,8 +247,8 @@
         }
     }
 
-    /// A permit to write now; none if the member accepts nothing new, the request is over, its deadline has passed, or
-    /// the list's lease is over. Waits while the process catches up after a hold-up.
+    /// Issues a permit to write now. Returns `None` if the member accepts no new statements, the request is over, its
+    /// deadline has passed, or the list lease has expired. Waits while the process catches up after a hold-up.
     pub(super) async fn issue_permit(
         &self, eligibility: &SendEligibility, intent: SendIntent,
     ) -> Option<SendPermit> {
