--- a/src/stages/accounting.rs
+++ b/src/stages/accounting.rs
@@ -1,5 +1,5 @@
-//! Counts requests, attempts and answers, in the log's counters and in the metrics. Every request that is accepted is counted
-//! with exactly one end.
+//! Counts requests, attempts and answers, in the counters of the log and in the metrics. Exactly one end is counted for
+//! every accepted request.
 
 use super::FinalResponse;
 use super::admission::RejectionCause;
@@ -9,15 +9,15 @@
 use crate::metrics::{Metrics, RequestEnd};
 use std::rc::Rc;
 
-/// The counters and metrics of requests; copies share them.
+/// The counters and metrics of requests. Clones share them.
 #[derive(Clone)]
 pub struct RequestAccounting {
     counters: Rc<Counters>,
     metrics: Rc<Metrics>,
 }
 
-/// A request from its last byte to its one end. If it is dropped before [`AccountingTicket::end`], the request is counted as
-/// one whose client has left.
+/// Tracks an accepted request until its end. If dropped without [`AccountingTicket::end`], the request is counted as one
+/// whose client disconnected.
 pub struct AccountingTicket {
     accounting: RequestAccounting,
     class: ClassId,
@@ -25,7 +25,7 @@
 }
 
 impl AccountingTicket {
-    /// Counts the request's end with its final response.
+    /// Counts the end of the request by its final response.
     pub fn end(mut self, response: &FinalResponse) {
         self.is_ended = true;
         self.accounting.record_response(self.class, response);
@@ -42,7 +42,7 @@
 }
 
 impl RequestAccounting {
-    /// Counts into these counters and metrics.
+    /// Creates an accounting that updates both `counters` and `metrics`.
     pub fn new(counters: Rc<Counters>, metrics: Rc<Metrics>) -> RequestAccounting {
         RequestAccounting { counters, metrics }
     }
@@ -52,29 +52,29 @@
         self.metrics.invariants()
     }
 
-    /// Counts a request that was accepted.
+    /// Counts an accepted request.
     pub fn begin_request(&self, class: ClassId) -> AccountingTicket {
         self.counters.taken.add();
         self.metrics.record_accepted();
         AccountingTicket { accounting: self.clone(), class, is_ended: false }
     }
 
-    /// Counts an attempt whose statement was written completely.
+    /// Counts an attempt whose statement was written to its last byte.
     pub fn record_statement_written(&self) {
         self.metrics.record_written_attempt();
     }
 
-    /// Counts a request that could not be read.
+    /// Counts a statement that could not be parsed as a request.
     pub fn record_malformed(&self) {
         self.counters.malformed.add();
     }
 
-    /// Counts an attempt that was started.
+    /// Counts a started attempt.
     pub fn record_attempt_started(&self) {
         self.counters.sent.add();
     }
 
-    /// Counts a health check that was started.
+    /// Counts a started health check.
     pub fn record_health_check(&self) {
         self.counters.probes.add();
     }
@@ -91,13 +91,13 @@
         self.metrics.record_ended(class.0, Some(end));
     }
 
-    /// Counts a rejected request whose class is not known.
+    /// Counts a rejected request of unknown class, which appears in no metric of a class.
     pub fn record_rejection_without_class(&self) {
         self.counters.taken.add();
         self.counters.refused.add();
     }
 
-    /// Counts why a request was rejected before the decisions saw it.
+    /// Counts the cause of a rejection that happened before the request reached the router.
     pub fn record_rejection_cause(&self, cause: RejectionCause) {
         match cause {
             RejectionCause::ConnectionSlots => self.counters.refused_door.add(),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Counts how an attempt ended.
+    /// Counts the outcome of an attempt.
     pub fn record_attempt_outcome(&self, outcome: Outcome) {
         let counters = &self.counters;
         match outcome {
--- a/src/stages/dispatch.rs
+++ b/src/stages/dispatch.rs
@@ -1,5 +1,5 @@
-//! Starts attempts and health checks, one task each, and cancels attempts. Each attempt ends with exactly one
-//! [`DriverInput::AttemptEnded`], also one that is not started.
+//! Starts attempts and health checks, each in its own task, and cancels attempts. Each attempt ends with exactly one
+//! [`DriverInput::AttemptEnded`], even if it is not started.
 
 use super::DriverInput;
 use super::accounting::RequestAccounting;
@@ -24,14 +24,14 @@
     deadline: Instant,
     /// The number of the next attempt.
     next_attempt: u32,
-    /// What cancels each attempt in flight, by its number.
+    /// The sender that cancels each attempt in flight, by attempt number.
     in_flight: BTreeMap<u32, oneshot::Sender<()>>,
-    /// Shared with the attempts, which write nothing any more once it is set.
+    /// Shared with the attempts. Once it is set, no further statement is written.
     is_over: Rc<Cell<bool>>,
 }
 
 impl DispatchedRequest {
-    /// When an attempt that starts now times out: at the request's deadline, or earlier if the decisions set a timeout.
+    /// The deadline of an attempt started at `started`: that of the request, or an earlier one if the router set a timeout.
     fn attempt_deadline(&self, started: Instant, timeout: Option<Micros>) -> Instant {
         match timeout.filter(|timeout| timeout.0 > 0) {
             Some(timeout) => self.deadline.min(started + Duration::from_micros(timeout.0)),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Which attempt an outcome belongs to.
+/// Identifies the attempt that an outcome belongs to.
 #[derive(Clone, Copy)]
 struct AttemptId {
     request: RequestId,
@@ -50,7 +50,7 @@
 }
 
 impl AttemptId {
-    /// The driver's input for the end of the attempt.
+    /// Converts the outcome of the attempt into an input for the driver.
     fn into_input(self, end: AttemptOutcome) -> DriverInput {
         let AttemptOutcome { outcome, response, position, role, report } = end;
         let ended = AttemptEnd {
@@ -68,19 +68,20 @@
     }
 }
 
-/// Dispatches requests to members.
+/// Dispatches the attempts of requests to members.
 pub struct Dispatcher {
     requests: BTreeMap<RequestId, DispatchedRequest>,
     pool: Pool,
     inbox: mpsc::UnboundedSender<DriverInput>,
     accounting: RequestAccounting,
     max_attempts: u32,
-    /// Whether a second attempt may run beside the first.
+    /// Whether several attempts of a request may be in flight at once.
     allows_hedging: bool,
 }
 
 impl Dispatcher {
-    /// Dispatches over `pool`, within the limits for each request; how attempts end goes to `inbox`.
+    /// Creates a dispatcher that sends over `pool`, within the limits for each request, and reports the ends of attempts to
+    /// `inbox`.
     pub fn new(
         pool: Pool, inbox: mpsc::UnboundedSender<DriverInput>, accounting: RequestAccounting, limits: &Limits,
     ) -> Dispatcher {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Registers a request, of which attempts may be started.
+    /// Registers a request, so that attempts of it can be started.
     pub fn register(&mut self, id: RequestId, payload: Payload, deadline: Instant) {
         let request = DispatchedRequest {
             payload,
@@ -106,11 +107,12 @@
         self.requests.insert(id, request);
     }
 
-    /// Starts the next attempt of a request, unless it is over or has had all its attempts.
+    /// Starts the next attempt of a request. The attempt ends as not sent if the request is over, unknown, past its
+    /// deadline, or has reached the maximum number of attempts.
     pub fn start_attempt(&mut self, id: RequestId, member: MemberId, timeout: Option<Micros>) {
         let started = Instant::now();
         let Some(request) = self.requests.get_mut(&id) else {
-            // Not one of ours, or long over: it was never sent.
+            // The request is unknown or was removed, so this attempt is never sent.
             return self.report_not_sent(AttemptId { request: id, number: 0, member, started });
         };
         let number = request.next_attempt;
@@ -123,7 +125,7 @@
             Invariant::OneAttempt,
             request.in_flight.is_empty() || self.allows_hedging,
             format_args!(
-                "request {id} attempt {number} at member {}, out: {:?}",
+                "request {id} attempt {number} at member {}, attempts in flight: {:?}",
                 member.0,
                 request.in_flight.keys()
             ),
@@ -156,13 +158,13 @@
         });
     }
 
-    /// Ends an attempt that is not started.
+    /// Reports the end of an attempt that is not started.
     fn report_not_sent(&self, attempt_id: AttemptId) {
         let end = AttemptOutcome::without_response(Outcome::NotSent);
         let _ = self.inbox.send(attempt_id.into_input(end));
     }
 
-    /// Cancels an attempt; one that has ended in the meantime stays as it ended.
+    /// Cancels an attempt. Has no effect on the outcome of an attempt that has already ended.
     pub fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
         let cancel = self.requests.get_mut(&id).and_then(|request| request.in_flight.remove(&attempt));
         if let Some(cancel) = cancel {
@@ -170,7 +172,8 @@
         }
     }
 
-    /// Closes a request that has its final response, or whose client has left: what is not written yet never is.
+    /// Closes a request that has its final response or whose client has disconnected. A statement not yet written is then
+    /// never written.
     pub fn close_request(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_over.set(true);
--- a/src/stages/mod.rs
+++ b/src/stages/mod.rs
@@ -1,5 +1,5 @@
-//! The chain that a request passes: read, admitted, decided on, sent to a member, answered and counted. The types here know
-//! no protocol, so that another one can stand before the same decisions.
+//! The processing stages of a request: intake, admission, routing, dispatch to a member, response and accounting. The types
+//! here are independent of the client protocol, so that another protocol can use the same router.
 
 pub mod accounting;
 pub mod admission;
@@ -19,61 +19,61 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The one final answer of a request.
+/// The final answer of a request; each request gets exactly one.
 #[derive(Debug)]
 pub enum FinalResponse {
-    /// Served with a long answer, which is on its way: it may yet be cut off.
+    /// Served with a long answer that is still arriving and may be truncated.
     Streaming(StreamingResponse),
-    /// Served: the answer as a member gave it, in the protocol's own form.
+    /// Served: the member's answer in wire format.
     Served(Bytes),
-    /// Rejected: a retry does no harm.
+    /// Rejected without any effect, so a retry is safe.
     Rejected {
         /// The time after which the client may retry.
         retry_after: Option<Micros>,
     },
-    /// Failed: whether the request had an effect is not known.
+    /// Failed: the request may or may not have had an effect.
     Failed,
 }
 
 /// A request that was accepted from a client and admitted.
 pub struct AcceptedRequest {
-    /// The request as the decisions know it.
+    /// The request in the form that the router takes.
     pub request: Request,
-    /// The statement to forward.
+    /// The statement to send to members.
     pub payload: Payload,
-    /// When the client gives up.
+    /// The time at which the client stops waiting.
     pub deadline: Instant,
-    /// Where its final answer goes.
+    /// Receives the final answer.
     pub reply: oneshot::Sender<FinalResponse>,
 }
 
-/// Members by what the driver does with them.
+/// Numbers of members, for the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberCounts {
-    /// Members that the endpoint list names.
+    /// Members in the endpoint list.
     pub listed: usize,
-    /// Of those, the ones that get nothing now: out of service, draining, or avoided by the decisions.
+    /// Listed members that get no ordinary requests now: out of service, draining, or ejected by the router.
     pub avoided: usize,
 }
 
-/// An event for the driver of the decisions.
+/// An input of the [`driver`].
 pub enum DriverInput {
     /// A client's request was accepted and admitted.
     RequestAccepted(Box<AcceptedRequest>),
-    /// The client of a request has left.
+    /// The client of a request has disconnected.
     ClientGone(RequestId),
-    /// An attempt ended; `is_request_over` is filled in by the driver.
+    /// An attempt ended, with its response if it was served. The driver sets `is_request_over`.
     AttemptEnded(AttemptEnd, Option<MemberResponse>),
     /// A health check ended.
     HealthCheckEnded(MemberId, Outcome, LoadReport),
-    /// An event of the endpoint list.
+    /// The endpoint list changed, or a call for it ended.
     List(ListEvent),
-    /// The metrics ask for the counts of members.
+    /// A collection of the metrics requests the counts of members.
     MemberCountsRequested(oneshot::Sender<MemberCounts>),
-    /// Operators have given a new maintenance order on the member with this name.
+    /// The maintenance order on the member with this name changed.
     MaintenanceChanged(String),
-    /// The fleet asks for this proxy's observation of each member, by its name.
+    /// The fleet requests this proxy's health observation of each member, by member name.
     HealthObservationsRequested(oneshot::Sender<BTreeMap<String, HealthObservation>>),
-    /// The fleet names the members to which nothing new may be sent; answered once that holds.
+    /// The fleet set the names of the members to which nothing new may be sent. Confirmed once the change is in effect.
     QuarantineChanged(Vec<String>, oneshot::Sender<()>),
 }
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -1,9 +1,9 @@
 //! One attempt of a request at a member: an exchange that can be cancelled and has a deadline.
 //!
-//! An attempt ends when it is answered, cancelled or past its deadline, and yields exactly one [`AttemptOutcome`].
-//! It must never write a statement whose request is over, whose member accepts nothing new, or for which this proxy
-//! holds no quota; and it must never leave a connection open that still owes an answer, except to the task that
-//! forwards the rest of a long one.
+//! An attempt ends when it is answered, cancelled or past its deadline, and yields exactly one [`AttemptOutcome`]. It must
+//! never write a statement if the request is over, the member accepts no new statements, or this proxy has no quota for
+//! it. It must not return a connection to the pool while an answer is outstanding on it; the rest of a long answer is
+//! handed to a forwarding task.
 
 use crate::api::{LoadReport, LogPosition, MemberId, Outcome, Role};
 use crate::close_reason::CloseReason;
@@ -20,45 +20,45 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Chunks of a long answer that may wait for the client to take them.
+/// Capacity of the channel that buffers a long answer for its client.
 const STREAM_WINDOW_CHUNKS: usize = 4;
 
-/// Time in which a long answer is forwarded, however slow the member or the client: it must not occupy its connection
-/// for ever.
+/// Time limit for forwarding a long answer, so that a slow member or client can't occupy the connection indefinitely.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The attempt to make.
+/// The parameters of an attempt.
 pub struct AttemptRequest {
     /// The member to send to.
     pub member: MemberId,
-    /// The request to send.
+    /// The statement to send.
     pub payload: Payload,
-    /// When the attempt times out.
+    /// The time at which the attempt times out.
     pub deadline: Instant,
-    /// Whether the request had an attempt before this one.
+    /// Whether this is not the first attempt of the request; a retry is subject to the retry budget.
     pub is_retry: bool,
-    /// Whose attempt it is.
+    /// Identifies the request and the attempt in the log.
     pub purpose: Purpose,
-    /// Set once the request is answered or its client has left. A statement not yet written then is never written.
+    /// Set once the request has its final answer or its client has disconnected. A statement not yet written is then never
+    /// written.
     pub is_request_over: Rc<Cell<bool>>,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 pub struct AttemptOutcome {
-    /// The outcome.
+    /// The outcome for the router.
     pub outcome: Outcome,
     /// The response to relay; set when `outcome` is [`Outcome::Ok`].
     pub response: Option<MemberResponse>,
     /// The member's replication position, or the commit position of a write.
     pub position: Option<LogPosition>,
-    /// The member's role.
+    /// The role that the member reported.
     pub role: Option<Role>,
-    /// The member's load report.
+    /// The load report of the member; empty if it sent none.
     pub report: LoadReport,
 }
 
 impl AttemptOutcome {
-    /// An outcome without a response, position or report of the member.
+    /// A result without any data from the member.
     pub fn without_response(outcome: Outcome) -> AttemptOutcome {
         AttemptOutcome { outcome, response: None, position: None, role: None, report: LoadReport::default() }
     }
@@ -67,8 +67,8 @@
 /// Runs an attempt until it is answered, cancelled or past its deadline. `on_written` is called once the last byte
 /// of the statement is written.
 ///
-/// When this returns, the attempt's connection is closed or back in the pool, so the request has nothing in flight
-/// there. The exception is a long answer, whose connection is passed to a task that forwards the rest.
+/// When this returns, the connection of the attempt is closed or back in the pool, so nothing of the request is in flight
+/// on it. A long answer is the exception: a separate task keeps its connection to forward the rest.
 pub async fn run(
     pool: Pool, attempt_request: AttemptRequest, cancelled: oneshot::Receiver<()>, on_written: impl FnOnce(),
 ) -> AttemptOutcome {
@@ -89,7 +89,7 @@
     let exchange = Exchange { pool: &pool, intent: &intent, progress: &progress };
     let running = exchange.run(acquire_quota, render, on_written);
     tokio::pin!(running);
-    // Biased: a reply that is ready in the same turn as the cancellation or the deadline counts.
+    // Biased: a reply takes precedence over a cancellation or deadline that becomes ready in the same poll.
     tokio::select! {
         biased;
         result = &mut running => match result {
@@ -102,15 +102,15 @@
         }
         () = sleep_until(deadline) => {
             progress.set_close_reason(CloseReason::TimedOut);
-            // A statement that was not written to its end can't have run.
+            // An incompletely written statement can't have run.
             let outcome = if progress.is_written() { Outcome::TimedOut } else { Outcome::NotSent };
             AttemptOutcome::without_response(outcome)
         }
     }
 }
 
-/// The outcome of an attempt that has a reply. A connection in `exchange_reply` carries the rest of a long answer,
-/// which a new task forwards.
+/// Converts a reply into the result of the attempt. If the reply is the beginning of a long answer, starts a task that
+/// forwards the rest.
 fn outcome_from_reply(pool: &Pool, member: MemberId, exchange_reply: ExchangeReply) -> AttemptOutcome {
     let ExchangeReply { reply, streaming_connection } = exchange_reply;
     let StatementReply { outcome, raw, position, role, report, .. } = reply;
@@ -125,8 +125,8 @@
     AttemptOutcome { outcome, response, position, role, report }
 }
 
-/// Forwards the rest of a long answer as the member sends it and the client takes it, then puts the connection back.
-/// The attempt has its outcome already: a stream that breaks here is visible to the client only.
+/// Forwards the rest of a long answer at the pace of the member and the client, then returns the connection to the pool.
+/// The outcome of the attempt is already reported, so only the client observes a failure here.
 async fn forward_rest(
     pool: Pool, member: MemberId, mut connection: MemberConnection, chunks: mpsc::Sender<ResponseChunk>,
 ) {
@@ -142,7 +142,8 @@
         let delivery = timeout_at(deadline, chunks.send(chunk)).await;
         let is_late = delivery.is_err() || Instant::now() >= deadline;
         let is_delivered = matches!(delivery, Ok(Ok(())));
-        // After the end only the member's readiness is awaited, whether the client took the end or not.
+        // After the end of the answer only `ReadyForQuery` is outstanding, so the connection can be reused even if the
+        // client is gone.
         if is_end || (is_delivered && !is_late) {
             continue;
         }
--- a/src/upstream/exchange.rs
+++ b/src/upstream/exchange.rs
@@ -1,7 +1,7 @@
-//! One exchange of a statement and its reply with a member: obtain a connection, ask for the permit, write, read.
+//! One exchange of a statement and its reply with a member: obtain a connection, acquire a send permit, write, read.
 //!
-//! It must never write a statement that the permit or the quota does not allow at that moment, and it puts a connection
-//! back into the pool only when nothing more is to come on it.
+//! It must never write a statement without a permit and the quota at that moment, and it returns a connection to the pool
+//! only when no further input is expected on it.
 
 use crate::api::{MemberId, Outcome};
 use crate::close_reason::CloseReason;
@@ -15,7 +15,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// What the code that ends an exchange from outside needs to know of it.
+/// The progress of an exchange, for the code that cancels it from outside.
 #[derive(Default)]
 pub(super) struct ExchangeProgress {
     is_written: Cell<bool>,
@@ -24,12 +24,12 @@
 }
 
 impl ExchangeProgress {
-    /// Whether the complete statement was written, so that it may have run.
+    /// Whether the statement was written to its last byte, so that it may have run.
     pub(super) fn is_written(&self) -> bool {
         self.is_written.get()
     }
 
-    /// Sets the reason under which the connection in use is logged when the exchange is dropped.
+    /// Sets the close reason that is logged for the connection in use when the exchange is dropped.
     pub(super) fn set_close_reason(&self, reason: CloseReason) {
         if let Some(close_reason) = self.close_reason.borrow().as_ref() {
             close_reason.set(reason);
@@ -37,14 +37,14 @@
     }
 }
 
-/// What an exchange gave.
+/// The result of an exchange.
 pub(super) struct ExchangeReply {
     pub(super) reply: StatementReply,
-    /// The connection, if the rest of a long answer is still to come on it.
+    /// The connection, if the rest of a long answer is outstanding on it.
     pub(super) streaming_connection: Option<MemberConnection>,
 }
 
-/// One statement to one member. Dropping its future closes the connection in use.
+/// An exchange of one statement with one member. Dropping the future of [`Exchange::run`] closes the connection in use.
 pub(super) struct Exchange<'a> {
     pub(super) pool: &'a Pool,
     pub(super) intent: &'a SendIntent,
@@ -64,21 +64,21 @@
         self.check_sendable()?;
         let member = self.intent.member;
         let mut connection = open_or_reuse(self.pool, member).await?;
-        // While the connection came up, a list may have announced a drain, the request may have ended, or the process
-        // may have been stopped.
+        // While the connection was established, a list may have announced a drain, the request may have ended, or the
+        // process may have been held up.
         let Some(permit) = self.pool.send_permit(self.intent.clone()).await else {
-            // The connection itself is good where only the request is over.
+            // If the member still accepts statements, the connection can be reused.
             if self.pool.is_accepting(member) {
                 self.pool.put_back(member, connection);
             }
             return Err(Outcome::NotSent);
         };
         *self.progress.close_reason.borrow_mut() = Some(connection.close_reason());
-        // The member may have ended the connection while the permit was waited for.
+        // The member may have closed the connection during the wait for the permit.
         if permit.has_waited() {
             ensure_usable(&connection)?;
         }
-        // The quota is checked at the moment of use: a process that was stopped finds its lease expired here.
+        // The quota is acquired at the moment of use, so that a process resuming after a hold-up detects an expired lease.
         let Some(_quota) = acquire_quota() else {
             self.pool.put_back(member, connection);
             return Err(Outcome::NotSent);
@@ -90,7 +90,7 @@
         Ok(self.read_reply(connection).await)
     }
 
-    /// Reads the reply. The connection goes back into the pool if it can carry another statement.
+    /// Reads the reply, and returns the connection to the pool if it can carry another statement.
     async fn read_reply(&self, mut connection: MemberConnection) -> ExchangeReply {
         let reply = connection.read_reply().await;
         if reply.is_streaming {
@@ -102,8 +102,8 @@
         ExchangeReply { reply, streaming_connection: None }
     }
 
-    /// Whether a connection is worth its price. Ending it here needs no permission to cancel, since nothing has
-    /// reached the member.
+    /// Checks the conditions of the send before the cost of opening a connection. The exchange may be abandoned here even
+    /// if the settings do not allow cancelling, since nothing has reached the member.
     fn check_sendable(&self) -> Result<(), Outcome> {
         let is_expired = self.pool.guard().check_lease() == Err(Withheld::Expired);
         let is_over = self.intent.is_request_over.get();
@@ -112,23 +112,24 @@
     }
 }
 
-/// An idle connection of the pool, or else a new one.
+/// Takes an idle connection from the pool, or opens a new one.
 async fn open_or_reuse(pool: &Pool, member: MemberId) -> Result<MemberConnection, Outcome> {
     if let Some(connection) = pool.checkout(member) {
         return Ok(connection);
     }
     let address = pool.address(member).ok_or(Outcome::ConnectError)?;
-    // A proxy without a free descriptor or quota learns nothing about the member.
+    // A lack of descriptors or quota is local to this proxy, and says nothing about the health of the member.
     let descriptor = pool.reserve_descriptor().ok_or(Outcome::NotSent)?;
     let quota = pool.acquire_connection_quota(member).ok_or(Outcome::NotSent)?;
     let mut connection = MemberConnection::open(address, descriptor, pool.connect_timeout()).await?;
-    // Bytes that a member sends before the statement would be taken for the reply.
+    // Bytes received before the statement is written would be read as part of the reply.
     ensure_usable(&connection)?;
     connection.hold_quota(quota);
     Ok(connection)
 }
 
-/// Checks with the kernel that a connection is open and silent; if not, sets its close reason.
+/// Checks, including the socket buffer of the kernel, that a connection is open without pending input. If not, sets its
+/// close reason.
 fn ensure_usable(connection: &MemberConnection) -> Result<(), Outcome> {
     let Some(reason) = connection.unusable_reason_with_peek() else { return Ok(()) };
     connection.close_reason().set(reason);
