--- a/src/stages/admission.rs
+++ b/src/stages/admission.rs
@@ -1,23 +1,23 @@
-//! Admits a request, or rejects it before the decisions see it, by what this process may hold. It never waits, and it knows
-//! nothing of members.
+//! Admits a request, or rejects it before it reaches the router, according to the resource limits of this process. Never
+//! waits, and does not depend on the state of members.
 
 use crate::resource_limit::{ResourceLimit, ResourcePermit};
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// A semaphore holds no more permits than this.
+/// Upper limit of semaphore permits: tokio's `Semaphore::MAX_PERMITS` on a 32-bit target.
 const MAX_SEMAPHORE_PERMITS: usize = u32::MAX as usize >> 3;
 
-/// What was missing where a request was rejected before the decisions saw it.
+/// The resource whose lack caused a rejection before a request reached the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionCause {
-    /// A slot for its connection.
+    /// No free slot for the connection.
     ConnectionSlots,
-    /// Room among the requests held.
+    /// The maximum number of held requests is reached.
     HeldRequests,
-    /// Memory for its message.
+    /// No free memory for the message.
     Memory,
-    /// Time: the process is stopping.
+    /// The process is stopping.
     Stopping,
 }
 
@@ -31,8 +31,8 @@
 }
 
 impl RequestAdmission {
-    /// Admits `max_requests` at a time. Their messages, with what is still being read, share `message_bytes`; long messages
-    /// share `long_message_bytes` more.
+    /// Limits held requests to `max_requests`. Their messages, including those still being read, share `message_bytes`; long
+    /// messages share an additional `long_message_bytes`.
     pub fn new(max_requests: usize, message_bytes: usize, long_message_bytes: usize) -> RequestAdmission {
         let max_long_message = long_message_bytes.min(MAX_SEMAPHORE_PERMITS);
         RequestAdmission {
@@ -43,27 +43,27 @@
         }
     }
 
-    /// The memory for long messages, and the permits for one of `length` bytes. Granted in the order of asking; `None` for
-    /// a length that could never be granted.
+    /// The semaphore for the memory of long messages, and the number of permits for one of `length` bytes. Waiters are served
+    /// in order; `None` if `length` exceeds the total.
     pub fn long_message_memory(&self, length: usize) -> Option<(Arc<Semaphore>, u32)> {
         let bytes = u32::try_from(length).ok().filter(|_| length <= self.max_long_message)?;
         Some((self.long_message_memory.clone(), bytes))
     }
 
-    /// Room for a request until its answer.
+    /// Admits a request, which occupies its place until the permit is dropped.
     ///
     /// # Errors
-    /// What is missing.
+    /// The maximum number of held requests is reached.
     pub fn admit(&self) -> Result<ResourcePermit, RejectionCause> {
         self.held_requests.acquire().ok_or(RejectionCause::HeldRequests)
     }
 
-    /// The memory that messages share, in bytes.
+    /// The limit on the memory that ordinary messages share, in bytes.
     pub fn message_memory(&self) -> ResourceLimit {
         self.message_memory.clone()
     }
 
-    /// The number of requests held now.
+    /// The number of requests currently held.
     pub fn held_requests(&self) -> usize {
         self.held_requests.in_use()
     }
--- a/src/stages/member_directory.rs
+++ b/src/stages/member_directory.rs
@@ -1,8 +1,8 @@
-//! The members that the endpoint list names, joined with the operators' orders: which entries the decisions are shown, and
-//! what the pool must know to reach a member.
+//! Joins the endpoint list with the maintenance orders: produces the list entries for the router, and configures the pool
+//! with the address, the start time and the name of each member.
 //!
-//! It decides nothing: [`Maintenance`] determines which members are out of service, and the decisions determine which members
-//! are remembered. Names become numbers here, and a member's number must never refer to another member.
+//! [`Maintenance`] determines which members are out of service, and the router determines how long a member is tracked.
+//! Names are mapped to numeric ids here, and the id of a member must never be reused for another member.
 
 use super::MemberCounts;
 use crate::api::{GroupId, ListEntry, MemberId, MemberState};
@@ -18,17 +18,17 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Changes of members that are logged for one list; the rest is counted.
+/// Maximum number of member changes logged individually per list; beyond that, the total is logged.
 const LOGGED_CHANGES: usize = 16;
 
-/// The last state of one member by the lists.
+/// The last listed state of a member.
 #[derive(Clone)]
 struct DirectoryEntry {
     endpoint: Endpoint,
     member: MemberId,
 }
 
-/// The listed members by their names.
+/// The listed members by name.
 pub(super) struct MemberDirectory {
     identifiers: IdentifierTable,
     maintenance: Rc<RefCell<Maintenance>>,
@@ -38,19 +38,19 @@
 }
 
 impl MemberDirectory {
-    /// A directory in which no member is listed yet.
+    /// Creates an empty directory.
     pub(super) fn new(
         identifiers: IdentifierTable, maintenance: Rc<RefCell<Maintenance>>, pool: Pool, clock: Clock,
     ) -> MemberDirectory {
         MemberDirectory { identifiers, maintenance, pool, clock, listed: BTreeMap::new() }
     }
 
-    /// Whether operators have taken all members of a group out of service.
+    /// Whether all listed members of a group are out of service by orders of operators or the fleet.
     pub(super) fn is_group_out(&self, group: GroupId) -> bool {
         self.maintenance.borrow().is_group_out(group)
     }
 
-    /// Records a list, and returns the entries for the decisions.
+    /// Records a list, and returns the entries for the router.
     pub(super) fn record_list(&mut self, list: EndpointList) -> Arc<Vec<ListEntry>> {
         if list.is_full {
             self.listed.clear();
@@ -64,7 +64,7 @@
         Arc::new(entries)
     }
 
-    /// The entries of a listed member by the orders on it now; `None` if no list names it.
+    /// The entries for the router of a listed member under its current orders; `None` if the member is not listed.
     pub(super) fn current_entries(&mut self, name: &str) -> Option<Vec<ListEntry>> {
         let endpoint = self.listed.get(name)?.endpoint.clone();
         let mut entries = Vec::new();
@@ -72,20 +72,20 @@
         Some(entries)
     }
 
-    /// Sets the members that the fleet has taken out of service, and returns the names of those that this changes.
+    /// Replaces the set of members that the fleet has taken out of service. Returns the names of those whose state changes.
     pub(super) fn set_quarantine(&self, names: Vec<String>) -> Vec<String> {
         let now = self.clock.now();
         self.maintenance.borrow_mut().set_out_by_fleet(now, names.into_iter().collect())
     }
 
-    /// Forgets the members that the decisions have forgotten, and closes those to new statements that they have closed.
+    /// Removes the members that the router no longer tracks, and updates which members accept new statements.
     pub(super) fn sync_with_router(&mut self, router: &Router) {
         self.identifiers.retain(|member| router.has_record_of(member));
         self.pool.retain(|member| router.has_record_of(member));
         self.pool.set_accepting(|member| router.accepts_new_requests(member));
     }
 
-    /// How many members are listed, and how many of them get nothing now.
+    /// The number of listed members, and how many of them get no ordinary requests now.
     pub(super) fn counts(&self, router: &Router) -> MemberCounts {
         let maintenance = self.maintenance.borrow();
         let is_avoided = |(name, entry): &(&String, &DirectoryEntry)| {
@@ -95,7 +95,7 @@
         MemberCounts { listed: self.listed.len(), avoided }
     }
 
-    /// The observation of each member that lists name, or have named lately, by its name.
+    /// The health observation of each member in the current list or a recent one, by member name.
     pub(super) fn health_observations(&self, router: &Router) -> BTreeMap<String, HealthObservation> {
         let maintenance = self.maintenance.borrow();
         let observation = |(name, group, _): (&str, GroupId, bool)| {
@@ -111,8 +111,8 @@
         maintenance.known().map(observation).collect()
     }
 
-    /// Records one member, and appends its entries by the orders on it: one that is out of service is shown as drained, and
-    /// gone.
+    /// Records one member, and appends its entries for the router under its current orders. A member that is out of service
+    /// appears as draining and then as gone.
     fn record_endpoint(&mut self, endpoint: Endpoint, entries: &mut Vec<ListEntry>) {
         let name = endpoint.id.clone();
         let (entry, address) = self.identifiers.entry(endpoint.clone());
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Logs the members whose state or start a list changes, the first ones by name.
+    /// Logs members whose state or start time changes with a list, up to [`LOGGED_CHANGES`] of them individually.
     fn log_changes(&self, list: &EndpointList) {
         let is_change = |endpoint: &&Endpoint| {
             self.listed.get(&endpoint.id).is_none_or(|DirectoryEntry { endpoint: known, .. }| {
--- a/src/stages/request_intake.rs
+++ b/src/stages/request_intake.rs
@@ -1,5 +1,5 @@
-//! Turns a request as a protocol hands it in into one that the decisions know: names become numbers, waits become deadlines,
-//! positions become ages. It keeps the clients' ids that are open, so that no two requests run under the same one.
+//! Converts a parsed request into the form that the router takes: class names become ids, and required positions become
+//! ages. Tracks the open ids of clients, so that no two requests are open under the same id.
 
 use crate::api::{ClassId, GroupId, Micros, ReadLevel, Request, RequestId, SessionKey};
 use crate::clock::Clock;
@@ -10,24 +10,24 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// A client waits no longer than this, in milliseconds: a longer wait of a request is cut.
+/// Upper limit of the timeout of a request; a longer timeout is reduced to it.
 const MAX_TIMEOUT_MS: u64 = 600_000;
 
-/// Digits of a session key that is a number of 64 bits already.
+/// Length of a session key that is a 64-bit number in hexadecimal digits.
 const HEX_KEY_DIGITS: usize = 16;
 
 /// The prime of FNV-1a for 64 bits.
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
-/// The first state of FNV-1a for 64 bits.
+/// The offset basis of FNV-1a for 64 bits.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 
-/// Why a request is not accepted.
+/// Why a request was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IntakeError {
-    /// The settings name no such class.
+    /// The class is not in the settings.
     UnknownClass,
-    /// A request with this id is open.
+    /// Another request is open under the same id.
     IdInUse,
 }
 
@@ -42,17 +42,17 @@
 
 impl std::error::Error for IntakeError {}
 
-/// Reads requests by the settings.
+/// Converts requests according to the settings.
 pub struct RequestIntake {
     classes: BTreeMap<String, ClassId>,
-    /// By the classes' numbers.
+    /// Indexed by [`ClassId`].
     read_levels: Vec<ReadLevel>,
     clock: Clock,
     last_request_number: Cell<u64>,
     open_ids: Rc<RefCell<BTreeSet<String>>>,
 }
 
-/// A client's id while its request is open. Dropping it frees the id.
+/// The id of an open request. Dropping it releases the id.
 #[derive(Debug)]
 pub struct OpenId {
     open_ids: Rc<RefCell<BTreeSet<String>>>,
@@ -65,21 +65,22 @@
     }
 }
 
-/// The session's number: a key of [`HEX_KEY_DIGITS`] hexadecimal digits as it is, any other by its hash.
+/// Converts a session key into a number: a key of [`HEX_KEY_DIGITS`] hexadecimal digits by its value, any other by its
+/// hash.
 fn session_key(key: &str) -> SessionKey {
     let is_number = key.len() == HEX_KEY_DIGITS;
     let number = if is_number { u64::from_str_radix(key, 16).ok() } else { None };
     SessionKey(number.unwrap_or_else(|| fnv_1a(key.as_bytes())))
 }
 
-/// The hash FNV-1a.
+/// The 64-bit FNV-1a hash.
 fn fnv_1a(bytes: &[u8]) -> u64 {
     let add_byte = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
     bytes.iter().fold(FNV_OFFSET_BASIS, add_byte)
 }
 
 impl RequestIntake {
-    /// Reads classes by the settings.
+    /// Creates an intake for the classes of `site`.
     pub fn new(site: &Site, clock: Clock) -> RequestIntake {
         RequestIntake {
             classes: site.classes.clone(),
@@ -90,28 +91,28 @@
         }
     }
 
-    /// The number of a request's class.
+    /// The id of the request's class.
     ///
     /// # Errors
-    /// The settings name no such class.
+    /// The class is not in the settings.
     pub fn class_of(&self, incoming: &IncomingRequest) -> Result<ClassId, IntakeError> {
         self.class_named(&incoming.class).ok_or(IntakeError::UnknownClass)
     }
 
-    /// The number of the class with this name.
+    /// The id of the class with this name; `None` if it is not in the settings.
     pub fn class_named(&self, class: &str) -> Option<ClassId> {
         self.classes.get(class).copied()
     }
 
-    /// How fresh a class's data must be, or that it writes.
+    /// The required freshness of reads of a class, or [`ReadLevel::Write`].
     pub fn read_level(&self, class: ClassId) -> ReadLevel {
         self.read_levels.get(class.0).copied().unwrap_or(ReadLevel::Any)
     }
 
-    /// Claims a request's id, from its last byte to its answer: a second request must not run under it.
+    /// Reserves the id of a request until the returned [`OpenId`] is dropped, so that no second request runs under it.
     ///
     /// # Errors
-    /// A request with this id is open.
+    /// Another request is open under the same id.
     pub fn claim_id(&self, incoming: &IncomingRequest) -> Result<OpenId, IntakeError> {
         let id = incoming.id.clone();
         if !self.open_ids.borrow_mut().insert(id.clone()) {
@@ -120,7 +121,7 @@
         Ok(OpenId { open_ids: self.open_ids.clone(), id })
     }
 
-    /// A fresh id of our own, since clients may use one again: the number of the request, with zeros before it.
+    /// A unique internal id, since clients may reuse theirs: the sequence number of the request, padded with zeros.
     fn next_id(&self) -> RequestId {
         let number = self.last_request_number.get() + 1;
         self.last_request_number.set(number);
@@ -129,12 +130,12 @@
         RequestId(id)
     }
 
-    /// The request as the decisions know it.
+    /// Builds the request for the router, under a new internal id.
     pub fn build_request(&self, incoming: &IncomingRequest, class: ClassId) -> Request {
         let level = self.read_level(class);
         let has_session = matches!(level, ReadLevel::Write | ReadLevel::Session);
         let now = self.clock.now().0;
-        // An age of 0 would mean that there was no write at all.
+        // At least 1, since an age of 0 means that there was no write.
         let age = |ms: u64| Micros(now.saturating_sub(ms.saturating_mul(1_000)).max(1));
         Request {
             id: self.next_id(),
--- a/src/stages/response_delivery.rs
+++ b/src/stages/response_delivery.rs
@@ -1,5 +1,5 @@
-//! Delivers the one final response of a request to its client's session. Each request gets one at most, and none is kept
-//! once its client has left.
+//! Delivers the final response of a request to the client's session. Each request gets at most one response, and a request
+//! is removed once its client has disconnected.
 
 use super::FinalResponse;
 use crate::api::RequestId;
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Where a response goes, and until when.
+/// The recipient of a response, and the time by which it is due.
 struct OpenRequest {
     reply: oneshot::Sender<FinalResponse>,
     due: Instant,
@@ -17,12 +17,12 @@
 #[derive(Default)]
 pub struct ResponseDelivery {
     open: BTreeMap<RequestId, OpenRequest>,
-    /// The same requests by their time.
+    /// The same requests, ordered by due time.
     due: BTreeSet<(Instant, RequestId)>,
 }
 
 impl ResponseDelivery {
-    /// Registers a request, which is to have its response by `due`.
+    /// Registers a request whose response is due at `due`.
     pub fn register(&mut self, id: RequestId, reply: oneshot::Sender<FinalResponse>, due: Instant) {
         self.open.insert(id, OpenRequest { reply, due });
         self.due.insert((due, id));
@@ -33,20 +33,20 @@
         self.due.first().copied()
     }
 
-    /// Whether a request has no final response yet, and its client has not left.
+    /// Whether a request has no final response yet and its client has not disconnected.
     pub fn is_open(&self, id: &RequestId) -> bool {
         self.open.contains_key(id)
     }
 
-    /// Delivers the final response; false if the request was over before.
+    /// Delivers the final response. Returns false if the request was already over.
     pub fn deliver(&mut self, id: &RequestId, response: FinalResponse) -> bool {
         let Some(reply) = self.close(id) else { return false };
-        // The client may have left a moment ago; that event is on its way.
+        // Fails only if the client has disconnected and the input for that is still queued.
         let _ = reply.send(response);
         true
     }
 
-    /// Removes a request whose client has left; false if it was over before.
+    /// Removes a request whose client has disconnected. Returns false if the request was already over.
     pub fn abandon(&mut self, id: &RequestId) -> bool {
         self.close(id).is_some()
     }
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -1,8 +1,8 @@
-//! One connection to a member, which carries one statement at a time: opens the session, writes a statement, reads
-//! the reply, and forwards the rest of a long answer in chunks.
+//! One connection to a member, which carries one statement at a time: opens the session, writes a statement, reads the
+//! reply, and yields the rest of a long answer in chunks.
 //!
-//! It must never read a byte as part of a reply that the member sent before the statement, nor report a connection as
-//! reusable on which anything is still to arrive. Its end is logged once, under the reason set last.
+//! Input that arrives before the statement must never be read as part of the reply, and a connection with outstanding input
+//! must never be reported as reusable. The close is logged once, with the reason set last.
 
 use crate::api::Outcome;
 use crate::close_reason::{CloseReason, Side, log_close};
@@ -25,14 +25,14 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use tokio_util::codec::Framed;
 
-/// A reply that has begun continues within this time, or its rest is not coming.
+/// Once a reply has begun, it counts as broken off if no further byte arrives within this time.
 const REPLY_GAP_TIMEOUT: Duration = Duration::from_millis(250);
-/// The longest time between two chunks of a long answer. Longer than [`REPLY_GAP_TIMEOUT`], since members may pause for
-/// seconds within one.
+/// Timeout for the next chunk of a long answer. Longer than [`REPLY_GAP_TIMEOUT`], since members may pause for seconds
+/// within a long answer.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(10);
-/// A buffer that grew beyond this many bytes is released after the reply.
+/// Capacity beyond which an empty buffer is replaced after a reply.
 const MAX_KEPT_BUFFER_BYTES: usize = 32 * 1024;
-/// The size of a new buffer, in bytes: the codec's own default.
+/// Capacity of a new buffer; the default of [`Framed`].
 const INITIAL_BUFFER_BYTES: usize = 8 * 1024;
 
 /// An open connection. Dropping it closes the socket, logs the close reason, and returns the descriptor and the quota.
@@ -42,7 +42,7 @@
     close_reason: Rc<Cell<CloseReason>>,
     /// Held for its drop, which returns the descriptor.
     _descriptor: ResourcePermit,
-    /// Held for its drop, which returns this connection's part of the fleet's budgets.
+    /// Held for its drop, which returns this connection's unit of the fleet's budgets.
     _quota: QuotaUnit,
 }
 
@@ -52,30 +52,30 @@
     }
 }
 
-/// The next event of a long answer whose beginning was read.
+/// An event in the rest of a long answer.
 pub enum StreamEvent {
     /// A chunk of the value.
     Chunk(Bytes),
-    /// The completion, as the member sent it: the answer is complete.
+    /// The completion message as received: the answer is complete.
     End(Bytes),
-    /// The connection can carry another statement.
+    /// The member is ready, and the connection can carry another statement.
     Ready,
-    /// Nothing more arrives: the connection is of no further use.
+    /// The connection failed or violated the protocol, and must be closed.
     Broken,
 }
 
-/// Why the session of a new connection could not be opened.
+/// Why the session of a new connection could not be started.
 struct SessionError {
     outcome: Outcome,
     close_reason: CloseReason,
 }
 
 impl SessionError {
-    /// The connection failed, or what arrived on it can't be read.
+    /// The connection failed, or its input could not be decoded.
     const BROKEN_CONNECTION: SessionError =
         SessionError { outcome: Outcome::ConnectError, close_reason: CloseReason::Reset };
 
-    /// The member answered the startup with an error.
+    /// The member answered the startup message with an error.
     fn rejected(sqlstate: &[u8]) -> SessionError {
         let outcome = match outcome_of(sqlstate) {
             Outcome::QueueFull => Outcome::QueueFull,
@@ -86,7 +86,7 @@
 }
 
 impl MemberConnection {
-    /// Opens a connection and waits until the member is ready for a statement, at most `connect_timeout` in all.
+    /// Opens a connection and waits until the member is ready for a statement, for at most `connect_timeout` in total.
     ///
     /// # Errors
     /// The outcome of the attempt that needed the connection.
@@ -95,7 +95,7 @@
     ) -> Result<MemberConnection, Outcome> {
         let deadline = Instant::now() + connect_timeout;
         let stream = connect(address, deadline).await?;
-        // A socket that refuses the option works all the same, only slower.
+        // Without the option the socket works, only with higher latency.
         let _ = stream.set_nodelay(true);
         let mut connection = MemberConnection {
             framed: Framed::new(stream, BackendCodec::default()),
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Keeps a part of the fleet's budgets until the connection is closed.
+    /// Holds `quota` until the connection is closed.
     pub fn hold_quota(&mut self, quota: QuotaUnit) {
         self._quota = quota;
     }
@@ -142,13 +142,12 @@
         self.address
     }
 
-    /// The reason under which the end of the connection will be logged. The code that ends it sets the reason.
+    /// The reason that will be logged when the connection closes. Code that closes the connection sets it first.
     pub fn close_reason(&self) -> Rc<Cell<CloseReason>> {
         self.close_reason.clone()
     }
 
-    /// Why the connection can't carry a statement, if it can't. An idle connection must be open, with nothing to
-    /// read.
+    /// The reason why the connection can't carry a statement; `None` if it can. It must be open, without unread input.
     pub fn unusable_reason(&self) -> Option<CloseReason> {
         let mut byte = [0u8; 1];
         match self.framed.get_ref().try_read(&mut byte) {
@@ -161,8 +160,8 @@
         }
     }
 
-    /// Like [`Self::unusable_reason`], but asks the kernel too: the runtime does not know of what arrived since it
-    /// last polled. To be checked right before a statement is written.
+    /// Like [`Self::unusable_reason`], but also peeks at the socket, since the runtime does not see input that arrived
+    /// after its last poll. Must be checked right before a statement is written.
     pub fn unusable_reason_with_peek(&self) -> Option<CloseReason> {
         self.unusable_reason().or_else(|| match pending_input(self.framed.get_ref()) {
             PendingInput::Empty => None,
@@ -171,10 +170,10 @@
         })
     }
 
-    /// Writes a complete statement, given in two pieces, which `permit` allows.
+    /// Writes a complete statement, given in two parts, as allowed by `permit`.
     ///
     /// # Errors
-    /// The outcome of a statement that has not run: the connection broke before its end was written.
+    /// The outcome of a statement that has not run: the connection failed before its last byte was written.
     pub async fn write_statement(
         &mut self, permit: SendPermit, head: Bytes, tail: Bytes,
     ) -> Result<(), Outcome> {
@@ -190,7 +189,7 @@
         })
     }
 
-    /// Writes a long statement past the codec's buffer, into which it would be copied.
+    /// Writes a long statement directly to the socket, to avoid copying it into the codec's buffer.
     async fn write_unbuffered(&mut self, head: &[u8], tail: &[u8]) -> Result<(), PgError> {
         let length = (4 + head.len() + tail.len() + 1) as u32;
         let stream = self.framed.get_mut();
@@ -199,8 +198,9 @@
         Ok(stream.write_all(&[0]).await?)
     }
 
-    /// Reads the reply to the statement written: a description, a row and a completion, or an error; then readiness.
-    /// Anything else is [`Outcome::MalformedReply`]: the statement may have run, and the connection is of no further use.
+    /// Reads the reply to the written statement: a row description, a row and a completion, or an error; then
+    /// `ReadyForQuery`. After any other message the outcome is [`Outcome::MalformedReply`]: the statement may have run,
+    /// and the connection must be closed.
     pub async fn read_reply(&mut self) -> StatementReply {
         let mut assembler = ReplyAssembler::new();
         let mut is_reusable = false;
@@ -210,7 +210,7 @@
                 ReplyProgress::Incomplete => {}
                 ReplyProgress::Streaming => return assembler.finish(Outcome::Ok),
                 ReplyProgress::Complete(outcome) => {
-                    // The answer counts even if more arrived after it, but the connection is not used again then.
+                    // The reply is valid even if further input follows it, but the connection is not reused then.
                     is_reusable = self.check_usable();
                     break outcome;
                 }
@@ -224,7 +224,7 @@
         StatementReply { is_reusable, ..assembler.finish(outcome) }
     }
 
-    /// Whether the connection can carry another statement; if not, sets the close reason.
+    /// Checks whether the connection can carry another statement; if not, sets the close reason.
     fn check_usable(&self) -> bool {
         let unusable_reason = self.unusable_reason();
         if let Some(reason) = unusable_reason {
@@ -233,8 +233,8 @@
         unusable_reason.is_none()
     }
 
-    /// The next message of a reply. The first one may take any time; once bytes of the reply have arrived, others
-    /// must follow within [`REPLY_GAP_TIMEOUT`].
+    /// The next message of a reply. There is no timeout for the first byte of a reply. Once bytes have arrived, a period of
+    /// [`REPLY_GAP_TIMEOUT`] without further bytes is an error.
     async fn next_message(&mut self, has_begun: bool) -> Option<Result<BackendMessage, PgError>> {
         let mut buffered = self.framed.read_buffer().len();
         loop {
@@ -244,12 +244,12 @@
             let buffered_before = buffered;
             buffered = self.framed.read_buffer().len();
             if (has_begun || buffered_before > 0) && buffered == buffered_before {
-                return Some(Err(PgError::Body("an answer without its end")));
+                return Some(Err(PgError::Body("reply broke off before its end")));
             }
         }
     }
 
-    /// The next event of a long answer whose beginning [`Self::read_reply`] has read.
+    /// The next event of a long answer. Called after [`Self::read_reply`] returned its beginning.
     pub async fn next_chunk(&mut self) -> StreamEvent {
         loop {
             let Ok(next) = timeout(CHUNK_TIMEOUT, self.framed.next()).await else {
@@ -266,7 +266,7 @@
                 BackendMessage::ValueChunk(bytes) => return StreamEvent::Chunk(bytes),
                 BackendMessage::CommandComplete(bytes) => return StreamEvent::End(bytes),
                 BackendMessage::ReadyForQuery if self.check_usable() => return StreamEvent::Ready,
-                // The member sent more than it was asked for.
+                // Input follows the end of the reply; `check_usable` has set the close reason.
                 BackendMessage::ReadyForQuery => return StreamEvent::Broken,
                 BackendMessage::ParameterStatus { .. } | BackendMessage::Ignored => {}
                 _ => return self.break_stream(CloseReason::Protocol),
@@ -279,7 +279,7 @@
         StreamEvent::Broken
     }
 
-    /// Replaces empty buffers that a long statement or answer made large.
+    /// Replaces empty buffers that have grown beyond [`MAX_KEPT_BUFFER_BYTES`].
     fn release_large_buffers(&mut self) {
         let is_large = |buffer: &BytesMut| buffer.capacity() > MAX_KEPT_BUFFER_BYTES && buffer.is_empty();
         if is_large(self.framed.read_buffer()) {
@@ -291,7 +291,7 @@
     }
 }
 
-/// Connects to a member; logs the end of a connection that never came up.
+/// Connects to a member. A failed connection is logged here, since it never becomes a [`MemberConnection`].
 async fn connect(address: SocketAddr, deadline: Instant) -> Result<TcpStream, Outcome> {
     let reason = match timeout_at(deadline, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => return Ok(stream),
--- a/src/upstream/health_check.rs
+++ b/src/upstream/health_check.rs
@@ -1,5 +1,5 @@
-//! One health check: asks a member for its load report over a connection of the pool. It is no client's request, so it
-//! needs a quota of its own kind, and it must never outlast the time that a new connection may take.
+//! A health check: requests the load report of a member over a connection of the pool. Health checks have their own budget,
+//! separate from those of clients' requests, and a check is limited to the pool's connect timeout.
 
 use crate::api::{LoadReport, MemberId, Outcome};
 use crate::fleet::quota::QuotaUnit;
@@ -12,10 +12,10 @@
 use std::rc::Rc;
 use tokio::time::{Instant, timeout};
 
-/// The statement that asks a member for its load report.
+/// The statement that requests the load report of a member.
 const HEALTH_STATEMENT: &[u8] = b"SHOW health";
 
-/// Asks a member for its load report. Takes as long as a new connection may take, at most.
+/// Requests the load report of a member, within the connect timeout of the pool.
 pub async fn run(pool: Pool, member: MemberId) -> (Outcome, LoadReport) {
     let progress = ExchangeProgress::default();
     let deadline = Instant::now() + pool.connect_timeout();
@@ -32,14 +32,14 @@
         Ok(exchange_reply) => exchange_reply.reply,
         Err(outcome) => return (outcome, LoadReport::default()),
     };
-    // No report is long enough to be streamed.
+    // A load report is never long enough to be streamed.
     if reply.is_streaming {
         return (Outcome::MalformedReply, LoadReport::default());
     }
     (reply.outcome, load_report(reply))
 }
 
-/// The report in the reply's column, or else the one that a parameter gave.
+/// The report in the column of the reply, or else the one in the `health` parameter.
 fn load_report(reply: StatementReply) -> LoadReport {
     let column = reply.column.and_then(|column| String::from_utf8(column.to_vec()).ok());
     column.map_or(reply.report, |text| report::parse(&text))
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! The members' side of the proxy: a pool of warm connections, the exchange of one statement, one attempt of a request, one
-//! health check. Chooses no member and decides on no retry: that is for the decisions.
+//! The member side of the proxy: the connection pool, the exchange of a statement, attempts of requests, and health checks.
+//! The router chooses the members and decides on retries.
 
 pub mod attempt;
 pub mod connection;
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -1,8 +1,9 @@
-//! Connections to members that are kept open between statements.
+//! The pool of connections to members that are kept open between statements.
 //!
-//! The connection used last is used next, so that the others grow old and are retired well before the member closes
-//! them. One limit of descriptors holds for all members together, and for each member this proxy's quota of the
-//! fleet's budgets. The pool must never hand out a connection that is too old, not silent, or beyond the quota.
+//! The most recently used connection is reused first, so that surplus connections age and are retired well before the member
+//! closes them. All members share one limit of descriptors; the connections to each member are also bounded by this proxy's
+//! quota of the fleet's budgets. The pool must never hand out a connection that is too old, has pending input, or exceeds
+//! the quota.
 
 use crate::api::{MemberId, Time};
 use crate::close_reason::CloseReason;
@@ -19,15 +20,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Idle connections are retired at this part of the time after which members close them.
+/// Fraction of the idle timeout of members after which idle connections are retired.
 const RETIRE_FRACTION: f64 = 0.6;
-/// A connection is not used again for this long after a reply: excess bytes of a member would be taken for the next
-/// one.
+/// Minimum time between a reply and the reuse of its connection: excess bytes from the member that arrive later would be
+/// read as part of the next reply.
 const SETTLE_TIME: Duration = Duration::from_millis(2);
-/// Interval at which idle connections are checked.
+/// Interval at which idle connections are checked for their age and usability.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A connection without a statement, and since when.
+/// A connection without a statement in progress.
 struct IdleConnection {
     connection: MemberConnection,
     idle_since: Instant,
@@ -39,22 +40,22 @@
     }
 }
 
-/// What the pool holds of one member.
+/// The state of one member in the pool.
 #[derive(Default)]
 struct MemberSlot {
     address: Option<SocketAddr>,
-    /// In the order of their last use, the oldest first.
+    /// Ordered by last use, least recently used first.
     idle: Vec<IdleConnection>,
-    /// The name by which the fleet's budgets know the member; empty until [`Pool::set_name`].
+    /// The name of the member in the fleet's budgets; empty until [`Pool::set_name`].
     name: String,
 }
 
 struct Inner {
-    /// Each member of this table is in `eligibility` as well.
+    /// Every member in this table is also in `eligibility`.
     slots: RefCell<BTreeMap<MemberId, MemberSlot>>,
     eligibility: SendEligibility,
     descriptors: ResourceLimit,
-    /// The age at which an idle connection is retired.
+    /// The idle time after which a connection is retired.
     retire_after: Duration,
     connect_timeout: Duration,
     counters: Rc<Counters>,
@@ -62,12 +63,13 @@
     guard: SendGuard,
 }
 
-/// All connections to members; copies share them.
+/// All connections to members. Clones share them.
 #[derive(Clone)]
 pub struct Pool(Rc<Inner>);
 
 impl Pool {
-    /// A pool of at most `max_connections`, where members close idle connections after `idle_close`. No quota binds.
+    /// A pool of at most `max_connections`, for members that close idle connections after `idle_close`. It has neither a
+    /// quota nor a list lease.
     pub fn new(
         max_connections: usize, idle_close: Duration, connect_timeout: Duration, counters: Rc<Counters>,
     ) -> Pool {
@@ -75,7 +77,7 @@
         Pool::with_quota(max_connections, idle_close, connect_timeout, counters, FleetQuota::default(), guard)
     }
 
-    /// Like [`Pool::new`], within this proxy's quota of the fleet's budgets, where `guard` allows what is written.
+    /// Like [`Pool::new`], limited by this proxy's quota of the fleet's budgets, and with `guard` for all sends.
     pub fn with_quota(
         max_connections: usize, idle_close: Duration, connect_timeout: Duration, counters: Rc<Counters>,
         quota: FleetQuota, guard: SendGuard,
@@ -92,7 +94,7 @@
         }))
     }
 
-    /// Sets a member's address. Idle connections to another address are closed.
+    /// Sets the address of a member, and adds the member if it is new. Idle connections to a previous address are closed.
     pub fn set_address(&self, member: MemberId, address: SocketAddr) {
         self.0.eligibility.add(member);
         let outdated = {
@@ -104,24 +106,24 @@
         close_all(outdated);
     }
 
-    /// Sets when a member last started; `None` if long ago.
+    /// Sets the start time of a member; `None` if it started long ago.
     pub fn set_incarnation(&self, member: MemberId, started: Option<Time>) {
         self.0.slots.borrow_mut().entry(member).or_default();
         self.0.eligibility.set_incarnation(member, started);
     }
 
-    /// What allows statements to be written.
+    /// The guard that issues the send permits.
     pub fn guard(&self) -> &SendGuard {
         &self.0.guard
     }
 
-    /// A permit to write a statement now, or `None` if the guard allows none. To be asked for right before the write;
-    /// waits while the process catches up after a hold-up.
+    /// Requests a permit to write a statement; `None` if the guard refuses it. Must be requested right before the write.
+    /// Waits while the process catches up after a hold-up.
     pub async fn send_permit(&self, intent: SendIntent) -> Option<SendPermit> {
         self.0.guard.issue_permit(&self.0.eligibility, intent).await
     }
 
-    /// Sets the name by which the fleet's budgets know a member. Only the first one counts.
+    /// Sets the name of a member in the fleet's budgets. Has no effect if the member already has a name.
     pub fn set_name(&self, member: MemberId, name: &str) {
         self.0.eligibility.add(member);
         let mut slots = self.0.slots.borrow_mut();
@@ -138,22 +140,22 @@
         apply(&self.0.quota, &self.0.slots.borrow().get(&member)?.name)
     }
 
-    /// A permit for a new connection to a member; none if this proxy's quota is used up or the member is not known.
+    /// Acquires quota for a new connection to a member; `None` if the quota is exhausted or the member is unknown.
     pub fn acquire_connection_quota(&self, member: MemberId) -> Option<QuotaUnit> {
         self.with_budget_name(member, |quota, name| quota.acquire_connection(name))
     }
 
-    /// A permit for an attempt at a member; none if this proxy's quota is used up or the member is not known.
+    /// Acquires quota for an attempt at a member; `None` if the quota is exhausted or the member is unknown.
     pub fn acquire_attempt_quota(&self, member: MemberId) -> Option<QuotaUnit> {
         self.with_budget_name(member, |quota, name| quota.acquire_attempt(name))
     }
 
-    /// What this proxy may use of the fleet's budgets.
+    /// This proxy's quota of the fleet's budgets.
     pub fn quota(&self) -> &FleetQuota {
         &self.0.quota
     }
 
-    /// Closes idle connections beyond the quota whenever it shrinks or lapses, for as long as the program runs.
+    /// Closes idle connections that exceed the quota after each change of the quota. Runs until the process ends.
     pub async fn run_quota_enforcement(self) {
         loop {
             self.0.quota.changed().await;
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Closes idle connections beyond the quota, those used longest ago first.
+    /// Closes idle connections that exceed the quota, least recently used first.
     fn close_idle_over_quota(&self) {
         let mut excess = Vec::new();
         for slot in self.0.slots.borrow_mut().values_mut() {
@@ -173,7 +175,7 @@
         close_all(excess);
     }
 
-    /// Forgets the members for which `keep` is false, and closes their idle connections.
+    /// Removes the members for which `keep` is false, and closes their idle connections.
     pub fn retain(&self, keep: impl Fn(MemberId) -> bool) {
         let mut removed_idle = Vec::new();
         let mut removed_names = Vec::new();
@@ -190,8 +192,7 @@
         removed_names.iter().for_each(|name| self.0.quota.member_removed(name));
     }
 
-    /// Sets which members accept new statements. Statements that were decided on before and are not written yet are
-    /// bound by it too.
+    /// Sets which members accept new statements. This also applies to pending statements that are not yet written.
     pub fn set_accepting(&self, accepts_new: impl Fn(MemberId) -> bool) {
         self.0.eligibility.set_accepting(accepts_new);
     }
@@ -201,23 +202,23 @@
         self.0.eligibility.is_accepting(member)
     }
 
-    /// A member's address.
+    /// The address of a member; `None` if the member is unknown.
     pub fn address(&self, member: MemberId) -> Option<SocketAddr> {
         self.0.slots.borrow().get(&member)?.address
     }
 
-    /// The longest time that a new connection may take to come up.
+    /// The maximum time for opening a connection, including its session.
     pub fn connect_timeout(&self) -> Duration {
         self.0.connect_timeout
     }
 
-    /// Takes the idle connection that was used last and has settled. Those that turn out unusable on the way are
-    /// closed.
+    /// Takes the most recently used idle connection, except those put back too recently to be reused. Closes unusable
+    /// connections that it finds in the process.
     pub fn checkout(&self, member: MemberId) -> Option<MemberConnection> {
         loop {
             let IdleConnection { connection, idle_since } = self.take_last_settled(member)?;
             let close_reason = if self.is_over_quota(member) {
-                // The quota shrank or its lease expired, perhaps while this process was stopped.
+                // The quota shrank or its lease expired, possibly during a hold-up of this process.
                 Some(CloseReason::GivenBack)
             } else if idle_since.elapsed() >= self.0.retire_after {
                 Some(CloseReason::Retired)
@@ -238,13 +239,13 @@
         Some(idle.remove(settled))
     }
 
-    /// Whether more connections to a member are open than this proxy's quota allows.
+    /// Whether the open connections to a member exceed this proxy's quota.
     fn is_over_quota(&self, member: MemberId) -> bool {
         self.with_budget_name(member, |quota, name| Some(quota.excess_connections(name) > 0)).unwrap_or(false)
     }
 
-    /// Keeps a connection for its next use, or closes it: where the member has moved or is forgotten, and where it is
-    /// beyond the quota, since a connection in constant use would otherwise outlive its lease.
+    /// Returns a connection to the pool. Closes it instead if the address of the member has changed, the member was removed,
+    /// or the quota is exceeded; otherwise a connection in constant use could outlive the lease of its quota.
     pub fn put_back(&self, member: MemberId, connection: MemberConnection) {
         connection.close_reason().set(CloseReason::GivenBack);
         if self.is_over_quota(member) {
@@ -257,8 +258,8 @@
         }
     }
 
-    /// Reserves the descriptor of one more connection. If none is left, the connection that was idle longest is
-    /// closed.
+    /// Reserves the descriptor of one more connection. If none is left, closes the connection that has been idle longest to
+    /// free one; `None` if there is no idle connection.
     pub fn reserve_descriptor(&self) -> Option<ResourcePermit> {
         let descriptor = self.0.descriptors.acquire().or_else(|| {
             self.close_longest_idle();
@@ -277,7 +278,7 @@
         close_all(longest_idle);
     }
 
-    /// Closes the idle connections to a member.
+    /// Closes all idle connections to a member.
     pub fn close_idle(&self, member: MemberId) {
         let idle = self.0.slots.borrow_mut().get_mut(&member).map(|slot| std::mem::take(&mut slot.idle));
         close_all(idle.into_iter().flatten());
@@ -302,7 +303,7 @@
         if is_old { Some(CloseReason::Retired) } else { idle.connection.unusable_reason() }
     }
 
-    /// Closes idle connections that are too old or unusable, at an interval, for as long as the program runs.
+    /// Closes idle connections that are too old or unusable, at an interval. Runs until the process ends.
     pub async fn run_sweeper(self) {
         loop {
             tokio::time::sleep(SWEEP_INTERVAL).await;
@@ -311,7 +312,7 @@
     }
 }
 
-/// Closes idle connections for which the proxy has no further use. Not to be called while the slots are borrowed.
+/// Closes idle connections that the proxy no longer needs. Must not be called while the slots are borrowed.
 fn close_all(idle: impl IntoIterator<Item = IdleConnection>) {
     idle.into_iter().for_each(|idle| idle.close(CloseReason::GivenBack));
 }
--- a/src/upstream/reply.rs
+++ b/src/upstream/reply.rs
@@ -1,7 +1,7 @@
-//! The reply to a statement, assembled from a member's messages: a description, a row and a completion, or an error;
-//! then readiness.
+//! Assembles the reply to a statement from the messages of a member: a row description, a row and a completion, or an
+//! error; then `ReadyForQuery`.
 //!
-//! Reads no socket. A reply whose messages come in another order must never count as served.
+//! Does no I/O. A reply with messages in any other order must never count as served.
 
 use crate::api::{LoadReport, LogPosition, Outcome, Role};
 use crate::close_reason::CloseReason;
@@ -12,7 +12,7 @@
 
 /// SQLSTATE `read_only_sql_transaction`: a write reached a replica.
 const READ_ONLY: &[u8] = b"25006";
-/// SQLSTATE `snapshot_too_old`: the member has not reached the position that the read asks for.
+/// SQLSTATE `snapshot_too_old`: the member has not applied the position that the read requires.
 const BEHIND_POSITION: &[u8] = b"72000";
 /// SQLSTATE `too_many_connections`.
 const TOO_MANY_CONNECTIONS: &[u8] = b"53300";
@@ -21,26 +21,26 @@
 
 /// The reply to one statement.
 pub struct StatementReply {
-    /// How the statement ended.
+    /// The outcome of the statement.
     pub outcome: Outcome,
     /// Description, row and completion as the member sent them; empty unless the outcome is [`Outcome::Ok`].
     pub raw: Bytes,
-    /// The value of the row's one column.
+    /// The value of the single column; `None` if no row was read or the value follows in chunks.
     pub column: Option<Bytes>,
     /// The member's replication position, or the commit position of a write.
     pub position: Option<LogPosition>,
-    /// The member's role.
+    /// The role that the member reported.
     pub role: Option<Role>,
-    /// The member's load report.
+    /// The load report of the member; empty if it sent none.
     pub report: LoadReport,
-    /// The connection can carry another statement.
+    /// Whether the connection can carry another statement.
     pub is_reusable: bool,
-    /// Only the beginning of a long answer was read: the rest follows in chunks.
+    /// Whether only the beginning of a long answer was read; the rest follows in chunks.
     pub is_streaming: bool,
 }
 
 impl StatementReply {
-    /// A reply of which nothing has arrived.
+    /// The reply before any message has arrived.
     fn empty() -> StatementReply {
         StatementReply {
             outcome: Outcome::Reset,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Records a parameter of the member's status. A value that can't be read counts as absent.
+    /// Records a `ParameterStatus` message. A value that can't be parsed counts as absent.
     fn record_parameter(&mut self, name: &[u8], value: &[u8]) {
         let text = std::str::from_utf8(value).unwrap_or("");
         match name {
@@ -70,25 +70,25 @@
     }
 }
 
-/// Which message of a reply is expected next.
+/// The message of a reply that is expected next.
 #[derive(Clone, Copy)]
 enum ExpectedMessage {
     Description,
     Row,
     Completion,
-    /// The statement has this outcome; the member is not ready for another one yet.
+    /// `ReadyForQuery`, after a statement with this outcome.
     Readiness(Outcome),
 }
 
-/// What a message means for the reading of a reply.
+/// The state of a reply after a message.
 pub(super) enum ReplyProgress {
     /// More messages follow.
     Incomplete,
-    /// The head of a long row: the value follows in chunks.
+    /// The row has a long value, which follows in chunks.
     Streaming,
     /// The reply is complete, and the member is ready.
     Complete(Outcome),
-    /// The connection failed, or the message does not belong there.
+    /// The connection failed, or the message was malformed or unexpected.
     Broken(Outcome, CloseReason),
 }
 
@@ -105,12 +105,12 @@
         ReplyAssembler { expected, raw: BytesMut::new(), reply: StatementReply::empty() }
     }
 
-    /// Whether a message of the reply itself has arrived.
+    /// Whether a message of the reply itself, other than a parameter or a notice, has arrived.
     pub(super) fn has_begun(&self) -> bool {
         !matches!(self.expected, ExpectedMessage::Description)
     }
 
-    /// Takes the next message of the connection; `None` is its end.
+    /// Adds the next message of the connection; `None` is the end of the connection.
     pub(super) fn push(&mut self, message: Option<Result<BackendMessage, PgError>>) -> ReplyProgress {
         match message {
             Some(Ok(message)) => self.push_message(message),
@@ -139,7 +139,7 @@
                 self.expected = ExpectedMessage::Readiness(Outcome::Ok);
                 self.raw.extend_from_slice(&bytes);
             }
-            // A command without a row has run, but gives nothing to relay.
+            // The statement has run without returning a row, so there is no answer to relay.
             (ExpectedMessage::Description, BackendMessage::CommandComplete(_)) => {
                 self.expected = ExpectedMessage::Readiness(Outcome::Failed);
             }
@@ -158,7 +158,7 @@
         ReplyProgress::Incomplete
     }
 
-    /// The reply with its outcome; it carries the member's bytes only where they are an answer.
+    /// Finishes the reply with its outcome. `raw` is filled only if the outcome is [`Outcome::Ok`].
     pub(super) fn finish(mut self, outcome: Outcome) -> StatementReply {
         self.reply.outcome = outcome;
         if outcome == Outcome::Ok {
@@ -168,7 +168,7 @@
     }
 }
 
-/// The outcome that an error's SQLSTATE stands for.
+/// Maps the SQLSTATE of an error to an outcome.
 pub(super) fn outcome_of(sqlstate: &[u8]) -> Outcome {
     match sqlstate {
         READ_ONLY | BEHIND_POSITION => Outcome::NotApplicable,
--- a/src/upstream/report.rs
+++ b/src/upstream/report.rs
@@ -1,14 +1,14 @@
-//! Load reports as members write them. A report must never be believed in part.
+//! The text format of the load reports of members. A report with an invalid pair is discarded as a whole.
 
 use crate::api::{LoadReport, LogPosition, Role};
 
-/// Positions are written in seconds and held in microseconds.
+/// Reports have positions in seconds; [`LogPosition`] is in microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// The role is written as a number: from here on it means the primary.
+/// The role is reported as a number; values from this one on mean the primary.
 const PRIMARY_THRESHOLD: f64 = 0.5;
 
-/// Parses a report of `name=value` pairs; positions are Unix times in seconds. A report with any pair that can't be
-/// read counts as empty; names that are not known are skipped.
+/// Parses a report of comma-separated `name=value` pairs; positions are Unix times in seconds. A report with any malformed
+/// pair yields an empty report. Unknown names are ignored.
 pub fn parse(text: &str) -> LoadReport {
     parse_pairs(text).unwrap_or_default()
 }
--- a/src/upstream/response.rs
+++ b/src/upstream/response.rs
@@ -1,5 +1,4 @@
-//! A member's answer on its way to the client, in the protocol's own form. It knows neither side: attempts hand it over, and
-//! sessions write it.
+//! The answer of a member in wire format, as passed from an attempt to the client's session. Depends on neither of them.
 
 use bytes::Bytes;
 use tokio::sync::mpsc;
@@ -7,26 +6,27 @@
 /// A long answer whose first bytes have arrived.
 #[derive(Debug)]
 pub struct StreamingResponse {
-    /// The first bytes.
+    /// The bytes that arrived first.
     pub first: Bytes,
-    /// The rest as it arrives, within a bounded window. It was cut off if it ends without [`ResponseChunk::Last`].
+    /// The rest as it arrives, over a bounded channel. The answer is truncated if the channel closes before
+    /// [`ResponseChunk::Last`].
     pub rest: mpsc::Receiver<ResponseChunk>,
 }
 
-/// A piece of the rest of a long answer.
+/// A chunk of the rest of a long answer.
 #[derive(Debug)]
 pub enum ResponseChunk {
-    /// More follows.
+    /// A chunk that is followed by others.
     More(Bytes),
-    /// The end: the answer is complete.
+    /// The last chunk, which completes the answer.
     Last(Bytes),
 }
 
-/// What a member answered.
+/// The answer of a member.
 #[derive(Debug)]
 pub enum MemberResponse {
     /// The complete answer.
     Complete(Bytes),
-    /// A long one, whose rest is still to come.
+    /// The beginning of a long answer, whose rest is still arriving.
     Streaming(StreamingResponse),
 }
--- a/src/upstream/send_eligibility.rs
+++ b/src/upstream/send_eligibility.rs
@@ -1,24 +1,23 @@
-//! What a send permit must know of the members: which of them accept new statements, and which start of each the list
-//! names.
+//! The table of the members that accept new statements, with the start time of each member.
 //!
-//! The connection pool keeps this table up to date, and [`super::send_guard::SendGuard`] reads it at the moment of a write. It
-//! holds no connection, and it must never answer from a copy: a drain binds statements that were decided on before.
+//! The connection pool updates the table, and [`super::send_guard::SendGuard`] reads it right before each write. It must be
+//! read in place, never from a copy: a drain also applies to statements that were decided on before it.
 
 use crate::api::{MemberId, Time};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The list's state of one member.
+/// The state of one member according to the endpoint list.
 #[derive(Default)]
 struct Entry {
-    /// Nothing new may be sent to the member: it drains or is gone.
+    /// Whether no new statements may be sent to the member, because it is draining or gone.
     rejects_new: bool,
-    /// When the member last started; `None` if long ago.
+    /// Start time of the member; `None` if it started long ago.
     incarnation: Option<Time>,
 }
 
-/// The members that the pool knows; copies share the table. A member that is not in it accepts nothing.
+/// The members of the pool. Clones share the table. A member that is not in it accepts no statements.
 #[derive(Clone, Default)]
 pub struct SendEligibility(Rc<RefCell<BTreeMap<MemberId, Entry>>>);
 
@@ -28,29 +27,29 @@
         self.0.borrow().get(&member).is_some_and(|entry| !entry.rejects_new)
     }
 
-    /// When a member last started, by the list; `None` if long ago or not known.
+    /// The start time of a member according to the endpoint list; `None` if it started long ago or is unknown.
     pub fn incarnation(&self, member: MemberId) -> Option<Time> {
         self.0.borrow().get(&member)?.incarnation
     }
 
-    /// Adds a member, which accepts new statements, unless it is known.
+    /// Adds a member that accepts new statements. Has no effect on a member already in the table.
     pub(super) fn add(&self, member: MemberId) {
         self.0.borrow_mut().entry(member).or_default();
     }
 
-    /// Sets when a member last started.
+    /// Sets the start time of a member.
     pub(super) fn set_incarnation(&self, member: MemberId, started: Option<Time>) {
         self.0.borrow_mut().entry(member).or_default().incarnation = started;
     }
 
-    /// Sets which of the known members accept new statements.
+    /// Sets which members of the table accept new statements.
     pub(super) fn set_accepting(&self, accepts_new: impl Fn(MemberId) -> bool) {
         for (member, entry) in self.0.borrow_mut().iter_mut() {
             entry.rejects_new = !accepts_new(*member);
         }
     }
 
-    /// Removes a member, which accepts nothing from now on.
+    /// Removes a member, which accepts no statements from then on.
     pub(super) fn remove(&self, member: MemberId) {
         self.0.borrow_mut().remove(&member);
     }
--- a/tests/send_guard.rs
+++ b/tests/send_guard.rs
@@ -1,5 +1,4 @@
-//! The guard for sends, with paused time: no permit where one of its conditions does not hold, and a count of what is written
-//! all the same.
+//! The send guard, under paused time: it issues no permit unless all conditions hold, and counts violations at the write.
 
 use linenhill::api::{Discovery, MemberId, Micros, RequestId};
 use linenhill::clock::Clock;
@@ -17,7 +16,7 @@
 const MEMBER: MemberId = MemberId(1);
 const GRACE: Micros = Micros(2_000_000);
 
-/// A guard and a pool with one member that accepts.
+/// A guard, and a pool with one member that accepts statements.
 fn new_guard_and_pool(metrics: &Metrics) -> (SendGuard, Pool) {
     let clock = Clock::start();
     let lease = ListLease::new(clock.now(), Discovery::OnRequest, GRACE);
@@ -34,7 +33,7 @@
     SendIntent { member: MEMBER, purpose, deadline: Instant::now() + wait, is_request_over: Rc::default() }
 }
 
-/// Lets time pass as the driver sees it: a turn every 100 ms.
+/// Advances the time with a turn of the driver every 100 ms.
 async fn run_turns(guard: &SendGuard, length: Duration) {
     let end = Instant::now() + length;
     while Instant::now() < end {
@@ -43,16 +42,16 @@
     }
 }
 
-/// Guards against a send for which one condition of its permit does not hold.
+/// Guards against a permit issued although one of its conditions does not hold.
 #[tokio::test(start_paused = true)]
 async fn no_permit_where_a_condition_fails() {
     let metrics = Metrics::new(["list"]);
     let (guard, pool) = new_guard_and_pool(&metrics);
     assert!(pool.send_permit(intent(MS)).await.is_some());
-    assert!(pool.send_permit(intent(Duration::ZERO)).await.is_none(), "its deadline has passed");
+    assert!(pool.send_permit(intent(Duration::ZERO)).await.is_none(), "the deadline has passed");
     let over = intent(MS);
     over.is_request_over.set(true);
-    assert!(pool.send_permit(over).await.is_none(), "its request is over");
+    assert!(pool.send_permit(over).await.is_none(), "the request is over");
     let unknown = SendIntent { member: MemberId(2), ..intent(MS) };
     assert!(pool.send_permit(unknown).await.is_none(), "the member is unknown");
     pool.set_accepting(|_| false);
@@ -60,13 +59,13 @@
     pool.set_accepting(|_| true);
     run_turns(&guard, 2_900 * MS).await;
     assert_eq!(guard.check_lease(), Err(Withheld::Expired));
-    assert!(pool.send_permit(intent(MS)).await.is_none(), "the list's lease is over");
+    assert!(pool.send_permit(intent(MS)).await.is_none(), "the list lease has expired");
     guard.record_list_confirmed();
     assert!(pool.send_permit(intent(MS)).await.is_some());
 }
 
-/// Guards against permits by what the pool once knew: a member that it has removed accepts nothing, not even what was
-/// permitted just before, until it is added again.
+/// Guards against permits for members that the pool has removed: such a member accepts nothing until it is added again, and
+/// a permit issued before the removal counts as violated at the write.
 #[tokio::test(start_paused = true)]
 async fn removed_member_accepts_nothing() {
     let metrics = Metrics::new(["list"]);
@@ -81,7 +80,7 @@
     assert!(pool.send_permit(intent(MS)).await.is_some());
 }
 
-/// Guards against sends of a process that was stopped, before it has read what arrived meanwhile.
+/// Guards against sends after a hold-up of the process, before it has read the input that arrived in the meantime.
 #[tokio::test(start_paused = true)]
 async fn permit_waits_while_the_process_catches_up() {
     let metrics = Metrics::new(["list"]);
@@ -93,7 +92,7 @@
     let held_up_since = guard.held_up_since().expect("no turn was taken");
     assert_eq!(resumed - held_up_since, 3_000 * MS);
     guard.begin_turn();
-    // What arrived meanwhile is a drain: the permit that waits is not given.
+    // The input that arrived in the meantime is a drain, so the pending permit is refused.
     let read = async {
         tokio::time::sleep(20 * MS).await;
         pool.set_accepting(|_| false);
@@ -106,8 +105,8 @@
     assert!(guard.held_up_since().is_none());
 }
 
-/// Guards against checks that can't fail: what has changed between a permit and its write is counted by its name, and
-/// what is still so is not.
+/// Guards against checks at the write that never fail: each condition that changed after the permit was issued is counted
+/// under the name of its invariant, and the unchanged ones are not counted.
 #[tokio::test(start_paused = true)]
 async fn write_with_an_outdated_permit_is_counted() {
     let metrics = Metrics::new(["list"]);
