--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -1,8 +1,8 @@
 //! Invariants of sending, answering and closing, checked at run time in production.
 //!
 //! A check evaluates the state at the moment of the operation, not the state at which the operation was decided. A
-//! violation is a bug in this program: it is counted in the metrics and logged with its context and the most recent state
-//! changes. It never ends the process.
+//! violation is a bug in this program: it is counted in the metrics and logged with its context and the most recent
+//! state changes. It never ends the process.
 
 use log::error;
 use prometheus_client::metrics::counter::Counter;
@@ -29,8 +29,8 @@
     BeforeDeadline,
     /// No statement is written later than [`HOLD_UP`](crate::platform_bounds::HOLD_UP) after its permit was issued.
     PermitCurrent,
-    /// No attempt of a request starts while another one is in flight and not cancelled, unless the settings allow hedged
-    /// requests.
+    /// No attempt of a request starts while another one is in flight and not cancelled, unless the settings allow
+    /// hedged requests.
     OneAttempt,
     /// The proxy closes no connection before the requests accepted on it are answered.
     AnsweredBeforeClose,
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -1,8 +1,8 @@
-//! The top level of the proxy: builds the components, starts their tasks, waits for the stop signal, and then waits until
-//! accepted requests are answered.
+//! The top level of the proxy: builds the components, starts their tasks, waits for the stop signal, and then waits
+//! until accepted requests are answered.
 //!
-//! Start reading here: `serve` starts every task, all of them on one thread. Only the driver ([`crate::stages::driver`])
-//! calls the router; all other tasks send it inputs or execute its actions.
+//! Start reading here: `serve` starts every task, all of them on one thread. Only the driver
+//! ([`crate::stages::driver`]) calls the router; all other tasks send it inputs or execute its actions.
 
 mod capacity;
 mod parts;
--- a/src/proxy/capacity.rs
+++ b/src/proxy/capacity.rs
@@ -11,19 +11,20 @@
 const RESERVED_DESCRIPTORS: usize = 20;
 /// Fraction of the shared descriptors for clients that are served.
 const SERVED_FRACTION: f64 = 0.60;
-/// Fraction of the shared descriptors for clients whose connection is rejected.
+/// Fraction of the shared descriptors for connections beyond the served ones, whose first request is rejected.
 const REJECTED_FRACTION: f64 = 0.05;
 /// Fraction of the shared descriptors for members. Clients may use up to a third of the descriptors for requests, so up
 /// to as many attempts may be in flight at once.
 const MEMBERS_FRACTION: f64 = 0.34;
 /// The platform lets its clients hold this fraction (1/n) of all descriptors for requests.
 const REQUEST_CONNECTIONS_DIVISOR: usize = 3;
-/// Connections that may exist beyond the served ones while connections asked to close for them are still open. Taken from
-/// [`RESERVED_DESCRIPTORS`].
+/// Connections that may exist beyond the served ones while connections asked to close for them are still open. Taken
+/// from [`RESERVED_DESCRIPTORS`].
 const MAX_CLOSING_CONNECTIONS: usize = 6;
 /// Fraction (1/n) of the memory for messages of clients that are not answered yet.
 const MESSAGES_DIVISOR: usize = 4;
-/// Fraction of the memory for long messages. At the smallest memory limit, 32 MB, it holds one message of maximum length.
+/// Fraction of the memory for long messages. At the smallest memory limit, 32 MB, it holds one message of maximum
+/// length.
 const LONG_MESSAGES_FRACTION: f64 = 0.4;
 
 /// The descriptors and the memory of the process, from the configuration.
@@ -47,8 +48,8 @@
         }
     }
 
-    fn descriptor_share(&self, part: f64) -> usize {
-        (self.shared_descriptors as f64 * part) as usize
+    fn descriptor_share(&self, fraction: f64) -> usize {
+        (self.shared_descriptors as f64 * fraction) as usize
     }
 
     /// The maximum number of connections to members.
--- a/src/proxy/parts.rs
+++ b/src/proxy/parts.rs
@@ -35,7 +35,7 @@
 use std::time::Duration;
 use tokio::sync::{Notify, mpsc, watch};
 
-/// Lower bound of the configured connect timeout.
+/// Smallest connect timeout used, even if the settings have a shorter one.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// The components that several tasks share.
@@ -56,8 +56,8 @@
 }
 
 impl Parts {
-    /// Builds the shared components. The cached list of the configuration, if any, is moved out of it and sent to `inbox`
-    /// as the first input of the driver.
+    /// Builds the shared components. The cached list of the configuration, if any, is moved out of it and sent to
+    /// `inbox` as the first input of the driver.
     pub(super) fn new(
         config: &mut Config, capacity: &Capacity, quota: FleetQuota, counters: Rc<Counters>,
         inbox: mpsc::UnboundedSender<DriverInput>,
--- a/src/request.rs
+++ b/src/request.rs
@@ -25,8 +25,8 @@
         Payload { head: text.slice(..timeout.start), tail: text.slice(timeout.end..) }
     }
 
-    /// The request with this timeout, in two parts: the second one is empty unless the text after the timeout is too long
-    /// to be copied.
+    /// The request with this timeout, in two parts: the second one is empty unless the text after the timeout is too
+    /// long to be copied.
     pub fn render_parts(&self, timeout_ms: u64) -> (Bytes, Bytes) {
         if self.tail.len() <= MAX_COPIED_BYTES {
             return (self.render(timeout_ms), Bytes::new());
--- a/src/stages/accounting.rs
+++ b/src/stages/accounting.rs
@@ -16,8 +16,8 @@
     metrics: Rc<Metrics>,
 }
 
-/// Tracks an accepted request until its end. If dropped without [`AccountingTicket::end`], the request is counted as one
-/// whose client disconnected.
+/// Tracks an accepted request until its end. If dropped without [`AccountingTicket::end`], the request is counted as
+/// one whose client disconnected.
 pub struct AccountingTicket {
     accounting: RequestAccounting,
     class: ClassId,
--- a/src/stages/admission.rs
+++ b/src/stages/admission.rs
@@ -1,5 +1,5 @@
-//! Admits a request, or rejects it before it reaches the router, according to the resource limits of this process. Never
-//! waits, and does not depend on the state of members.
+//! Admits a request, or rejects it before it reaches the router, according to the resource limits of this process.
+//! Never waits, and does not depend on the state of members.
 
 use crate::resource_limit::{ResourceLimit, ResourcePermit};
 use std::sync::Arc;
@@ -31,8 +31,8 @@
 }
 
 impl RequestAdmission {
-    /// Limits held requests to `max_requests`. Their messages, including those still being read, share `message_bytes`; long
-    /// messages share an additional `long_message_bytes`.
+    /// Limits held requests to `max_requests`. Their messages, including those still being read, share
+    /// `message_bytes`; long messages share an additional `long_message_bytes`.
     pub fn new(max_requests: usize, message_bytes: usize, long_message_bytes: usize) -> RequestAdmission {
         let max_long_message = long_message_bytes.min(MAX_SEMAPHORE_PERMITS);
         RequestAdmission {
@@ -43,8 +43,8 @@
         }
     }
 
-    /// The semaphore for the memory of long messages, and the number of permits for one of `length` bytes. Waiters are served
-    /// in order; `None` if `length` exceeds the total.
+    /// The semaphore for the memory of long messages, and the number of permits for one of `length` bytes. Waiters
+    /// are served in order; `None` if `length` exceeds the total.
     pub fn long_message_memory(&self, length: usize) -> Option<(Arc<Semaphore>, u32)> {
         let bytes = u32::try_from(length).ok().filter(|_| length <= self.max_long_message)?;
         Some((self.long_message_memory.clone(), bytes))
--- a/src/stages/dispatch.rs
+++ b/src/stages/dispatch.rs
@@ -31,7 +31,8 @@
 }
 
 impl DispatchedRequest {
-    /// The deadline of an attempt started at `started`: that of the request, or an earlier one if the router set a timeout.
+    /// The deadline of an attempt started at `started`: that of the request, or an earlier one if the router set a
+    /// timeout.
     fn attempt_deadline(&self, started: Instant, timeout: Option<Micros>) -> Instant {
         match timeout.filter(|timeout| timeout.0 > 0) {
             Some(timeout) => self.deadline.min(started + Duration::from_micros(timeout.0)),
@@ -80,8 +81,8 @@
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher that sends over `pool`, within the limits for each request, and reports the ends of attempts to
-    /// `inbox`.
+    /// Creates a dispatcher that sends over `pool`, within the limits for each request, and reports the ends of
+    /// attempts to `inbox`.
     pub fn new(
         pool: Pool, inbox: mpsc::UnboundedSender<DriverInput>, accounting: RequestAccounting, limits: &Limits,
     ) -> Dispatcher {
@@ -172,8 +173,8 @@
         }
     }
 
-    /// Closes a request that has its final response or whose client has disconnected. A statement not yet written is then
-    /// never written.
+    /// Closes a request that has its final response or whose client has disconnected. A statement not yet written is
+    /// then never written.
     pub fn close_request(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_over.set(true);
--- a/src/stages/driver.rs
+++ b/src/stages/driver.rs
@@ -1,9 +1,9 @@
 //! The event loop around [`Router`]: passes each input to the router as an event, and executes the returned actions in
 //! order.
 //!
-//! The driver must never wait for an action; the result of an action arrives as a later input. The router chooses members
-//! and schedules retries. The driver itself rejects a request only if the list lease, an operators' order or the fleet's
-//! budgets forbid serving it, and fails a request that the router has left unanswered past its deadline.
+//! The driver must never wait for an action; the result of an action arrives as a later input. The router chooses
+//! members and schedules retries. The driver itself rejects a request only if the list lease, an operators' order or
+//! the fleet's budgets forbid serving it, and fails a request that the router has left unanswered past its deadline.
 
 use super::dispatch::Dispatcher;
 use super::member_directory::MemberDirectory;
@@ -255,8 +255,8 @@
         }
     }
 
-    /// Sets the members that the fleet takes out of service to `names`, and confirms on `done` once nothing new is sent to
-    /// them.
+    /// Sets the members that the fleet takes out of service to `names`, and confirms on `done` once nothing new is
+    /// sent to them.
     fn quarantine_changed(&mut self, names: Vec<String>, done: oneshot::Sender<()>) {
         for name in self.members.set_quarantine(names) {
             self.maintenance_changed(&name);
--- a/src/stages/member_directory.rs
+++ b/src/stages/member_directory.rs
@@ -1,5 +1,5 @@
-//! Joins the endpoint list with the maintenance orders: produces the list entries for the router, and configures the pool
-//! with the address, the start time and the name of each member.
+//! Joins the endpoint list with the maintenance orders: produces the list entries for the router, and configures the
+//! pool with the address, the start time and the name of each member.
 //!
 //! [`Maintenance`] determines which members are out of service, and the router determines how long a member is tracked.
 //! Names are mapped to numeric ids here, and the id of a member must never be reused for another member.
@@ -72,7 +72,8 @@
         Some(entries)
     }
 
-    /// Replaces the set of members that the fleet has taken out of service. Returns the names of those whose state changes.
+    /// Replaces the set of members that the fleet has taken out of service. Returns the names of those whose state
+    /// changes.
     pub(super) fn set_quarantine(&self, names: Vec<String>) -> Vec<String> {
         let now = self.clock.now();
         self.maintenance.borrow_mut().set_out_by_fleet(now, names.into_iter().collect())
@@ -111,8 +112,8 @@
         maintenance.known().map(observation).collect()
     }
 
-    /// Records one member, and appends its entries for the router under its current orders. A member that is out of service
-    /// appears as draining and then as gone.
+    /// Records one member, and appends its entries for the router under its current orders. A member that is out of
+    /// service appears as draining and then as gone.
     fn record_endpoint(&mut self, endpoint: Endpoint, entries: &mut Vec<ListEntry>) {
         let name = endpoint.id.clone();
         let (entry, address) = self.identifiers.entry(endpoint.clone());
--- a/src/stages/mod.rs
+++ b/src/stages/mod.rs
@@ -1,5 +1,5 @@
-//! The processing stages of a request: intake, admission, routing, dispatch to a member, response and accounting. The types
-//! here are independent of the client protocol, so that another protocol can use the same router.
+//! The processing stages of a request: intake, admission, routing, dispatch to a member, response and accounting. The
+//! types here are independent of the client protocol, so that another protocol can use the same router.
 
 pub mod accounting;
 pub mod admission;
--- a/src/stages/request_intake.rs
+++ b/src/stages/request_intake.rs
@@ -22,7 +22,7 @@
 /// The offset basis of FNV-1a for 64 bits.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 
-/// Why a request was not accepted.
+/// Why a request was not accepted. The text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IntakeError {
     /// The class is not in the settings.
--- a/src/stages/response_delivery.rs
+++ b/src/stages/response_delivery.rs
@@ -1,5 +1,5 @@
-//! Delivers the final response of a request to the client's session. Each request gets at most one response, and a request
-//! is removed once its client has disconnected.
+//! Delivers the final response of a request to the client's session. Each request gets at most one response, and a
+//! request is removed once its client has disconnected.
 
 use super::FinalResponse;
 use crate::api::RequestId;
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -1,9 +1,9 @@
 //! One attempt of a request at a member: an exchange that can be cancelled and has a deadline.
 //!
-//! An attempt ends when it is answered, cancelled or past its deadline, and yields exactly one [`AttemptOutcome`]. It must
-//! never write a statement if the request is over, the member accepts no new statements, or this proxy has no quota for
-//! it. It must not return a connection to the pool while an answer is outstanding on it; the rest of a long answer is
-//! handed to a forwarding task.
+//! An attempt ends when it is answered, cancelled or past its deadline, and yields exactly one [`AttemptOutcome`]. It
+//! must never write a statement if the request is over, the member accepts no new statements, or this proxy has no
+//! quota for it. It must not return a connection to the pool while an answer is outstanding on it; the rest of a long
+//! answer is handed to a forwarding task.
 
 use crate::api::{LoadReport, LogPosition, MemberId, Outcome, Role};
 use crate::close_reason::CloseReason;
@@ -38,8 +38,8 @@
     pub is_retry: bool,
     /// Identifies the request and the attempt in the log.
     pub purpose: Purpose,
-    /// Set once the request has its final answer or its client has disconnected. A statement not yet written is then never
-    /// written.
+    /// Set once the request has its final answer or its client has disconnected. A statement not yet written is then
+    /// never written.
     pub is_request_over: Rc<Cell<bool>>,
 }
 
@@ -67,8 +67,8 @@
 /// Runs an attempt until it is answered, cancelled or past its deadline. `on_written` is called once the last byte
 /// of the statement is written.
 ///
-/// When this returns, the connection of the attempt is closed or back in the pool, so nothing of the request is in flight
-/// on it. A long answer is the exception: a separate task keeps its connection to forward the rest.
+/// When this returns, the connection of the attempt is closed or back in the pool, so nothing of the request is in
+/// flight on it. A long answer is the exception: a separate task keeps its connection to forward the rest.
 pub async fn run(
     pool: Pool, attempt_request: AttemptRequest, cancelled: oneshot::Receiver<()>, on_written: impl FnOnce(),
 ) -> AttemptOutcome {
@@ -125,8 +125,8 @@
     AttemptOutcome { outcome, response, position, role, report }
 }
 
-/// Forwards the rest of a long answer at the pace of the member and the client, then returns the connection to the pool.
-/// The outcome of the attempt is already reported, so only the client observes a failure here.
+/// Forwards the rest of a long answer at the pace of the member and the client, then returns the connection to the
+/// pool. The outcome of the attempt is already reported, so only the client observes a failure here.
 async fn forward_rest(
     pool: Pool, member: MemberId, mut connection: MemberConnection, chunks: mpsc::Sender<ResponseChunk>,
 ) {
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -1,8 +1,8 @@
 //! One connection to a member, which carries one statement at a time: opens the session, writes a statement, reads the
 //! reply, and yields the rest of a long answer in chunks.
 //!
-//! Input that arrives before the statement must never be read as part of the reply, and a connection with outstanding input
-//! must never be reported as reusable. The close is logged once, with the reason set last.
+//! Input that arrives before the statement must never be read as part of the reply, and a connection with outstanding
+//! input must never be reported as reusable. The close is logged once, with the reason set last.
 
 use crate::api::Outcome;
 use crate::close_reason::{CloseReason, Side, log_close};
@@ -233,8 +233,8 @@
         unusable_reason.is_none()
     }
 
-    /// The next message of a reply. There is no timeout for the first byte of a reply. Once bytes have arrived, a period of
-    /// [`REPLY_GAP_TIMEOUT`] without further bytes is an error.
+    /// The next message of a reply. There is no timeout for the first byte of a reply. Once bytes have arrived, a
+    /// period of [`REPLY_GAP_TIMEOUT`] without further bytes is an error.
     async fn next_message(&mut self, has_begun: bool) -> Option<Result<BackendMessage, PgError>> {
         let mut buffered = self.framed.read_buffer().len();
         loop {
--- a/src/upstream/exchange.rs
+++ b/src/upstream/exchange.rs
@@ -1,7 +1,7 @@
 //! One exchange of a statement and its reply with a member: obtain a connection, acquire a send permit, write, read.
 //!
-//! It must never write a statement without a permit and the quota at that moment, and it returns a connection to the pool
-//! only when no further input is expected on it.
+//! It must never write a statement without a permit and the quota at that moment, and it returns a connection to the
+//! pool only when no further input is expected on it.
 
 use crate::api::{MemberId, Outcome};
 use crate::close_reason::CloseReason;
@@ -78,7 +78,8 @@
         if permit.has_waited() {
             ensure_usable(&connection)?;
         }
-        // The quota is acquired at the moment of use, so that a process resuming after a hold-up detects an expired lease.
+        // The quota is acquired at the moment of use, so that a process resuming after a hold-up detects an expired
+        // lease.
         let Some(_quota) = acquire_quota() else {
             self.pool.put_back(member, connection);
             return Err(Outcome::NotSent);
@@ -102,8 +103,8 @@
         ExchangeReply { reply, streaming_connection: None }
     }
 
-    /// Checks the conditions of the send before the cost of opening a connection. The exchange may be abandoned here even
-    /// if the settings do not allow cancelling, since nothing has reached the member.
+    /// Checks the conditions of the send before the cost of opening a connection. The exchange may be abandoned here
+    /// even if the settings do not allow cancelling, since nothing has reached the member.
     fn check_sendable(&self) -> Result<(), Outcome> {
         let is_expired = self.pool.guard().check_lease() == Err(Withheld::Expired);
         let is_over = self.intent.is_request_over.get();
--- a/src/upstream/health_check.rs
+++ b/src/upstream/health_check.rs
@@ -1,5 +1,5 @@
-//! A health check: requests the load report of a member over a connection of the pool. Health checks have their own budget,
-//! separate from those of clients' requests, and a check is limited to the pool's connect timeout.
+//! A health check: requests the load report of a member over a connection of the pool. Health checks have their own
+//! budget, separate from those of clients' requests, and a check is limited to the pool's connect timeout.
 
 use crate::api::{LoadReport, MemberId, Outcome};
 use crate::fleet::quota::QuotaUnit;
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! The member side of the proxy: the connection pool, the exchange of a statement, attempts of requests, and health checks.
-//! The router chooses the members and decides on retries.
+//! The member side of the proxy: the connection pool, the exchange of a statement, attempts of requests, and health
+//! checks. The router chooses the members and decides on retries.
 
 pub mod attempt;
 pub mod connection;
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -1,9 +1,9 @@
 //! The pool of connections to members that are kept open between statements.
 //!
-//! The most recently used connection is reused first, so that surplus connections age and are retired well before the member
-//! closes them. All members share one limit of descriptors; the connections to each member are also bounded by this proxy's
-//! quota of the fleet's budgets. The pool must never hand out a connection that is too old, has pending input, or exceeds
-//! the quota.
+//! The most recently used connection is reused first, so that surplus connections age and are retired well before the
+//! member closes them. All members share one limit of descriptors; the connections to each member are also bounded by
+//! this proxy's quota of the fleet's budgets. The pool must never hand out a connection that is too old, has pending
+//! input, or exceeds the quota.
 
 use crate::api::{MemberId, Time};
 use crate::close_reason::CloseReason;
@@ -22,8 +22,8 @@
 
 /// Fraction of the idle timeout of members after which idle connections are retired.
 const RETIRE_FRACTION: f64 = 0.6;
-/// Minimum time between a reply and the reuse of its connection: excess bytes from the member that arrive later would be
-/// read as part of the next reply.
+/// Minimum time between a reply and the reuse of its connection: excess bytes from the member that arrive later would
+/// be read as part of the next reply.
 const SETTLE_TIME: Duration = Duration::from_millis(2);
 /// Interval at which idle connections are checked for their age and usability.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
@@ -68,8 +68,8 @@
 pub struct Pool(Rc<Inner>);
 
 impl Pool {
-    /// A pool of at most `max_connections`, for members that close idle connections after `idle_close`. It has neither a
-    /// quota nor a list lease.
+    /// A pool of at most `max_connections`, for members that close idle connections after `idle_close`. It has
+    /// neither a quota nor a list lease.
     pub fn new(
         max_connections: usize, idle_close: Duration, connect_timeout: Duration, counters: Rc<Counters>,
     ) -> Pool {
@@ -94,7 +94,8 @@
         }))
     }
 
-    /// Sets the address of a member, and adds the member if it is new. Idle connections to a previous address are closed.
+    /// Sets the address of a member, and adds the member if it is new. Idle connections to a previous address are
+    /// closed.
     pub fn set_address(&self, member: MemberId, address: SocketAddr) {
         self.0.eligibility.add(member);
         let outdated = {
@@ -117,8 +118,8 @@
         &self.0.guard
     }
 
-    /// Requests a permit to write a statement; `None` if the guard refuses it. Must be requested right before the write.
-    /// Waits while the process catches up after a hold-up.
+    /// Requests a permit to write a statement; `None` if the guard refuses it. Must be requested right before the
+    /// write. Waits while the process catches up after a hold-up.
     pub async fn send_permit(&self, intent: SendIntent) -> Option<SendPermit> {
         self.0.guard.issue_permit(&self.0.eligibility, intent).await
     }
@@ -244,8 +245,9 @@
         self.with_budget_name(member, |quota, name| Some(quota.excess_connections(name) > 0)).unwrap_or(false)
     }
 
-    /// Returns a connection to the pool. Closes it instead if the address of the member has changed, the member was removed,
-    /// or the quota is exceeded; otherwise a connection in constant use could outlive the lease of its quota.
+    /// Returns a connection to the pool. Closes it instead if the address of the member has changed, the member was
+    /// removed, or the quota is exceeded; otherwise a connection in constant use could outlive the lease of its
+    /// quota.
     pub fn put_back(&self, member: MemberId, connection: MemberConnection) {
         connection.close_reason().set(CloseReason::GivenBack);
         if self.is_over_quota(member) {
@@ -258,8 +260,8 @@
         }
     }
 
-    /// Reserves the descriptor of one more connection. If none is left, closes the connection that has been idle longest to
-    /// free one; `None` if there is no idle connection.
+    /// Reserves the descriptor of one more connection. If none is left, closes the connection that has been idle
+    /// longest to free one; `None` if there is no idle connection.
     pub fn reserve_descriptor(&self) -> Option<ResourcePermit> {
         let descriptor = self.0.descriptors.acquire().or_else(|| {
             self.close_longest_idle();
--- a/src/upstream/report.rs
+++ b/src/upstream/report.rs
@@ -4,11 +4,11 @@
 
 /// Reports have positions in seconds; [`LogPosition`] is in microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// The role is reported as a number; values from this one on mean the primary.
-const PRIMARY_THRESHOLD: f64 = 0.5;
+/// The role is reported as a number; this value and all above it mean the primary.
+const PRIMARY_MIN: f64 = 0.5;
 
-/// Parses a report of comma-separated `name=value` pairs; positions are Unix times in seconds. A report with any malformed
-/// pair yields an empty report. Unknown names are ignored.
+/// Parses a report of comma-separated `name=value` pairs; positions are Unix times in seconds. A report with any
+/// malformed pair yields an empty report. Unknown names are ignored.
 pub fn parse(text: &str) -> LoadReport {
     parse_pairs(text).unwrap_or_default()
 }
@@ -20,9 +20,7 @@
         let value = value.trim().parse::<f64>().ok().filter(|value| value.is_finite())?;
         match name.trim() {
             "x0" if value > 0.0 => report.position = Some(LogPosition((value * MICROS_PER_SECOND) as u64)),
-            "x1" => {
-                report.role = Some(if value >= PRIMARY_THRESHOLD { Role::Primary } else { Role::Replica })
-            }
+            "x1" => report.role = Some(if value >= PRIMARY_MIN { Role::Primary } else { Role::Replica }),
             "inflight" | "queue" => report.load = Some(value),
             "util" | "cpu_share" => report.utilisation = Some(value.clamp(0.0, 1.0)),
             _ => {}
--- a/src/upstream/response.rs
+++ b/src/upstream/response.rs
@@ -1,4 +1,5 @@
-//! The answer of a member in wire format, as passed from an attempt to the client's session. Depends on neither of them.
+//! The answer of a member in wire format, as passed from an attempt to the client's session. Depends on neither of
+//! them.
 
 use bytes::Bytes;
 use tokio::sync::mpsc;
--- a/src/upstream/send_guard.rs
+++ b/src/upstream/send_guard.rs
@@ -91,7 +91,7 @@
                 invariant,
                 holds,
                 format_args!(
-                    "{purpose} to member {} incarnation {incarnation}, list version {version}, permit of {age:?}",
+                    "{purpose} to member {} incarnation {incarnation}, list version {version}, permit age {age:?}",
                     member.0
                 ),
             );
@@ -152,9 +152,9 @@
         self.update_lease(|lease, now| lease.confirmed(now));
     }
 
-    /// Records that a call to discovery, started at `began`, failed before a message was received.
-    pub fn record_call_failed(&self, began: Time) {
-        self.update_lease(|lease, now| lease.call_failed(now, began));
+    /// Records that a call to discovery, started at `started_at`, failed before a message was received.
+    pub fn record_call_failed(&self, started_at: Time) {
+        self.update_lease(|lease, now| lease.call_failed(now, started_at));
     }
 
     /// Records the end of a watch on which a message had been received. `was_silent` if it timed out without a further
@@ -240,9 +240,9 @@
 
     /// Like [`Self::check_lease`], at a time in the recent past. The lease ends early enough to allow for a hold-up
     /// between issuing a permit and the write.
-    fn check_lease_at(&self, moment: Instant) -> Result<(), Withheld> {
+    fn check_lease_at(&self, instant: Instant) -> Result<(), Withheld> {
         match &self.0.lease {
-            Some(lease) => lease.borrow().check(self.0.clock.time(moment)),
+            Some(lease) => lease.borrow().check(self.0.clock.time(instant)),
             None => Ok(()),
         }
     }
@@ -255,8 +255,8 @@
         let mut has_waited = false;
         loop {
             let issued_at = Instant::now();
-            let is_wanted = !intent.is_request_over.get() && issued_at < intent.deadline;
-            if !is_wanted || !eligibility.is_accepting(intent.member) {
+            let is_open = !intent.is_request_over.get() && issued_at < intent.deadline;
+            if !is_open || !eligibility.is_accepting(intent.member) {
                 return None;
             }
             match self.check_lease() {
--- a/tests/send_guard.rs
+++ b/tests/send_guard.rs
@@ -1,4 +1,5 @@
-//! The send guard, under paused time: it issues no permit unless all conditions hold, and counts violations at the write.
+//! The send guard, under paused time: it issues no permit unless all conditions hold, and counts violations at the
+//! write.
 
 use linenhill::api::{Discovery, MemberId, Micros, RequestId};
 use linenhill::clock::Clock;
@@ -64,8 +65,8 @@
     assert!(pool.send_permit(intent(MS)).await.is_some());
 }
 
-/// Guards against permits for members that the pool has removed: such a member accepts nothing until it is added again, and
-/// a permit issued before the removal counts as violated at the write.
+/// Guards against permits for members that the pool has removed: such a member accepts nothing until it is added
+/// again, and a permit issued before the removal counts as violated at the write.
 #[tokio::test(start_paused = true)]
 async fn removed_member_accepts_nothing() {
     let metrics = Metrics::new(["list"]);
@@ -105,8 +106,8 @@
     assert!(guard.held_up_since().is_none());
 }
 
-/// Guards against checks at the write that never fail: each condition that changed after the permit was issued is counted
-/// under the name of its invariant, and the unchanged ones are not counted.
+/// Guards against checks at the write that never fail: each condition that changed after the permit was issued is
+/// counted under the name of its invariant, and the unchanged ones are not counted.
 #[tokio::test(start_paused = true)]
 async fn write_with_an_outdated_permit_is_counted() {
     let metrics = Metrics::new(["list"]);
