--- a/src/stages/admission.rs
+++ b/src/stages/admission.rs
@@ -8,7 +8,7 @@
 /// Upper limit of semaphore permits: tokio's `Semaphore::MAX_PERMITS` on a 32-bit target.
 const MAX_SEMAPHORE_PERMITS: usize = u32::MAX as usize >> 3;
 
-/// The resource whose lack caused a rejection before a request reached the router.
+/// Why a request was rejected before it reached the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionCause {
     /// No free slot for the connection.
--- a/src/stages/mod.rs
+++ b/src/stages/mod.rs
@@ -66,14 +66,15 @@
     AttemptEnded(AttemptEnd, Option<MemberResponse>),
     /// A health check ended.
     HealthCheckEnded(MemberId, Outcome, LoadReport),
-    /// The endpoint list changed, or a call for it ended.
+    /// A list was received or read from the configuration, or a call for it ended without one.
     List(ListEvent),
-    /// A collection of the metrics requests the counts of members.
+    /// Requests the counts of members, for the metrics.
     MemberCountsRequested(oneshot::Sender<MemberCounts>),
     /// The maintenance order on the member with this name changed.
     MaintenanceChanged(String),
-    /// The fleet requests this proxy's health observation of each member, by member name.
+    /// Requests this proxy's health observation of each member, by member name, for the fleet.
     HealthObservationsRequested(oneshot::Sender<BTreeMap<String, HealthObservation>>),
-    /// The fleet set the names of the members to which nothing new may be sent. Confirmed once the change is in effect.
+    /// Sets the names of the members that the fleet takes out of service, and confirms once nothing new is sent to
+    /// them.
     QuarantineChanged(Vec<String>, oneshot::Sender<()>),
 }
--- a/src/stages/request_intake.rs
+++ b/src/stages/request_intake.rs
@@ -13,7 +13,7 @@
 /// Upper limit of the timeout of a request; a longer timeout is reduced to it.
 const MAX_TIMEOUT_MS: u64 = 600_000;
 
-/// Length of a session key that is a 64-bit number in hexadecimal digits.
+/// Number of digits of a session key that is a 64-bit hexadecimal number.
 const HEX_KEY_DIGITS: usize = 16;
 
 /// The prime of FNV-1a for 64 bits.
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -25,7 +25,7 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use tokio_util::codec::Framed;
 
-/// Once a reply has begun, it counts as broken off if no further byte arrives within this time.
+/// Once a reply has begun, a period of this length without further bytes means that its rest is not coming.
 const REPLY_GAP_TIMEOUT: Duration = Duration::from_millis(250);
 /// Timeout for the next chunk of a long answer. Longer than [`REPLY_GAP_TIMEOUT`], since members may pause for seconds
 /// within a long answer.
--- a/src/upstream/send_eligibility.rs
+++ b/src/upstream/send_eligibility.rs
@@ -1,4 +1,4 @@
-//! The table of the members that accept new statements, with the start time of each member.
+//! The table of members: whether each one accepts new statements, and its start time.
 //!
 //! The connection pool updates the table, and [`super::send_guard::SendGuard`] reads it right before each write. It
 //! must be read in place, never from a copy: a drain also applies to statements that were decided on before it.
--- a/src/upstream/send_guard.rs
+++ b/src/upstream/send_guard.rs
@@ -26,7 +26,7 @@
 pub enum Purpose {
     /// An attempt of a request, with its number.
     Attempt(RequestId, u32),
-    /// A health check of the member. Printed as `probe`, as in the counters.
+    /// A health check of the member. Printed as `probe`, like the counter of health checks.
     HealthCheck,
 }
 
