--- a/crates/decisions/src/policy/router.rs
+++ b/crates/decisions/src/policy/router.rs
@@ -165,7 +165,7 @@
     }
 
     /// Sets what this router may do of what all may do together, where the fleet agrees on it: from 0 to 1.
-    pub fn set_fleet_quota_part(&mut self, part: f64) {
+    pub fn set_fleet_quota_share(&mut self, part: f64) {
         self.fleet_divisor = FleetDivisor::from_quota_part(part, self.settings.fleet_size);
     }
 
--- a/crates/lab/src/decision_digest/history/member_changes.rs
+++ b/crates/lab/src/decision_digest/history/member_changes.rs
@@ -15,7 +15,7 @@
             6 => self.fail_over(index),
             7 => self.drain_or_return(index),
             8 => self.gossip(index),
-            9 => self.router.set_fleet_quota_part(self.rng.f64() - 0.3),
+            9 => self.router.set_fleet_quota_share(self.rng.f64() - 0.3),
             10 => self.members.iter_mut().for_each(|member| member.condition = Condition::Healthy),
             _ => self.members[index].lag = self.rng.u64(..5_000) * MS,
         }
--- a/src/stages/driver.rs
+++ b/src/stages/driver.rs
@@ -269,7 +269,7 @@
     fn handle_event(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         if let Some(part) = self.quota.load_part() {
-            self.router.set_fleet_quota_part(part);
+            self.router.set_fleet_quota_share(part);
         }
         self.router.handle(self.clock.now(), event, &mut actions);
         for action in actions.drain(..) {
