--- a/crates/cluster/src/replicated_state.rs
+++ b/crates/cluster/src/replicated_state.rs
@@ -207,13 +207,13 @@
         PermitDenied::PrimaryUnknown => {
             write!(f, "the primary of the group of {subject} is not known yet")
         }
-        PermitDenied::LimitReached { what, out } if out.is_empty() => {
-            write!(f, "no more {what}: nobody is out")
+        PermitDenied::LimitReached { limit, unavailable } if unavailable.is_empty() => {
+            write!(f, "no more {limit}: nobody is out")
         }
-        PermitDenied::LimitReached { what, out } => {
+        PermitDenied::LimitReached { limit, unavailable } => {
             let unavailable: Vec<String> =
-                out.iter().map(|(key, cause)| format!("{key} {}", cause.label())).collect();
-            write!(f, "no more {what}: {}", unavailable.join(", "))
+                unavailable.iter().map(|(key, cause)| format!("{key} {}", cause.label())).collect();
+            write!(f, "no more {limit}: {}", unavailable.join(", "))
         }
     }
 }
--- a/crates/decisions/src/disruption/record.rs
+++ b/crates/decisions/src/disruption/record.rs
@@ -55,9 +55,9 @@
     /// As many are unavailable as the limits allow, or as few are in service.
     LimitReached {
         /// What the limit counts, in the operators' words.
-        what: &'static str,
+        limit: &'static str,
         /// The keys of those that are unavailable, with the cause.
-        out: Vec<(String, Availability)>,
+        unavailable: Vec<(String, Availability)>,
     },
 }
 
@@ -165,13 +165,19 @@
         if view.is_live(name) {
             return Availability::try_from(self.own_availability).unwrap_or(Availability::InService);
         }
-        if is_injected(Fault::DeadUncounted) { Availability::InService } else { Availability::NoHeartbeat }
+        if is_injected(Fault::UnresponsiveProxyUncounted) {
+            Availability::InService
+        } else {
+            Availability::NoHeartbeat
+        }
     }
 
     /// Why the subject counts as unavailable: its availability, or its permit although it is still in service. `None`
     /// if it does not count.
     pub(super) fn unavailability(&self, key: &str, view: &LivenessView) -> Option<Availability> {
-        if is_injected(Fault::ForceUncounted) && self.permit.as_ref().is_some_and(|permit| permit.forced) {
+        if is_injected(Fault::ForcedPermitUncounted)
+            && self.permit.as_ref().is_some_and(|permit| permit.forced)
+        {
             return None;
         }
         let availability = self.availability(key, view);
--- a/crates/decisions/src/disruption/table.rs
+++ b/crates/decisions/src/disruption/table.rs
@@ -48,7 +48,7 @@
         if others < most && left >= least {
             return Ok(());
         }
-        Err(PermitDenied::LimitReached { what, out: self.unavailable })
+        Err(PermitDenied::LimitReached { limit: what, unavailable: self.unavailable })
     }
 }
 
@@ -139,7 +139,7 @@
         if matches!(subject, Subject::Member(_)) {
             self.quarantine_edition += 1;
             permit.quarantine_edition = self.quarantine_edition;
-            if !is_injected(Fault::FenceUnconfirmed) {
+            if !is_injected(Fault::QuarantineUnconfirmed) {
                 permit.unconfirmed = view.incarnations();
             }
         }
--- a/crates/decisions/src/fault_injection.rs
+++ b/crates/decisions/src/fault_injection.rs
@@ -12,17 +12,17 @@
     /// Every proxy with a demand is granted at least one unit.
     RoundingUp,
     /// A new incarnation releases what the previous one still holds.
-    OldIncarnation,
+    PredecessorReleased,
     /// Units in use stop counting as soon as the quota shrinks.
-    FreedEarly,
+    InUseFreedEarly,
     /// The granter counts a floor for a lease only, and not for the membership.
-    FloorTwice,
+    FloorExpiresWithLease,
     /// A proxy that no longer sends requests does not count as unavailable.
-    DeadUncounted,
+    UnresponsiveProxyUncounted,
     /// A subject with a forced permit does not count as unavailable.
-    ForceUncounted,
+    ForcedPermitUncounted,
     /// A member's permit is confirmed before every proxy has applied the quarantine.
-    FenceUnconfirmed,
+    QuarantineUnconfirmed,
 }
 
 impl Fault {
@@ -31,16 +31,16 @@
         (Fault::NoDriftMargin, "no-drift-margin"),
         (Fault::LeaseFromReceipt, "lease-from-receipt"),
         (Fault::RoundingUp, "rounding-up"),
-        (Fault::OldIncarnation, "old-incarnation"),
-        (Fault::FreedEarly, "freed-early"),
-        (Fault::FloorTwice, "floor-twice"),
+        (Fault::PredecessorReleased, "old-incarnation"),
+        (Fault::InUseFreedEarly, "freed-early"),
+        (Fault::FloorExpiresWithLease, "floor-twice"),
     ];
 
     /// The faults of disruption permits, with the names by which tests choose them.
     pub const DISRUPTION: [(Fault, &str); 3] = [
-        (Fault::DeadUncounted, "dead-uncounted"),
-        (Fault::ForceUncounted, "force-uncounted"),
-        (Fault::FenceUnconfirmed, "fence-unconfirmed"),
+        (Fault::UnresponsiveProxyUncounted, "dead-uncounted"),
+        (Fault::ForcedPermitUncounted, "force-uncounted"),
+        (Fault::QuarantineUnconfirmed, "fence-unconfirmed"),
     ];
 
     /// The fault that is called `name`, if there is one.
--- a/crates/decisions/src/list_lease.rs
+++ b/crates/decisions/src/list_lease.rs
@@ -11,12 +11,12 @@
 //! a message, or a call that failed.
 
 use crate::api::{Discovery, Micros, Time};
-use crate::platform_bounds::{HOLD_UP, NOTIFIED_AFTER, RESTART_TAKES};
+use crate::platform_bounds::{MAX_HOLD_UP, MAX_RESTART_TIME, NOTIFIED_AFTER};
 
 /// The driver of the decisions takes a turn at least this often, also when nothing happens.
 const TURN_EVERY: Micros = Micros(100_000);
 /// A gap between two turns beyond this is a hold-up of the process.
-const HELD_UP_AFTER: Micros = Micros(TURN_EVERY.0 + HOLD_UP.0 + 50_000);
+const HELD_UP_AFTER: Micros = Micros(TURN_EVERY.0 + MAX_HOLD_UP.0 + 50_000);
 /// After a hold-up nothing is sent for this long: whatever arrived meanwhile is read first, a drain or a client's
 /// end among it.
 const CATCH_UP: Micros = Micros(50_000);
@@ -34,23 +34,23 @@
 
 /// Why nothing may be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Withheld {
+pub enum ListUnusable {
     /// Nothing has confirmed the list for too long.
     Expired,
     /// The process was held up, and has not read yet what arrived meanwhile.
     CatchingUp,
 }
 
-impl std::fmt::Display for Withheld {
+impl std::fmt::Display for ListUnusable {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(match self {
-            Withheld::Expired => "list-expired",
-            Withheld::CatchingUp => "catching-up",
+            ListUnusable::Expired => "list-expired",
+            ListUnusable::CatchingUp => "catching-up",
         })
     }
 }
 
-impl std::error::Error for Withheld {}
+impl std::error::Error for ListUnusable {}
 
 /// On what the lease rests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -100,12 +100,12 @@
         let binds_after = match discovery {
             // The oldest change that is missing was made as the process before this one died.
             Discovery::OnRequest => {
-                NOTIFIED_AFTER.0.saturating_add(drain_grace.0).saturating_sub(RESTART_TAKES.0)
+                NOTIFIED_AFTER.0.saturating_add(drain_grace.0).saturating_sub(MAX_RESTART_TIME.0)
             }
             // What the agent on this machine holds counts from the first moment.
             Discovery::Pushed => drain_grace.0,
         };
-        let usable_for = binds_after.saturating_sub(HOLD_UP.0).max(SAVED_LIST_MIN.0);
+        let usable_for = binds_after.saturating_sub(MAX_HOLD_UP.0).max(SAVED_LIST_MIN.0);
         ListLease {
             discovery,
             drain_grace,
@@ -153,13 +153,13 @@
     pub fn watch_ended(&mut self, now: Time, was_silent: bool) {
         self.failures = u32::from(!was_silent);
         if self.discovery == Discovery::Pushed && !was_silent {
-            let usable_for = self.drain_grace.0.saturating_sub(HOLD_UP.0).max(SAVED_LIST_MIN.0);
+            let usable_for = self.drain_grace.0.saturating_sub(MAX_HOLD_UP.0).max(SAVED_LIST_MIN.0);
             self.usable_until = self.usable_until.min(later(now, usable_for));
         }
     }
 
     /// The driver of the decisions takes a turn. Returns for how long the process was held up, if it was.
-    pub fn turn(&mut self, now: Time) -> Option<Micros> {
+    pub fn record_turn(&mut self, now: Time) -> Option<Micros> {
         let gap = now.0.saturating_sub(self.last_turn.0);
         let last_turn = self.last_turn;
         self.last_turn = last_turn.max(now);
@@ -181,12 +181,12 @@
     }
 
     /// Whether something may be sent by the list in use. To be asked right before it is written.
-    pub fn check(&self, now: Time) -> Result<(), Withheld> {
+    pub fn check(&self, now: Time) -> Result<(), ListUnusable> {
         if now.0.saturating_sub(self.last_turn.0) > HELD_UP_AFTER.0 || now < self.caught_up_at {
-            return Err(Withheld::CatchingUp);
+            return Err(ListUnusable::CatchingUp);
         }
         let is_unconfirmed = now >= self.saved_until && self.resumes_at.is_none_or(|at| now < at);
-        if is_unconfirmed || now >= self.usable_until { Err(Withheld::Expired) } else { Ok(()) }
+        if is_unconfirmed || now >= self.usable_until { Err(ListUnusable::Expired) } else { Ok(()) }
     }
 
     /// Whether the process may report that it is ready: its list was confirmed, or nobody can tell a better one.
@@ -210,7 +210,7 @@
     }
 
     fn renewed_for(&self) -> u64 {
-        NOTIFIED_AFTER.0.saturating_add(self.drain_grace.0).saturating_sub(HOLD_UP.0)
+        NOTIFIED_AFTER.0.saturating_add(self.drain_grace.0).saturating_sub(MAX_HOLD_UP.0)
     }
 }
 
--- a/crates/decisions/src/policy/member_health.rs
+++ b/crates/decisions/src/policy/member_health.rs
@@ -143,7 +143,7 @@
         let latencies = &self.latencies;
         let in_flight =
             self.members.iter().flat_map(|(id, member)| member.in_flight(*id, |class| latencies.mean(class)));
-        for zone in self.zone_health.silent_zones(self.now, in_flight) {
+        for zone in self.zone_health.unresponsive_zones(self.now, in_flight) {
             for member in self.members_lost_with(zone) {
                 self.eject(member, Ejection::ZONE_SILENT);
                 out.push(Action::CloseIdleConnections { member });
--- a/crates/decisions/src/poll_schedule.rs
+++ b/crates/decisions/src/poll_schedule.rs
@@ -14,7 +14,7 @@
 //! The module must never let a second poll go out beside one that is out, and never leave none due after a
 //! failure.
 
-use crate::platform_bounds::{HOLD_UP, NOTIFIED_AFTER};
+use crate::platform_bounds::{MAX_HOLD_UP, NOTIFIED_AFTER};
 use std::collections::BTreeSet;
 
 /// Time that the service is assumed to need for one call. Microseconds. An assumption: nothing tells its
@@ -77,7 +77,7 @@
     fn new(fleet_turns: u64, longest_gap: u64, grace: u64) -> Windows {
         // Discovery may come back right after a call was made that is waited for in vain, and the call that brings
         // the news takes its time as well.
-        let binds = NOTIFIED_AFTER.0.saturating_add(grace).saturating_sub(HOLD_UP.0);
+        let binds = NOTIFIED_AFTER.0.saturating_add(grace).saturating_sub(MAX_HOLD_UP.0);
         let in_time = binds.saturating_sub(CALL_TIMEOUT + CALL_RESERVE);
         let longest = LONGEST_WINDOW_MIN.max(2 * fleet_turns).min(in_time).min(longest_gap);
         Windows { first: FIRST_WINDOW_MIN.max(fleet_turns).min(longest), longest }
--- a/crates/decisions/src/quota/division.rs
+++ b/crates/decisions/src/quota/division.rs
@@ -150,7 +150,7 @@
         context.now.saturating_add(counted)
     };
     let LeaseTerms { lease_us, membership_us, .. } = context.terms;
-    let floor_span = if is_injected(Fault::FloorTwice) { lease_us } else { membership_us };
+    let floor_span = if is_injected(Fault::FloorExpiresWithLease) { lease_us } else { membership_us };
     ActiveGrant {
         seq,
         units,
--- a/crates/decisions/src/quota/table.rs
+++ b/crates/decisions/src/quota/table.rs
@@ -185,7 +185,7 @@
         let takeover_after = request.yields_name.then_some(lease);
         let update = self.membership.open_or_renew(name, incarnation, request.seq, takeover_after)?;
         if update == SessionUpdate::Opened {
-            if is_injected(Fault::OldIncarnation) {
+            if is_injected(Fault::PredecessorReleased) {
                 self.release_predecessors();
             }
             if let Some(session) = self.membership.sessions.get_mut(name) {
@@ -198,7 +198,7 @@
         Ok(())
     }
 
-    /// For [`Fault::OldIncarnation`] only: drops the allocations of every incarnation without a session.
+    /// For [`Fault::PredecessorReleased`] only: drops the allocations of every incarnation without a session.
     fn release_predecessors(&mut self) {
         let incarnations: BTreeSet<u64> = self.membership.incarnations().collect();
         let entries = self.entries.values_mut();
@@ -235,7 +235,7 @@
                 allocation_count += 1;
             }
             let need = reported.map(bounded_need).unwrap_or_default();
-            let in_use_expires_at = if need.in_use == 0 || is_injected(Fault::FreedEarly) {
+            let in_use_expires_at = if need.in_use == 0 || is_injected(Fault::InUseFreedEarly) {
                 0
             } else {
                 let longest = terms.lease_us.saturating_add(entry.outlives_us());
--- a/crates/decisions/src/watch_schedule.rs
+++ b/crates/decisions/src/watch_schedule.rs
@@ -44,14 +44,14 @@
     }
 
     /// A watch is being opened.
-    pub fn opening(&mut self, now: Time) {
+    pub fn watch_opening(&mut self, now: Time) {
         self.next_watch = None;
         self.opened_at = now;
     }
 
     /// The watch ended, or could not be opened. `chance` (0 to 1) places the next one in the later half of
     /// the gap: all proxies of a machine lose their agent together.
-    pub fn ended(&mut self, now: Time, chance: f64) {
+    pub fn watch_ended(&mut self, now: Time, chance: f64) {
         let stable = now.0.saturating_sub(self.opened_at.0) >= STABLE_AFTER.0;
         self.gap = if stable { 0 } else { (self.gap * 2).clamp(FIRST_GAP.0, self.longest_gap) };
         let jittered = (self.gap as f64 * (0.5 + 0.5 * chance.clamp(0.0, 1.0))) as u64;
@@ -59,7 +59,7 @@
     }
 
     /// The agent has another address now: a watch is due there at once, without the old address's backoff.
-    pub fn agent_moved(&mut self, now: Time) {
+    pub fn agent_address_changed(&mut self, now: Time) {
         self.next_watch = Some(now);
         self.gap = 0;
     }
--- a/crates/decisions/src/zone_health.rs
+++ b/crates/decisions/src/zone_health.rs
@@ -74,7 +74,9 @@
     /// The zones that are silent, judged by the attempts in flight. A zone is judged only if it has ever
     /// answered, and if another zone has answered since: where no zone answers at all, the fault lies nearer
     /// by.
-    pub fn silent_zones(&self, now: Time, in_flight: impl Iterator<Item = InFlightAttempt>) -> Vec<ZoneId> {
+    pub fn unresponsive_zones(
+        &self, now: Time, in_flight: impl Iterator<Item = InFlightAttempt>,
+    ) -> Vec<ZoneId> {
         let mut suspicions: BTreeMap<ZoneId, Suspicion> = BTreeMap::new();
         for attempt in in_flight {
             let Some(last_answer) = self.last_answers.get(&attempt.zone) else { continue };
--- a/crates/decisions/tests/disruption/histories.rs
+++ b/crates/decisions/tests/disruption/histories.rs
@@ -86,13 +86,13 @@
 fn every_injected_fault_is_found() {
     use crate::fixtures::ALL_IN_SERVICE;
     use linenhill_decisions::fault_injection::{Fault, inject};
-    for fault in [Fault::DeadUncounted, Fault::ForceUncounted] {
+    for fault in [Fault::UnresponsiveProxyUncounted, Fault::ForcedPermitUncounted] {
         inject(Some(fault));
         let found = (0..200).find_map(|seed| run_history(seed).err());
         inject(None);
         assert!(found.is_some(), "{fault:?} was not found");
     }
-    inject(Some(Fault::FenceUnconfirmed));
+    inject(Some(Fault::QuarantineUnconfirmed));
     let mut fleet = Fleet::new(2, policy(1, 1));
     fleet.report(0, Availability::InService, &ALL_IN_SERVICE);
     let permit = fleet.request_permit("member/m1", "p0", false).expect("a permit");
--- a/crates/decisions/tests/disruption/permits.rs
+++ b/crates/decisions/tests/disruption/permits.rs
@@ -35,8 +35,8 @@
     fleet.report(0, Availability::Stopping, &[]);
     assert!(fleet.request_permit("proxy/p1", "p1", false).is_ok());
     let third = fleet.request_permit("proxy/p2", "p2", false);
-    let Err(PermitDenied::LimitReached { out, .. }) = third else { panic!("a third is let out") };
-    assert_eq!(out.len(), 2);
+    let Err(PermitDenied::LimitReached { unavailable, .. }) = third else { panic!("a third is let out") };
+    assert_eq!(unavailable.len(), 2);
     assert!(fleet.request_permit("proxy/p2", "p2", true).expect("force").forced);
     fleet.report(0, Availability::InService, &[]);
     let fourth = fleet.request_permit("proxy/p3", "p3", false);
--- a/crates/decisions/tests/list_lease.rs
+++ b/crates/decisions/tests/list_lease.rs
@@ -1,7 +1,7 @@
 //! For how long a list may be used, in exact times: after a start, a message, a failed call and a hold-up.
 
 use linenhill_decisions::api::{Discovery, Micros, Time};
-use linenhill_decisions::list_lease::{Basis, ListLease, Withheld};
+use linenhill_decisions::list_lease::{Basis, ListLease, ListUnusable};
 
 const MS: u64 = 1_000;
 const GRACE: Micros = Micros(2_000 * MS);
@@ -17,8 +17,8 @@
 
 /// Takes a turn every 100 ms, as the driver does, from `from` to `to`, in milliseconds after the start.
 fn run_to(lease: &mut ListLease, from: u64, to: u64) {
-    (from..=to).step_by(100).for_each(|ms| assert_eq!(lease.turn(at(ms)), None));
-    lease.turn(at(to));
+    (from..=to).step_by(100).for_each(|ms| assert_eq!(lease.record_turn(at(ms)), None));
+    lease.record_turn(at(to));
 }
 
 /// Guards against the incident: a member was gone right after the process before this one died, 5 s before the start,
@@ -29,12 +29,12 @@
     let mut saved = lease(Discovery::OnRequest, GRACE);
     run_to(&mut saved, 0, 2_849);
     assert_eq!(saved.check(at(2_849)), Ok(()));
-    assert_eq!(saved.check(at(2_850)), Err(Withheld::Expired));
+    assert_eq!(saved.check(at(2_850)), Err(ListUnusable::Expired));
     assert_eq!(saved.basis(), Basis::Saved);
     // Where lists are pushed, the agent's list counts as notified from the first moment.
     let pushed = lease(Discovery::Pushed, Micros(250 * MS));
     assert_eq!(pushed.check(at(99)), Ok(()));
-    assert_eq!(pushed.check(at(100)), Err(Withheld::Expired));
+    assert_eq!(pushed.check(at(100)), Err(ListUnusable::Expired));
     // However short the grace, the list can be used at all.
     assert_eq!(lease(Discovery::Pushed, Micros(0)).check(at(49)), Ok(()));
 }
@@ -48,7 +48,7 @@
     assert_eq!(lease.basis(), Basis::Confirmed);
     run_to(&mut lease, 1_000, 8_849);
     assert_eq!(lease.check(at(8_849)), Ok(()), "6 s, 2 s of grace, less the hold-up");
-    assert_eq!(lease.check(at(8_850)), Err(Withheld::Expired));
+    assert_eq!(lease.check(at(8_850)), Err(ListUnusable::Expired));
     lease.confirmed(at(8_860));
     assert_eq!(lease.check(at(8_860)), Ok(()));
 }
@@ -71,7 +71,7 @@
         last = ended;
     }
     run_to(&mut lease, last, last + 7_900);
-    assert_eq!(lease.check(at(last + 7_900)), Err(Withheld::Expired), "no call is made any more");
+    assert_eq!(lease.check(at(last + 7_900)), Err(ListUnusable::Expired), "no call is made any more");
 }
 
 /// Guards against treating one failed call as an outage: the lease goes on before it, and pauses only while it lasts.
@@ -83,7 +83,7 @@
     confirmed.call_failed(at(4_000), at(3_000));
     run_to(&mut confirmed, 4_000, 8_849);
     assert_eq!(confirmed.check(at(8_849)), Ok(()), "7.85 s, and the second of the call");
-    assert_eq!(confirmed.check(at(8_850)), Err(Withheld::Expired));
+    assert_eq!(confirmed.check(at(8_850)), Err(ListUnusable::Expired));
     // Behind a watch that was broken off it is the second sign.
     let mut broken = lease(Discovery::OnRequest, GRACE);
     broken.confirmed(at(0));
@@ -96,13 +96,13 @@
     saved.call_failed(at(1_000), at(900));
     assert_eq!(saved.basis(), Basis::Saved);
     run_to(&mut saved, 1_000, 2_900);
-    assert_eq!(saved.check(at(2_900)), Err(Withheld::Expired));
+    assert_eq!(saved.check(at(2_900)), Err(ListUnusable::Expired));
     saved.call_failed(at(2_900), at(2_800));
     assert_eq!(saved.basis(), Basis::Unreachable);
     // And it waits: changes that it lacks may have counted as notified before it started.
     saved.call_failed(at(6_000), at(5_000));
     run_to(&mut saved, 2_900, 11_999);
-    assert_eq!(saved.check(at(11_999)), Err(Withheld::Expired));
+    assert_eq!(saved.check(at(11_999)), Err(ListUnusable::Expired));
     assert!(!saved.is_ready(at(11_999)) && saved.is_ready(at(12_000)));
     assert!(!saved.may_report_ready(at(8_499)) && saved.may_report_ready(at(8_500)));
     assert_eq!(saved.check(at(12_000)), Ok(()));
@@ -128,7 +128,7 @@
         lease.watch_ended(at(0), was_silent);
         run_to(&mut lease, 0, usable - 1);
         assert_eq!(lease.check(at(usable - 1)), Ok(()));
-        assert_eq!(lease.check(at(usable)), Err(Withheld::Expired));
+        assert_eq!(lease.check(at(usable)), Err(ListUnusable::Expired));
     }
     let mut away = lease(Discovery::Pushed, Micros(250 * MS));
     away.call_failed(at(50), at(49));
@@ -143,18 +143,18 @@
     lease.confirmed(at(0));
     run_to(&mut lease, 0, 1_000);
     assert_eq!(lease.check(at(1_300)), Ok(()), "a turn may be late by the platform's hold-up");
-    assert_eq!(lease.check(at(1_301)), Err(Withheld::CatchingUp), "no turn was taken since");
+    assert_eq!(lease.check(at(1_301)), Err(ListUnusable::CatchingUp), "no turn was taken since");
     assert_eq!(lease.held_up_since(at(1_300)), None);
     assert_eq!(lease.held_up_since(at(1_301)), Some(at(1_000)), "what is read now may have come then");
-    assert_eq!(lease.turn(at(6_000)), Some(Micros(5_000 * MS)));
+    assert_eq!(lease.record_turn(at(6_000)), Some(Micros(5_000 * MS)));
     assert_eq!(lease.held_up_since(at(6_049)), Some(at(1_000)));
     assert_eq!(lease.held_up_since(at(6_050)), None);
-    assert_eq!(lease.check(at(6_049)), Err(Withheld::CatchingUp));
+    assert_eq!(lease.check(at(6_049)), Err(ListUnusable::CatchingUp));
     assert_eq!(lease.check(at(6_050)), Ok(()));
     // A stop for longer than the lease: the list counts only once it is confirmed.
-    assert_eq!(lease.turn(at(60_000)), Some(Micros(54_000 * MS)));
+    assert_eq!(lease.record_turn(at(60_000)), Some(Micros(54_000 * MS)));
     run_to(&mut lease, 60_000, 60_100);
-    assert_eq!(lease.check(at(60_100)), Err(Withheld::Expired));
+    assert_eq!(lease.check(at(60_100)), Err(ListUnusable::Expired));
     lease.confirmed(at(60_110));
     assert_eq!(lease.check(at(60_110)), Ok(()));
 }
@@ -163,5 +163,5 @@
 #[test]
 fn extreme_times_cause_no_panic() {
     let lease = ListLease::new(Time(u64::MAX), Discovery::OnRequest, Micros(u64::MAX));
-    assert_eq!(lease.check(Time(u64::MAX)), Err(Withheld::Expired));
+    assert_eq!(lease.check(Time(u64::MAX)), Err(ListUnusable::Expired));
 }
--- a/crates/decisions/tests/watch_schedule.rs
+++ b/crates/decisions/tests/watch_schedule.rs
@@ -29,9 +29,9 @@
         let mut now = start;
         let mut gaps = Vec::new();
         for _ in 0..200 {
-            schedule.opening(now);
+            schedule.watch_opening(now);
             assert_eq!(schedule.next_watch(), None, "one watch at a time");
-            schedule.ended(now, rng.f64());
+            schedule.watch_ended(now, rng.f64());
             let next = schedule.next_watch().expect("another");
             gaps.push(next.0 - now.0);
             now = next;
@@ -39,11 +39,11 @@
         let shortest = *gaps.iter().min().expect("a gap");
         let longest = *gaps.iter().max().expect("a gap");
         assert!(shortest >= 5 * MS && longest <= longest_gap(grace), "{grace:?}: {gaps:?}");
-        schedule.opening(now);
-        schedule.agent_moved(now);
+        schedule.watch_opening(now);
+        schedule.agent_address_changed(now);
         assert_eq!(schedule.next_watch(), Some(now));
-        schedule.opening(now);
-        schedule.ended(now, 1.0);
+        schedule.watch_opening(now);
+        schedule.watch_ended(now, 1.0);
         assert_eq!(schedule.next_watch(), Some(later(now, 10 * MS)));
     }
 }
@@ -55,8 +55,8 @@
     for round in 1..5 {
         let opened = Time(round * 10_000 * MS);
         let ended = later(opened, 1_000 * MS);
-        schedule.opening(opened);
-        schedule.ended(ended, 1.0);
+        schedule.watch_opening(opened);
+        schedule.watch_ended(ended, 1.0);
         assert_eq!(schedule.next_watch(), Some(ended));
     }
 }
@@ -74,14 +74,14 @@
             let due = schedule.next_watch().expect("a watch is due where none is open");
             assert!(due <= later(now, longest_gap(grace)), "{seed}: {due:?} at {now:?}");
             now = now.max(due);
-            schedule.opening(now);
+            schedule.watch_opening(now);
             assert_eq!(schedule.next_watch(), None, "{seed}: one at a time");
             now = later(now, *rng.choice(&[0, 1, 900, 1_000, 5_000]).expect("one") * MS);
             if rng.u32(..4) == 0 {
-                schedule.agent_moved(now);
+                schedule.agent_address_changed(now);
                 assert_eq!(schedule.next_watch(), Some(now), "{seed}: at once where it moved to");
             } else {
-                schedule.ended(now, rng.f64());
+                schedule.watch_ended(now, rng.f64());
             }
         }
     }
--- a/crates/decisions/tests/zone_health.rs
+++ b/crates/decisions/tests/zone_health.rs
@@ -19,7 +19,7 @@
     let four =
         |members: u32, sent| -> Vec<InFlightAttempt> { (0..4).map(|n| attempt(n % members, sent)).collect() };
     let is_silent = |zones: &ZoneHealth, in_flight: Vec<InFlightAttempt>| {
-        !zones.silent_zones(Time(1_300 * MS), in_flight.into_iter()).is_empty()
+        !zones.unresponsive_zones(Time(1_300 * MS), in_flight.into_iter()).is_empty()
     };
     (0..2).for_each(|zone| zones.record_answer(ZoneId(zone), Time(1_000 * MS)));
     assert!(!is_silent(&zones, four(4, 1_000)), "no other zone has answered since");
--- a/src/clients/session/progress.rs
+++ b/src/clients/session/progress.rs
@@ -1,7 +1,7 @@
 //! How far a message has come in, and until when it must be complete: a client that stops in the middle of one and stays
 //! is owed its end in time, whatever else the session waits for meanwhile.
 
-use crate::platform_bounds::{HOLD_UP, STOPPED_CLIENT_WITHIN};
+use crate::platform_bounds::{MAX_HOLD_UP, STALLED_CLIENT_TIMEOUT};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -10,7 +10,7 @@
 /// A message that has begun must be complete, and a long one must have grown, within this time. A client may spend 2 s
 /// on a message.
 pub(super) const MESSAGE_TIMEOUT: Duration =
-    Duration::from_micros(STOPPED_CLIENT_WITHIN.0 - HOLD_UP.0).saturating_sub(ENDING_TAKES);
+    Duration::from_micros(STALLED_CLIENT_TIMEOUT.0 - MAX_HOLD_UP.0).saturating_sub(ENDING_TAKES);
 /// A long message that grows may take so long in all.
 const LONG_MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
--- a/src/clients/session/stream.rs
+++ b/src/clients/session/stream.rs
@@ -1,6 +1,6 @@
 //! What a session needs of its connection beyond reading and writing: to see its end without reading.
 
-use crate::platform_bounds::CLIENT_GONE_WITHIN;
+use crate::platform_bounds::CLIENT_GONE_MAX_DELAY;
 use crate::socket_state::{PendingInput, pending_input};
 use futures_util::FutureExt;
 use std::future::poll_fn;
@@ -12,7 +12,7 @@
 
 /// While nothing is read from a client, its end is looked for this often: well within the time after which nothing may
 /// be sent for it.
-const END_CHECK_INTERVAL: Duration = Duration::from_micros(CLIENT_GONE_WITHIN.0 / 4);
+const END_CHECK_INTERVAL: Duration = Duration::from_micros(CLIENT_GONE_MAX_DELAY.0 / 4);
 /// Bytes that are discarded at a time.
 const DISCARD_CHUNK: usize = 32 * 1024;
 
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -41,20 +41,20 @@
 
     fn opening(&mut self, now: Time) {
         if let WatchTrigger::Always(schedule) = self {
-            schedule.opening(now);
+            schedule.watch_opening(now);
         }
     }
 
     /// `chance` is a random number from 0 to 1.
     fn ended(&mut self, now: Time, chance: f64) {
         if let WatchTrigger::Always(schedule) = self {
-            schedule.ended(now, chance);
+            schedule.watch_ended(now, chance);
         }
     }
 
     fn agent_moved(&mut self, now: Time) {
         if let WatchTrigger::Always(schedule) = self {
-            schedule.agent_moved(now);
+            schedule.agent_address_changed(now);
         }
     }
 }
--- a/src/stages/driver.rs
+++ b/src/stages/driver.rs
@@ -16,7 +16,7 @@
 use crate::discovery::list::{EndpointList, IdentifierTable, ListEvent};
 use crate::fleet::quota::FleetQuota;
 use crate::invariants::Invariant;
-use crate::list_lease::Withheld;
+use crate::list_lease::ListUnusable;
 use crate::maintenance::Maintenance;
 use crate::policy::Router;
 use crate::upstream::pool::Pool;
@@ -186,7 +186,7 @@
 
     /// Whether a request may go to the decisions; if not, its Retry-After.
     fn admit(&self, request: &Request) -> Result<(), Micros> {
-        if self.pool.guard().check_lease() == Err(Withheld::Expired) {
+        if self.pool.guard().check_lease() == Err(ListUnusable::Expired) {
             return Err(RETRY_AFTER_UNCONFIRMED_LIST);
         }
         let is_closed = self.members.is_group_out(request.group) || !self.quota.may_serve();
--- a/src/upstream/exchange.rs
+++ b/src/upstream/exchange.rs
@@ -6,7 +6,7 @@
 use crate::api::{MemberId, Outcome};
 use crate::close_reason::CloseReason;
 use crate::fleet::quota::QuotaUnit;
-use crate::list_lease::Withheld;
+use crate::list_lease::ListUnusable;
 use crate::upstream::connection::MemberConnection;
 use crate::upstream::pool::Pool;
 use crate::upstream::reply::StatementReply;
@@ -105,7 +105,7 @@
     /// Whether a connection is worth its price. Ending it here needs no permission to cancel, since nothing has
     /// reached the member.
     fn check_sendable(&self) -> Result<(), Outcome> {
-        let is_expired = self.pool.guard().check_lease() == Err(Withheld::Expired);
+        let is_expired = self.pool.guard().check_lease() == Err(ListUnusable::Expired);
         let is_over = self.intent.is_request_over.get();
         let sendable = self.pool.is_accepting(self.intent.member) && !is_over && !is_expired;
         if sendable { Ok(()) } else { Err(Outcome::NotSent) }
--- a/src/upstream/send_guard.rs
+++ b/src/upstream/send_guard.rs
@@ -7,8 +7,8 @@
 use crate::api::{MemberId, RequestId, Time};
 use crate::clock::Clock;
 use crate::invariants::{Invariant, InvariantMonitor};
-use crate::list_lease::{ListLease, Withheld};
-use crate::platform_bounds::HOLD_UP;
+use crate::list_lease::{ListLease, ListUnusable};
+use crate::platform_bounds::MAX_HOLD_UP;
 use crate::upstream::send_eligibility::SendEligibility;
 use log::{info, warn};
 use std::cell::{Cell, RefCell};
@@ -75,10 +75,10 @@
     pub fn check_at_write(&self) {
         let SendIntent { member, purpose, deadline, is_request_over } = &self.intent;
         let age = self.issued_at.elapsed();
-        let max_age = Duration::from_micros(HOLD_UP.0);
+        let max_age = Duration::from_micros(MAX_HOLD_UP.0);
         let checks = [
             (Invariant::MemberAccepts, self.eligibility.is_accepting(*member)),
-            (Invariant::ListLeased, self.guard.check_lease_at(self.issued_at) != Err(Withheld::Expired)),
+            (Invariant::ListLeased, self.guard.check_lease_at(self.issued_at) != Err(ListUnusable::Expired)),
             (Invariant::RequestOpen, !is_request_over.get()),
             (Invariant::BeforeDeadline, self.issued_at < *deadline),
             (Invariant::PermitCurrent, age <= max_age),
@@ -201,20 +201,20 @@
 
     /// Whether the process was held up, and has not read yet what arrived meanwhile.
     pub fn is_catching_up(&self) -> bool {
-        self.check_lease() == Err(Withheld::CatchingUp)
+        self.check_lease() == Err(ListUnusable::CatchingUp)
     }
 
     /// Records that the driver of the decisions begins a turn. A long gap since the last one is a hold-up.
     pub fn begin_turn(&self) {
         let Some(lease) = &self.0.lease else { return };
         let now = self.0.clock.now();
-        let held_up = lease.borrow_mut().turn(now);
+        let held_up = lease.borrow_mut().record_turn(now);
         if let Some(held_up) = held_up {
             let seconds = held_up.0 as f64 / 1e6;
             self.0.monitor.record_change(format_args!("held up for {seconds:.3} s"));
             warn!("held up for {seconds:.3} s: nothing is sent before what arrived meanwhile is read");
         }
-        let is_expired = lease.borrow().check(now) == Err(Withheld::Expired);
+        let is_expired = lease.borrow().check(now) == Err(ListUnusable::Expired);
         if self.0.was_expired.replace(is_expired) != is_expired {
             let (basis, version) = (lease.borrow().basis(), self.0.list_version.get());
             let change = if is_expired { "expired" } else { "renewed" };
@@ -227,12 +227,12 @@
     ///
     /// # Errors
     /// Why it does not: its lease has expired, or the process is catching up after a hold-up.
-    pub fn check_lease(&self) -> Result<(), Withheld> {
+    pub fn check_lease(&self) -> Result<(), ListUnusable> {
         self.check_lease_at(Instant::now())
     }
 
     /// Like [`Self::check_lease`], at a moment just past. The lease allows for a hold-up between a permit and its write.
-    fn check_lease_at(&self, moment: Instant) -> Result<(), Withheld> {
+    fn check_lease_at(&self, moment: Instant) -> Result<(), ListUnusable> {
         match &self.0.lease {
             Some(lease) => lease.borrow().check(self.0.clock.time(moment)),
             None => Ok(()),
@@ -263,8 +263,8 @@
                         eligibility: eligibility.clone(),
                     });
                 }
-                Err(Withheld::Expired) => return None,
-                Err(Withheld::CatchingUp) => sleep(CATCH_UP_POLL).await,
+                Err(ListUnusable::Expired) => return None,
+                Err(ListUnusable::CatchingUp) => sleep(CATCH_UP_POLL).await,
             }
             has_waited = true;
         }
--- a/tests/fleet/quota_faults.rs
+++ b/tests/fleet/quota_faults.rs
@@ -24,7 +24,7 @@
 /// and goes on with what it had queued, and a floor that is given twice: in the sound program, at every landing.
 #[test]
 fn namesakes_suspended_and_removed_holders_keep_to_the_limit() {
-    for fault in [Fault::OldIncarnation, Fault::LeaseFromReceipt, Fault::FloorTwice] {
+    for fault in [Fault::PredecessorReleased, Fault::LeaseFromReceipt, Fault::FloorExpiresWithLease] {
         run_local(play_history(fault, None)).unwrap_or_else(|error| panic!("{fault:?}: {error}"));
     }
 }
@@ -47,11 +47,13 @@
     match fault {
         Fault::NoDriftMargin => history.clocks_drift_apart().await,
         Fault::LeaseFromReceipt => history.holder_is_suspended().await,
-        Fault::OldIncarnation => history.name_is_used_twice().await,
-        Fault::FloorTwice => history.holders_are_removed().await,
-        Fault::FreedEarly => history.holders_take_turns().await,
+        Fault::PredecessorReleased => history.name_is_used_twice().await,
+        Fault::FloorExpiresWithLease => history.holders_are_removed().await,
+        Fault::InUseFreedEarly => history.holders_take_turns().await,
         Fault::RoundingUp => history.more_proxies_than_units().await,
-        Fault::DeadUncounted | Fault::ForceUncounted | Fault::FenceUnconfirmed => Ok(()),
+        Fault::UnresponsiveProxyUncounted | Fault::ForcedPermitUncounted | Fault::QuarantineUnconfirmed => {
+            Ok(())
+        }
     }
 }
 
--- a/tests/send_guard.rs
+++ b/tests/send_guard.rs
@@ -5,7 +5,7 @@
 use linenhill::clock::Clock;
 use linenhill::counters::Counters;
 use linenhill::fleet::quota::FleetQuota;
-use linenhill::list_lease::{ListLease, Withheld};
+use linenhill::list_lease::{ListLease, ListUnusable};
 use linenhill::metrics::Metrics;
 use linenhill::upstream::pool::Pool;
 use linenhill::upstream::send_guard::{Purpose, SendGuard, SendIntent};
@@ -59,7 +59,7 @@
     assert!(pool.send_permit(intent(MS)).await.is_none(), "the member drains");
     pool.set_accepting(|_| true);
     run_turns(&guard, 2_900 * MS).await;
-    assert_eq!(guard.check_lease(), Err(Withheld::Expired));
+    assert_eq!(guard.check_lease(), Err(ListUnusable::Expired));
     assert!(pool.send_permit(intent(MS)).await.is_none(), "the list's lease is over");
     guard.record_list_confirmed();
     assert!(pool.send_permit(intent(MS)).await.is_some());
