--- a/src/pg/backend.rs
+++ b/src/pg/backend.rs
@@ -182,7 +182,7 @@
         b'E' => decode_sqlstate(body).map(BackendMessage::ErrorResponse),
         b'Z' => check_readiness(&body).map(|()| BackendMessage::ReadyForQuery),
         b'N' | b'K' | b'I' | b'A' | b'v' => Ok(BackendMessage::Ignored),
-        _ => Err(PgError::Kind(kind)),
+        _ => Err(PgError::MessageType(kind)),
     }
 }
 
--- a/src/pg/error.rs
+++ b/src/pg/error.rs
@@ -10,7 +10,7 @@
     /// A length, in bytes, that no message of this type has.
     Length(usize),
     /// A message type that does not exist, or not in this direction.
-    Kind(u8),
+    MessageType(u8),
     /// A body that does not have the form of its type.
     Body(&'static str),
     /// No memory is left for a message of this length in bytes.
@@ -29,7 +29,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             PgError::Length(length) => write!(f, "invalid message length {length}"),
-            PgError::Kind(kind) => write!(f, "invalid message type {kind}"),
+            PgError::MessageType(kind) => write!(f, "invalid message type {kind}"),
             PgError::Body(problem) => write!(f, "malformed message: {problem}"),
             PgError::Memory(length) => write!(f, "no memory is left for a message of {length} bytes"),
             PgError::Io(e) => write!(f, "{e}"),
--- a/src/pg/framing.rs
+++ b/src/pg/framing.rs
@@ -25,7 +25,7 @@
     src: &BytesMut, length_bounds: impl Fn(u8) -> Option<RangeInclusive<usize>>,
 ) -> Result<Option<MessageHeader>, PgError> {
     let Some((&kind, rest)) = src.split_first() else { return Ok(None) };
-    let bounds = length_bounds(kind).ok_or(PgError::Kind(kind))?;
+    let bounds = length_bounds(kind).ok_or(PgError::MessageType(kind))?;
     let Some(length) = first_length(rest) else { return Ok(None) };
     if !bounds.contains(&length) {
         return Err(PgError::Length(length));
--- a/src/pg/frontend.rs
+++ b/src/pg/frontend.rs
@@ -196,7 +196,7 @@
         b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'F' => Ok(FrontendMessage::Extended(kind)),
         b'S' => Ok(FrontendMessage::Sync),
         b'd' | b'c' | b'f' => Ok(FrontendMessage::Copy),
-        _ => Err(PgError::Kind(kind)),
+        _ => Err(PgError::MessageType(kind)),
     }
 }
 
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -257,7 +257,7 @@
             };
             let message = match next {
                 Some(Ok(message)) => message,
-                Some(Err(PgError::Length(_) | PgError::Kind(_) | PgError::Body(_))) => {
+                Some(Err(PgError::Length(_) | PgError::MessageType(_) | PgError::Body(_))) => {
                     return self.break_stream(CloseReason::Protocol);
                 }
                 Some(Err(_)) | None => return self.break_stream(CloseReason::Reset),
