--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -27,7 +27,7 @@
     RequestOpen,
     /// No statement is sent after the deadline of its request.
     BeforeDeadline,
-    /// No statement is written later than [`HOLD_UP`](crate::platform_bounds::HOLD_UP) after its permit was issued.
+    /// No statement is written later than [`MAX_HOLD_UP`](crate::platform_bounds::MAX_HOLD_UP) after its permit was issued.
     PermitCurrent,
     /// No attempt of a request starts while another one is in flight and not cancelled, unless the settings allow
     /// hedged requests.
