--- a/tests/send_guard.rs
+++ b/tests/send_guard.rs
@@ -15,17 +15,17 @@
 
 const MS: Duration = Duration::from_millis(1);
 const MEMBER: MemberId = MemberId(1);
-const GRACE: Micros = Micros(2_000_000);
+const DRAIN_GRACE: Micros = Micros(2_000_000);
 
 /// A guard, and a pool with one member that accepts statements.
 fn new_guard_and_pool(metrics: &Metrics) -> (SendGuard, Pool) {
     let clock = Clock::start();
-    let lease = ListLease::new(clock.now(), Discovery::OnRequest, GRACE);
+    let lease = ListLease::new(clock.now(), Discovery::OnRequest, DRAIN_GRACE);
     let guard = SendGuard::new(lease, 7, clock, metrics.invariants());
     let long = Duration::from_secs(60);
     let counters = Rc::new(Counters::default());
     let pool = Pool::with_quota(1, long, long, counters, FleetQuota::default(), guard.clone());
-    pool.set_address(MEMBER, "127.0.0.1:1".parse().expect("an address"));
+    pool.set_address(MEMBER, "127.0.0.1:1".parse().expect("a valid address"));
     (guard, pool)
 }
 
@@ -71,13 +71,13 @@
 async fn removed_member_accepts_nothing() {
     let metrics = Metrics::new(["list"]);
     let (_, pool) = new_guard_and_pool(&metrics);
-    let permit = pool.send_permit(intent(MS)).await.expect("a permit");
+    let permit = pool.send_permit(intent(MS)).await.expect("the guard issues a permit");
     pool.retain(|_| false);
     assert!(!pool.is_accepting(MEMBER));
     assert!(pool.send_permit(intent(MS)).await.is_none());
     permit.check_at_write();
     assert_eq!(metrics.invariants().total(), 1);
-    pool.set_address(MEMBER, "127.0.0.1:1".parse().expect("an address"));
+    pool.set_address(MEMBER, "127.0.0.1:1".parse().expect("a valid address"));
     assert!(pool.send_permit(intent(MS)).await.is_some());
 }
 
@@ -90,18 +90,18 @@
     run_turns(&guard, 1_000 * MS).await;
     advance(3_000 * MS).await;
     let resumed = Instant::now();
-    let held_up_since = guard.held_up_since().expect("no turn was taken");
+    let held_up_since = guard.held_up_since().expect("a hold-up, since no turn was taken");
     assert_eq!(resumed - held_up_since, 3_000 * MS);
     guard.begin_turn();
     // The input that arrived in the meantime is a drain, so the pending permit is refused.
-    let read = async {
+    let receive_drain = async {
         tokio::time::sleep(20 * MS).await;
         pool.set_accepting(|_| false);
     };
-    let (permit, ()) = tokio::join!(pool.send_permit(intent(1_000 * MS)), read);
+    let (permit, ()) = tokio::join!(pool.send_permit(intent(1_000 * MS)), receive_drain);
     assert!(permit.is_none());
     pool.set_accepting(|_| true);
-    let permit = pool.send_permit(intent(1_000 * MS)).await.expect("a permit");
+    let permit = pool.send_permit(intent(1_000 * MS)).await.expect("the guard issues a permit");
     assert!(permit.has_waited() && resumed.elapsed() >= 50 * MS);
     assert!(guard.held_up_since().is_none());
 }
@@ -112,20 +112,20 @@
 async fn write_with_an_outdated_permit_is_counted() {
     let metrics = Metrics::new(["list"]);
     let (_, pool) = new_guard_and_pool(&metrics);
-    pool.send_permit(intent(MS)).await.expect("a permit").check_at_write();
+    pool.send_permit(intent(MS)).await.expect("the guard issues a permit").check_at_write();
     assert_eq!(metrics.invariants().total(), 0);
-    let late = pool.send_permit(intent(1_000 * MS)).await.expect("a permit");
+    let late = pool.send_permit(intent(1_000 * MS)).await.expect("the guard issues a permit");
     advance(151 * MS).await;
     late.check_at_write();
     let over = intent(MS);
-    let permit = pool.send_permit(over.clone()).await.expect("a permit");
+    let permit = pool.send_permit(over.clone()).await.expect("the guard issues a permit");
     over.is_request_over.set(true);
     permit.check_at_write();
-    let permit = pool.send_permit(intent(MS)).await.expect("a permit");
+    let permit = pool.send_permit(intent(MS)).await.expect("the guard issues a permit");
     pool.set_accepting(|_| false);
     permit.check_at_write();
     assert_eq!(metrics.invariants().total(), 3);
-    let text = metrics.text().expect("a text");
+    let text = metrics.text().expect("the metrics can be encoded");
     for (invariant, count) in [
         ("permit-current", 1),
         ("request-open", 1),
