--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,6 +1,6 @@
-//! Keeps one watch at discovery: opens the next one when it is due, follows discovery to another address, and
-//! reports each watch that failed. It must never hold two watches at a time, since a service that answers all
-//! proxies in turn would serve each of them more slowly.
+//! Keeps one watch open at discovery: opens the next one when it is due, reconnects when the address changes, and
+//! reports each watch that failed. There must never be two watches at a time: a service that answers all proxies in
+//! turn would serve each of them more slowly.
 
 use crate::api::{Micros, Time};
 use crate::clock::Clock;
@@ -21,15 +21,15 @@
 
 /// What opens the next watch.
 pub enum WatchTrigger {
-    /// A request of the decisions: one service answers the calls of all proxies in turn.
+    /// A notification by the driver: a shared service answers the calls of all proxies in turn.
     OnRequest(Rc<Notify>),
-    /// The schedule of a watch that is always open, at an agent on this machine to which lists are pushed.
+    /// A schedule that keeps a watch open at all times, at an agent on this machine that lists are pushed to.
     Always(WatchSchedule),
 }
 
 impl WatchTrigger {
     /// Waits until the next watch is due.
-    async fn due(&self, clock: Clock) {
+    async fn wait_until_due(&self, clock: Clock) {
         match self {
             WatchTrigger::OnRequest(request) => request.notified().await,
             WatchTrigger::Always(schedule) => match schedule.next_watch() {
@@ -39,20 +39,20 @@
         }
     }
 
-    fn opening(&mut self, now: Time) {
+    fn record_opening(&mut self, now: Time) {
         if let WatchTrigger::Always(schedule) = self {
             schedule.opening(now);
         }
     }
 
-    /// `chance` is a random number from 0 to 1.
-    fn ended(&mut self, now: Time, chance: f64) {
+    /// `jitter` is a random number from 0 to 1.
+    fn record_end(&mut self, now: Time, jitter: f64) {
         if let WatchTrigger::Always(schedule) = self {
-            schedule.ended(now, chance);
+            schedule.ended(now, jitter);
         }
     }
 
-    fn agent_moved(&mut self, now: Time) {
+    fn record_address_change(&mut self, now: Time) {
         if let WatchTrigger::Always(schedule) = self {
             schedule.agent_moved(now);
         }
@@ -61,7 +61,7 @@
 
 /// The client of discovery.
 pub struct DiscoveryClient {
-    /// Discovery's address; each change, also one to the same address, moves the watch.
+    /// Discovery's address; each update, even to the same address, reopens the watch.
     pub address: watch::Receiver<SocketAddr>,
     /// What opens the next watch.
     pub trigger: WatchTrigger,
@@ -71,42 +71,42 @@
     pub inbox: mpsc::UnboundedSender<DriverInput>,
     /// Counts the calls.
     pub counters: Rc<Counters>,
-    /// Counts how calls ended.
+    /// Counts the calls by how they ended.
     pub metrics: Rc<Metrics>,
-    /// The longest time until the first message of a watch, from the start of the call.
+    /// Time limit for the first message of a watch, from the start of the call.
     pub first_message_timeout: Duration,
-    /// Spreads the watches of proxies that lose their agent together.
+    /// Jitter for proxies that lose the same agent at the same time.
     pub rng: fastrand::Rng,
 }
 
-/// A watch that ended other than by discovery's move.
+/// A watch that ended for another reason than a change of discovery's address.
 struct EndedWatch {
     opened_at: Time,
     reason: CloseReason,
 }
 
 impl DiscoveryClient {
-    /// Keeps one watch at a time until nobody takes its events any more. When discovery moves, a new watch begins
-    /// there at once, from the list version in use.
+    /// Keeps one watch open at a time until the receiver of its events is dropped. When the address changes, a new
+    /// watch starts there at once, from the list version in use.
     pub async fn run(mut self) {
         let clock = self.status.clock();
         let mut last_reason = None;
         loop {
             tokio::select! {
-                () = self.trigger.due(clock) => {}
+                () = self.trigger.wait_until_due(clock) => {}
                 () = address_changed(&mut self.address) => {}
             }
             let ended = self.watch_until_failure(clock, &mut last_reason).await;
             let now = clock.now();
-            self.trigger.ended(now, self.rng.f64());
-            let silence = self.silence_of(&ended, now);
+            self.trigger.record_end(now, self.rng.f64());
+            let silence = self.silence_at_end(&ended, now);
             if self.inbox.send(DriverInput::List(ListEvent::Failed { silence })).is_err() {
                 return;
             }
         }
     }
 
-    /// Opens a watch, and another one for each move of discovery, until one ends by itself.
+    /// Opens a watch, and another one after each change of the address, until one ends for another reason.
     async fn watch_until_failure(
         &mut self, clock: Clock, last_reason: &mut Option<CloseReason>,
     ) -> EndedWatch {
@@ -114,7 +114,7 @@
             let address = *self.address.borrow_and_update();
             self.counters.calls.add();
             let opened_at = clock.now();
-            self.trigger.opening(opened_at);
+            self.trigger.record_opening(opened_at);
             let call = self.counters.calls.get();
             info!("discovery: call {call} to {address} from version {}", self.status.list_version());
             let failure = tokio::select! {
@@ -124,21 +124,22 @@
             let reason = failure.unwrap_or(CloseReason::Moved);
             self.metrics.record_discovery_call_end(reason);
             let lasted = seconds(Micros(clock.now().0.saturating_sub(opened_at.0)));
-            let silent = seconds(self.status.silence());
+            let silence = seconds(self.status.silence());
             info!(
-                "discovery: call {call} ended after {lasted:.3} s, silent for {silent:.3} s, code={reason}"
+                "discovery: call {call} ended after {lasted:.3} s, no message for {silence:.3} s, code={reason}"
             );
             self.log_end(address, reason, *last_reason);
             *last_reason = Some(reason);
             if failure.is_some() {
-                self.status.record_end(opened_at, reason == CloseReason::Silent);
+                self.status.record_call_end(opened_at, reason == CloseReason::Silent);
                 return EndedWatch { opened_at, reason };
             }
-            self.trigger.agent_moved(clock.now());
+            self.trigger.record_address_change(clock.now());
         }
     }
 
-    /// Logs the end of a watch. An agent that is away is tried many times a second: only the first refusal is logged.
+    /// Logs the end of a watch. An unreachable agent is retried many times a second, so only the first of consecutive
+    /// refusals is logged.
     fn log_end(&self, address: SocketAddr, reason: CloseReason, last_reason: Option<CloseReason>) {
         let is_repeated_refusal = reason == CloseReason::Refused && last_reason == Some(reason);
         let is_on_request = matches!(self.trigger, WatchTrigger::OnRequest(_));
@@ -147,18 +148,18 @@
         }
     }
 
-    /// For how long a watch that fell silent may have been so: since its last message, or since the call if none
-    /// came.
-    fn silence_of(&self, ended: &EndedWatch, now: Time) -> Option<Micros> {
+    /// The time without a message if the watch ended for that reason: since its last message, or since the call if
+    /// there was none.
+    fn silence_at_end(&self, ended: &EndedWatch, now: Time) -> Option<Micros> {
         let since_opened = now.0.saturating_sub(ended.opened_at.0);
         let silence = Micros(self.status.silence().0.min(since_opened));
         (ended.reason == CloseReason::Silent).then_some(silence)
     }
 }
 
-/// Waits until a reload sets discovery's address, be it to the same one.
+/// Waits until a reload sets discovery's address, even to the same value.
 async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
-    // Without a sender the address never changes again.
+    // The sender was dropped: the address can't change any longer.
     if address.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
--- a/src/discovery/http.rs
+++ b/src/discovery/http.rs
@@ -1,6 +1,6 @@
-//! An HTTP/1.1 answer as a stream of lines, whether its body is chunked or runs to the connection's end. A JSON
-//! object may be indented over several lines and counts as one. A head, chunk header or line beyond its limit must
-//! be an error, so that memory stays bounded.
+//! Decodes an HTTP/1.1 response as a stream of lines; its body is either chunked or ends with the connection. A JSON
+//! object that is indented over several lines counts as one line. The response head, a chunk header or a line beyond
+//! its limit is an error, so that memory stays bounded.
 
 use bytes::{Buf, Bytes, BytesMut};
 use httparse::Status;
@@ -8,28 +8,28 @@
 use std::io;
 use tokio_util::codec::Decoder;
 
-/// The largest head of an answer, in bytes.
+/// The largest response head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The largest header of a chunk, in bytes.
-const MAX_CHUNK_SIZE_BYTES: usize = 64;
+/// The largest chunk header, in bytes.
+const MAX_CHUNK_HEADER_BYTES: usize = 64;
 /// The largest line, in bytes.
 const MAX_LINE_BYTES: usize = 1024 * 1024;
-/// The most header fields of an answer.
+/// The largest number of header fields in a response.
 const MAX_HEADERS: usize = 64;
-/// What follows the data of a chunk.
+/// Terminates the data of a chunk.
 const CHUNK_END: &[u8] = b"\r\n";
 
-/// Why an answer can't be read.
+/// Why a response can't be decoded.
 #[derive(Debug)]
 pub enum HttpError {
-    /// The head is malformed or too long.
+    /// The response head is malformed or longer than its limit.
     MalformedHead,
-    /// A chunk is malformed.
+    /// A chunk is malformed, or its header is longer than its limit.
     MalformedChunk,
-    /// A line is longer than any list.
-    LineTooLong,
-    /// A list breaks off, and the next line begins.
-    UnfinishedList,
+    /// A line is longer than any list. Carries the bytes received so far.
+    LineTooLong(usize),
+    /// A list is cut off by the start of the next line.
+    TruncatedList,
     /// The connection failed.
     Io(io::Error),
 }
@@ -43,10 +43,18 @@
 impl fmt::Display for HttpError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            HttpError::MalformedHead => write!(f, "malformed head of an answer"),
-            HttpError::MalformedChunk => write!(f, "malformed chunk"),
-            HttpError::LineTooLong => write!(f, "a line over {MAX_LINE_BYTES} bytes"),
-            HttpError::UnfinishedList => write!(f, "a list without its end"),
+            HttpError::MalformedHead => {
+                write!(f, "malformed HTTP response head, or longer than {MAX_HEAD_BYTES} bytes")
+            }
+            HttpError::MalformedChunk => {
+                write!(f, "malformed HTTP chunk, or chunk header longer than {MAX_CHUNK_HEADER_BYTES} bytes")
+            }
+            HttpError::LineTooLong(received) => {
+                write!(f, "line too long: {received} bytes without a line end, limit {MAX_LINE_BYTES}")
+            }
+            HttpError::TruncatedList => {
+                write!(f, "list cut off: line end within a JSON string or before its object is closed")
+            }
             HttpError::Io(e) => write!(f, "{e}"),
         }
     }
@@ -61,57 +69,57 @@
     }
 }
 
-/// A part of an answer.
+/// A part of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResponsePart {
     /// The status code; the rest of the head is not kept.
     Status(u16),
-    /// A line of the body without its end, or the lines over which one object is indented.
+    /// A line of the body without its line end, or all lines of one indented object.
     Line(Bytes),
     /// The end of a chunked body.
     End,
 }
 
-/// What the next bytes of the answer are.
+/// The part of the response that comes next.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum DecoderState {
     #[default]
     Head,
     ChunkSize,
-    /// So many bytes of the chunk are still to come.
+    /// Carries the number of bytes that remain in the chunk.
     ChunkData(u64),
     ChunkEnd,
-    /// A body without chunks, to the end of the connection.
+    /// A body that is not chunked and ends with the connection.
     UnframedBody,
     Finished,
 }
 
-/// Finds the end of a line, or of a JSON object over several lines. Keeps its place between calls, so that no byte is
-/// looked at twice.
+/// Finds the end of a line, or of a JSON object over several lines. Keeps its state between calls, so that each byte is
+/// examined once.
 #[derive(Default)]
 struct LineScanner {
-    /// Bytes looked at.
+    /// Number of bytes examined.
     position: usize,
-    /// Objects and arrays that are open.
+    /// Nesting depth of objects and arrays.
     depth: u32,
     is_in_string: bool,
-    /// The byte before was a backslash within a string.
+    /// Within a string, the previous byte was an unescaped backslash.
     is_escaped: bool,
-    /// The line at hand has something other than white space.
+    /// The current line has a byte other than white space.
     has_content: bool,
 }
 
 impl LineScanner {
-    /// The length of the first complete line of `text`, without its end. Starts anew with the next one.
+    /// The length of the first complete line of `text`, without its line end. Resets the scanner when it finds one.
     fn find_end(&mut self, text: &[u8]) -> Result<Option<usize>, HttpError> {
         while let Some(byte) = text.get(self.position) {
             match (byte, self.is_in_string) {
                 (b'\n', false) if self.depth == 0 => {
                     return Ok(Some(std::mem::take(self).position));
                 }
-                // No JSON string spans lines, and no object holds an empty line: this one was cut.
+                // A JSON string never spans lines, and these objects contain no empty line: the list was cut off.
                 (b'\n', in_string) if in_string || !self.has_content => {
-                    return Err(HttpError::UnfinishedList);
+                    return Err(HttpError::TruncatedList);
                 }
                 (b'\n', _) => self.has_content = false,
                 (_, true) if self.is_escaped => self.is_escaped = false,
@@ -129,22 +137,22 @@
     }
 }
 
-/// Whether a step of the decoder got on.
+/// The result of one step of the decoder.
 enum Step {
     /// Bytes were consumed.
     Advanced,
-    /// A part of the answer is complete.
+    /// A part of the response is complete.
     Part(ResponsePart),
     /// More bytes are needed.
-    Starved,
+    NeedsInput,
 }
 
-/// Decodes the answer to a watch.
+/// Decodes the response to a watch request.
 #[derive(Default)]
 pub struct WatchCodec {
     state: DecoderState,
-    /// Body bytes that are not yet a complete line.
-    text: BytesMut,
+    /// Received bytes of the body that have not been returned as lines.
+    body: BytesMut,
     scanner: LineScanner,
 }
 
@@ -160,12 +168,12 @@
             match self.step(src)? {
                 Step::Advanced => {}
                 Step::Part(part) => return Ok(Some(part)),
-                Step::Starved => return Ok(None),
+                Step::NeedsInput => return Ok(None),
             }
         }
     }
 
-    /// A connection that ends amid a line is an end like any other: what is left is dropped.
+    /// Drops an incomplete line at the end of the connection; that is not an error.
     fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<ResponsePart>, HttpError> {
         let part = self.decode(src)?;
         if part.is_none() {
@@ -176,15 +184,15 @@
 }
 
 impl WatchCodec {
-    /// Takes the first complete line off the body.
+    /// Removes the first complete line from the buffered body.
     fn take_line(&mut self) -> Result<Option<Bytes>, HttpError> {
-        if let Some(end) = self.scanner.find_end(&self.text)? {
-            let line = self.text.split_to(end).freeze();
-            self.text.advance(1);
+        if let Some(end) = self.scanner.find_end(&self.body)? {
+            let line = self.body.split_to(end).freeze();
+            self.body.advance(1);
             return Ok(Some(line));
         }
-        if self.text.len() > MAX_LINE_BYTES {
-            return Err(HttpError::LineTooLong);
+        if self.body.len() > MAX_LINE_BYTES {
+            return Err(HttpError::LineTooLong(self.body.len()));
         }
         Ok(None)
     }
@@ -193,16 +201,16 @@
         match self.state {
             DecoderState::Head => self.read_head(src),
             DecoderState::ChunkSize => self.read_chunk_size(src),
-            DecoderState::ChunkData(left) => Ok(self.read_chunk_data(src, left)),
+            DecoderState::ChunkData(remaining) => Ok(self.read_chunk_data(src, remaining)),
             DecoderState::ChunkEnd => self.read_chunk_end(src),
-            DecoderState::UnframedBody if src.is_empty() => Ok(Step::Starved),
+            DecoderState::UnframedBody if src.is_empty() => Ok(Step::NeedsInput),
             DecoderState::UnframedBody => {
-                self.text.extend_from_slice(&src.split());
+                self.body.extend_from_slice(&src.split());
                 Ok(Step::Advanced)
             }
             DecoderState::Finished => {
                 src.clear();
-                Ok(Step::Starved)
+                Ok(Step::NeedsInput)
             }
         }
     }
@@ -212,7 +220,7 @@
         let mut response = httparse::Response::new(&mut headers);
         let length = match response.parse(src).map_err(|_| HttpError::MalformedHead)? {
             Status::Partial if src.len() > MAX_HEAD_BYTES => return Err(HttpError::MalformedHead),
-            Status::Partial => return Ok(Step::Starved),
+            Status::Partial => return Ok(Step::NeedsInput),
             Status::Complete(length) => length,
         };
         let status = response.code.ok_or(HttpError::MalformedHead)?;
@@ -227,8 +235,8 @@
 
     fn read_chunk_size(&mut self, src: &mut BytesMut) -> Result<Step, HttpError> {
         match httparse::parse_chunk_size(src).map_err(|_| HttpError::MalformedChunk)? {
-            Status::Partial if src.len() > MAX_CHUNK_SIZE_BYTES => Err(HttpError::MalformedChunk),
-            Status::Partial => Ok(Step::Starved),
+            Status::Partial if src.len() > MAX_CHUNK_HEADER_BYTES => Err(HttpError::MalformedChunk),
+            Status::Partial => Ok(Step::NeedsInput),
             Status::Complete((_, 0)) => {
                 self.state = DecoderState::Finished;
                 Ok(Step::Part(ResponsePart::End))
@@ -241,20 +249,20 @@
         }
     }
 
-    fn read_chunk_data(&mut self, src: &mut BytesMut, left: u64) -> Step {
-        let taken = src.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+    fn read_chunk_data(&mut self, src: &mut BytesMut, remaining: u64) -> Step {
+        let taken = src.len().min(usize::try_from(remaining).unwrap_or(usize::MAX));
         if taken == 0 {
-            return Step::Starved;
+            return Step::NeedsInput;
         }
-        self.text.extend_from_slice(&src.split_to(taken));
-        let left = left - taken as u64;
-        self.state = if left == 0 { DecoderState::ChunkEnd } else { DecoderState::ChunkData(left) };
+        self.body.extend_from_slice(&src.split_to(taken));
+        let remaining = remaining - taken as u64;
+        self.state = if remaining == 0 { DecoderState::ChunkEnd } else { DecoderState::ChunkData(remaining) };
         Step::Advanced
     }
 
     fn read_chunk_end(&mut self, src: &mut BytesMut) -> Result<Step, HttpError> {
         if src.len() < CHUNK_END.len() {
-            return Ok(Step::Starved);
+            return Ok(Step::NeedsInput);
         }
         if !src.starts_with(CHUNK_END) {
             return Err(HttpError::MalformedChunk);
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -1,18 +1,18 @@
-//! Endpoint lists: decoded from JSON, checked, and numbered for the decisions. A list is data from outside: nothing
-//! in it may cause a panic, and one bad entry of a watch must never hide the others.
+//! Endpoint lists: decoded from JSON, validated, and converted to the ids of the decision logic. A list is untrusted
+//! input: it must never cause a panic, and an invalid entry in a watch must not affect the others.
 
 use crate::api::{GroupId, KindId, ListEntry, MemberId, MemberState, Micros, Time, ZoneId};
 use crate::settings::{self, FormError, required};
 use miniserde::Deserialize;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// The address of a leaving member whose own can't be read. Nothing is sent there.
-const UNKNOWN_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
-/// The weight of an entry that gives none.
+/// Stands in for the invalid address of a member that is not in service. Nothing is sent there.
+const PLACEHOLDER_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+/// The weight of an entry without one.
 const DEFAULT_WEIGHT: f64 = 1.0;
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// A list as JSON has it.
+/// The JSON form of a list.
 #[derive(Deserialize)]
 pub struct ListDoc {
     version: Option<u64>,
@@ -33,18 +33,18 @@
     recovery: Option<String>,
 }
 
-/// A full list, or the changes to one.
+/// A full list, or changes to one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// Its version; later lists have higher ones, until the service begins anew.
+    /// The version; it increases until the service restarts its numbering.
     pub version: u64,
-    /// Whether members that are absent from it are gone.
+    /// Whether the list is complete, so that members absent from it are gone.
     pub is_full: bool,
-    /// Its entries.
+    /// The entries.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// One entry of a list: a member and where it listens.
+/// One entry of a list: a member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// The member's name.
@@ -59,26 +59,26 @@
     pub group: u32,
     /// Its state.
     pub state: MemberState,
-    /// Its registered capacity, relative to that of other members.
+    /// The registered capacity, relative to that of other members.
     pub weight: f64,
-    /// When it last started, in Unix milliseconds.
+    /// The last start of the member, in Unix milliseconds; `None` if the entry does not give it.
     pub started_ms: Option<u64>,
-    /// Whether the list has it as its group's primary. Lists may be late with this, or leave it out.
+    /// Whether the list names the member as its group's primary. This may be outdated or missing in a list.
     pub is_primary: bool,
 }
 
-/// A list that was read, as far as it can be.
+/// The result of decoding a list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedList {
-    /// The list with its readable entries.
+    /// The list with its valid entries.
     pub list: EndpointList,
-    /// What is wrong with each of the others.
+    /// The error of each invalid entry, in the order of the list.
     pub skipped: Vec<FormError>,
 }
 
-/// What happened to the list of members.
+/// An event of the endpoint list.
 pub enum ListEvent {
-    /// The configuration has a list of an earlier run.
+    /// The configuration contains a list saved by an earlier run.
     Cached(EndpointList),
     /// Discovery sent a list.
     Received(EndpointList),
@@ -86,13 +86,15 @@
     Unchanged,
     /// A call failed, or a watch ended.
     Failed {
-        /// For how long the watch may have been silent, if it ended for its silence.
+        /// The time without a message, if the watch ended for that reason.
         silence: Option<Micros>,
     },
 }
 
-/// Decodes a list of a watch and skips the entries that can't be read: they must not keep the changes of the others
-/// from taking effect. An error means that the list as a whole can't be read.
+/// Decodes a list of a watch. Invalid entries are skipped, so that changes in the other entries still take effect.
+///
+/// # Errors
+/// The line is not JSON, or a field of the list itself is missing or invalid.
 pub fn decode(line: &[u8]) -> Result<DecodedList, FormError> {
     let text = std::str::from_utf8(line).map_err(|_| FormError::NotJson)?;
     let doc = settings::parse::<ListDoc>(text)?;
@@ -103,14 +105,14 @@
     for (index, entry) in required("servers", doc.servers)?.into_iter().enumerate() {
         match entry.into_endpoint(index) {
             Ok(endpoint) => endpoints.push(endpoint),
-            Err(problem) => skipped.push(problem),
+            Err(error) => skipped.push(error),
         }
     }
     Ok(DecodedList { list: EndpointList { version, is_full, endpoints }, skipped })
 }
 
 impl ListDoc {
-    /// Checks a list of the configuration, of which every entry must be readable.
+    /// Validates a list of the configuration, in which every entry must be valid.
     pub fn into_list(self) -> Result<EndpointList, FormError> {
         let entries = required("servers", self.servers)?.into_iter().enumerate();
         let endpoints = entries.map(|(index, entry)| entry.into_endpoint(index)).collect::<Result<_, _>>()?;
@@ -121,25 +123,25 @@
 }
 
 impl EndpointDoc {
-    /// Checks the entry at `index` of its list, whose fields errors name by their JSON keys.
+    /// Validates the entry at `index` of its list. Errors name fields by their JSON path.
     fn into_endpoint(self, index: usize) -> Result<Endpoint, FormError> {
         let path = |field: &str| format!("servers[{index}].{field}");
-        let wrong = |field: &str| FormError::Wrong(path(field));
+        let invalid = |field: &str| FormError::Wrong(path(field));
         let id = required(&path("id"), self.id)?;
-        let state = parse_state(&required(&path("state"), self.state)?).ok_or_else(|| wrong("state"))?;
+        let state = parse_state(&required(&path("state"), self.state)?).ok_or_else(|| invalid("state"))?;
         let address = match required(&path("addr"), self.addr)?.parse() {
             Ok(address) => address,
-            // Nothing is sent to a leaving member, so its address does not matter; that it leaves does.
-            Err(_) if state != MemberState::InService => UNKNOWN_ADDRESS,
-            Err(_) => return Err(wrong("addr")),
+            // The address of a member that leaves is not used, but its state must take effect.
+            Err(_) if state != MemberState::InService => PLACEHOLDER_ADDRESS,
+            Err(_) => return Err(invalid("addr")),
         };
         let group = parse_count(self.cell).and_then(|count| u32::try_from(count).ok());
-        let group = group.ok_or_else(|| wrong("cell"))?;
-        let started_ms = parse_count(self.started_ms).ok_or_else(|| wrong("started_ms"))?;
+        let group = group.ok_or_else(|| invalid("cell"))?;
+        let started_ms = parse_count(self.started_ms).ok_or_else(|| invalid("started_ms"))?;
         let is_primary = match self.recovery.as_deref() {
             Some("off") => true,
             Some("on") | None => false,
-            Some(_) => return Err(wrong("recovery")),
+            Some(_) => return Err(invalid("recovery")),
         };
         Ok(Endpoint {
             id,
@@ -164,28 +166,28 @@
     }
 }
 
-/// A count, which JSON may write as any number; 0 when absent.
+/// Converts a JSON number to a count, 0 if absent; `None` if it is negative or not finite. A fraction is cut off.
 fn parse_count(value: Option<f64>) -> Option<u64> {
     let value = value.unwrap_or(0.0);
     (value.is_finite() && value >= 0.0).then_some(value as u64)
 }
 
-/// The numbers by which the decisions know members, kinds and zones; the same over all lists.
+/// Maps the names of members, kinds and zones to the ids of the decision logic. An id stays the same across lists.
 #[derive(Default)]
 pub struct IdentifierTable {
     members: settings::NameInterner,
     kinds: settings::NameInterner,
-    /// The zones, also those of the settings.
+    /// The zones of the lists and of the settings.
     pub zones: settings::NameInterner,
 }
 
 impl IdentifierTable {
-    /// Forgets the members for which `keep` is false. Their numbers are not used again.
+    /// Removes the members for which `keep` is false. Their ids are not reused.
     pub fn retain(&mut self, keep: impl Fn(MemberId) -> bool) {
         self.members.retain(|number| keep(MemberId(number as u32)));
     }
 
-    /// The entry for the decisions, and the member's address.
+    /// Converts an entry for the decision logic; returns it with the member's address.
     pub fn entry(&mut self, endpoint: Endpoint) -> (ListEntry, SocketAddr) {
         let entry = ListEntry {
             member: MemberId(self.members.intern(&endpoint.id) as u32),
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,8 +1,8 @@
-//! Discovery: the service, or the agent on this machine, that lists the members.
+//! Client of discovery: the service, or the agent on this machine, that publishes the endpoint list.
 //!
-//! [`client`] keeps one watch open, [`watch`] reads it, [`http`] cuts its answer into lines, [`list`] decodes them,
-//! and [`status`] knows their age. Nothing here chooses a member or decides when an asked service is called: the
-//! decisions get a [`list::ListEvent`] for each list and each call.
+//! [`client`] keeps one watch open, [`watch`] reads it, [`http`] splits the response into lines, [`list`] decodes
+//! them, and [`status`] tracks the age of the list. This module neither selects members nor schedules calls to a
+//! shared service; it sends a [`list::ListEvent`] to the driver for each list and each call.
 
 pub mod client;
 pub mod http;
--- a/src/discovery/status.rs
+++ b/src/discovery/status.rs
@@ -1,5 +1,5 @@
-//! When discovery last sent something, and which list is in use: carries out [`StalenessMonitor`] with a
-//! clock and the log. Decides nothing, and never touches a connection.
+//! Tracks when discovery last sent a message and which list is in use. Runs [`StalenessMonitor`] with a clock and
+//! writes its notices to the log.
 
 use crate::api::{Micros, Time};
 use crate::clock::Clock;
@@ -10,10 +10,10 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often the silence is checked.
-const CHECK_EVERY: Duration = Duration::from_secs(1);
+/// How often the time since the last message is checked.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The version of the list in use, and the time since the last message.
+/// The version of the list in use, its age, and the time since the last message.
 pub struct DiscoveryStatus {
     list_version: Cell<u64>,
     monitor: RefCell<StalenessMonitor>,
@@ -22,7 +22,8 @@
 }
 
 impl DiscoveryStatus {
-    /// Nothing has arrived yet; `saved_version` is that of a saved list, or 0. What arrives renews the lease of `guard`.
+    /// Creates the status before the first message. `saved_version` is the version of the saved list, or 0 without one.
+    /// Messages and ends of calls update the list lease in `guard`.
     pub fn new(saved_version: u64, clock: Clock, guard: SendGuard) -> DiscoveryStatus {
         let monitor = RefCell::new(StalenessMonitor::new(clock.now()));
         DiscoveryStatus { list_version: Cell::new(saved_version), monitor, clock, guard }
@@ -38,19 +39,20 @@
         self.list_version.get()
     }
 
-    /// Discovery sent a message, possibly only that nothing is new.
+    /// Records a message from discovery, including one that reports no change.
     pub fn record_message(&self) {
         let notice = self.monitor.borrow_mut().record_message(self.clock.now());
-        self.log(notice);
+        self.log_notice(notice);
     }
 
-    /// The message could be read: the list in use, or the one that it brings, is what discovery has.
-    pub fn record_confirmed(&self) {
+    /// Records that a message was decoded, which confirms the list in use or the one that the message carries.
+    pub fn record_list_confirmed(&self) {
         self.guard.record_list_confirmed();
     }
 
-    /// A call that began at `began` ended, or the watch that it became, for silence or another reason.
-    pub fn record_end(&self, began: Time, was_silent: bool) {
+    /// Records the end of the call that began at `began`. If a message was received since then, a watch has ended,
+    /// otherwise the call has failed. `was_silent` is set if it ended because no message was received in time.
+    pub fn record_call_end(&self, began: Time, was_silent: bool) {
         let since_began = self.clock.now().0.saturating_sub(began.0);
         if self.silence().0 < since_began {
             self.guard.record_watch_ended(was_silent);
@@ -59,7 +61,7 @@
         }
     }
 
-    /// A list of this version came into use.
+    /// Records that the list with this version came into use.
     pub fn record_list(&self, version: u64) {
         self.list_version.set(version);
         self.monitor.borrow_mut().record_list(self.clock.now());
@@ -75,16 +77,16 @@
         self.monitor.borrow().list_age(self.clock.now())
     }
 
-    /// Logs silences and their ends, for as long as the program runs.
+    /// Logs when no message has been received for a while. Runs for the lifetime of the process.
     pub async fn log_silence(&self) {
         loop {
-            sleep(CHECK_EVERY).await;
+            sleep(SILENCE_CHECK_INTERVAL).await;
             let notice = self.monitor.borrow_mut().check_silence(self.clock.now());
-            self.log(notice);
+            self.log_notice(notice);
         }
     }
 
-    fn log(&self, notice: Option<Notice>) {
+    fn log_notice(&self, notice: Option<Notice>) {
         let version = self.list_version();
         match notice {
             Some(Notice::Silent(silence)) => warn!(
@@ -92,14 +94,14 @@
                 seconds(silence)
             ),
             Some(Notice::Resumed(silence)) => {
-                info!("discovery: heard again after {:.1} s", seconds(silence));
+                info!("discovery: message received again after {:.1} s", seconds(silence));
             }
             None => {}
         }
     }
 }
 
-/// A length of time in seconds, as figures and log lines give it.
+/// Converts a duration to seconds, for metrics and log lines.
 pub fn seconds(span: Micros) -> f64 {
     span.0 as f64 / 1e6
 }
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -1,6 +1,6 @@
-//! One watch: a call over HTTP/1.1 whose answer is a list, then a line for each change, and an empty line every 2 s
-//! where there is none. It must never let an older list replace a newer one, and never go on after a list that it
-//! could not read, since later changes build on it.
+//! One watch: an HTTP/1.1 call whose response is a list, then one line per change, and an empty line every 2 s
+//! while nothing changes. An older list must never replace a newer one, and a watch must end at a list that can't be
+//! decoded, since later changes build on it.
 
 use crate::api::Discovery;
 use crate::close_reason::CloseReason;
@@ -21,22 +21,22 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::FramedRead;
 
-/// The longest time in which a connection comes up and the call is written.
+/// Time limit for connecting and writing the request.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The longest silence of a watch: a living one sends at least an empty line every 2 s.
+/// A watch without a message for this long has failed: a working one sends at least an empty line every 2 s.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest time until the first message, where one service answers the calls of all proxies in turn. The watch may
-/// have fallen silent right after the call, and what it misses then counts as notified 6 s later. A call that is given
-/// up still costs its turn, so the limit is well above the 2 s after which services reject a call that waits; it ends
-/// before the lease of a saved list does, so that a first call that hangs leaves no gap.
+/// Time limit for the first message from a service that answers the calls of all proxies in turn. Bounded above by the
+/// 6 s after which a change counts as notified, since a watch may hang from the start and miss one, and by the lease of
+/// a saved list, so that the lease does not expire during a first call that hangs. Well above the 2 s after which
+/// services reject a queued call, since an abandoned call still takes its turn at the service.
 const SERVICE_TIMEOUT: Duration = Duration::from_millis(2_750);
-/// The longest time until the first message of an agent on this machine, which answers at once: three watches that
-/// fall silent one after the other leave a part of the 6 s.
+/// Time limit for the first message from the agent on this machine, which answers at once. Three consecutive watches
+/// may time out within the 6 s after which a change counts as notified.
 const AGENT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The status of an answer that is a watch.
+/// The only HTTP status of a response that is a watch.
 const STATUS_OK: u16 = 200;
 
-/// The longest time until the first message of a watch.
+/// Time limit for the first message of a watch, from the start of the call.
 pub fn first_message_timeout(discovery: Discovery) -> Duration {
     match discovery {
         Discovery::OnRequest => SERVICE_TIMEOUT,
@@ -44,24 +44,24 @@
     }
 }
 
-/// Calls discovery and reads the watch until it ends; returns why it did. The first message must arrive within
-/// `first_message_timeout` of the start of the call.
+/// Calls discovery and reads the watch to its end; returns the reason. `first_message_timeout` counts from the start
+/// of the call.
 pub(super) async fn open_watch(
     address: SocketAddr, status: &DiscoveryStatus, inbox: &mpsc::UnboundedSender<DriverInput>,
     first_message_timeout: Duration,
 ) -> CloseReason {
-    let first_message_by = Instant::now() + first_message_timeout;
-    let stream = match timeout(CONNECT_TIMEOUT, call(address, status.list_version())).await {
+    let first_message_deadline = Instant::now() + first_message_timeout;
+    let stream = match timeout(CONNECT_TIMEOUT, send_request(address, status.list_version())).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(_)) => return CloseReason::Refused,
         Err(_) => return CloseReason::ConnectTimeout,
     };
-    let time_left = first_message_by.saturating_duration_since(Instant::now());
+    let time_left = first_message_deadline.saturating_duration_since(Instant::now());
     read_watch(stream, status, inbox, time_left).await
 }
 
-/// Connects and asks for the changes since a list version.
-async fn call(address: SocketAddr, list_version: u64) -> io::Result<TcpStream> {
+/// Connects and requests the changes since `list_version`.
+async fn send_request(address: SocketAddr, list_version: u64) -> io::Result<TcpStream> {
     let request =
         format!("GET /v1/endpoints?watch=1&from={list_version} HTTP/1.1\r\nHost: {address}\r\n\r\n");
     let mut stream = TcpStream::connect(address).await?;
@@ -70,7 +70,7 @@
     Ok(stream)
 }
 
-/// Reads a watch until it ends; returns why it did. Lists go to `inbox`, and `status` records each message. The
+/// Reads a watch to its end; returns the reason. Lists are sent to `inbox`, and `status` records each message. The
 /// first message must arrive within `first_message_timeout`.
 pub async fn read_watch(
     stream: impl AsyncRead + Unpin, status: &DiscoveryStatus, inbox: &mpsc::UnboundedSender<DriverInput>,
@@ -85,16 +85,16 @@
         };
         message_timeout = SILENCE_TIMEOUT;
         let line = match part {
-            // Where there is no change to report, an empty line follows.
+            // The first line of the body follows: a list, or an empty line if nothing has changed.
             Some(Ok(ResponsePart::Status(STATUS_OK))) => continue,
             Some(Ok(ResponsePart::Status(code))) => {
-                warn!("discovery answered {code}");
+                warn!("discovery: response has HTTP status {code}, expected {STATUS_OK}");
                 return CloseReason::Status;
             }
             Some(Ok(ResponsePart::Line(line))) => line,
             Some(Ok(ResponsePart::End)) | None => return CloseReason::WatchEnded,
-            Some(Err(problem)) => {
-                warn!("discovery: {problem}");
+            Some(Err(error)) => {
+                warn!("discovery: {error}");
                 return CloseReason::Protocol;
             }
         };
@@ -104,7 +104,7 @@
     }
 }
 
-/// What a watch has brought so far, and where it goes.
+/// Handles the lines of one watch.
 struct WatchReader<'a> {
     status: &'a DiscoveryStatus,
     inbox: &'a mpsc::UnboundedSender<DriverInput>,
@@ -113,7 +113,7 @@
 }
 
 impl WatchReader<'_> {
-    /// Handles one line of the watch. An error ends the watch for that reason.
+    /// Handles one line. An error ends the watch for that reason.
     fn handle_line(&mut self, line: &[u8]) -> Result<(), CloseReason> {
         self.status.record_message();
         let is_first_line = !std::mem::replace(&mut self.has_received_line, true);
@@ -121,23 +121,26 @@
         if !is_blank {
             return self.handle_list(line);
         }
-        self.status.record_confirmed();
-        // The call has succeeded, also without a list.
+        self.status.record_list_confirmed();
+        // A first line without a list still means that the call succeeded.
         if is_first_line { self.send(ListEvent::Unchanged) } else { Ok(()) }
     }
 
     fn handle_list(&mut self, line: &[u8]) -> Result<(), CloseReason> {
-        // The list in use is still the best there is. But this watch does not repeat what the line said, and its
-        // later changes build on it: a new watch begins from the version in use.
-        let DecodedList { list, skipped } = list::decode(line).map_err(|problem| {
-            warn!("discovery: a list was not taken: {problem}");
+        // The list in use stays valid, but this watch does not resend the line, and later changes build on it. The
+        // next watch starts from the version in use.
+        let DecodedList { list, skipped } = list::decode(line).map_err(|error| {
+            warn!("discovery: the watch is closed, list can't be decoded: {error}");
             CloseReason::Protocol
         })?;
-        self.status.record_confirmed();
+        self.status.record_list_confirmed();
         log_skipped(&skipped);
         if self.is_outdated(&list) {
             let version_in_use = self.status.list_version();
-            warn!("discovery: version {} was not taken after version {version_in_use}", list.version);
+            warn!(
+                "discovery: list version {} ignored, newer version {version_in_use} is in use",
+                list.version
+            );
             return Ok(());
         }
         self.has_accepted_list = true;
@@ -145,8 +148,8 @@
         self.send(ListEvent::Received(list))
     }
 
-    /// Whether a list would undo newer changes, a drain among them. A full list at the beginning of a watch counts
-    /// whatever its version: the service may have begun anew.
+    /// Whether a list is older than the one in use and would undo later changes, such as a drain. A full list at the
+    /// start of a watch is accepted at any version, since the service may have restarted its version numbers.
     fn is_outdated(&self, list: &EndpointList) -> bool {
         let may_restart = list.is_full && !self.has_accepted_list;
         list.version < self.status.list_version() && !may_restart
@@ -157,9 +160,9 @@
     }
 }
 
-/// Logs one line for all entries of a list that can't be read: there may be thousands.
+/// Logs one line for all entries of a list that can't be decoded, since there may be thousands.
 fn log_skipped(skipped: &[FormError]) {
-    if let Some(problem) = skipped.first() {
-        warn!("discovery: {} entries were not taken, the first: {problem}", skipped.len());
+    if let Some(error) = skipped.first() {
+        warn!("discovery: {} invalid list entries skipped, the first: {error}", skipped.len());
     }
 }
