--- a/src/clients/connection_gate.rs
+++ b/src/clients/connection_gate.rs
@@ -1,5 +1,5 @@
-//! Carries out what [`ConnectionAdmission`] decides: asks connections to close, and fires its timer. Decides
-//! nothing, and touches no socket.
+//! Drives [`ConnectionAdmission`]: passes it events with the time, signals connections to close, and runs its timer. It
+//! does not access sockets.
 
 use crate::api::{Micros, Time};
 use crate::clock::Clock;
@@ -13,24 +13,23 @@
 /// How a new connection is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionMode {
-    /// Its queries are served.
+    /// Serve its requests.
     Serve,
-    /// Its first query is rejected, with this time after which to retry, and it ends.
+    /// Reject its first request with this time after which to retry, then close it.
     Reject(Micros),
 }
 
-/// The admission of connections with its clock, and a signal to each connection.
+/// Admits client connections and signals them to close.
 pub struct ConnectionGate {
     admission: RefCell<ConnectionAdmission>,
     clock: Clock,
-    /// For each admitted connection, what tells it to close.
+    /// The signal that asks an admitted connection to close.
     close_signals: RefCell<BTreeMap<ConnectionId, Rc<Notify>>>,
     next_id: Cell<u64>,
     timer: watch::Sender<Option<Time>>,
 }
 
-/// An admitted connection. Dropping it gives its slot back, so it must live as long as the connection's
-/// descriptor.
+/// An admitted connection. Dropping it releases its slot, so it must live as long as the connection's descriptor.
 pub struct AdmittedConnection {
     gate: Rc<ConnectionGate>,
     id: ConnectionId,
@@ -46,34 +45,34 @@
 }
 
 impl AdmittedConnection {
-    /// How it was admitted.
+    /// How the connection was admitted.
     pub fn mode(&self) -> AdmissionMode {
         self.mode
     }
 
-    /// It has sent its startup message.
+    /// Records that the startup message was received.
     pub fn mark_started(&self) {
         self.gate.handle(Event::Started(self.id));
     }
 
-    /// A request of it is open.
+    /// Records that a request of the connection is open.
     pub fn mark_busy(&self) {
         self.gate.handle(Event::RequestOpened(self.id));
     }
 
-    /// No request of it is open any more.
+    /// Records that no request of the connection is open.
     pub fn mark_idle(&self) {
         self.gate.handle(Event::RequestsFinished(self.id));
     }
 
-    /// Returns once the connection was asked to close. A request that is already open is still answered.
+    /// Waits until the connection is asked to close. A request that is already open must still be answered.
     pub async fn close_requested(&self) {
         self.close_signal.notified().await;
     }
 }
 
 impl ConnectionGate {
-    /// A gate with these limits.
+    /// Creates a gate that applies `limits`.
     pub fn new(limits: AdmissionLimits, clock: Clock) -> Rc<ConnectionGate> {
         let (timer, _) = watch::channel(None);
         Rc::new(ConnectionGate {
@@ -85,7 +84,7 @@
         })
     }
 
-    /// Admits a new connection; `None` if it has to be closed at once.
+    /// Admits a new connection; `None` if it must be closed at once.
     pub fn admit(self: &Rc<ConnectionGate>) -> Option<AdmittedConnection> {
         let id = ConnectionId(self.next_id.get());
         self.next_id.set(id.0 + 1);
@@ -100,8 +99,7 @@
         self.admission.borrow().has_closing()
     }
 
-    /// Hands an event to the admission and carries out its actions. Returns the mode of a connection that it
-    /// admitted.
+    /// Passes an event to the admission and performs the resulting actions. Returns the mode if a connection was admitted.
     fn handle(&self, event: Event) -> Option<AdmissionMode> {
         let mut actions = Vec::new();
         self.admission.borrow_mut().handle(self.clock.now(), event, &mut actions);
@@ -126,7 +124,7 @@
         }
     }
 
-    /// Fires the admission's timer, for as long as the program runs.
+    /// Runs the timer of the admission for the lifetime of the process.
     pub async fn run(self: Rc<ConnectionGate>) {
         let mut timer = self.timer.subscribe();
         loop {
--- a/src/clients/lifecycle_driver.rs
+++ b/src/clients/lifecycle_driver.rs
@@ -1,5 +1,5 @@
-//! How far a drain or a stop has come, for the listener, its sessions and the operators' calls alike: carries
-//! out [`Lifecycle`] with a clock. Decides nothing.
+//! Drives [`Lifecycle`] with a clock, and publishes the progress of a drain or a stop to the listener, its sessions and
+//! operators' calls.
 
 use crate::clock::Clock;
 use crate::lifecycle::{Event, Lifecycle, ServingState, Stopping};
@@ -8,22 +8,22 @@
 use tokio::sync::watch;
 use tokio::time::sleep_until;
 
-/// The state of this process, with its clock.
+/// The lifecycle of this process, with its clock.
 pub struct LifecycleDriver {
     lifecycle: RefCell<Lifecycle>,
     clock: Clock,
     state: watch::Sender<ServingState>,
-    /// Wakes [`LifecycleDriver::run`] after each event, since the time of the next change may be another one.
+    /// Wakes [`LifecycleDriver::run`] after each event, which may move the time of the next change.
     rescheduled: watch::Sender<()>,
 }
 
 impl LifecycleDriver {
-    /// The process serves.
+    /// Creates the driver of a process that serves.
     pub fn new(clock: Clock) -> Rc<LifecycleDriver> {
         LifecycleDriver::with(Lifecycle::default(), clock)
     }
 
-    /// The process has just started, with a list that nobody has confirmed yet.
+    /// Creates the driver of a process that has just started, with a list that discovery has not confirmed yet.
     pub fn starting(clock: Clock) -> Rc<LifecycleDriver> {
         LifecycleDriver::with(Lifecycle::starting(clock.now()), clock)
     }
@@ -34,7 +34,10 @@
         Rc::new(LifecycleDriver { lifecycle: RefCell::new(lifecycle), clock, state, rescheduled })
     }
 
-    /// Handles an event, and publishes what it changes.
+    /// Handles an event and publishes the new state.
+    ///
+    /// # Errors
+    /// The process is stopping, so that operators can no longer change its state.
     pub fn handle(&self, event: Event) -> Result<(), Stopping> {
         self.lifecycle.borrow_mut().handle(self.clock.now(), event)?;
         self.publish();
@@ -42,7 +45,7 @@
         Ok(())
     }
 
-    /// Whether the process serves: it is neither draining, nor standing by, nor stopping.
+    /// Whether the process serves, and neither drains, stands by nor stops.
     pub fn is_serving(&self) -> bool {
         self.lifecycle.borrow().is_serving()
     }
@@ -52,12 +55,12 @@
         self.lifecycle.borrow().is_stopping()
     }
 
-    /// How clients are treated, now and after each change.
+    /// Subscribes to the state that governs how clients are treated.
     pub fn subscribe(&self) -> watch::Receiver<ServingState> {
         self.state.subscribe()
     }
 
-    /// Publishes what changes with time, for as long as the program runs.
+    /// Publishes state changes that come with time. Runs for the lifetime of the process.
     pub async fn run(self: Rc<LifecycleDriver>) {
         let mut rescheduled = self.rescheduled.subscribe();
         loop {
--- a/src/clients/listener.rs
+++ b/src/clients/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of clients, within the limit on descriptors, and runs a session for each.
+//! Accepts client connections within the limit on descriptors, and runs a session for each.
 
 use super::connection_gate::{AdmittedConnection, ConnectionGate};
 use super::request_gateway::RequestGateway;
@@ -16,33 +16,33 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// A pause after an accept that failed for want of something: descriptors come back as connections end.
+/// Pause after an accept that failed for lack of a resource: descriptors are freed as connections end.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// So many failed accepts in a row, whatever their cause, are followed by a pause: the loop must not spin.
-const MAX_ERRORS_IN_ROW: u32 = 64;
-/// Failed accepts are logged at most this often.
+/// After this many consecutive failed accepts of any cause, the listener pauses, so that the loop does not spin.
+const MAX_CONSECUTIVE_ERRORS: u32 = 64;
+/// Shortest interval between log lines about failed accepts.
 const ACCEPT_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Accepts that failed. One client's broken connection must not keep the others waiting.
+/// Tracks failed accepts. A broken connection of one client must not delay the others.
 #[derive(Default)]
 struct AcceptErrors {
-    in_row: u32,
+    consecutive: u32,
     logged_at: Option<Instant>,
-    /// Errors since the last line.
+    /// Errors since the last log line.
     unlogged: u32,
 }
 
 impl AcceptErrors {
-    /// Logs an error, and pauses where the next accept would fail as well.
-    async fn handle(&mut self, problem: &io::Error) {
-        self.in_row += 1;
+    /// Logs an error, and pauses if the next accept would probably fail as well.
+    async fn handle(&mut self, error: &io::Error) {
+        self.consecutive += 1;
         self.unlogged += 1;
         if self.logged_at.is_none_or(|at| at.elapsed() >= ACCEPT_LOG_INTERVAL) {
-            warn!("accept: {problem}, {} since the last line", self.unlogged);
+            warn!("accept failed: {error}, {} errors since the last log line", self.unlogged);
             self.logged_at = Some(Instant::now());
             self.unlogged = 0;
         }
-        if concerns_one_connection(problem) && self.in_row < MAX_ERRORS_IN_ROW {
+        if is_connection_error(error) && self.consecutive < MAX_CONSECUTIVE_ERRORS {
             tokio::task::yield_now().await;
         } else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -50,12 +50,12 @@
     }
 }
 
-/// Whether an accept failed for the connection that it was to return, and not for want of descriptors or memory. Linux
-/// hands such a connection's pending network errors to its accept.
-fn concerns_one_connection(problem: &io::Error) -> bool {
+/// Whether an accept failed because of the connection that it would have returned, and not for lack of descriptors or
+/// memory. Linux reports pending network errors of a new connection as errors of the accept.
+fn is_connection_error(error: &io::Error) -> bool {
     use io::ErrorKind as Kind;
     matches!(
-        problem.kind(),
+        error.kind(),
         Kind::ConnectionAborted
             | Kind::ConnectionReset
             | Kind::Interrupted
@@ -66,42 +66,42 @@
     )
 }
 
-/// Accepts connections and serves each, until no more are accepted; then waits for the sessions to end.
+/// Accepts and serves connections until the process no longer accepts any, then waits for the sessions to end.
 pub async fn run(
     listener: TcpListener, gateway: Rc<RequestGateway>, connection_gate: Rc<ConnectionGate>,
     mut serving_state: watch::Receiver<ServingState>, counters: Rc<Counters>,
 ) {
     let mut sessions = JoinSet::new();
-    let mut has_looked_again = false;
+    let mut has_polled_again = false;
     let mut accept_errors = AcceptErrors::default();
     loop {
         let accepted = tokio::select! {
             biased;
-            // Connections that wait to be accepted may hold requests: they come before the end.
+            // Pending connections may hold requests, so they are accepted before the listener closes.
             accepted = listener.accept() => accepted,
             Some(_) = sessions.join_next() => continue,
             _ = serving_state.wait_for(|state| !state.accepts_connections) => {
-                if has_looked_again {
+                if has_polled_again {
                     break;
                 }
-                // The runtime does not know yet of connections that arrived since it last waited: one more look.
-                has_looked_again = true;
+                // The runtime has not been notified of connections that arrived since it last polled: accept once more.
+                has_polled_again = true;
                 tokio::task::yield_now().await;
                 continue;
             }
         };
         let (stream, peer) = match accepted {
             Ok(accepted) => accepted,
-            Err(problem) => {
-                accept_errors.handle(&problem).await;
+            Err(error) => {
+                accept_errors.handle(&error).await;
                 continue;
             }
         };
         counters.clients.add();
-        accept_errors.in_row = 0;
+        accept_errors.consecutive = 0;
         let Some(connection) = admit(&connection_gate).await else {
-            // Nothing is written: a reply that the client's unread request cuts off would make that request lost, while
-            // a connection that ends in silence lets the client send it anew.
+            // The connection is closed without a reply: unread input would reset it and could cut the reply off, and the
+            // client's request would count as lost. A client whose connection closes without a reply can send it again.
             record_end(&counters, peer, CloseReason::EdgeFull);
             continue;
         };
@@ -118,11 +118,11 @@
     while sessions.join_next().await.is_some() {}
 }
 
-/// Admits a connection; `None` if it must end in silence.
+/// Admits a connection; `None` if it must be closed without a reply.
 async fn admit(connection_gate: &Rc<ConnectionGate>) -> Option<AdmittedConnection> {
     let admitted = connection_gate.admit();
     if connection_gate.has_closing() {
-        // A connection that was asked to close gives its descriptor back when its task runs.
+        // A connection that was asked to close releases its descriptor when its task runs.
         tokio::task::yield_now().await;
     }
     admitted
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! The downstream side: connections of clients, from accepting them to their last answer.
+//! The downstream side: client connections, from their accept to the last answer.
 
 pub mod connection_gate;
 pub mod lifecycle_driver;
--- a/src/clients/pipeline.rs
+++ b/src/clients/pipeline.rs
@@ -1,5 +1,5 @@
-//! What one client has sent ahead of the answer it is waiting for: requests that run side by side, and the order in
-//! which they are answered. Bounded; reads and writes nothing itself.
+//! The messages that a client has sent while an earlier request is being answered. Their requests run concurrently and
+//! are answered in order. Bounded; does no I/O.
 
 use super::request_gateway::{OpenRequest, PendingRequest};
 use crate::api::Micros;
@@ -8,49 +8,51 @@
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// Messages of one connection that wait for their turn behind the request that is answered. Beyond this its input stays
-/// unread until an answer has been written, so that one client takes neither the memory nor the members from others.
+/// Largest number of messages of one connection that wait behind the request that is being answered. Further input stays
+/// unread until an answer has been written, so that one client can't use up the memory or the members.
 pub const MAX_MESSAGES: usize = 16;
 
-/// A message from the client, decoded when it came.
+/// A message from the client, decoded on arrival.
 pub enum ClientMessage {
     /// A request.
     Request(Box<PipelinedRequest>),
-    /// A statement that is no request, with its error.
+    /// A statement that is not a valid request, with its error.
     Malformed(Reply),
-    /// A request on a connection that is refused, with the time after which to retry, and its class.
+    /// A request on a connection in [`AdmissionMode::Reject`](super::connection_gate::AdmissionMode), with the time after
+    /// which to retry and the class of the request.
     ConnectionRefused(Micros, Option<String>),
     /// An empty query.
     Empty,
-    /// The extended protocol, which is not spoken here.
+    /// A message of the extended query protocol, which is not supported.
     Extended,
-    /// The end of a batch of extended messages.
+    /// The end of a batch of extended-protocol messages.
     Sync,
     /// The client ends the session.
     Terminate,
-    /// A message without an answer of its own.
+    /// A message that is not answered.
     Ignored,
 }
 
-/// A request: its id is open, and it holds the memory of its message.
+/// A request whose id is open, and which holds the memory of its message.
 pub struct PipelinedRequest {
-    /// Which other requests it must not run beside.
+    /// Determines which other requests it must not run concurrently with.
     pub order: RequestOrder,
-    /// Whether it runs already.
+    /// Whether it was submitted.
     pub state: RequestState,
     /// The memory of its message.
     pub memory: MessageMemory,
 }
 
-/// How far a request has come.
+/// The state of a request in the pipeline.
 pub enum RequestState {
-    /// Submitted, or answered at the edge.
+    /// Submitted, or rejected by the gateway with a final answer.
     Submitted(Result<PendingRequest, FinalResponse>),
-    /// It waits for the requests that it must not run beside, since the given moment.
+    /// Waits for earlier requests that it must not run concurrently with; carries the time of its arrival.
     Blocked(OpenRequest, Instant),
 }
 
-/// What decides the order of a request on its connection: its key, and whether it writes.
+/// Determines the order of requests on a connection: two requests with the same key, of which one writes, must not run
+/// concurrently.
 #[derive(Default)]
 pub struct RequestOrder {
     /// The key, if the request names one.
@@ -60,37 +62,37 @@
 }
 
 impl RequestOrder {
-    /// Whether this request must not run beside `earlier`: one of the two writes to the key of both.
+    /// Whether this request must not run concurrently with `earlier`.
     fn depends_on(&self, earlier: &RequestOrder) -> bool {
         self.key.is_some() && self.key == earlier.key && (self.writes || earlier.writes)
     }
 }
 
-/// The messages behind the request that is answered now.
+/// The messages behind the request that is being answered.
 #[derive(Default)]
 pub struct Pipeline {
     messages: VecDeque<ClientMessage>,
-    /// The request that is answered now.
+    /// The order of the request that is being answered.
     current: RequestOrder,
 }
 
 impl Pipeline {
-    /// Whether no message waits.
+    /// Whether no message is waiting.
     pub fn is_empty(&self) -> bool {
         self.messages.is_empty()
     }
 
-    /// Whether a request waits that was accepted.
+    /// Whether an accepted request is waiting.
     pub fn has_requests(&self) -> bool {
         self.messages.iter().any(|message| matches!(message, ClientMessage::Request(_)))
     }
 
-    /// Whether no further message may be read now.
+    /// Whether no further message may be read.
     pub fn is_full(&self) -> bool {
         self.messages.len() >= MAX_MESSAGES
     }
 
-    /// Whether a request must wait for one that came before it.
+    /// Whether a request with this order must wait for an earlier one.
     pub fn blocks(&self, order: &RequestOrder) -> bool {
         let depends = |message: &ClientMessage| match message {
             ClientMessage::Request(request) => order.depends_on(&request.order),
@@ -99,23 +101,23 @@
         order.depends_on(&self.current) || self.messages.iter().any(depends)
     }
 
-    /// Adds the message that came last.
+    /// Appends the latest message.
     pub fn push(&mut self, message: ClientMessage) {
         self.messages.push_back(message);
     }
 
-    /// Takes the message that is next in turn.
+    /// Removes the next message to answer.
     pub fn pop(&mut self) -> Option<ClientMessage> {
         self.messages.pop_front()
     }
 
-    /// The request with this order is answered now.
-    pub fn begin(&mut self, order: RequestOrder) {
+    /// Records that the request with this order is being answered.
+    pub fn begin_answer(&mut self, order: RequestOrder) {
         self.current = order;
     }
 
-    /// No request is being answered any more.
-    pub fn finish(&mut self) {
+    /// Records that no request is being answered.
+    pub fn finish_answer(&mut self) {
         self.current = RequestOrder::default();
     }
 }
--- a/src/clients/request_gateway.rs
+++ b/src/clients/request_gateway.rs
@@ -1,5 +1,5 @@
-//! Where sessions submit their requests: the stages before the decisions, and the way of the answer back. Knows no
-//! protocol. Every request that it opens is counted with exactly one end.
+//! The gateway through which sessions submit requests to the driver and receive their answers. Independent of the client
+//! protocol. Each request that it opens must be counted with exactly one result.
 
 use crate::api::{ClassId, Micros, ReadLevel, RequestId};
 use crate::invariants::InvariantMonitor;
@@ -18,10 +18,10 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Time after which to retry, sent to clients that are rejected for want of memory or of room among the requests held.
+/// Time after which to retry, sent with a rejection for lack of memory or because too many requests are held.
 pub const RETRY_AFTER: Micros = Micros(250_000);
 
-/// The entry to the stages that all sessions share.
+/// Shared by all sessions.
 pub struct RequestGateway {
     intake: RequestIntake,
     admission: RequestAdmission,
@@ -30,7 +30,7 @@
     guard: SendGuard,
 }
 
-/// A request whose id is open, from its last byte to its answer.
+/// A request that was received completely and whose id is open until it is answered.
 pub struct OpenRequest {
     incoming: IncomingRequest,
     class: ClassId,
@@ -46,34 +46,34 @@
     }
 }
 
-/// A request that was submitted. Dropped before its answer, it tells the decisions that the client has left; its place
-/// among the requests held and its id are free again then, too.
+/// A submitted request. Dropping it releases its id and its slot among the requests held; if it has not been answered,
+/// the driver is notified that the client has left.
 pub struct PendingRequest {
     id: RequestId,
     answer: oneshot::Receiver<FinalResponse>,
     ticket: Option<AccountingTicket>,
     inbox: mpsc::UnboundedSender<DriverInput>,
-    _place: ResourcePermit,
+    _held_slot: ResourcePermit,
     _open_id: OpenId,
 }
 
 impl PendingRequest {
-    /// The one final answer.
+    /// Waits for the final answer.
     pub async fn answer(&mut self) -> FinalResponse {
         let answer = (&mut self.answer).await.unwrap_or(FinalResponse::Failed);
         if !matches!(answer, FinalResponse::Streaming(_)) {
-            self.end(&answer);
+            self.record_result(&answer);
         }
         answer
     }
 
-    /// Notes the end of a long answer: it was written completely, or it was cut off.
-    pub fn streamed(&mut self, is_complete: bool) {
+    /// Records the end of a streamed answer; `is_complete` is `false` if it was cut off.
+    pub fn finish_streaming(&mut self, is_complete: bool) {
         let answer = if is_complete { FinalResponse::Served(Bytes::new()) } else { FinalResponse::Failed };
-        self.end(&answer);
+        self.record_result(&answer);
     }
 
-    fn end(&mut self, answer: &FinalResponse) {
+    fn record_result(&mut self, answer: &FinalResponse) {
         if let Some(ticket) = self.ticket.take() {
             ticket.end(answer);
         }
@@ -89,8 +89,8 @@
 }
 
 impl RequestGateway {
-    /// The entry before the decisions that read `inbox`; `admission` bounds requests held and the memory of messages, and
-    /// `guard` knows when the process was held up.
+    /// Creates a gateway to the driver that receives from `inbox`. `admission` limits the requests held and the memory of
+    /// messages; `guard` reports hold-ups of the process.
     pub fn new(
         intake: RequestIntake, admission: RequestAdmission, accounting: RequestAccounting,
         inbox: mpsc::UnboundedSender<DriverInput>, guard: SendGuard,
@@ -98,7 +98,7 @@
         RequestGateway { intake, admission, accounting, inbox, guard }
     }
 
-    /// Rejects a request that was not opened. Without its class it is in no metric of a class.
+    /// Rejects a request that was not opened. Without a known class it is missing in the metrics by class.
     pub fn reject_unopened(
         &self, cause: RejectionCause, retry_after: Micros, class: Option<&str>,
     ) -> FinalResponse {
@@ -111,7 +111,7 @@
         answer
     }
 
-    /// Counts a statement that could not be read, or that is answered as failed before it became a request.
+    /// Counts a statement that can't be decoded, or that fails before it becomes a request.
     pub fn count_malformed(&self, class: Option<&str>) {
         self.accounting.record_malformed();
         if let Some(class) = class.and_then(|class| self.intake.class_named(class)) {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Since when the process was held up, while it catches up.
+    /// The start of the last hold-up of the process while it is catching up; `None` otherwise.
     pub fn held_up_since(&self) -> Option<Instant> {
         self.guard.held_up_since()
     }
@@ -129,28 +129,28 @@
         self.guard.is_ready()
     }
 
-    /// What counts violated invariants.
+    /// The monitor that counts violated invariants.
     pub fn invariants(&self) -> Rc<InvariantMonitor> {
         self.accounting.invariants()
     }
 
-    /// Requests held now.
+    /// Number of requests held.
     pub fn held_requests(&self) -> usize {
         self.admission.held_requests()
     }
 
-    /// The memory that clients' messages share, in bytes.
+    /// The limit on the memory of ordinary client messages, in bytes.
     pub fn message_memory(&self) -> ResourceLimit {
         self.admission.message_memory()
     }
 
-    /// The memory that long messages share, and the permits for one of `length` bytes. Granted in the order of asking;
-    /// none for a length that could never be granted.
+    /// The semaphore for the memory of long messages, and the number of permits for a message of `length` bytes. Permits
+    /// are granted in the order of the requests for them; `None` for a length beyond the total.
     pub fn long_message_memory(&self, length: usize) -> Option<(Arc<Semaphore>, u32)> {
         self.admission.long_message_memory(length)
     }
 
-    /// Opens a request when it comes: nothing else may run under its id until its end.
+    /// Opens a request on arrival. No other request may use its id until it is answered.
     ///
     /// # Errors
     /// The class is unknown, or a request with this id is open.
@@ -162,7 +162,7 @@
         Ok(OpenRequest { incoming, class, writes, id, ticket })
     }
 
-    /// Rejects a request before the decisions see it; the answer tells its client when to retry.
+    /// Rejects an open request before it is submitted. The answer carries the time after which to retry.
     pub fn reject(&self, request: OpenRequest, cause: RejectionCause) -> FinalResponse {
         self.reject_ticket(request.ticket, cause)
     }
@@ -174,35 +174,35 @@
         answer
     }
 
-    /// Submits a request whose client has waited so long already.
+    /// Submits a request. `waited` is the time since its arrival, by which its timeout is reduced.
     ///
     /// # Errors
-    /// The final answer, where the request is rejected before the decisions see it.
+    /// The final answer, if the request is rejected without being submitted.
     pub fn submit(&self, request: OpenRequest, waited: Duration) -> Result<PendingRequest, FinalResponse> {
         let OpenRequest { mut incoming, class, id: open_id, ticket, .. } = request;
         let waited_ms = u64::try_from(waited.as_millis()).unwrap_or(u64::MAX);
         incoming.timeout_ms = incoming.timeout_ms.saturating_sub(waited_ms);
         let request = self.intake.build_request(&incoming, class);
-        let place = match self.admission.admit() {
-            Ok(place) => place,
+        let held_slot = match self.admission.admit() {
+            Ok(held_slot) => held_slot,
             Err(cause) => return Err(self.reject_ticket(ticket, cause)),
         };
         let (reply, answer) = oneshot::channel();
         let deadline = Instant::now() + Duration::from_micros(request.time_left.0);
         let id = request.id;
         debug!(
-            "request {id} is the client's {}, class {}, waits {} ms",
+            "request {id}: client id {}, class {}, timeout {} ms",
             incoming.id, class.0, incoming.timeout_ms
         );
         let accepted = AcceptedRequest { request, payload: incoming.payload, deadline, reply };
-        // Without a driver the channel is closed, and the answer is that it failed.
+        // If the driver is gone, the reply channel is closed, and the request is answered as failed.
         let _ = self.inbox.send(DriverInput::RequestAccepted(Box::new(accepted)));
         Ok(PendingRequest {
             id,
             answer,
             ticket: Some(ticket),
             inbox: self.inbox.clone(),
-            _place: place,
+            _held_slot: held_slot,
             _open_id: open_id,
         })
     }
--- a/src/clients/session/input.rs
+++ b/src/clients/session/input.rs
@@ -1,5 +1,5 @@
-//! Reads messages, within limits of time and memory: a message that has begun must end, and a long one is read only once
-//! memory for it is reserved.
+//! Reads messages within limits of time and memory: a message must be complete in time after its first byte, and a long
+//! one is read only once memory for it is reserved.
 
 use super::progress::{InputProgress, MESSAGE_TIMEOUT};
 use super::replies;
@@ -19,39 +19,41 @@
 use tokio::time::{Instant, sleep_until, timeout};
 use tokio_util::codec::Framed;
 
-/// During a drain or a stop, a client that was just accepted is given so long for its first message: it connected to send
-/// one. The last are accepted 0.45 s after a stop began, and what comes over 0.7 s after it may not be answered in time
-/// (the platform's figure).
+/// During a drain or a stop, a new client has this long from its accept to send its first message. The last connections
+/// are accepted 0.45 s after a stop began, and the platform does not guarantee time to answer requests that arrive more
+/// than 0.7 s after it.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Asked to close while a message comes in, a connection is kept so long: what is cut off in the middle is lost.
+/// A connection that is asked to close in the middle of a message stays open this long, since closing it would lose the
+/// message.
 const CLOSE_GRACE: Duration = Duration::from_millis(250);
-/// Memory for a long message is waited for so long: its client may have stopped, which shows only in what is read.
+/// Time limit for reserving memory for a long message. Nothing is read meanwhile, so a client that has stopped sending
+/// would not be noticed.
 const MEMORY_TIMEOUT: Duration = MESSAGE_TIMEOUT;
-/// The comment of a statement is looked for in so many bytes.
-const MAX_COMMENT: usize = 1024;
+/// Number of bytes of a message that are searched for the statement's comment.
+const MAX_COMMENT_BYTES: usize = 1024;
 
-/// What reading brought.
+/// The result of reading.
 pub(super) enum InputEvent {
-    /// A message, or why there is none; nothing at the end of the input.
+    /// A message, or the error of the input; `None` at the end of the input.
     Message(Option<Result<FrontendMessage, PgError>>),
-    /// The first bytes of a message, which is not complete.
-    Begun,
+    /// The first bytes of a message that is not complete.
+    MessageStarted,
 }
 
-/// Why the wait for the next message is over.
+/// Why the wait for the next message ended.
 enum Wakeup {
-    /// Something was read.
+    /// Input was read.
     Input(InputEvent),
-    /// The process closes idle connections, and a new client has had its time.
+    /// The process closes idle connections, and the time for a new client's first message has passed.
     Drained,
     /// The connection was asked to close.
     CloseRequested,
-    /// The message that is coming in should be complete by now.
+    /// The time limit of the message that is being received has passed.
     Overdue,
 }
 
-/// Reads until a message is there, or one has begun. `unread_since` is cleared once everything that has arrived is read,
-/// and `progress` observes each read.
+/// Reads until a message is complete or the first bytes of one have arrived. Clears `unread_since` once all input that
+/// has arrived is read; `progress` observes each read.
 pub(super) async fn next_input<S: ClientStream>(
     framed: &mut Framed<S, FrontendCodec>, unread_since: &mut Option<Instant>, progress: &mut InputProgress,
 ) -> InputEvent {
@@ -60,15 +62,15 @@
         if polled.is_pending() {
             *unread_since = None;
         }
-        // An announced message is still the one that is coming in.
-        let is_next = match &polled {
+        // A message that is only announced is still being received.
+        let took_message = match &polled {
             Poll::Ready(Some(Ok(message))) => !matches!(message, FrontendMessage::LongQueryAnnounced(_)),
             _ => false,
         };
-        let has_begun = progress.observe(Instant::now(), framed.read_buffer().len(), is_next);
+        let has_started = progress.observe(Instant::now(), framed.read_buffer().len(), took_message);
         match polled {
             Poll::Ready(message) => Poll::Ready(InputEvent::Message(message)),
-            Poll::Pending if has_begun => Poll::Ready(InputEvent::Begun),
+            Poll::Pending if has_started => Poll::Ready(InputEvent::MessageStarted),
             Poll::Pending => Poll::Pending,
         }
     })
@@ -76,60 +78,62 @@
 }
 
 impl<S: ClientStream> Session<S> {
-    /// The next message between requests; none at the end of the input. A drain, a stop or a request to make room ends
-    /// the connection here, but not in the middle of a message, and not before a new client could send its first one.
+    /// Reads the next message while no request is open; `None` at the end of the input. A drain, a stop or a request to
+    /// close ends the connection here, but a partial message has time to complete, and a new client to send its first.
     pub(super) async fn read_message(&mut self) -> Result<Option<FrontendMessage>, CloseReason> {
         match self.input_end.take() {
-            Some(InputEnd::Violation(problem)) => return Err(self.reject_input(problem).await),
+            Some(InputEnd::Violation(error)) => return Err(self.reject_input(error).await),
             Some(InputEnd::Malformed) => return Err(CloseReason::Protocol),
             None => {}
         }
         if let Some(length) = self.announced_length.take() {
             self.reserve_memory(length).await?;
         }
-        let first_message_by = match self.has_sent_message {
+        let first_message_deadline = match self.has_sent_message {
             true => Instant::now(),
             false => self.accepted_at + FIRST_MESSAGE_TIMEOUT,
         };
-        let mut close_by = None;
+        let mut close_deadline = None;
         loop {
-            match self.wait_for_input(first_message_by, close_by).await {
-                Wakeup::Input(InputEvent::Begun) => {}
+            match self.wait_for_input(first_message_deadline, close_deadline).await {
+                Wakeup::Input(InputEvent::MessageStarted) => {}
                 Wakeup::Input(InputEvent::Message(Some(Ok(FrontendMessage::LongQueryAnnounced(length))))) => {
                     self.reserve_memory(length).await?;
                 }
-                Wakeup::Input(InputEvent::Message(next)) => return self.checked(next).await,
+                Wakeup::Input(InputEvent::Message(next)) => return self.reject_on_error(next).await,
                 Wakeup::Drained => {
-                    if !self.has_begun_message().await {
+                    if !self.has_partial_message().await {
                         return Err(CloseReason::Stopping);
                     }
                 }
                 Wakeup::CloseRequested => {
                     self.close_requested = true;
-                    let close_by = *close_by.get_or_insert_with(|| Instant::now() + CLOSE_GRACE);
-                    self.close_for_room(close_by).await?;
+                    let close_deadline = *close_deadline.get_or_insert_with(|| Instant::now() + CLOSE_GRACE);
+                    self.close_for_room(close_deadline).await?;
                 }
                 Wakeup::Overdue => self.close_if_overdue().await?,
             }
         }
     }
 
-    /// Waits until something is read, or until one of the reasons to end the connection has to be examined. New clients
-    /// have until `first_message_by` in a drain; `close_by` is set once the connection was asked to close.
-    async fn wait_for_input(&mut self, first_message_by: Instant, close_by: Option<Instant>) -> Wakeup {
+    /// Waits for input, or for one of the events that may end the connection. During a drain, new clients have until
+    /// `first_message_deadline`; `close_deadline` is set once the connection was asked to close.
+    async fn wait_for_input(
+        &mut self, first_message_deadline: Instant, close_deadline: Option<Instant>,
+    ) -> Wakeup {
         let is_incomplete = !self.framed.read_buffer().is_empty();
-        let was_asked = self.close_requested;
+        let was_close_requested = self.close_requested;
         let mut serving_state = self.serving_state.clone();
         let drained = async {
             let _ = serving_state.wait_for(|state| state.closes_idle).await;
-            sleep_until(first_message_by).await;
+            sleep_until(first_message_deadline).await;
         };
-        // A message may begin or grow during the wait, so the deadline is examined again when it fires.
+        // A message may start or grow during the wait, so the time limit is checked again when the timer fires.
         let overdue = sleep_until(self.overdue_at().unwrap_or_else(Instant::now));
-        let asked_to_close = async {
-            match close_by.filter(|_| is_incomplete) {
-                Some(close_by) => sleep_until(close_by).await,
-                None if was_asked => {}
+        let close_due = async {
+            match close_deadline.filter(|_| is_incomplete) {
+                Some(close_deadline) => sleep_until(close_deadline).await,
+                None if was_close_requested => {}
                 None => self.connection.close_requested().await,
             }
         };
@@ -139,22 +143,22 @@
                 Wakeup::Input(event)
             }
             () = drained, if !is_incomplete => Wakeup::Drained,
-            () = asked_to_close => Wakeup::CloseRequested,
+            () = close_due => Wakeup::CloseRequested,
             () = overdue, if is_incomplete => Wakeup::Overdue,
         }
     }
 
-    /// Ends a connection that was asked to close, unless a message is coming in: that one has until `close_by`.
-    async fn close_for_room(&mut self, close_by: Instant) -> Result<(), CloseReason> {
-        let is_over = !self.is_started || Instant::now() >= close_by;
-        if is_over || !self.has_begun_message().await {
+    /// Ends a connection that was asked to close. A message that is being received has until `close_deadline`.
+    async fn close_for_room(&mut self, close_deadline: Instant) -> Result<(), CloseReason> {
+        let must_close = !self.is_started || Instant::now() >= close_deadline;
+        if must_close || !self.has_partial_message().await {
             return Err(CloseReason::MadeRoom);
         }
         Ok(())
     }
 
-    /// Ends the connection if the message that is coming in is overdue. After a hold-up the timer fires before what
-    /// arrived meanwhile is read, so unread bytes are read first.
+    /// Ends the connection if the message that is being received is overdue. After a hold-up, timers fire before the
+    /// input that arrived meanwhile is read, so unread bytes are read first.
     async fn close_if_overdue(&mut self) -> Result<(), CloseReason> {
         if self.is_overdue() && !self.has_unread_bytes().await {
             return Err(self.reject_input(PgError::Body("it does not end")).await);
@@ -162,7 +166,7 @@
         Ok(())
     }
 
-    /// When the message that is coming in is overdue, if one is.
+    /// When the time limit of the message that is being received passes; `None` between messages.
     fn overdue_at(&self) -> Option<Instant> {
         self.input_progress.overdue_at(self.framed.codec().is_reading_long_message())
     }
@@ -171,55 +175,55 @@
         self.overdue_at().is_some_and(|at| at <= Instant::now())
     }
 
-    /// The message, or why the connection ends instead.
-    async fn checked(
+    /// Returns the message; on an error, replies to the client and returns why the connection ends.
+    async fn reject_on_error(
         &mut self, next: Option<Result<FrontendMessage, PgError>>,
     ) -> Result<Option<FrontendMessage>, CloseReason> {
         match next {
-            Some(Err(problem)) => Err(self.reject_input(problem).await),
+            Some(Err(error)) => Err(self.reject_input(error).await),
             Some(Ok(message)) => Ok(Some(message)),
             None => Ok(None),
         }
     }
 
-    /// Whether a message has begun to arrive, also where the runtime does not know of it yet; it is read next then.
-    async fn has_begun_message(&mut self) -> bool {
+    /// Whether part of a message has arrived, even if the runtime has not been notified of it yet.
+    async fn has_partial_message(&mut self) -> bool {
         self.has_unread_bytes().await || !self.framed.read_buffer().is_empty()
     }
 
-    /// Whether bytes have arrived that are not read, also where the runtime does not know of them yet.
+    /// Whether the socket holds unread bytes, even if the runtime has not been notified of them yet. If so, yields, so that
+    /// the runtime polls the socket before the next read.
     async fn has_unread_bytes(&mut self) -> bool {
         let has_unread_bytes = self.framed.get_ref().has_unread_bytes();
         if has_unread_bytes {
-            // The runtime learns of them when it waits next.
             yield_now().await;
         }
         has_unread_bytes
     }
 
-    /// If nothing has arrived that is not read, what comes next has not waited.
-    pub(super) fn note_nothing_unread(&mut self) {
+    /// Clears `unread_since` if all input is read: later input has not been waiting.
+    pub(super) fn clear_unread_since_if_read(&mut self) {
         if !self.framed.get_ref().has_unread_bytes() && self.framed.read_buffer().is_empty() {
             self.unread_since = None;
         }
     }
 
-    /// Tells the client why its input is not read any further, and returns why the connection ends.
-    async fn reject_input(&mut self, problem: PgError) -> CloseReason {
-        let reason = replies::close_reason(&problem);
-        let reply = match problem {
+    /// Sends the client the error of its input, after which no more is read; returns why the connection ends.
+    async fn reject_input(&mut self, error: PgError) -> CloseReason {
+        let reason = replies::close_reason(&error);
+        let reply = match error {
             PgError::Io(_) => return reason,
             PgError::Memory(_) => replies::final_answer(
                 self.gateway.reject_unopened(RejectionCause::Memory, RETRY_AFTER, None),
                 true,
             ),
-            _ => replies::fatal("08P01", problem),
+            _ => replies::fatal("08P01", error),
         };
         let _ = self.send([reply]).await;
         reason
     }
 
-    /// Waits for the memory of a long message; nothing is read meanwhile.
+    /// Waits until memory for a long message is reserved; nothing is read meanwhile.
     async fn reserve_memory(&mut self, length: usize) -> Result<(), CloseReason> {
         let Some((memory, permits)) = self.gateway.long_message_memory(length) else {
             return Err(self.reject_long_message().await);
@@ -231,12 +235,12 @@
         Ok(())
     }
 
-    /// Rejects the message that has begun; its class is known if its comment has arrived.
+    /// Rejects the long message that is being received. Its class is known if its comment has arrived.
     async fn reject_long_message(&mut self) -> CloseReason {
         let buffered = self.framed.read_buffer();
-        let beginning = buffered.get(5..buffered.len().min(MAX_COMMENT)).unwrap_or_default();
-        let beginning = Bytes::copy_from_slice(beginning);
-        let class = statement::parse(&beginning).ok().map(|statement| statement.class);
+        let prefix = buffered.get(5..buffered.len().min(MAX_COMMENT_BYTES)).unwrap_or_default();
+        let prefix = Bytes::copy_from_slice(prefix);
+        let class = statement::parse(&prefix).ok().map(|statement| statement.class);
         let rejected = self.gateway.reject_unopened(RejectionCause::Memory, RETRY_AFTER, class.as_deref());
         let _ = self.send([replies::final_answer(rejected, true)]).await;
         CloseReason::Protocol
--- a/src/clients/session/message_intake.rs
+++ b/src/clients/session/message_intake.rs
@@ -1,5 +1,5 @@
-//! Decodes messages when they come, and submits the requests among them: also behind others, so that requests of one
-//! connection run side by side.
+//! Decodes messages as they arrive and submits the requests among them, also while earlier ones are open, so that
+//! requests of one connection run concurrently.
 
 use super::replies;
 use super::{InputEnd, Session};
@@ -15,12 +15,12 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-/// So many malformed statements in a row end a connection.
-const MAX_MALFORMED_IN_ROW: u32 = 8;
+/// A connection ends after this many consecutive malformed statements.
+const MAX_CONSECUTIVE_MALFORMED: u32 = 8;
 
 impl<S: super::ClientStream> Session<S> {
-    /// Decodes a message, and submits it if it is a request that depends on no earlier one of its connection.
-    pub(super) fn take_in_message(&mut self, message: FrontendMessage) -> ClientMessage {
+    /// Decodes a message. A request is submitted unless it depends on an earlier one of its connection.
+    pub(super) fn accept_message(&mut self, message: FrontendMessage) -> ClientMessage {
         self.has_sent_message = true;
         let memory = self.framed.codec_mut().take_message_memory();
         match message {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Decodes a statement. The memory of its message is held as long as the request is open.
+    /// Decodes a statement and opens its request, which holds `memory` until it is answered.
     fn accept_statement(&mut self, statement: &Bytes, memory: MessageMemory) -> ClientMessage {
         if let AdmissionMode::Reject(retry_after) = self.connection.mode() {
             let class = statement::parse(statement).ok().map(|statement| statement.class);
@@ -52,21 +52,21 @@
         }
         let incoming = match statement::parse(statement) {
             Ok(incoming) => incoming,
-            Err(problem) => {
-                let is_wrong = matches!(problem, StatementError::Wrong(_));
-                return self.malformed(if is_wrong { "22023" } else { "42601" }, problem, None);
+            Err(error) => {
+                let is_invalid = matches!(error, StatementError::Wrong(_));
+                return self.malformed(if is_invalid { "22023" } else { "42601" }, error, None);
             }
         };
         let key = incoming.session_key.clone();
         let class = incoming.class.clone();
         let request = match self.gateway.open(incoming) {
             Ok(request) => request,
-            Err(problem) => {
-                let is_in_use = problem == IntakeError::IdInUse;
-                return self.malformed(if is_in_use { "42710" } else { "22023" }, problem, Some(&class));
+            Err(error) => {
+                let is_in_use = error == IntakeError::IdInUse;
+                return self.malformed(if is_in_use { "42710" } else { "22023" }, error, Some(&class));
             }
         };
-        self.malformed_in_row = 0;
+        self.consecutive_malformed = 0;
         let order = RequestOrder { key, writes: request.writes() };
         let state = self.submit(request, &order);
         ClientMessage::Request(Box::new(PipelinedRequest { order, state, memory }))
@@ -77,7 +77,8 @@
         if self.serving_state.borrow().rejects_requests {
             return RequestState::Submitted(Err(self.gateway.reject(request, RejectionCause::Stopping)));
         }
-        // What was read late may have come when reading ended, for want of room or because the process was stopped.
+        // The request may have arrived while reading was paused, for lack of room or during a hold-up of the process: its
+        // wait counts from the start of the pause.
         let unread_since = self.unread_since.into_iter().chain(self.gateway.held_up_since()).min();
         let arrived_at = unread_since.unwrap_or_else(Instant::now);
         if self.pipeline.blocks(order) {
@@ -86,41 +87,39 @@
         RequestState::Submitted(self.gateway.submit(request, arrived_at.elapsed()))
     }
 
-    /// Counts a statement that is no request. After too many in a row nothing more is read: what was accepted is
-    /// answered, and the connection ends with the answer to the last one.
-    fn malformed(
-        &mut self, code: &'static str, problem: impl ToString, class: Option<&str>,
-    ) -> ClientMessage {
+    /// Counts a statement that is not a valid request. After too many consecutive ones no more input is read: messages
+    /// accepted so far are answered, then the connection ends.
+    fn malformed(&mut self, code: &'static str, error: impl ToString, class: Option<&str>) -> ClientMessage {
         self.gateway.count_malformed(class);
-        self.malformed_in_row += 1;
-        if self.malformed_in_row >= MAX_MALFORMED_IN_ROW {
+        self.consecutive_malformed += 1;
+        if self.consecutive_malformed >= MAX_CONSECUTIVE_MALFORMED {
             self.input_end = Some(InputEnd::Malformed);
         }
-        ClientMessage::Malformed(replies::error(code, problem))
+        ClientMessage::Malformed(replies::error(code, error))
     }
 
-    /// Takes in what came behind the request that is being answered.
+    /// Accepts a message that arrived while a request is being answered.
     pub(super) fn read_ahead(
         &mut self, next: Option<Result<FrontendMessage, PgError>>,
     ) -> Result<(), CloseReason> {
         match next {
             None | Some(Err(PgError::Io(_))) => return Err(CloseReason::ClientGone),
-            Some(Ok(FrontendMessage::LongQueryAnnounced(length))) => self.announced_behind(length),
+            Some(Ok(FrontendMessage::LongQueryAnnounced(length))) => self.handle_announced_message(length),
             Some(Ok(FrontendMessage::Terminate)) if self.pipeline.is_empty() => {
                 return Err(CloseReason::ClientGone);
             }
             Some(Ok(message)) => {
-                let message = self.take_in_message(message);
+                let message = self.accept_message(message);
                 self.pipeline.push(message);
             }
-            Some(Err(problem)) => self.input_end = Some(InputEnd::Violation(problem)),
+            Some(Err(error)) => self.input_end = Some(InputEnd::Violation(error)),
         }
         Ok(())
     }
 
-    /// Reads on into a long message where memory is free, since the client's end shows behind it. Else it is read once
-    /// the request before it is answered.
-    fn announced_behind(&mut self, length: usize) {
+    /// Handles a long message announced while a request is being answered. It is read at once if memory is available,
+    /// because the client's end is only detected behind it, and otherwise after the request is answered.
+    fn handle_announced_message(&mut self, length: usize) {
         let granted = self
             .gateway
             .long_message_memory(length)
--- a/src/clients/session/mod.rs
+++ b/src/clients/session/mod.rs
@@ -1,11 +1,11 @@
-//! One client connection: statements in, answers out in the order of the statements.
+//! One client connection: reads statements and writes answers in the order of the statements.
 //!
-//! - `stream`: what a session needs of its connection beyond reading and writing;
-//! - `input`: reads messages, within limits of time and memory; `progress`: how far a message has come in;
-//! - `accept`: decodes messages when they come, and submits their requests;
-//! - `respond`: waits for answers and writes them.
+//! - `stream`: detects a close by the client without reading;
+//! - `input`: reads messages, within limits of time and memory; `progress`: times the message that is being received;
+//! - `message_intake`: decodes messages as they arrive, and submits their requests;
+//! - `respond`: waits for answers and writes them; `replies`: converts answers and errors to the protocol.
 //!
-//! A session never drops a request that it has accepted: each gets its answer, unless its client has left.
+//! A session must answer every request that it has accepted, unless the client has left.
 
 mod input;
 mod message_intake;
@@ -34,14 +34,14 @@
 use tokio::time::Instant;
 use tokio_util::codec::Framed;
 
-/// A client that has not sent its startup message by then is disconnected.
+/// Time limit for the startup message, after which the client is disconnected.
 const STARTUP_TIMEOUT: Duration = progress::MESSAGE_TIMEOUT;
 
-/// Why no more of a client's input is decoded: what was accepted before is answered, then the connection ends.
+/// Why no more of a client's input is decoded. Messages accepted before are answered, then the connection ends.
 enum InputEnd {
-    /// The input breaks the protocol, or there was no memory for it.
+    /// The input violates the protocol, or no memory was available for it.
     Violation(PgError),
-    /// Too many malformed statements in a row.
+    /// Too many consecutive malformed statements.
     Malformed,
 }
 
@@ -51,31 +51,31 @@
     connection: AdmittedConnection,
     /// Whether the process serves, drains or stops.
     serving_state: watch::Receiver<ServingState>,
-    /// What came while an earlier request was being answered; requests run meanwhile, answers keep the order.
+    /// Messages that arrived while an earlier request was being answered. Requests run meanwhile; answers keep the order.
     pipeline: Pipeline,
-    /// Since when input may lie unread because the pipeline was full. What is read from there on may have come as
-    /// early as that, and its client has waited since.
+    /// Start of a pause in reading. Input that is read afterwards may have arrived that early, and its client has been
+    /// waiting since then.
     unread_since: Option<Instant>,
-    /// How far the message has come that is coming in.
+    /// The progress of the message that is being received.
     input_progress: InputProgress,
-    /// Length of a long message that has begun behind the request that is being answered. It is read after that.
+    /// Length in bytes of a long message announced while a request is being answered; it is read after the answer.
     announced_length: Option<usize>,
     /// Set once no more input is decoded.
     input_end: Option<InputEnd>,
-    /// An extended message came: everything up to the next Sync is ignored.
+    /// Set by an extended-protocol message: messages are ignored up to the next Sync.
     skips_to_sync: bool,
     /// Malformed statements since the last request.
-    malformed_in_row: u32,
+    consecutive_malformed: u32,
     accepted_at: Instant,
-    /// Whether anything came after the startup message.
+    /// Whether a message was received after the startup message.
     has_sent_message: bool,
-    /// Whether the startup message was answered.
+    /// Whether the startup message was received.
     is_started: bool,
     /// Whether the connection was asked to close, to make room.
     close_requested: bool,
 }
 
-/// Serves a connection to its end, and returns why it ended.
+/// Serves a connection until it ends; returns the reason.
 pub async fn run<S: ClientStream>(
     stream: S, gateway: Rc<RequestGateway>, connection: AdmittedConnection,
     serving_state: watch::Receiver<ServingState>,
@@ -92,7 +92,7 @@
         announced_length: None,
         input_end: None,
         skips_to_sync: false,
-        malformed_in_row: 0,
+        consecutive_malformed: 0,
         accepted_at: Instant::now(),
         has_sent_message: false,
         is_started: false,
@@ -105,10 +105,10 @@
     session.gateway.invariants().check(
         Invariant::AnsweredBeforeClose,
         !session.pipeline.has_requests() || reason.is_by_peer(),
-        format_args!("a client's connection ended with requests open, code={reason}"),
+        format_args!("client connection closed with open requests, code={reason}"),
     );
     if matches!(reason, CloseReason::Protocol | CloseReason::EdgeFull) {
-        // From now on it counts as a connection without requests: it only waits for its last answer to be read.
+        // The connection counts as idle from here on: it only waits for the client to read the last answer.
         session.connection.mark_started();
         session.linger().await;
     }
@@ -122,7 +122,7 @@
             let message = match self.pipeline.pop() {
                 Some(message) => message,
                 None => match self.read_message().await? {
-                    Some(message) => self.take_in_message(message),
+                    Some(message) => self.accept_message(message),
                     None => return Err(CloseReason::PeerClosed),
                 },
             };
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Reads and answers everything up to the startup message.
+    /// Reads and answers messages up to and including the startup message.
     async fn start(&mut self) -> Result<(), CloseReason> {
         let deadline = Instant::now() + STARTUP_TIMEOUT;
         loop {
@@ -152,37 +152,37 @@
         }
     }
 
-    /// Returns once the process has a list of members, or no longer waits for one.
+    /// Waits until the process has a list of members or no longer waits for one.
     async fn wait_until_started(&mut self) -> Result<(), CloseReason> {
         let mut serving_state = self.serving_state.clone();
         if !serving_state.borrow().is_starting {
             return Ok(());
         }
-        // What comes behind the query is not read meanwhile, and its client waits all the same.
+        // Input behind the query is not read meanwhile, but its wait counts.
         self.unread_since.get_or_insert_with(Instant::now);
         tokio::select! {
             biased;
             _ = serving_state.wait_for(|state| !state.is_starting) => {}
             () = closed_by_peer(self.framed.get_ref()) => return Err(CloseReason::ClientGone),
         }
-        self.note_nothing_unread();
+        self.clear_unread_since_if_read();
         Ok(())
     }
 
-    /// Answers the empty query, by which the platform's front asks whether to send clients.
+    /// Answers an empty query, which the platform's front end uses as a readiness check before it sends clients.
     async fn answer_empty(&mut self) -> Result<(), CloseReason> {
         if self.serving_state.borrow().reports_ready {
-            // A stop leaves the answer as it was; the front then sends here or to a successor.
+            // A stop does not change the answer: the front end may still send clients here or to a successor.
             let holds = self.gateway.may_report_ready() || self.serving_state.borrow().is_stopping;
-            let ids = format_args!("the front's empty query was answered");
-            self.gateway.invariants().check(Invariant::ReadyWithList, holds, ids);
+            let context = format_args!("empty query answered as ready");
+            self.gateway.invariants().check(Invariant::ReadyWithList, holds, context);
             self.send([Reply::EmptyQueryResponse, Reply::ReadyForQuery]).await
         } else {
             self.send([replies::error("57P03", "standing by"), Reply::ReadyForQuery]).await
         }
     }
 
-    /// Answers the message whose turn it is.
+    /// Answers the next message in order.
     async fn respond(&mut self, message: ClientMessage) -> Result<(), CloseReason> {
         match message {
             ClientMessage::Terminate | ClientMessage::Ignored => Ok(()),
--- a/src/clients/session/progress.rs
+++ b/src/clients/session/progress.rs
@@ -1,63 +1,63 @@
-//! How far a message has come in, and until when it must be complete: a client that stops in the middle of one and stays
-//! is owed its end in time, whatever else the session waits for meanwhile.
+//! Progress of the message that is being received, and its time limit. A client that stops in the middle of a message
+//! but stays connected must get an error or a close in time, whatever else the session waits for meanwhile.
 
 use crate::platform_bounds::{HOLD_UP, STOPPED_CLIENT_WITHIN};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a session may take, once it knows that a client has stopped, to answer with an error and to close.
-const ENDING_TAKES: Duration = Duration::from_millis(250);
-/// A message that has begun must be complete, and a long one must have grown, within this time. A client may spend 2 s
-/// on a message.
+/// Time reserved for sending the error and closing the connection after the time limit of a message has passed.
+const CLOSE_ALLOWANCE: Duration = Duration::from_millis(250);
+/// Time limit from the first byte of a message to its end; for a long message, time limit for its next bytes. A client
+/// may take 2 s to send a message.
 pub(super) const MESSAGE_TIMEOUT: Duration =
-    Duration::from_micros(STOPPED_CLIENT_WITHIN.0 - HOLD_UP.0).saturating_sub(ENDING_TAKES);
-/// A long message that grows may take so long in all.
+    Duration::from_micros(STOPPED_CLIENT_WITHIN.0 - HOLD_UP.0).saturating_sub(CLOSE_ALLOWANCE);
+/// Time limit from the first byte of a long message to its end.
 const LONG_MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The progress of the message that is coming in.
+/// The progress of the message that is being received.
 #[derive(Debug, Default)]
 pub(super) struct InputProgress {
-    /// When its first bytes were read; none between messages.
-    began_at: Option<Instant>,
-    /// When it last grew.
+    /// When its first bytes were read; `None` between messages.
+    started_at: Option<Instant>,
+    /// When its latest bytes were read.
     grew_at: Option<Instant>,
     buffered: usize,
 }
 
 impl InputProgress {
-    /// The input was read, and so many bytes of a message that is not complete are buffered. `is_next` tells that a
-    /// message was taken from the buffer, so that what is left belongs to another one. Returns whether a message has
-    /// begun with this read.
-    pub(super) fn observe(&mut self, now: Instant, buffered: usize, is_next: bool) -> bool {
+    /// Records a read, after which `buffered` bytes of an incomplete message remain. `took_message` is set if a message
+    /// was taken from the buffer, so that these bytes belong to the next one. Returns whether a message has started
+    /// with this read.
+    pub(super) fn observe(&mut self, now: Instant, buffered: usize, took_message: bool) -> bool {
         if buffered == 0 {
             *self = InputProgress::default();
             return false;
         }
-        let has_begun = is_next || self.began_at.is_none();
-        if has_begun {
-            self.began_at = Some(now);
+        let has_started = took_message || self.started_at.is_none();
+        if has_started {
+            self.started_at = Some(now);
         }
-        if has_begun || buffered > self.buffered {
+        if has_started || buffered > self.buffered {
             self.grew_at = Some(now);
         }
         self.buffered = buffered;
-        has_begun
+        has_started
     }
 
-    /// Nothing was read for a while, since there was no room. What is there was not late before.
-    pub(super) fn resume(&mut self, now: Instant) {
-        self.began_at = self.began_at.map(|_| now);
+    /// Restarts the time limits after the session has paused reading, during which the message could not progress.
+    pub(super) fn restart_timeouts(&mut self, now: Instant) {
+        self.started_at = self.started_at.map(|_| now);
         self.grew_at = self.grew_at.map(|_| now);
     }
 
-    /// When the message that is coming in is overdue, if one is. `is_long` tells that it may take its time while it
-    /// grows.
+    /// When the time limit of the message passes; `None` between messages. A long message (`is_long`) is allowed more
+    /// time as long as further bytes arrive.
     pub(super) fn overdue_at(&self, is_long: bool) -> Option<Instant> {
-        let began_at = self.began_at?;
+        let started_at = self.started_at?;
         if !is_long {
-            return Some(began_at + MESSAGE_TIMEOUT);
+            return Some(started_at + MESSAGE_TIMEOUT);
         }
-        let grew_at = self.grew_at.unwrap_or(began_at);
-        Some((grew_at + MESSAGE_TIMEOUT).min(began_at + LONG_MESSAGE_TIMEOUT))
+        let grew_at = self.grew_at.unwrap_or(started_at);
+        Some((grew_at + MESSAGE_TIMEOUT).min(started_at + LONG_MESSAGE_TIMEOUT))
     }
 }
--- a/src/clients/session/replies.rs
+++ b/src/clients/session/replies.rs
@@ -1,25 +1,25 @@
-//! Final answers and errors in the terms of PostgreSQL's protocol.
+//! Converts final answers and errors to replies of PostgreSQL's protocol.
 
 use crate::close_reason::CloseReason;
 use crate::pg::PgError;
 use crate::pg::frontend::Reply;
 use crate::stages::FinalResponse;
 
-/// An error after which the connection goes on. `code` is its SQLSTATE.
+/// An error after which the connection stays open. `code` is its SQLSTATE.
 pub(super) fn error(code: &'static str, message: impl ToString) -> Reply {
     Reply::Error { fatal: false, code, message: message.to_string(), detail: None }
 }
 
-/// An error with which the connection ends. `code` is its SQLSTATE.
+/// An error after which the connection is closed. `code` is its SQLSTATE.
 pub(super) fn fatal(code: &'static str, message: impl ToString) -> Reply {
     Reply::Error { fatal: true, code, message: message.to_string(), detail: None }
 }
 
-/// A final answer. Only a rejection uses SQLSTATE 53300; its detail is the time after which to retry, in milliseconds.
+/// Converts a final answer. Only a rejection uses SQLSTATE 53300; its detail is the time after which to retry, in ms.
 pub(super) fn final_answer(answer: FinalResponse, fatal: bool) -> Reply {
     match answer {
         FinalResponse::Served(raw) => Reply::Raw(raw),
-        // The session streams the rest.
+        // The session writes the rest as it arrives.
         FinalResponse::Streaming(response) => Reply::Raw(response.first),
         FinalResponse::Rejected { retry_after } => Reply::Error {
             fatal,
@@ -31,9 +31,9 @@
     }
 }
 
-/// Why a connection ends that failed with `problem`.
-pub(super) fn close_reason(problem: &PgError) -> CloseReason {
-    match problem {
+/// The reason with which a connection closes after `error`.
+pub(super) fn close_reason(error: &PgError) -> CloseReason {
+    match error {
         PgError::Io(_) => CloseReason::Io,
         _ => CloseReason::Protocol,
     }
--- a/src/clients/session/respond.rs
+++ b/src/clients/session/respond.rs
@@ -1,5 +1,5 @@
-//! Waits for the answers of requests and writes them. Meanwhile messages are read ahead, or the client's end is looked
-//! for: nothing is held or sent on for a client that has left.
+//! Waits for the answers of requests and writes them. Meanwhile, messages are read ahead, or the connection is checked
+//! for a close by the client: requests of a client that has left must not be held or sent to members.
 
 use super::input::{InputEvent, next_input};
 use super::replies;
@@ -17,30 +17,30 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{Instant, timeout};
 
-/// A client that does not read its answer for so long is disconnected.
+/// Time limit for writing an answer, after which the client is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The same for each part of a long answer: peers may take seconds.
+/// Time limit for writing each part of a long answer; clients may take seconds to read one.
 const STREAM_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// After a fatal error, input is discarded until the client has been silent for so long, so that the error reaches it.
-const LINGER_SILENCE: Duration = Duration::from_millis(200);
-/// Input is discarded for so long at most.
-const MAX_LINGER: Duration = Duration::from_secs(4);
-/// A buffer that has grown past this, in bytes, is given back after the answer.
-const MAX_KEPT_BUFFER: usize = 32 * 1024;
+/// After a fatal error, input is discarded until none arrives for this long, so that the error reaches the client.
+const LINGER_IDLE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Total time limit for discarding input.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(4);
+/// An empty buffer with a larger capacity, in bytes, is freed after an answer.
+const MAX_KEPT_BUFFER_BYTES: usize = 32 * 1024;
 
-fn is_wasteful(buffer: &BytesMut) -> bool {
-    buffer.is_empty() && buffer.capacity() > MAX_KEPT_BUFFER
+fn exceeds_kept_size(buffer: &BytesMut) -> bool {
+    buffer.is_empty() && buffer.capacity() > MAX_KEPT_BUFFER_BYTES
 }
 
 impl<S: ClientStream> Session<S> {
-    /// One request, to its answer.
+    /// Waits for the answer of a request, submitting it first if it was blocked, and writes it.
     pub(super) async fn answer_request(&mut self, request: Box<PipelinedRequest>) -> Result<(), CloseReason> {
-        // The memory of its message is held up to the end of its answer.
+        // The memory of the message is held until the answer is written.
         let PipelinedRequest { order, state, memory: _memory } = *request;
-        self.pipeline.begin(order);
+        self.pipeline.begin_answer(order);
         let submitted = match state {
             RequestState::Submitted(submitted) => submitted,
-            RequestState::Blocked(request, since) => self.gateway.submit(request, since.elapsed()),
+            RequestState::Blocked(request, arrived_at) => self.gateway.submit(request, arrived_at.elapsed()),
         };
         let answer = match submitted {
             Ok(mut pending) => match self.wait_for_answer(&mut pending).await? {
@@ -51,17 +51,17 @@
             },
             Err(answer) => answer,
         };
-        self.pipeline.finish();
+        self.pipeline.finish_answer();
         self.send([replies::final_answer(answer, false), Reply::ReadyForQuery]).await?;
         self.shrink_buffers();
         Ok(())
     }
 
-    /// Waits for an answer. Meanwhile messages are read ahead, as long as the pipeline has room.
+    /// Waits for an answer and reads messages ahead while the pipeline has room.
     async fn wait_for_answer(&mut self, pending: &mut PendingRequest) -> Result<FinalResponse, CloseReason> {
         loop {
             if self.input_end.is_some() {
-                // What follows is of no use, but the client's end shows behind it.
+                // Further input is not decoded, but must be consumed to detect a close by the client.
                 return tokio::select! {
                     biased;
                     answer = pending.answer() => Ok(answer),
@@ -70,7 +70,7 @@
             }
             let is_full = self.pipeline.is_full();
             if is_full {
-                // What has arrived may lie unread from here on.
+                // Reading pauses here: input may arrive and stay unread.
                 self.unread_since.get_or_insert_with(Instant::now);
             }
             if is_full || self.announced_length.is_some() {
@@ -79,7 +79,7 @@
                     answer = pending.answer() => Ok(answer),
                     () = closed_by_peer(self.framed.get_ref()) => Err(CloseReason::ClientGone),
                 };
-                self.input_progress.resume(Instant::now());
+                self.input_progress.restart_timeouts(Instant::now());
                 return answer;
             }
             tokio::select! {
@@ -94,15 +94,15 @@
         }
     }
 
-    /// Writes a long answer as it comes. One that is cut off ends the connection, so that its client sees it.
+    /// Writes a long answer as its parts arrive. If it breaks off, the connection ends, so that the client notices.
     async fn stream_answer(
         &mut self, mut response: StreamingResponse, pending: &mut PendingRequest,
     ) -> Result<(), CloseReason> {
-        // What comes behind the request is not read before the end of its answer.
+        // No input is read until the answer ends.
         self.unread_since.get_or_insert_with(Instant::now);
         self.send([Reply::Raw(std::mem::take(&mut response.first))]).await?;
         loop {
-            // A member may take its time between two parts: what waits behind is not sent for a client that has left.
+            // A member may take long between two parts. Requests that wait behind must not be sent if the client leaves.
             let chunk = tokio::select! {
                 biased;
                 chunk = response.rest.recv() => chunk,
@@ -115,14 +115,14 @@
                     written.map_err(|_| CloseReason::WriteTimeout)?.map_err(|_| CloseReason::ClientGone)?;
                 }
                 Some(ResponseChunk::Last(bytes)) => {
-                    pending.streamed(true);
-                    self.note_nothing_unread();
+                    pending.finish_streaming(true);
+                    self.clear_unread_since_if_read();
                     self.send([Reply::Raw(bytes), Reply::ReadyForQuery]).await?;
-                    self.pipeline.finish();
+                    self.pipeline.finish_answer();
                     return Ok(());
                 }
                 None => {
-                    pending.streamed(false);
+                    pending.finish_streaming(false);
                     return Err(CloseReason::CutOff);
                 }
             }
@@ -138,29 +138,31 @@
             self.framed.flush().await
         };
         match timeout(WRITE_TIMEOUT, all).await {
-            Ok(written) => written.map_err(|problem| replies::close_reason(&problem)),
+            Ok(written) => written.map_err(|error| replies::close_reason(&error)),
             Err(_) => Err(CloseReason::WriteTimeout),
         }
     }
 
-    /// Gives large buffers back once they are empty.
+    /// Frees large buffers that are empty.
     fn shrink_buffers(&mut self) {
-        if is_wasteful(self.framed.read_buffer()) {
+        if exceeds_kept_size(self.framed.read_buffer()) {
             *self.framed.read_buffer_mut() = BytesMut::new();
         }
-        if is_wasteful(self.framed.write_buffer()) {
+        if exceeds_kept_size(self.framed.write_buffer()) {
             *self.framed.write_buffer_mut() = BytesMut::new();
         }
     }
 
-    /// Closing with input unread would reset the connection and take the last reply along.
+    /// Shuts down the write side and discards input for a limited time: closing with unread input would reset the
+    /// connection, and the client might not receive the last reply.
     pub(super) async fn linger(&mut self) {
         let stream = self.framed.get_mut();
         let _ = stream.shutdown().await;
-        let discard =
-            async { while timeout(LINGER_SILENCE, discard_some(stream)).await.is_ok_and(|more| more) {} };
+        let discard = async {
+            while timeout(LINGER_IDLE_TIMEOUT, discard_some(stream)).await.is_ok_and(|more| more) {}
+        };
         tokio::select! {
-            _ = timeout(MAX_LINGER, discard) => {}
+            _ = timeout(LINGER_TIMEOUT, discard) => {}
             () = self.connection.close_requested() => {}
         }
     }
--- a/src/clients/session/stream.rs
+++ b/src/clients/session/stream.rs
@@ -1,4 +1,5 @@
-//! What a session needs of its connection beyond reading and writing: to see its end without reading.
+//! Client connections as sessions use them: besides reading and writing, they can be checked for a close by the client
+//! and for unread bytes without consuming input.
 
 use crate::platform_bounds::CLIENT_GONE_WITHIN;
 use crate::socket_state::{PendingInput, pending_input};
@@ -10,20 +11,20 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// While nothing is read from a client, its end is looked for this often: well within the time after which nothing may
-/// be sent for it.
-const END_CHECK_INTERVAL: Duration = Duration::from_micros(CLIENT_GONE_WITHIN.0 / 4);
-/// Bytes that are discarded at a time.
-const DISCARD_CHUNK: usize = 32 * 1024;
+/// Interval of checks for a close by the client while its connection is not read: a fraction of the time after the close
+/// in which no attempt may begin any longer.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_micros(CLIENT_GONE_WITHIN.0 / 4);
+/// Largest number of bytes discarded per read.
+const DISCARD_CHUNK_BYTES: usize = 32 * 1024;
 
 /// The connection of a client.
 pub trait ClientStream: AsyncRead + AsyncWrite + Unpin {
-    /// Whether the client has closed it, also where what it sent before that is not read yet.
+    /// Whether the client has closed the connection, even if input from before the close is still unread.
     fn is_closed_by_peer(&self) -> bool {
         false
     }
 
-    /// Whether bytes have arrived that nobody has read.
+    /// Whether received bytes are waiting in the socket.
     fn has_unread_bytes(&self) -> bool {
         false
     }
@@ -40,25 +41,25 @@
     }
 }
 
-/// Without a socket, the end shows only once everything before it is read.
+/// Without a socket, a close is only detected once all input before it is read.
 impl ClientStream for DuplexStream {}
 
-/// Returns once the client has closed a connection from which nothing is read.
+/// Waits until the client closes a connection that is not being read.
 pub(super) async fn closed_by_peer(stream: &impl ClientStream) {
     while !stream.is_closed_by_peer() {
-        sleep(END_CHECK_INTERVAL).await;
+        sleep(CLOSE_CHECK_INTERVAL).await;
     }
 }
 
-/// Discards all input, and returns at its end.
+/// Discards all input up to its end.
 pub(super) async fn discard_to_end<S: AsyncRead + Unpin>(stream: &mut S) {
     while discard_some(stream).await {}
 }
 
-/// Discards some input, without a buffer while it waits; false at the end of the input.
+/// Discards available input and holds no buffer while it waits; returns `false` at the end of the input or on an error.
 pub(super) async fn discard_some<S: AsyncRead + Unpin>(stream: &mut S) -> bool {
     poll_fn(|context| {
-        let mut bytes = [0; DISCARD_CHUNK];
+        let mut bytes = [0; DISCARD_CHUNK_BYTES];
         let mut buffer = ReadBuf::new(&mut bytes);
         let read = Pin::new(&mut *stream).poll_read(context, &mut buffer);
         read.map(|result| result.is_ok() && !buffer.filled().is_empty())
