--- a/src/clients/connection_gate.rs
+++ b/src/clients/connection_gate.rs
@@ -99,7 +99,8 @@
         self.admission.borrow().has_closing()
     }
 
-    /// Passes an event to the admission and performs the resulting actions. Returns the mode if a connection was admitted.
+    /// Passes an event to the admission and performs the resulting actions. Returns the mode of a connection that was
+    /// admitted.
     fn handle(&self, event: Event) -> Option<AdmissionMode> {
         let mut actions = Vec::new();
         self.admission.borrow_mut().handle(self.clock.now(), event, &mut actions);
--- a/src/clients/pipeline.rs
+++ b/src/clients/pipeline.rs
@@ -18,8 +18,7 @@
     Request(Box<PipelinedRequest>),
     /// A statement that is not a valid request, with its error.
     Malformed(Reply),
-    /// A request on a connection in [`AdmissionMode::Reject`](super::connection_gate::AdmissionMode), with the time after
-    /// which to retry and the class of the request.
+    /// A request on a connection that is only admitted to be rejected, with the time after which to retry and its class.
     ConnectionRefused(Micros, Option<String>),
     /// An empty query.
     Empty,
--- a/src/clients/request_gateway.rs
+++ b/src/clients/request_gateway.rs
@@ -89,8 +89,8 @@
 }
 
 impl RequestGateway {
-    /// Creates a gateway to the driver that receives from `inbox`. `admission` limits the requests held and the memory of
-    /// messages; `guard` reports hold-ups of the process.
+    /// Creates a gateway to the driver that receives from `inbox`. `admission` limits the requests held and the memory
+    /// of messages; `guard` reports hold-ups of the process.
     pub fn new(
         intake: RequestIntake, admission: RequestAdmission, accounting: RequestAccounting,
         inbox: mpsc::UnboundedSender<DriverInput>, guard: SendGuard,
--- a/src/clients/session/input.rs
+++ b/src/clients/session/input.rs
@@ -191,8 +191,8 @@
         self.has_unread_bytes().await || !self.framed.read_buffer().is_empty()
     }
 
-    /// Whether the socket holds unread bytes, even if the runtime has not been notified of them yet. If so, yields, so that
-    /// the runtime polls the socket before the next read.
+    /// Whether the socket holds unread bytes, even if the runtime has not been notified of them yet. If so, yields, so
+    /// that the runtime polls the socket before the next read.
     async fn has_unread_bytes(&mut self) -> bool {
         let has_unread_bytes = self.framed.get_ref().has_unread_bytes();
         if has_unread_bytes {
--- a/src/clients/session/message_intake.rs
+++ b/src/clients/session/message_intake.rs
@@ -77,8 +77,8 @@
         if self.serving_state.borrow().rejects_requests {
             return RequestState::Submitted(Err(self.gateway.reject(request, RejectionCause::Stopping)));
         }
-        // The request may have arrived while reading was paused, for lack of room or during a hold-up of the process: its
-        // wait counts from the start of the pause.
+        // The request may have arrived while reading was paused, for lack of room or during a hold-up of the process:
+        // its wait counts from the start of the pause.
         let unread_since = self.unread_since.into_iter().chain(self.gateway.held_up_since()).min();
         let arrived_at = unread_since.unwrap_or_else(Instant::now);
         if self.pipeline.blocks(order) {
--- a/src/clients/session/mod.rs
+++ b/src/clients/session/mod.rs
@@ -51,7 +51,7 @@
     connection: AdmittedConnection,
     /// Whether the process serves, drains or stops.
     serving_state: watch::Receiver<ServingState>,
-    /// Messages that arrived while an earlier request was being answered. Requests run meanwhile; answers keep the order.
+    /// Messages that arrived while an earlier request was being answered. Their requests run, but are answered in order.
     pipeline: Pipeline,
     /// Start of a pause in reading. Input that is read afterwards may have arrived that early, and its client has been
     /// waiting since then.
--- a/src/pg/backend.rs
+++ b/src/pg/backend.rs
@@ -1,5 +1,5 @@
-//! The side of the members: decodes what they send, and encodes what they are sent. A long value is never gathered: its
-//! row's head and its chunks are separate messages, however the network cuts them.
+//! Codec for connections to members. A long value is never buffered completely: the head of its row and the chunks of
+//! the value are separate messages, however the network splits the input.
 
 use super::framing::{
     HEADER_BYTES, LENGTH_BYTES, decode_header, put_message, put_text, take_message, take_text,
@@ -12,35 +12,35 @@
 /// A message from a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BackendMessage {
-    /// Authentication is over, or none is asked for.
+    /// Authentication has succeeded, or is not required.
     AuthenticationOk,
-    /// A parameter of the session has this value from now on.
+    /// A parameter of the session has a new value.
     ParameterStatus {
         /// Its name.
         name: Bytes,
         /// Its value.
         value: Bytes,
     },
-    /// The description of a row of one column: the whole message.
+    /// The description of rows with one column: the complete message.
     RowDescription(Bytes),
-    /// A row of one column.
+    /// A row with one column.
     DataRow {
-        /// The whole message.
+        /// The complete message.
         raw: Bytes,
         /// The value of the column.
         value: Bytes,
     },
-    /// A row whose one value is long: the message up to the value, which follows in [`BackendMessage::ValueChunk`]s.
+    /// The head of a row with a long value, which follows in [`BackendMessage::ValueChunk`]s.
     LongRowHead(Bytes),
     /// The next bytes of a long value.
     ValueChunk(Bytes),
-    /// The statement has run: the whole message.
+    /// The statement has completed: the complete message.
     CommandComplete(Bytes),
-    /// The SQLSTATE of an error.
+    /// An error, with its SQLSTATE.
     ErrorResponse(Bytes),
-    /// The member takes the next statement; no transaction is open.
+    /// The member is ready for the next statement, and no transaction is open.
     ReadyForQuery,
-    /// A message of which nothing is used: a notice, a notification, key data.
+    /// A message that is not used, such as a notice, a notification or key data.
     Ignored,
 }
 
@@ -49,37 +49,37 @@
 pub enum Command {
     /// Opens the session.
     Startup,
-    /// Runs this statement by the simple query protocol.
+    /// Runs this statement with the simple query protocol.
     Query(Bytes),
 }
 
 /// The codec of a connection to a member.
 #[derive(Default)]
 pub struct BackendCodec {
-    /// Bytes of a long value that have not arrived yet.
-    value_bytes_left: usize,
+    /// Number of bytes of a long value that have not been decoded yet.
+    value_bytes_remaining: usize,
 }
 
-/// A row before the value of its one column: type, length, count of columns, the value's length.
+/// Size of a row message before its value: type, length, column count, and the length of the value.
 const ROW_HEAD_BYTES: usize = 11;
-/// What a row's length counts beside the value of its one column.
+/// The length field of a row message without its value.
 const ROW_OVERHEAD_BYTES: usize = ROW_HEAD_BYTES - 1;
-/// The count of columns of each row and description: the only one that is used.
+/// The only column count that rows and their descriptions may have.
 const ONE_COLUMN: u16 = 1;
 /// The largest chunk of a long value.
 const MAX_CHUNK_BYTES: usize = 16 * 1024;
-/// The largest message other than a row: notices, parameters, errors hold short texts.
+/// The largest message other than a row. Notices, parameters and errors contain short texts.
 const MAX_TEXT_MESSAGE_BYTES: usize = 8 * 1024;
-/// A column's description after its name: table, position, type, size, modifier, format.
+/// Size of a column's description after its name: table, position, type, size, modifier, format.
 const COLUMN_ATTRIBUTES_BYTES: usize = 18;
-/// Letters and digits of an SQLSTATE.
+/// Length of an SQLSTATE.
 const SQLSTATE_BYTES: usize = 5;
-/// The protocol's version 3.0, and the parameters of every session.
+/// Protocol version 3.0 and the session parameters.
 const STARTUP_BODY: &[u8] = b"\x00\x03\x00\x00user\0linenhill\0database\0core\0\0";
 
-/// The lengths that a type of message from a member may have.
-fn length_bounds(kind: u8) -> Option<RangeInclusive<usize>> {
-    match kind {
+/// The valid lengths of a type of message from a member; `None` for an unknown type.
+fn length_bounds(message_type: u8) -> Option<RangeInclusive<usize>> {
+    match message_type {
         b'D' => Some(ROW_OVERHEAD_BYTES..=ROW_OVERHEAD_BYTES + MAX_VALUE_BYTES),
         b'Z' => Some(5..=5),
         b'I' => Some(LENGTH_BYTES..=LENGTH_BYTES),
@@ -90,64 +90,64 @@
     }
 }
 
-/// The value of a row's one column, which must fill the row.
+/// Returns the value of a row, which must have exactly one column.
 fn decode_row(mut body: Bytes) -> Result<Bytes, PgError> {
     if body.len() < 6 || body.get_u16() != ONE_COLUMN {
-        return Err(PgError::Body("a row of other than one column"));
+        return Err(PgError::Body("row does not have exactly one column"));
     }
-    // The length of a null value is -1, which fills no row either.
+    // A null value has the length -1, so this check rejects it as well.
     if body.get_u32() as usize != body.len() {
-        return Err(PgError::Body("a column that does not fill its row"));
+        return Err(PgError::Body("length of the column does not match the rest of its row"));
     }
     Ok(body)
 }
 
-/// Checks that the head of a row says that it is of one column, which fills it.
+/// Checks that the head of a row announces exactly one column whose value fills the row.
 fn check_row_head(head: &[u8], value_bytes: usize) -> Result<(), PgError> {
     let columns_and_length = &head[HEADER_BYTES..];
     let expected = [&ONE_COLUMN.to_be_bytes()[..], &(value_bytes as u32).to_be_bytes()].concat();
     if columns_and_length != expected {
-        return Err(PgError::Body("a row of other than one column that fills it"));
+        return Err(PgError::Body("row does not have exactly one column that fills it"));
     }
     Ok(())
 }
 
-/// Checks that a description is of one column.
+/// Checks that a description is of exactly one column.
 fn check_row_description(mut body: Bytes) -> Result<(), PgError> {
     let has_one_column = body.len() >= 2 && body.get_u16() == ONE_COLUMN;
     if !has_one_column || take_text(&mut body)?.is_empty() || body.len() != COLUMN_ATTRIBUTES_BYTES {
-        return Err(PgError::Body("a description of other than one column"));
+        return Err(PgError::Body("row description is not of exactly one column"));
     }
     Ok(())
 }
 
-/// Checks that a completion is one printable text.
+/// Checks that the tag of a completion is one printable text.
 fn check_completion(mut body: Bytes) -> Result<(), PgError> {
     let tag = take_text(&mut body)?;
     let is_printable = tag.iter().all(|byte| byte.is_ascii_graphic() || *byte == b' ');
     if tag.is_empty() || !is_printable || !body.is_empty() {
-        return Err(PgError::Body("a completion that is no text"));
+        return Err(PgError::Body("tag of CommandComplete is not one printable text"));
     }
     Ok(())
 }
 
-/// Checks that a member lets the session in without a password.
+/// Checks that a member requires no authentication.
 fn check_authentication(body: &[u8]) -> Result<(), PgError> {
     match body.get(..4) {
         Some([0, 0, 0, 0]) => Ok(()),
-        _ => Err(PgError::Body("a password is asked for")),
+        _ => Err(PgError::Body("authentication required, expected AuthenticationOk")),
     }
 }
 
-/// Checks that no transaction is open when a member is ready.
+/// Checks that no transaction is open in a member that is ready.
 fn check_readiness(body: &[u8]) -> Result<(), PgError> {
     match body {
         b"I" => Ok(()),
-        _ => Err(PgError::Body("ready amid a transaction")),
+        _ => Err(PgError::Body("ReadyForQuery with an open transaction")),
     }
 }
 
-/// The SQLSTATE among the fields of an error, which must end where the message ends.
+/// Returns the SQLSTATE from the fields of an error, whose terminator must be the last byte of the message.
 fn decode_sqlstate(mut body: Bytes) -> Result<Bytes, PgError> {
     let mut sqlstate = None;
     while body.first().is_some_and(|field| *field != 0) {
@@ -159,10 +159,12 @@
     }
     let is_valid = |code: &Bytes| code.len() == SQLSTATE_BYTES && code.iter().all(u8::is_ascii_alphanumeric);
     let is_terminated = body.len() == 1;
-    sqlstate.filter(|code| is_terminated && is_valid(code)).ok_or(PgError::Body("an error without a code"))
+    sqlstate
+        .filter(|code| is_terminated && is_valid(code))
+        .ok_or(PgError::Body("ErrorResponse without a valid SQLSTATE"))
 }
 
-/// A parameter that can't be read is ignored: only its value is missing then.
+/// Decodes a parameter. A malformed one is ignored, and only its value is missing.
 fn decode_parameter(mut body: Bytes) -> BackendMessage {
     match (take_text(&mut body), take_text(&mut body)) {
         (Ok(name), Ok(value)) if body.is_empty() => BackendMessage::ParameterStatus { name, value },
@@ -170,10 +172,10 @@
     }
 }
 
-/// Decodes a complete message of this type; `raw` includes the header.
-fn decode_message(kind: u8, raw: Bytes) -> Result<BackendMessage, PgError> {
+/// Decodes a complete message of this type; `raw` is the message with its header.
+fn decode_message(message_type: u8, raw: Bytes) -> Result<BackendMessage, PgError> {
     let body = raw.slice(HEADER_BYTES..);
-    match kind {
+    match message_type {
         b'R' => check_authentication(&body).map(|()| BackendMessage::AuthenticationOk),
         b'S' => Ok(decode_parameter(body)),
         b'T' => check_row_description(body).map(|()| BackendMessage::RowDescription(raw)),
@@ -182,22 +184,22 @@
         b'E' => decode_sqlstate(body).map(BackendMessage::ErrorResponse),
         b'Z' => check_readiness(&body).map(|()| BackendMessage::ReadyForQuery),
         b'N' | b'K' | b'I' | b'A' | b'v' => Ok(BackendMessage::Ignored),
-        _ => Err(PgError::MessageType(kind)),
+        _ => Err(PgError::MessageType(message_type)),
     }
 }
 
 impl BackendCodec {
-    /// The bytes of a long value that have arrived; `None` if there are none.
+    /// Removes the available bytes of a long value; `None` if there are none.
     fn take_value_chunk(&mut self, src: &mut BytesMut) -> Option<BackendMessage> {
         if src.is_empty() {
             return None;
         }
-        let chunk_bytes = src.len().min(self.value_bytes_left).min(MAX_CHUNK_BYTES);
-        self.value_bytes_left -= chunk_bytes;
+        let chunk_bytes = src.len().min(self.value_bytes_remaining).min(MAX_CHUNK_BYTES);
+        self.value_bytes_remaining -= chunk_bytes;
         Some(BackendMessage::ValueChunk(src.split_to(chunk_bytes).freeze()))
     }
 
-    /// The head of a row of this length, whose value is to follow in chunks; `None` until it has arrived.
+    /// Removes the head of a row of this length, whose value follows in chunks; `None` until it is complete.
     fn take_long_row_head(
         &mut self, src: &mut BytesMut, row_length: usize,
     ) -> Result<Option<BackendMessage>, PgError> {
@@ -207,7 +209,7 @@
         let value_bytes = row_length - ROW_OVERHEAD_BYTES;
         let head = src.split_to(ROW_HEAD_BYTES).freeze();
         check_row_head(&head, value_bytes)?;
-        self.value_bytes_left = value_bytes;
+        self.value_bytes_remaining = value_bytes;
         Ok(Some(BackendMessage::LongRowHead(head)))
     }
 }
@@ -217,18 +219,18 @@
     type Error = PgError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<BackendMessage>, PgError> {
-        if self.value_bytes_left > 0 {
+        if self.value_bytes_remaining > 0 {
             return Ok(self.take_value_chunk(src));
         }
         let Some(header) = decode_header(src, length_bounds)? else { return Ok(None) };
-        if header.kind == b'D' && header.length > ROW_OVERHEAD_BYTES + MAX_BUFFERED_VALUE_BYTES {
+        if header.message_type == b'D' && header.length > ROW_OVERHEAD_BYTES + MAX_BUFFERED_VALUE_BYTES {
             return self.take_long_row_head(src, header.length);
         }
         let Some(raw) = take_message(src, header.length) else { return Ok(None) };
-        decode_message(header.kind, raw).map(Some)
+        decode_message(header.message_type, raw).map(Some)
     }
 
-    /// A member that closes its connection in the middle of a message has just left: the incomplete message is dropped.
+    /// Drops an incomplete message at the end of the connection; that is not a protocol violation.
     fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<BackendMessage>, PgError> {
         let message = self.decode(src)?;
         if message.is_none() {
@@ -244,7 +246,7 @@
     fn encode(&mut self, command: Command, dst: &mut BytesMut) -> Result<(), PgError> {
         match command {
             Command::Startup => {
-                // The startup message alone has no type byte.
+                // The startup message has no type byte.
                 dst.put_u32((LENGTH_BYTES + STARTUP_BODY.len()) as u32);
                 dst.put_slice(STARTUP_BODY);
             }
--- a/src/pg/error.rs
+++ b/src/pg/error.rs
@@ -1,21 +1,21 @@
-//! The one error of the protocol's codecs. Its text goes to clients and into the log.
+//! The error type of the codecs. The text of an error in client input is sent to the client.
 
 use std::fmt;
 use std::io;
 
-/// What is wrong with the bytes that a peer sent, or why they can't be read. All but [`PgError::Io`] and
-/// [`PgError::Memory`] are violations of the protocol.
+/// Why input can't be decoded. All variants but [`PgError::Io`] and [`PgError::Memory`] are protocol violations by the
+/// peer.
 #[derive(Debug)]
 pub enum PgError {
-    /// A length, in bytes, that no message of this type has.
+    /// The length, in bytes, is out of range for the type of the message.
     Length(usize),
-    /// A message type that does not exist, or not in this direction.
+    /// The message type is unknown, or not valid in this direction.
     MessageType(u8),
-    /// A body that does not have the form of its type.
+    /// The body does not have the format of the message type.
     Body(&'static str),
-    /// No memory is left for a message of this length in bytes.
+    /// No memory is available for a message of this length, in bytes.
     Memory(usize),
-    /// The connection itself failed.
+    /// The connection failed.
     Io(io::Error),
 }
 
@@ -29,7 +29,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             PgError::Length(length) => write!(f, "invalid message length {length}"),
-            PgError::MessageType(kind) => write!(f, "invalid message type {kind}"),
+            PgError::MessageType(code) => write!(f, "invalid message type {code}"),
             PgError::Body(problem) => write!(f, "malformed message: {problem}"),
             PgError::Memory(length) => write!(f, "no memory is left for a message of {length} bytes"),
             PgError::Io(e) => write!(f, "{e}"),
--- a/src/pg/frontend.rs
+++ b/src/pg/frontend.rs
@@ -1,6 +1,5 @@
-//! The side of the clients: decodes what they send, and encodes what they are answered. No message is read for which
-//! memory is not reserved: an ordinary one reserves it by itself, a long one is announced and waits until its reader
-//! grants it.
+//! Codec for connections to clients. A message is read only once memory for it is reserved: the codec reserves the
+//! memory of an ordinary message, but announces a long one and waits until the owner of the codec grants it.
 
 use super::framing::{
     HEADER_BYTES, LENGTH_BYTES, decode_header, first_length, put_message, put_text, take_message, take_text,
@@ -12,103 +11,103 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// The least length of a startup message: the length itself, and the protocol's version or a request code.
+/// The smallest startup message: the length field, and the protocol version or a request code.
 const MIN_STARTUP_BYTES: usize = 8;
 /// The largest startup message, as in PostgreSQL.
 const MAX_STARTUP_BYTES: usize = 10_000;
-/// The code in place of a version by which a client asks for TLS.
+/// The code that a client sends in place of the version to request TLS.
 const SSL_REQUEST: u32 = 80_877_103;
-/// The code by which a client asks for GSSAPI encryption.
+/// The code that requests GSSAPI encryption.
 const GSS_ENCRYPTION_REQUEST: u32 = 80_877_104;
-/// The code by which a client asks to cancel what another connection runs.
+/// The code that requests to cancel the statement of another connection.
 const CANCEL_REQUEST: u32 = 80_877_102;
-/// The major version of the protocol.
+/// The supported major version of the protocol.
 const PROTOCOL_VERSION: u32 = 3;
-/// The parameters that a client is sent when its session opens.
+/// The parameters that are sent to a client when its session opens.
 const SESSION_PARAMETERS: [(&str, &str); 3] =
     [("server_version", "15.0"), ("client_encoding", "UTF8"), ("DateStyle", "ISO, MDY")];
 
 /// A message from a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FrontendMessage {
-    /// Asks for an encrypted connection.
+    /// Requests an encrypted connection.
     EncryptionRequest,
-    /// Asks to cancel what another connection runs.
+    /// Requests to cancel the statement of another connection.
     CancelRequest,
     /// Opens the session.
     Startup,
-    /// A long query of this length in bytes has begun: it is read once [`FrontendCodec::grant_long_message`] grants
-    /// memory for it.
+    /// The header of a long query with this length in bytes has arrived. It is read once
+    /// [`FrontendCodec::grant_long_message`] grants memory for it.
     LongQueryAnnounced(usize),
     /// The statement of a simple query.
     Query(Bytes),
-    /// A message of the extended query protocol, by its type.
+    /// A message of the extended query protocol, with its type byte.
     Extended(u8),
     /// Ends a batch of messages of the extended query protocol.
     Sync,
-    /// A message of the copy protocol, which needs no answer where no copy is under way.
+    /// A message of the copy protocol, which is not answered when no copy is in progress.
     Copy,
     /// Ends the session.
     Terminate,
 }
 
-/// A message to a client, or several that always go together.
+/// A message to a client, or several that are always sent together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The connection is not encrypted; the client may go on without.
+    /// Encryption is not available; the client may continue without it.
     NoEncryption,
     /// The session is open: authentication, parameters, key data.
     SessionOpened,
-    /// The next query may come.
+    /// The session is ready for the next query.
     ReadyForQuery,
     /// The answer to an empty query.
     EmptyQueryResponse,
-    /// Messages, or a part of one, as a member sent them.
+    /// Messages, or a part of one, as received from a member.
     Raw(Bytes),
     /// An error.
     Error {
-        /// The connection ends with it.
+        /// Whether the connection ends with this error.
         fatal: bool,
-        /// Its SQLSTATE.
+        /// The SQLSTATE.
         code: &'static str,
-        /// The text for people.
+        /// The human-readable text.
         message: String,
-        /// The field D.
+        /// The detail (field D).
         detail: Option<String>,
     },
 }
 
-/// The memory reserved for one message; given back when dropped, so it must live as long as the message does.
+/// The memory reserved for one message. Dropping it releases the memory, so it must live as long as the message.
 #[derive(Default)]
 pub struct MessageMemory {
     /// Reserved by the codec, if the message is an ordinary one.
     ordinary: Option<ResourcePermit>,
-    /// Granted by the codec's owner, if it is a long one.
+    /// Granted by the owner of the codec, if the message is a long one.
     long: Option<OwnedSemaphorePermit>,
 }
 
-/// The codec of a client's connection. The startup message, the first one, has no type byte.
+/// The codec of a client connection. The first message, the startup message, has no type byte.
 pub struct FrontendCodec {
     has_started: bool,
-    /// From what ordinary messages reserve their memory.
+    /// The limit that ordinary messages reserve their memory from.
     ordinary_memory: ResourceLimit,
-    /// For the message that is arriving.
+    /// Memory of the message that is arriving.
     arriving: MessageMemory,
-    /// For the message decoded last.
+    /// Memory of the message that was decoded last.
     decoded: MessageMemory,
-    /// Whether the long message that is arriving was announced and not granted yet.
+    /// Whether the long message that is arriving was announced but has not been granted memory.
     has_announced: bool,
 }
 
 impl Default for FrontendCodec {
-    /// A codec for tests and tools, whose ordinary messages have all the memory they need.
+    /// A codec for tests and tools, with unlimited memory for ordinary messages.
     fn default() -> FrontendCodec {
         FrontendCodec::new(ResourceLimit::new(usize::MAX))
     }
 }
 
 impl FrontendCodec {
-    /// A codec whose ordinary messages share `memory`, in bytes, with those of other connections.
+    /// Creates a codec whose ordinary messages share `memory`, in bytes, with those of other connections.
     pub fn new(memory: ResourceLimit) -> FrontendCodec {
         FrontendCodec {
             has_started: false,
@@ -119,23 +118,23 @@
         }
     }
 
-    /// The memory of the message decoded last.
+    /// Takes the memory of the message that was decoded last.
     pub fn take_message_memory(&mut self) -> MessageMemory {
         std::mem::take(&mut self.decoded)
     }
 
-    /// Grants the memory for the long message that was announced.
+    /// Grants memory for the long message that was announced.
     pub fn grant_long_message(&mut self, memory: OwnedSemaphorePermit) {
         self.arriving.long = Some(memory);
         self.has_announced = false;
     }
 
-    /// Whether the message that is arriving is a long one.
+    /// Whether a long message is arriving that was granted memory.
     pub fn is_reading_long_message(&self) -> bool {
         self.arriving.long.is_some()
     }
 
-    /// Decodes the startup message, or a request that a client sends in its place.
+    /// Decodes the startup message, or an encryption or cancel request in its place.
     fn decode_startup(&mut self, src: &mut BytesMut) -> Result<Option<FrontendMessage>, PgError> {
         let Some(length) = first_length(src) else { return Ok(None) };
         if !(MIN_STARTUP_BYTES..=MAX_STARTUP_BYTES).contains(&length) {
@@ -157,7 +156,7 @@
         }
     }
 
-    /// Reserves the memory of an ordinary message of this length, unless that is done already.
+    /// Reserves memory for an ordinary message of this length, unless it is reserved already.
     fn reserve_ordinary(&mut self, length: usize) -> Result<(), PgError> {
         if self.arriving.ordinary.is_none() {
             let reserved = self.ordinary_memory.acquire_weighted(length).ok_or(PgError::Memory(length))?;
@@ -167,9 +166,9 @@
     }
 }
 
-/// The lengths that a type of message from a client may have.
-fn length_bounds(kind: u8) -> Option<RangeInclusive<usize>> {
-    match kind {
+/// The valid lengths of a type of message from a client; `None` for an unknown type.
+fn length_bounds(message_type: u8) -> Option<RangeInclusive<usize>> {
+    match message_type {
         b'Q' => Some(LENGTH_BYTES..=MAX_MESSAGE_BYTES),
         b'P' | b'B' | b'D' | b'E' | b'C' | b'F' | b'd' | b'f' => {
             Some(LENGTH_BYTES..=MAX_ORDINARY_MESSAGE_BYTES)
@@ -179,7 +178,7 @@
     }
 }
 
-/// The statement of a simple query.
+/// Decodes the statement of a simple query.
 fn decode_query(mut body: Bytes) -> Result<Bytes, PgError> {
     let statement = take_text(&mut body)?;
     if !body.is_empty() {
@@ -189,14 +188,14 @@
 }
 
 /// Decodes a complete message of this type.
-fn decode_message(kind: u8, body: Bytes) -> Result<FrontendMessage, PgError> {
-    match kind {
+fn decode_message(message_type: u8, body: Bytes) -> Result<FrontendMessage, PgError> {
+    match message_type {
         b'Q' => decode_query(body).map(FrontendMessage::Query),
         b'X' => Ok(FrontendMessage::Terminate),
-        b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'F' => Ok(FrontendMessage::Extended(kind)),
+        b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'F' => Ok(FrontendMessage::Extended(message_type)),
         b'S' => Ok(FrontendMessage::Sync),
         b'd' | b'c' | b'f' => Ok(FrontendMessage::Copy),
-        _ => Err(PgError::MessageType(kind)),
+        _ => Err(PgError::MessageType(message_type)),
     }
 }
 
@@ -219,20 +218,20 @@
         }
         let Some(mut message) = take_message(src, header.length) else {
             if is_long {
-                // Exactly what was granted: a buffer that grows by doubling would take twice that.
+                // Reserves exactly the granted size: a buffer that grows by doubling could take twice as much.
                 src.reserve((1 + header.length).saturating_sub(src.len()));
             }
             return Ok(None);
         };
         if is_long {
-            // What follows the message in its buffer must not keep the message's memory.
+            // Input behind the message is copied, so that it does not keep the buffer of the message alive.
             *src = BytesMut::from(&src[..]);
         }
         self.decoded = std::mem::take(&mut self.arriving);
-        decode_message(header.kind, message.split_off(HEADER_BYTES)).map(Some)
+        decode_message(header.message_type, message.split_off(HEADER_BYTES)).map(Some)
     }
 
-    /// A client that closes its connection in the middle of a message has just left: the incomplete message is dropped.
+    /// Drops an incomplete message at the end of the connection; that is not a protocol violation.
     fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<FrontendMessage>, PgError> {
         let message = self.decode(src)?;
         if message.is_none() {
--- a/src/pg/mod.rs
+++ b/src/pg/mod.rs
@@ -1,8 +1,8 @@
-//! PostgreSQL's wire protocol, version 3: the codecs of both sides, and the comment that opens a client's statement.
+//! PostgreSQL's wire protocol, version 3: the codecs of both sides, and the leading comment of a client's statement.
 //!
-//! [`frontend`] is the side of clients, [`backend`] that of members, and [`statement`] decodes what a query says about
-//! itself; `framing` has what both codecs share. Bytes in, messages out: nothing here reads a socket or a clock, knows
-//! what becomes of a message, or buffers more than the limits below.
+//! [`frontend`] is the codec for clients, [`backend`] the one for members, and [`statement`] decodes the request fields
+//! in a statement's comment; `framing` is shared by both codecs. The codecs do no I/O, read no clock, and never buffer
+//! more than the limits below.
 
 pub mod backend;
 mod error;
@@ -12,12 +12,12 @@
 
 pub use error::PgError;
 
-/// The largest value of a row, in bytes.
+/// The largest column value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 4 << 20;
-/// A value of up to so many bytes is decoded with its row; a longer one is passed on in chunks as it arrives.
+/// A value of up to this many bytes is decoded with its row; a longer one is passed on in chunks as it arrives.
 pub const MAX_BUFFERED_VALUE_BYTES: usize = 64 * 1024;
-/// The largest message, in bytes, that is read from a client without being announced: a value of 64 KiB in hexadecimal,
-/// and its statement.
+/// The largest client message, in bytes, that is read without being announced: a statement with a value of 64 KiB in
+/// hexadecimal.
 pub const MAX_ORDINARY_MESSAGE_BYTES: usize = 192 * 1024;
-/// The largest message of a client, in bytes: the largest value in hexadecimal, and its statement.
+/// The largest client message, in bytes: a statement with the largest value in hexadecimal.
 pub const MAX_MESSAGE_BYTES: usize = 2 * MAX_VALUE_BYTES + 64 * 1024;
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -1,5 +1,5 @@
-//! Decodes a client's statement: the comment that opens it makes it a request. What is not written there is not guessed,
-//! and nothing of the statement but its timeout is ever changed.
+//! Decodes a client's statement as a request, by the fields of its leading comment. Missing fields are never inferred,
+//! and the timeout is the only part of a statement that is changed for members.
 
 use crate::request::{IncomingRequest, Payload};
 use bytes::Bytes;
@@ -7,14 +7,14 @@
 use std::ops::Range;
 use std::str::FromStr;
 
-/// What is wrong with a statement, by the name of the comment's field.
+/// Why a statement is not a valid request. Carries the name of the field in the comment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementError {
     /// The statement does not begin with a comment.
     NoComment,
-    /// A field that must be there is not.
+    /// A required field is missing.
     Missing(&'static str),
-    /// A field holds something else than it should.
+    /// The value of a field can't be parsed.
     Wrong(&'static str),
 }
 
@@ -33,13 +33,13 @@
 const COMMENT_START: &[u8] = b"/*";
 const COMMENT_END: &[u8] = b"*/";
 
-/// Whether a statement has nothing to run.
+/// Whether a statement has only white space and semicolons.
 pub fn is_empty(statement: &[u8]) -> bool {
     statement.iter().all(|byte| byte.is_ascii_whitespace() || *byte == b';')
 }
 
-/// Decodes a statement as a request. Its comment has the fields `id`, `c` (class), `d` (timeout in milliseconds),
-/// `cluster` (group; 0 when absent) and `after` (position that a read must see); others are the members' own.
+/// Decodes a statement as a request. The fields of its comment are `id`, `c` (class), `d` (timeout in milliseconds),
+/// `cluster` (group; 0 if absent) and `after` (position that a read must see, in Unix milliseconds); others are ignored.
 pub fn parse(statement: &Bytes) -> Result<IncomingRequest, StatementError> {
     let comment = find_comment(statement)?;
     let sql = &statement[comment.end + COMMENT_END.len()..];
@@ -58,29 +58,29 @@
     })
 }
 
-/// Where the text of the opening comment is.
+/// The range of the leading comment's text in the statement.
 fn find_comment(statement: &[u8]) -> Result<Range<usize>, StatementError> {
-    let opening = find(statement, COMMENT_START).ok_or(StatementError::NoComment)?;
+    let opening = find_subslice(statement, COMMENT_START).ok_or(StatementError::NoComment)?;
     if !is_empty(&statement[..opening]) {
         return Err(StatementError::NoComment);
     }
     let start = opening + COMMENT_START.len();
-    let length = find(&statement[start..], COMMENT_END).ok_or(StatementError::NoComment)?;
+    let length = find_subslice(&statement[start..], COMMENT_END).ok_or(StatementError::NoComment)?;
     Ok(start..start + length)
 }
 
-fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+fn find_subslice(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
     bytes.windows(pattern.len()).position(|window| window == pattern)
 }
 
 /// The field `d`.
 struct Timeout {
     ms: u64,
-    /// Where in the statement the number is.
+    /// The range of the number in the statement.
     range: Range<usize>,
 }
 
-/// The fields of a comment. Of a field that is there several times the last one counts.
+/// The fields of a comment. If a field is repeated, the last value applies.
 #[derive(Default)]
 struct CommentFields<'a> {
     id: Option<&'a str>,
@@ -91,7 +91,7 @@
 }
 
 impl<'a> CommentFields<'a> {
-    /// Parses the text of a comment, which begins at `offset` of its statement.
+    /// Parses the text of a comment that starts at `offset` in its statement.
     fn parse(comment: &'a [u8], offset: usize) -> Result<CommentFields<'a>, StatementError> {
         let comment = std::str::from_utf8(comment).map_err(|_| StatementError::NoComment)?;
         let mut fields = CommentFields::default();
@@ -106,7 +106,7 @@
         Ok(fields)
     }
 
-    /// Sets a field; `value_start` is where in the statement its untrimmed value begins.
+    /// Sets a field; `value_start` is the offset of its untrimmed value in the statement.
     fn set(&mut self, name: &str, value: &'a str, value_start: usize) -> Result<(), StatementError> {
         let trimmed = value.trim();
         match name {
@@ -129,7 +129,7 @@
     text.parse().map_err(|_| StatementError::Wrong(field))
 }
 
-/// The first quoted text of the SQL behind the comment: it names the session.
+/// The first quoted text of the SQL after the comment, which is the session key.
 fn first_quoted(sql: &[u8]) -> Option<String> {
     let start = sql.iter().position(|byte| *byte == b'\'')? + 1;
     let length = sql[start..].iter().position(|byte| *byte == b'\'')?;
--- a/tests/pg_codecs.rs
+++ b/tests/pg_codecs.rs
@@ -1,4 +1,4 @@
-//! The bytes that the codecs of PostgreSQL's protocol write, and the errors for what they refuse to read: clients and
+//! The bytes that the codecs of PostgreSQL's protocol write, and the errors for input that they reject. Clients and
 //! members of any version rely on both.
 
 use bytes::{BufMut, Bytes, BytesMut};
@@ -12,8 +12,8 @@
 
 const STARTUP: &[u8] = b"\0\0\0\x08\0\x03\0\0";
 
-fn message(kind: u8, body: &[u8]) -> Vec<u8> {
-    let mut message = vec![kind];
+fn message(message_type: u8, body: &[u8]) -> Vec<u8> {
+    let mut message = vec![message_type];
     message.put_u32(4 + body.len() as u32);
     message.put_slice(body);
     message
@@ -31,7 +31,7 @@
     bytes.to_vec()
 }
 
-/// All messages in `input`, and the text of the error that ends it, if one does.
+/// Decodes all messages in `input`; also returns the text of the error that ends decoding, if any.
 fn decode_all<D>(mut codec: D, input: &[u8]) -> (Vec<D::Item>, Option<String>)
 where
     D: Decoder,
@@ -48,7 +48,7 @@
     }
 }
 
-/// The text of the error that `input` alone ends in.
+/// The text of the error that `input` causes; panics if there is none.
 fn error_of<D>(codec: D, input: &[u8]) -> String
 where
     D: Decoder,
@@ -56,7 +56,7 @@
     D::Error: ToString,
 {
     let (messages, error) = decode_all(codec, input);
-    error.unwrap_or_else(|| panic!("{input:?} gives {messages:?} and no error"))
+    error.unwrap_or_else(|| panic!("{input:?} decodes to {messages:?} without an error"))
 }
 
 fn client_error(message: &[u8]) -> String {
@@ -67,7 +67,7 @@
     error_of(BackendCodec::default(), message)
 }
 
-// Guards against a reply that clients of the protocol can't read.
+// Guards against a reply that clients can't decode.
 #[test]
 fn replies_are_written_byte_for_byte() {
     assert_eq!(reply_bytes(Reply::NoEncryption), b"N");
@@ -95,7 +95,7 @@
     assert_eq!(error(true, Some("250")), with_detail);
 }
 
-// Guards against a command that members can't read.
+// Guards against a command that members can't decode.
 #[test]
 fn commands_are_written_byte_for_byte() {
     let startup = b"\0\0\0\x26\0\x03\0\0user\0linenhill\0database\0core\0\0";
@@ -104,7 +104,7 @@
     assert_eq!(query, b"Q\0\0\0\x10SHOW health\0");
 }
 
-// Guards against an error whose text, which clients are sent, changes or no longer says what is wrong.
+// Guards against a change of the error texts that clients receive.
 #[test]
 fn errors_of_clients_messages_say_what_is_wrong() {
     for (startup, error) in [
@@ -114,7 +114,8 @@
     ] {
         assert_eq!(error_of(FrontendCodec::default(), startup), error);
     }
-    let too_long = |kind: u8, length: usize| [&[kind], &(length as u32).to_be_bytes()[..]].concat();
+    let too_long =
+        |message_type: u8, length: usize| [&[message_type], &(length as u32).to_be_bytes()[..]].concat();
     for (message, error) in [
         (message(b'z', b""), "invalid message type 122".to_string()),
         (message(b'X', b"x"), "invalid message length 5".to_string()),
@@ -130,7 +131,7 @@
     }
 }
 
-// Guards against a member's malformed message that is forwarded, or that counts as an answer.
+// Guards against a malformed message of a member that is forwarded to a client or counts as an answer.
 #[test]
 fn errors_of_members_messages_say_what_is_wrong() {
     let long_value = MAX_BUFFERED_VALUE_BYTES as u32 + 1;
@@ -141,25 +142,31 @@
         (message(b'q', b""), "invalid message type 113"),
         (message(b'Z', b""), "invalid message length 4"),
         (value_too_long, "invalid message length 4194315"),
-        (message(b'R', &[0, 0, 0, 3]), "malformed message: a password is asked for"),
-        (message(b'T', b"\0\x02a\0"), "malformed message: a description of other than one column"),
+        (
+            message(b'R', &[0, 0, 0, 3]),
+            "malformed message: authentication required, expected AuthenticationOk",
+        ),
+        (message(b'T', b"\0\x02a\0"), "malformed message: row description is not of exactly one column"),
         (message(b'T', b"\0\x01val"), "malformed message: unterminated text"),
-        (message(b'D', b"\0\x02\0\0\0\0"), "malformed message: a row of other than one column"),
-        (message(b'D', b"\0\x01\xff\xff\xff\xff"), "malformed message: a column that does not fill its row"),
-        (two_columns, "malformed message: a row of other than one column that fills it"),
-        (message(b'C', b"\0"), "malformed message: a completion that is no text"),
-        (message(b'E', b"SERROR\0\0"), "malformed message: an error without a code"),
-        (message(b'E', b"C53300\0\0x"), "malformed message: an error without a code"),
-        (message(b'Z', b"T"), "malformed message: ready amid a transaction"),
+        (message(b'D', b"\0\x02\0\0\0\0"), "malformed message: row does not have exactly one column"),
+        (
+            message(b'D', b"\0\x01\xff\xff\xff\xff"),
+            "malformed message: length of the column does not match the rest of its row",
+        ),
+        (two_columns, "malformed message: row does not have exactly one column that fills it"),
+        (message(b'C', b"\0"), "malformed message: tag of CommandComplete is not one printable text"),
+        (message(b'E', b"SERROR\0\0"), "malformed message: ErrorResponse without a valid SQLSTATE"),
+        (message(b'E', b"C53300\0\0x"), "malformed message: ErrorResponse without a valid SQLSTATE"),
+        (message(b'Z', b"T"), "malformed message: ReadyForQuery with an open transaction"),
     ] {
         assert_eq!(member_error(&message), error);
     }
 }
 
-// Guards against messages of a client that end its session where the protocol lets it go on.
+// Guards against client messages that end a session although the protocol allows it to continue.
 #[test]
 fn messages_of_clients_are_distinguished() {
-    let kinds = [
+    let messages_by_type = [
         (b'P', FrontendMessage::Extended(b'P')),
         (b'H', FrontendMessage::Extended(b'H')),
         (b'F', FrontendMessage::Extended(b'F')),
@@ -169,10 +176,11 @@
         (b'f', FrontendMessage::Copy),
         (b'X', FrontendMessage::Terminate),
     ];
-    let input: Vec<u8> = kinds.iter().flat_map(|(kind, _)| message(*kind, b"")).collect();
+    let input: Vec<u8> =
+        messages_by_type.iter().flat_map(|(message_type, _)| message(*message_type, b"")).collect();
     let (messages, error) = decode_all(FrontendCodec::default(), &[STARTUP, &input].concat());
     assert_eq!(error, None);
-    let expected: Vec<FrontendMessage> = kinds.into_iter().map(|(_, message)| message).collect();
+    let expected: Vec<FrontendMessage> = messages_by_type.into_iter().map(|(_, message)| message).collect();
     assert_eq!(messages[0], FrontendMessage::Startup);
     assert_eq!(messages[1..], expected[..]);
     for code in [80_877_103u32, 80_877_104] {
@@ -185,7 +193,7 @@
     assert_eq!(messages, [FrontendMessage::CancelRequest]);
 }
 
-// Guards against a parameter that can't be read, or a notice, which breaks a member's connection.
+// Guards against a malformed parameter or a notice that breaks a member's connection.
 #[test]
 fn messages_of_members_that_are_not_used_are_ignored() {
     let input = [
