--- a/src/clients/pipeline.rs
+++ b/src/clients/pipeline.rs
@@ -18,7 +18,7 @@
     Request(Box<PipelinedRequest>),
     /// A statement that is not a valid request, with its error.
     Malformed(Reply),
-    /// A request on a connection that is only admitted to be rejected, with the time after which to retry and its class.
+    /// A request on a connection whose requests are rejected, with the time after which to retry and its class.
     ConnectionRefused(Micros, Option<String>),
     /// An empty query.
     Empty,
@@ -34,7 +34,7 @@
 
 /// A request whose id is open, and which holds the memory of its message.
 pub struct PipelinedRequest {
-    /// Determines which other requests it must not run concurrently with.
+    /// Determines the requests that it must not run concurrently with.
     pub order: RequestOrder,
     /// Whether it was submitted.
     pub state: RequestState,
--- a/src/clients/request_gateway.rs
+++ b/src/clients/request_gateway.rs
@@ -21,7 +21,7 @@
 /// Time after which to retry, sent with a rejection for lack of memory or because too many requests are held.
 pub const RETRY_AFTER: Micros = Micros(250_000);
 
-/// Shared by all sessions.
+/// Opens, rejects and submits the requests of all sessions.
 pub struct RequestGateway {
     intake: RequestIntake,
     admission: RequestAdmission,
--- a/src/discovery/http.rs
+++ b/src/discovery/http.rs
@@ -26,9 +26,9 @@
     MalformedHead,
     /// A chunk is malformed, or its header is longer than its limit.
     MalformedChunk,
-    /// A line is longer than any list. Carries the bytes received so far.
+    /// A line is longer than any list. Carries the number of bytes received.
     LineTooLong(usize),
-    /// A list is cut off by the start of the next line.
+    /// A list is cut off: a line ends within a JSON string, or an object contains an empty line.
     TruncatedList,
     /// The connection failed.
     Io(io::Error),
@@ -50,10 +50,10 @@
                 write!(f, "malformed HTTP chunk, or chunk header longer than {MAX_CHUNK_HEADER_BYTES} bytes")
             }
             HttpError::LineTooLong(received) => {
-                write!(f, "line too long: {received} bytes without a line end, limit {MAX_LINE_BYTES}")
+                write!(f, "line too long: {received} bytes received without its end, limit {MAX_LINE_BYTES}")
             }
             HttpError::TruncatedList => {
-                write!(f, "list cut off: line end within a JSON string or before its object is closed")
+                write!(f, "list cut off: line end within a JSON string, or empty line within an object")
             }
             HttpError::Io(e) => write!(f, "{e}"),
         }
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -130,7 +130,7 @@
         // The list in use stays valid, but this watch does not resend the line, and later changes build on it. The
         // next watch starts from the version in use.
         let DecodedList { list, skipped } = list::decode(line).map_err(|error| {
-            warn!("discovery: the watch is closed, list can't be decoded: {error}");
+            warn!("discovery: list can't be decoded, closing the watch: {error}");
             CloseReason::Protocol
         })?;
         self.status.record_list_confirmed();
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -39,7 +39,8 @@
 }
 
 /// Decodes a statement as a request. The fields of its comment are `id`, `c` (class), `d` (timeout in milliseconds),
-/// `cluster` (group; 0 if absent) and `after` (position that a read must see, in Unix milliseconds); others are ignored.
+/// `cluster` (group; 0 if absent) and `after` (position that a read must see, in Unix milliseconds). Other fields are
+/// left to the members.
 pub fn parse(statement: &Bytes) -> Result<IncomingRequest, StatementError> {
     let comment = find_comment(statement)?;
     let sql = &statement[comment.end + COMMENT_END.len()..];
