--- a/src/clients/session/progress.rs
+++ b/src/clients/session/progress.rs
@@ -1,7 +1,7 @@
 //! Progress of the message that is being received, and its time limit. A client that stops in the middle of a message
 //! but stays connected must get an error or a close in time, whatever else the session waits for meanwhile.
 
-use crate::platform_bounds::{HOLD_UP, STOPPED_CLIENT_WITHIN};
+use crate::platform_bounds::{MAX_HOLD_UP, STALLED_CLIENT_TIMEOUT};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -10,7 +10,7 @@
 /// Time limit from the first byte of a message to its end; for a long message, time limit for its next bytes. A client
 /// may take 2 s to send a message.
 pub(super) const MESSAGE_TIMEOUT: Duration =
-    Duration::from_micros(STOPPED_CLIENT_WITHIN.0 - HOLD_UP.0).saturating_sub(CLOSE_ALLOWANCE);
+    Duration::from_micros(STALLED_CLIENT_TIMEOUT.0 - MAX_HOLD_UP.0).saturating_sub(CLOSE_ALLOWANCE);
 /// Time limit from the first byte of a long message to its end.
 const LONG_MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
--- a/src/clients/session/stream.rs
+++ b/src/clients/session/stream.rs
@@ -1,7 +1,7 @@
 //! Client connections as sessions use them: besides reading and writing, they can be checked for a close by the client
 //! and for unread bytes without consuming input.
 
-use crate::platform_bounds::CLIENT_GONE_WITHIN;
+use crate::platform_bounds::CLIENT_GONE_MAX_DELAY;
 use crate::socket_state::{PendingInput, pending_input};
 use futures_util::FutureExt;
 use std::future::poll_fn;
@@ -11,9 +11,9 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Interval of checks for a close by the client while its connection is not read. A fraction of [`CLIENT_GONE_WITHIN`],
+/// Interval of checks for a close by the client while its connection is not read. A fraction of [`CLIENT_GONE_MAX_DELAY`],
 /// after which no attempt may begin for the client.
-const CLOSE_CHECK_INTERVAL: Duration = Duration::from_micros(CLIENT_GONE_WITHIN.0 / 4);
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_micros(CLIENT_GONE_MAX_DELAY.0 / 4);
 /// Largest number of bytes discarded per read.
 const DISCARD_CHUNK_BYTES: usize = 32 * 1024;
 
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -41,20 +41,20 @@
 
     fn record_opening(&mut self, now: Time) {
         if let WatchTrigger::Always(schedule) = self {
-            schedule.opening(now);
+            schedule.watch_opening(now);
         }
     }
 
     /// `jitter` is a random number from 0 to 1.
     fn record_end(&mut self, now: Time, jitter: f64) {
         if let WatchTrigger::Always(schedule) = self {
-            schedule.ended(now, jitter);
+            schedule.watch_ended(now, jitter);
         }
     }
 
     fn record_address_change(&mut self, now: Time) {
         if let WatchTrigger::Always(schedule) = self {
-            schedule.agent_moved(now);
+            schedule.agent_address_changed(now);
         }
     }
 }
