--- a/src/clients/session/stream.rs
+++ b/src/clients/session/stream.rs
@@ -11,8 +11,8 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Interval of checks for a close by the client while its connection is not read. A fraction of [`CLIENT_GONE_MAX_DELAY`],
-/// after which no attempt may begin for the client.
+/// Interval of checks for a close by the client while its connection is not read. A fraction of
+/// [`CLIENT_GONE_MAX_DELAY`], after which no attempt may begin for the client.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_micros(CLIENT_GONE_MAX_DELAY.0 / 4);
 /// Largest number of bytes discarded per read.
 const DISCARD_CHUNK_BYTES: usize = 32 * 1024;
