--- a/src/pg/backend.rs
+++ b/src/pg/backend.rs
@@ -30,7 +30,7 @@
         /// The value of the column.
         value: Bytes,
     },
-    /// The head of a row with a long value, which follows in [`BackendMessage::ValueChunk`]s.
+    /// The message of a row up to its long value, which follows in [`BackendMessage::ValueChunk`]s.
     LongRowHead(Bytes),
     /// The next bytes of a long value.
     ValueChunk(Bytes),
