--- a/crates/cluster/src/raft_node/bootstrap.rs
+++ b/crates/cluster/src/raft_node/bootstrap.rs
@@ -1,4 +1,4 @@
-//! How a keeper gets its store: it opens the one it has, makes one to join with, or founds a new log.
+//! Opens a keeper's store, or creates one: either empty, to join an existing log, or as the start of a new log.
 
 use super::KeeperError;
 use crate::replicated_state::{KeeperRecord, ReplicatedState};
@@ -7,12 +7,12 @@
 use prost::Message as _;
 use std::net::SocketAddr;
 
-/// Opens the store of the keeper `name`, or creates it. With `found`, creates it for a new log, whose only voter so far is
-/// this keeper.
+/// Opens the store of the keeper `name`, or creates it if there is none. With `found`, creates it for a new log whose only
+/// voter is this keeper.
 ///
 /// # Errors
-/// The operators' file names no store directory or no such keeper, the store belongs to another keeper, or it fails. With
-/// `found`, a store that exists already is an error.
+/// The operators' file has no store directory or no keeper `name`, the store belongs to another keeper or fleet, or it
+/// cannot be opened or created. With `found`, an existing store is an error.
 pub fn open_store(operator: &Operator, name: &str, found: bool) -> Result<KeeperStore, KeeperError> {
     let directory = operator.store.as_deref().ok_or(KeeperError::MissingSetting("instance.store"))?;
     let keeper = operator.keepers.iter().find(|keeper| keeper.name == name);
@@ -34,7 +34,7 @@
     Ok(KeeperStore::create(directory, identity, state)?)
 }
 
-/// The encoded state of a new log, whose only voter is the keeper `name`.
+/// Encodes the state of a new log whose only voter is the keeper `name`.
 pub fn initial_state(id: u64, name: &str, address: SocketAddr) -> Vec<u8> {
     let mut state = ReplicatedState::default();
     state.keepers.insert(id, KeeperRecord { name: name.to_string(), address: address.to_string() });
--- a/crates/cluster/src/raft_node/error.rs
+++ b/crates/cluster/src/raft_node/error.rs
@@ -1,23 +1,23 @@
-//! Why a keeper does not start, or stops.
+//! Errors that prevent a keeper from starting, or that stop it.
 
 use crate::store::StoreError;
 use std::error::Error;
 use std::fmt;
 
-/// Why a keeper does not start, or stops. Prints as one line.
+/// An error that prevents a keeper from starting, or that stops it. Prints as one line.
 #[derive(Debug)]
 pub enum KeeperError {
-    /// The store failed. The keeper must not vote any more.
+    /// The store failed. The keeper must stop voting, since its vote may not be persisted.
     Store(StoreError),
     /// The Raft engine failed.
     Engine(raft::Error),
-    /// The operators' file lacks this.
+    /// The operators' file lacks this required setting.
     MissingSetting(&'static str),
-    /// The snapshot was written by a newer version, or is damaged.
+    /// The snapshot cannot be decoded: it was written by a newer version, or is damaged.
     Snapshot(prost::DecodeError),
     /// The store belongs to another keeper or another fleet.
     ForeignStore {
-        /// Name of the keeper that the store belongs to.
+        /// Name of the keeper that owns the store.
         keeper: String,
         /// Name of that keeper's fleet.
         cluster: String,
@@ -28,13 +28,11 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             KeeperError::Store(error) => write!(f, "the keeper votes no more: {error}"),
-            KeeperError::Engine(error) => write!(f, "the keeper's engine: {error}"),
+            KeeperError::Engine(error) => write!(f, "Raft engine: {error}"),
             KeeperError::MissingSetting(field) => write!(f, "the operator's file lacks {field}"),
-            KeeperError::Snapshot(_) => {
-                f.write_str("the operator's file lacks a state that this version can read")
-            }
+            KeeperError::Snapshot(error) => write!(f, "cannot decode the snapshot: {error}"),
             KeeperError::ForeignStore { keeper, cluster } => {
-                write!(f, "the store is of keeper '{keeper}' of fleet '{cluster}'")
+                write!(f, "the store belongs to keeper '{keeper}' of fleet '{cluster}'")
             }
         }
     }
--- a/crates/cluster/src/raft_node/mod.rs
+++ b/crates/cluster/src/raft_node/mod.rs
@@ -1,15 +1,15 @@
-//! A keeper's decisions, without sockets and without a clock: [`RaftNode`] drives the Raft engine, persists what must be
-//! persisted before a message rests on it, and applies committed entries.
+//! A keeper's logic without sockets or a clock: [`RaftNode`] drives the Raft engine, persists its state before any message
+//! that depends on it is sent, and applies committed entries.
 //!
-//! [`crate::keeper`] carries out the [`Action`]s; tests run the same node under virtual time. The node writes to its store by
-//! itself, because the order of writes and messages decides over safety; it must do no other I/O.
+//! [`crate::keeper`] carries out the [`Action`]s; tests run the same node under virtual time. The node writes to its store
+//! itself, because safety depends on the order of writes and messages; it must do no other I/O.
 //!
-//! Only the leader proposes entries. Each entry says how much time passed on the leader's clock since its previous entry, or
-//! since it became leader. Log time therefore stands still while there is no leader, so nothing granted expires early.
+//! Only the leader proposes entries. Each entry carries the time that elapsed on the leader's clock since its previous entry,
+//! or since it became leader. Log time therefore does not advance without a leader, so no grant expires early.
 //!
-//! Each step has a module: `ticks` (elections, and what a new leader declares), `requests` and `operators` (received
-//! messages), `voters` (the list of keepers), `proposals` (new entries), `ready` (store, messages and committed entries, in
-//! the order that the engine needs), `replies` (requests that wait for their entry) and `status`.
+//! Each step has a module: `ticks` (elections and the declaration of a new leader), `requests` and `operators` (received
+//! messages), `voters` (membership of the keepers), `proposals` (new entries), `ready` (store, messages and committed entries
+//! in the order that the engine requires), `replies` (requests whose entry is not applied yet) and `status`.
 
 mod bootstrap;
 mod error;
@@ -40,14 +40,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Longest append message of the engine, in bytes.
+/// Maximum size of the engine's append messages, in bytes.
 const MAX_APPEND_BYTES: u64 = 1 << 20;
-/// Most append messages in flight to one keeper.
+/// Limit of append messages in flight to one keeper.
 const MAX_IN_FLIGHT_APPENDS: usize = 256;
 
-/// An input of a keeper. `R` identifies the way back to a sender.
+/// An input of a keeper. `R` is a handle for the reply to a message's sender.
 pub enum Event<R> {
-    /// [`TICK_US`] passed since the previous tick.
+    /// [`TICK_US`] elapsed since the previous tick.
     Tick,
     /// A message arrived.
     Received(Envelope, R),
@@ -55,19 +55,19 @@
     JoinReply(Envelope),
 }
 
-/// An output of a keeper. Actions must be carried out in their order.
+/// An output of a keeper. Actions must be carried out in the order in which they are returned.
 pub enum Action<R> {
-    /// Send an answer back.
+    /// Send a reply to the sender of a received message.
     Reply(R, Envelope),
-    /// Send to the keeper of this Raft identifier. May be lost; see [`RaftNode::report_unreachable`].
+    /// Send to the keeper with this Raft identifier. Delivery is not guaranteed; see [`RaftNode::report_unreachable`].
     Send(u64, Envelope),
-    /// Keep connections to exactly these keepers, by Raft identifier.
+    /// Open connections to these keepers, by Raft identifier, and close all others.
     SetPeers(BTreeMap<u64, SocketAddr>),
-    /// Ask the keeper at this address to become a voter; the answer comes back as [`Event::JoinReply`].
+    /// Send a join request to the keeper at this address; its answer is to be passed in as [`Event::JoinReply`].
     RequestJoin(SocketAddr, Envelope),
 }
 
-/// A keeper without its sockets and its clock.
+/// A keeper without sockets or a clock.
 pub struct RaftNode<R> {
     engine: RawNode<KeeperStore>,
     operator: Operator,
@@ -75,32 +75,32 @@
     state: ReplicatedState,
     /// Index of the last applied entry.
     applied: u64,
-    /// Index of the entry at which the log was compacted last.
+    /// Index of the last entry included in the latest snapshot.
     compacted: u64,
     peers: BTreeMap<u64, SocketAddr>,
     actions: Vec<Action<R>>,
     /// Time of the current call. Microseconds.
     now: u64,
-    /// Seed of election timeouts, so that keepers differ and a simulation repeats.
+    /// Seed of election timeouts and request identifiers: keepers have different seeds, and simulations are reproducible.
     seed: u64,
-    /// Log time that this keeper has proposed as leader; none before its first call as leader.
+    /// Log time that this keeper has proposed as leader; `None` before its first proposal as leader.
     log_clock: Option<LogClock>,
     proposals: ProposalQueue,
     pending: VecDeque<PendingRequest<R>>,
-    /// Term in which this keeper, as leader, compared its file with the agreed declaration.
+    /// Last term in which this keeper, as leader, compared its operators' file with the agreed declaration.
     declared_in_term: Option<u64>,
     /// Time of the last applied entry. Microseconds.
     last_applied_at: u64,
-    /// Leader that was logged last.
+    /// Last leader that was logged.
     logged_leader: Option<String>,
     ticks: u64,
-    /// Disruption requests so far; each draws its request identifier by this number.
+    /// Number of disruption requests received so far; seeds their request identifiers.
     disruption_requests: u64,
 }
 
 impl<R> RaftNode<R> {
-    /// Starts on a store at `now`, in microseconds of a clock that also runs while the machine sleeps. The first actions
-    /// come with the first [`RaftNode::handle`].
+    /// Starts a node from its store at `now`, in microseconds of a clock that also advances while the machine is suspended.
+    /// The first actions are returned by the first call of [`RaftNode::handle`].
     ///
     /// # Errors
     /// The snapshot cannot be decoded, or the engine rejects the store.
@@ -122,7 +122,7 @@
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let engine = RawNode::new(&config, store, &logger)?;
-        info!("fleet: keeper {} has number {}", identity.name, identity.incarnation);
+        info!("fleet: keeper {} has Raft identifier {}", identity.name, identity.incarnation);
         let mut node = RaftNode {
             engine,
             operator,
@@ -147,10 +147,10 @@
         Ok(node)
     }
 
-    /// Handles all events since the previous call, at `now`; they share a log entry and a sync of the store.
+    /// Handles all events since the previous call, at `now`. Their commands share a log entry and a sync of the store.
     ///
     /// # Errors
-    /// The store or the engine failed. The node must not be used any more, since its state may differ from its store.
+    /// The store or the engine failed. The node must not be used afterwards, since its state may differ from its store.
     pub fn handle(
         &mut self, now: u64, events: impl IntoIterator<Item = Event<R>>,
     ) -> Result<Vec<Action<R>>, KeeperError> {
@@ -167,7 +167,8 @@
         Ok(std::mem::take(&mut self.actions))
     }
 
-    /// Time at which [`RaftNode::handle`] is to be called even without an event, if there is one. Microseconds.
+    /// Time at which [`RaftNode::handle`] must be called even without an event, so that pending commands are proposed.
+    /// Microseconds.
     pub fn next_call_at(&self) -> Option<u64> {
         if !self.is_leader() || self.proposals.is_empty() {
             return None;
@@ -181,12 +182,12 @@
         &self.state
     }
 
-    /// The term in which this keeper leads; none if it does not lead.
+    /// The current term if this keeper leads.
     pub fn leader_term(&self) -> Option<u64> {
         self.is_leader().then_some(self.term())
     }
 
-    /// Reports that a message to the keeper of this Raft identifier was dropped.
+    /// Reports that a message to the keeper with this Raft identifier was dropped.
     pub fn report_unreachable(&mut self, keeper: u64) {
         self.engine.report_unreachable(keeper);
     }
@@ -223,7 +224,7 @@
     }
 }
 
-/// Decodes the content of a snapshot; a store that never had one is in the default state.
+/// Decodes the data of a snapshot; empty data, as in a store without a snapshot, is the default state.
 fn decode_state(data: &[u8]) -> Result<ReplicatedState, KeeperError> {
     if data.is_empty() {
         return Ok(ReplicatedState::default());
--- a/crates/cluster/src/raft_node/operators.rs
+++ b/crates/cluster/src/raft_node/operators.rs
@@ -1,4 +1,4 @@
-//! Requests of operators, and of proxies that ask for a permit.
+//! Requests of operators, and permit requests of proxies.
 
 use super::RaftNode;
 use super::replies::{MAX_PENDING_REQUESTS, PendingKey, PendingRequest};
@@ -7,24 +7,24 @@
 use prost::Message as _;
 use std::fmt;
 
-/// Longest disruption request, in bytes.
+/// Maximum size of a disruption request, in bytes.
 const MAX_DISRUPTION_REQUEST_BYTES: usize = 4_096;
 
-/// Why an operator's request, or a join request, is rejected; operators read the text.
+/// Why an operator's request or a join request is rejected. The text is sent in the reply.
 pub(super) enum ChangeRejected {
     /// This keeper does not lead; the leader's name is empty while it is unknown.
     NotLeader { leader: String },
-    /// The agreed declaration has this revision, which is not older.
+    /// The agreed declaration has this revision, which is the same or higher.
     RevisionNotNewer { agreed: u64 },
     /// No voter has this name.
     UnknownKeeper { name: String },
     /// The leader cannot remove itself.
     IsLeader,
-    /// The voter of this name has another store.
-    OtherStore { name: String },
+    /// The name belongs to a voter with another Raft identifier, which is that of another store.
+    StoreMismatch { name: String },
     /// The leader's file names no keeper of this name.
     NotConfigured { name: String },
-    /// The engine did not take the proposal, such as while another change of voters is in flight.
+    /// The engine rejected the proposal, for example while another change of voters is in progress.
     Engine(raft::Error),
 }
 
@@ -37,7 +37,7 @@
             }
             ChangeRejected::UnknownKeeper { name } => write!(f, "there is no keeper '{name}'"),
             ChangeRejected::IsLeader => f.write_str("this keeper leads"),
-            ChangeRejected::OtherStore { name } => {
+            ChangeRejected::StoreMismatch { name } => {
                 write!(f, "keeper {name} has another store: a lost one is replaced by 'fleet replace {name}'")
             }
             ChangeRejected::NotConfigured { name } => write!(f, "the leader's file names no keeper {name}"),
@@ -52,7 +52,7 @@
     }
 }
 
-/// The reply to a request whose outcome is known at once.
+/// The reply to a request that does not wait for its entry to be applied.
 pub(super) fn immediate_reply(outcome: Result<String, ChangeRejected>) -> OperatorReply {
     let ok = outcome.is_ok();
     let not_leader = matches!(outcome, Err(ChangeRejected::NotLeader { .. }));
@@ -61,7 +61,7 @@
 }
 
 impl<R> RaftNode<R> {
-    /// A disruption request is answered once its entry is applied, any other one as soon as it is proposed.
+    /// Replies to a disruption request once its entry is applied, and to any other request immediately.
     pub(super) fn on_operator_request(&mut self, request: OperatorRequest, reply: R) {
         let outcome = match request {
             _ if !self.is_leader() => Err(ChangeRejected::NotLeader { leader: self.leader_name() }),
--- a/crates/cluster/src/raft_node/proposals.rs
+++ b/crates/cluster/src/raft_node/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals of the leader: commands that wait for an entry, and the log time that entries count.
+//! Proposals of the leader: the queue of commands, and the log time that entries carry.
 
 use super::RaftNode;
 use crate::log_entry::{LogEntry, LoggedCommand};
@@ -6,31 +6,32 @@
 use prost::Message as _;
 use std::collections::VecDeque;
 
-/// Interval of entries without commands: the leader still counts its time. Microseconds.
+/// Interval between entries without commands, which only advance the log time. Microseconds.
 const IDLE_ENTRY_INTERVAL_US: u64 = 500_000;
-/// Least interval of entries. Commands that arrive within it share an entry, a sync of each store and one division of the
-/// quotas; no client's request waits for that. Microseconds.
+/// Minimum interval between entries, in microseconds. Commands that arrive within it share an entry, a sync of each store
+/// and one division of the quotas; no client request waits for them.
 const ENTRY_INTERVAL_US: u64 = 10_000;
-/// Length after which an entry takes no further command, in bytes. With the longest command it must fit a frame.
+/// Size from which no further command is added to an entry, in bytes. Together with the longest command, an entry must
+/// fit into a frame.
 const MAX_ENTRY_BYTES: usize = 1 << 20;
 
-/// Up to when a leader has counted the time of its term.
+/// The time up to which a leader has proposed log time in its term.
 #[derive(Clone, Copy)]
 pub(super) struct LogClock {
-    /// The term in which it leads.
+    /// Term of the leader.
     pub term: u64,
-    /// On the leader's clock. Microseconds.
-    pub counted_until: u64,
+    /// Time on the leader's clock. Microseconds.
+    pub proposed_until: u64,
 }
 
 impl LogClock {
-    /// When waiting commands get their entry. Microseconds.
+    /// Time at which an entry for queued commands is due. Microseconds.
     pub fn entry_due_at(self) -> u64 {
-        self.counted_until.saturating_add(ENTRY_INTERVAL_US)
+        self.proposed_until.saturating_add(ENTRY_INTERVAL_US)
     }
 }
 
-/// Commands that wait for their entry.
+/// Commands that are not proposed yet.
 #[derive(Default)]
 pub(super) struct ProposalQueue {
     commands: VecDeque<LoggedCommand>,
@@ -49,7 +50,7 @@
         self.commands.clear();
     }
 
-    /// Takes commands for one entry, in their order.
+    /// Removes commands for one entry from the front of the queue.
     fn take_batch(&mut self) -> Vec<LoggedCommand> {
         let mut batch = Vec::new();
         let mut bytes = 0;
@@ -64,28 +65,29 @@
 }
 
 impl<R> RaftNode<R> {
-    /// Proposes entries, if this keeper leads, and commands wait or time is to be counted.
+    /// Proposes entries if this keeper leads and an entry is due. Without commands, an entry only advances the log time.
     pub(super) fn propose(&mut self) {
         if !self.is_leader() {
             return;
         }
         let (now, term) = (self.now, self.term());
         let log_clock = self.log_clock.filter(|log_clock| log_clock.term == term);
-        let log_clock = *self.log_clock.insert(log_clock.unwrap_or(LogClock { term, counted_until: now }));
+        let log_clock = *self.log_clock.insert(log_clock.unwrap_or(LogClock { term, proposed_until: now }));
         let interval = if self.proposals.is_empty() { IDLE_ENTRY_INTERVAL_US } else { ENTRY_INTERVAL_US };
-        if now < log_clock.counted_until.saturating_add(interval) {
+        if now < log_clock.proposed_until.saturating_add(interval) {
             return;
         }
-        let mut elapsed_us = now.saturating_sub(log_clock.counted_until);
+        let mut elapsed_us = now.saturating_sub(log_clock.proposed_until);
         loop {
             let entry = LogEntry { elapsed_us, commands: self.proposals.take_batch() };
             match self.engine.propose(Vec::new(), entry.encode_to_vec()) {
                 Ok(()) => {
-                    self.log_clock = Some(LogClock { term, counted_until: now });
+                    self.log_clock = Some(LogClock { term, proposed_until: now });
                     elapsed_us = 0;
                 }
-                // The engine has too many entries in flight. The requests in this entry time out and are sent again.
-                Err(error) => info!("fleet: an entry was not taken: {error}"),
+                // The engine rejects proposals while too many entries are in flight. The entry's requests time out, and their
+                // senders retry.
+                Err(error) => info!("fleet: proposal of an entry rejected: {error}"),
             }
             if self.proposals.is_empty() {
                 return;
--- a/crates/cluster/src/raft_node/ready.rs
+++ b/crates/cluster/src/raft_node/ready.rs
@@ -1,4 +1,5 @@
-//! Carries out what the Raft engine wants, in the order that safety needs: first the store, then messages that rest on it.
+//! Processes the Raft engine's output in the order that safety requires: writes to the store come before the messages that
+//! depend on them.
 
 use super::{KeeperError, RaftNode, decode_state};
 use crate::protocol::Body;
@@ -8,11 +9,11 @@
 use raft::Ready;
 use raft::eraftpb::{ConfChange, Entry, EntryType, Message, Snapshot};
 
-/// Applied entries after which a snapshot replaces the log.
+/// Number of applied entries after which the log is replaced by a snapshot.
 const COMPACTION_INTERVAL: u64 = 4_096;
 
 impl<R> RaftNode<R> {
-    /// Persists, applies and sends until the engine wants nothing more.
+    /// Persists, applies and sends the engine's output until there is none left; compacts the log when it is long enough.
     pub(super) fn process_ready(&mut self) -> Result<(), KeeperError> {
         while self.engine.has_ready() {
             let ready = self.engine.ready();
@@ -56,7 +57,7 @@
         Ok(())
     }
 
-    /// Replaces the log up to the last applied entry by a snapshot.
+    /// Replaces the log up to the last applied entry with a snapshot of the state.
     pub(super) fn compact(&mut self, conf: &raft::eraftpb::ConfState) -> Result<(), KeeperError> {
         let state = prost::Message::encode_to_vec(&self.state);
         self.engine.mut_store().compact(self.applied, conf, state)?;
@@ -82,7 +83,7 @@
             self.applied = entry.index;
             self.last_applied_at = self.now;
             match entry.get_entry_type() {
-                // The engine proposes an empty entry at the begin of a term.
+                // A new leader's engine appends an empty entry at the start of its term.
                 EntryType::EntryNormal if entry.data.is_empty() => {}
                 EntryType::EntryNormal => {
                     for result in self.state.apply(&entry.data) {
@@ -93,7 +94,11 @@
                     let Ok(change) = ConfChange::parse_from_bytes(&entry.data) else { continue };
                     self.apply_voter_change(&change)?;
                 }
-                EntryType::EntryConfChangeV2 => error!("fleet: a change of keepers that nobody makes"),
+                EntryType::EntryConfChangeV2 => error!(
+                    "fleet: ignored entry {}: unsupported type {:?}",
+                    entry.index,
+                    EntryType::EntryConfChangeV2
+                ),
             }
         }
         Ok(())
--- a/crates/cluster/src/raft_node/replies.rs
+++ b/crates/cluster/src/raft_node/replies.rs
@@ -1,4 +1,4 @@
-//! Requests that wait until their entry is applied, and the replies to them.
+//! Pending requests, whose entry is not applied yet, and the replies to them.
 
 use super::RaftNode;
 use crate::protocol::{Body, LeaseGranted, LeaseRejected, OperatorReply};
@@ -7,18 +7,18 @@
 use linenhill_decisions::quota::table::QuotaReply;
 use log::info;
 
-/// Most requests that wait for their entry.
+/// Limit of pending requests.
 pub(super) const MAX_PENDING_REQUESTS: usize = 16_384;
-/// How long a request waits: its entry may be lost with its leader. Microseconds.
+/// Time after which a pending request is dropped, since its entry may have been lost in a change of leader. Microseconds.
 const PENDING_TIMEOUT_US: u64 = 5_000_000;
 
-/// Which applied result a pending request waits for.
+/// Identifies the applied result that a pending request waits for.
 #[derive(Clone, Copy)]
 pub(super) enum PendingKey {
     Lease {
         incarnation: u64,
         seq: u64,
-        /// Edition of the quarantine that the proxy applies.
+        /// Edition of the quarantine that the proxy has applied.
         quarantine_edition: u64,
     },
     Disruption {
@@ -26,16 +26,16 @@
     },
 }
 
-/// A request that waits for its entry.
+/// A request whose entry is not applied yet.
 pub(super) struct PendingRequest<R> {
     pub key: PendingKey,
-    /// Microseconds.
+    /// Time of receipt. Microseconds.
     pub received_at: u64,
     pub reply: R,
 }
 
 impl<R> RaftNode<R> {
-    /// Drops the requests that waited for too long. Their senders ask again by themselves.
+    /// Drops the requests that are pending for longer than [`PENDING_TIMEOUT_US`]. Their senders time out and retry.
     pub(super) fn expire_pending(&mut self) {
         let now = self.now;
         let is_expired = |request: &PendingRequest<R>| now > request.received_at + PENDING_TIMEOUT_US;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Replies to the request that waits for this result, if one does.
+    /// Replies to the pending request for this result, if there is one.
     pub(super) fn reply_to_pending(&mut self, result: AppliedResult) {
         match result {
             AppliedResult::Quota(result) => self.reply_to_lease_request(result),
@@ -52,19 +52,19 @@
         }
     }
 
-    /// Removes the first pending request whose key fits.
+    /// Removes and returns the first pending request whose key matches.
     fn take_pending(&mut self, is_match: impl Fn(PendingKey) -> bool) -> Option<PendingRequest<R>> {
-        let place = self.pending.iter().position(|request| is_match(request.key))?;
-        self.pending.remove(place)
+        let position = self.pending.iter().position(|request| is_match(request.key))?;
+        self.pending.remove(position)
     }
 
     fn reply_to_lease_request(&mut self, result: QuotaReply) {
         let QuotaReply { name, incarnation, result } = result;
-        // A rejection carries no sequence number and answers the session's first pending request.
+        // A rejection carries no sequence number, so it answers the incarnation's first pending request.
         let granted_seq = result.as_ref().ok().map(|grant| grant.seq).filter(|seq| *seq != 0);
         let is_match = |key| match key {
-            PendingKey::Lease { incarnation: of, seq, .. } => {
-                of == incarnation && granted_seq.is_none_or(|granted| granted == seq)
+            PendingKey::Lease { incarnation: pending, seq, .. } => {
+                pending == incarnation && granted_seq.is_none_or(|granted| granted == seq)
             }
             PendingKey::Disruption { .. } => false,
         };
@@ -77,9 +77,9 @@
                 Body::LeaseGranted(LeaseGranted { grant, quarantine })
             }
             Err(rejection) => {
-                // A late request and a name in use are frequent while proxies restart, and end by themselves.
+                // Not logged: stale requests and names in use are frequent while proxies restart, and resolve without action.
                 if !matches!(rejection, SessionRejected::StaleRequest | SessionRejected::NameInUse) {
-                    info!("fleet: {name} is not let in: {}", rejection.wire_reason());
+                    info!("fleet: lease request of {name} rejected: {}", rejection.wire_reason());
                 }
                 let superseded = matches!(rejection, SessionRejected::Superseded);
                 let reason = rejection.wire_reason().to_string();
@@ -100,7 +100,7 @@
         self.reply(request.reply, Body::OperatorReply(reply));
     }
 
-    /// Name of the proxy whose session has this incarnation.
+    /// Name of the proxy with a session of this incarnation.
     fn session_name(&self, incarnation: u64) -> Option<String> {
         let mut sessions = self.state.quota.membership.sessions.iter();
         sessions.find(|(_, session)| session.incarnation == incarnation).map(|(name, _)| name.clone())
--- a/crates/cluster/src/raft_node/requests.rs
+++ b/crates/cluster/src/raft_node/requests.rs
@@ -1,4 +1,4 @@
-//! Received messages: the Raft engine's own, and requests of proxies and operators.
+//! Received messages: Raft messages of other keepers, and requests of proxies and operators.
 
 use super::RaftNode;
 use super::replies::{MAX_PENDING_REQUESTS, PendingKey, PendingRequest};
@@ -9,7 +9,7 @@
 use protobuf::Message as _;
 use raft::eraftpb::Message;
 
-/// Longest lease request, in bytes.
+/// Maximum size of a lease request, in bytes.
 const MAX_LEASE_REQUEST_BYTES: usize = 256 << 10;
 
 impl<R> RaftNode<R> {
@@ -32,17 +32,17 @@
     }
 
     fn on_raft_message(&mut self, from: &str, id: u64, log_id: u64, bytes: &[u8]) {
-        // A new keeper learns the log's identifier from the keeper that accepts it, and must not vote before.
+        // A new keeper receives the log's identifier with the reply to its join request, and must not vote before that.
         if log_id == 0 || log_id != self.log_id() {
             return;
         }
-        self.learn_peer(from, id);
+        self.add_provisional_peer(from, id);
         let Ok(message) = Message::parse_from_bytes(bytes) else { return };
         if message.to != self.id() || message.from != id {
             return;
         }
         if let Err(error) = self.engine.step(message) {
-            info!("fleet: a message of {from} was not taken: {error}");
+            info!("fleet: Raft message from {from} rejected: {error}");
         }
     }
 
@@ -52,7 +52,7 @@
             return self.reply(reply, Body::NotLeader(NotLeader { leader }));
         }
         if self.pending.len() >= MAX_PENDING_REQUESTS {
-            // Without a leader's name the proxy waits before it asks again.
+            // Overloaded. A redirect without a leader's name makes the proxy try the next keeper after a delay.
             return self.reply(reply, Body::NotLeader(NotLeader { leader: String::new() }));
         }
         let SessionLeaseRequest { incarnation, .. } = request;
--- a/crates/cluster/src/raft_node/status.rs
+++ b/crates/cluster/src/raft_node/status.rs
@@ -1,4 +1,4 @@
-//! What a keeper tells operators about the fleet.
+//! The fleet's status, as a keeper reports it to operators.
 
 use super::RaftNode;
 use crate::protocol::{BudgetStatus, SessionStatus, Status, UnavailableStatus};
@@ -9,7 +9,7 @@
 use raft::StateRole;
 
 impl<R> RaftNode<R> {
-    /// The state of the fleet as far as it is applied here.
+    /// The state of the fleet as of the last entry applied here.
     pub fn status(&self) -> Status {
         let quota = &self.state.quota;
         let keepers = self.state.keepers.values();
--- a/crates/cluster/src/raft_node/ticks.rs
+++ b/crates/cluster/src/raft_node/ticks.rs
@@ -1,4 +1,4 @@
-//! What a keeper does at each tick: elections, the declaration of a new leader, and retries.
+//! Periodic work of a keeper: elections, the declaration of a new leader, and retries.
 
 use super::RaftNode;
 use crate::log_entry::{Command, Declaration};
@@ -8,13 +8,13 @@
 
 /// Interval of [`Event::Tick`](super::Event::Tick), in microseconds.
 pub const TICK_US: u64 = 50_000;
-/// Least ticks without a leader before an election; each election draws up to twice as many.
+/// Minimum election timeout, in ticks. The timeout is drawn at random from this up to twice as many ticks.
 pub(super) const ELECTION_TICKS: usize = 10;
-/// Ticks between heartbeats of the leader.
+/// Interval between the leader's heartbeats, in ticks.
 pub(super) const HEARTBEAT_TICKS: usize = 2;
-/// Ticks after which a snapshot that was not confirmed is sent again.
+/// Interval at which unconfirmed snapshots are sent again, in ticks.
 const SNAPSHOT_RETRY_TICKS: u64 = 40;
-/// Ticks between the join requests of a keeper that is no voter.
+/// Interval between the join requests of a keeper that is not a voter, in ticks.
 const JOIN_RETRY_TICKS: u64 = 10;
 
 impl<R> RaftNode<R> {
@@ -38,7 +38,8 @@
         self.log_leader_change();
     }
 
-    /// Sets the timeout of the next election. The engine would draw it from a random source that no simulation can repeat.
+    /// Sets a random election timeout from this node's seed. The engine's own random source would make simulations
+    /// irreproducible.
     fn draw_election_timeout(&mut self) {
         let round = self.ticks / ELECTION_TICKS as u64;
         let mut rng = fastrand::Rng::with_seed(self.seed.wrapping_add(round));
@@ -46,7 +47,7 @@
         self.engine.raft.set_randomized_election_timeout(timeout);
     }
 
-    /// Sends everyone who waits here to the leader: a keeper that does not lead cannot answer them.
+    /// Redirects all pending requests to the leader, and drops their commands: only a leader can propose them.
     fn redirect_pending(&mut self) {
         self.log_clock = None;
         let redirect = Body::NotLeader(NotLeader { leader: self.leader_name() });
@@ -56,18 +57,19 @@
         self.proposals.clear();
     }
 
-    /// Whether an entry of the current term is applied. Only then the state includes all entries of earlier terms.
+    /// Whether the last applied entry is of the current term. The state then includes all entries of earlier terms.
     fn has_applied_entry_of_term(&self) -> bool {
         self.engine.store().term(self.applied).unwrap_or(0) == self.term()
     }
 
-    /// Declares the budgets of this keeper's file if they are newer than the agreed ones.
+    /// Proposes this keeper's operators' file as the declaration if its revision is accepted; logs a warning if it differs
+    /// from the agreed declaration otherwise.
     fn declare_file(&mut self) {
         let declaration = Declaration::from(&self.operator);
         let agreed = &self.state.quota;
         let revision = declaration.revision;
         if agreed.accepts_revision(revision) {
-            info!("fleet: budgets are declared as this file has them, revision {revision}");
+            info!("fleet: proposing the declaration of this keeper's file, revision {revision}");
             self.proposals.push(Command::Declare(declaration).into());
         } else if agreed.terms != declaration.terms || agreed.declared != declaration.budgets {
             let agreed = agreed.revision;
@@ -77,7 +79,8 @@
         }
     }
 
-    /// Reports unconfirmed snapshots as failed. The engine waits for a confirmation, which may have been lost.
+    /// Reports unconfirmed snapshots as failed, so that the engine sends them again: the snapshot or its confirmation may
+    /// have been lost.
     fn retry_snapshots(&mut self) {
         let unconfirmed: Vec<u64> = self
             .engine
--- a/crates/cluster/src/raft_node/voters.rs
+++ b/crates/cluster/src/raft_node/voters.rs
@@ -1,4 +1,4 @@
-//! The keepers of the log: who they are, where they are reached, and how one joins or is removed.
+//! Membership of the log: the voters, their addresses, and how a keeper joins or is removed.
 
 use super::operators::{ChangeRejected, immediate_reply};
 use super::{Action, KeeperError, RaftNode};
@@ -9,23 +9,23 @@
 use raft::eraftpb::{ConfChange, ConfChangeType};
 use std::net::SocketAddr;
 
-/// Most peers that a keeper without a state learns from their messages.
-const MAX_LEARNED_PEERS: usize = 16;
+/// Limit of peers that a keeper without a state adds on receipt of their messages.
+const MAX_PROVISIONAL_PEERS: usize = 16;
 
 impl<R> RaftNode<R> {
-    /// Whether this keeper is one of the agreed voters.
+    /// Whether this keeper is a voter, by the state applied here.
     pub(super) fn is_voter(&self) -> bool {
         self.state.keepers.contains_key(&self.id())
     }
 
-    /// Address of the keeper `name` by this keeper's file.
+    /// Address of the keeper `name` in this keeper's operators' file.
     fn configured_address(&self, name: &str) -> Option<SocketAddr> {
         self.operator.keepers.iter().find(|keeper| keeper.name == name).map(|keeper| keeper.address)
     }
 
-    /// Makes the agreed keepers the peers of this one. This keeper's file decides over their addresses, else the log.
+    /// Updates the peers from the replicated list of keepers. Addresses in this keeper's file override those in the log.
     pub(super) fn update_peers(&mut self) {
-        // A keeper without a state keeps the peers that it learned from their messages.
+        // A keeper without a state keeps its provisional peers.
         if !self.state.keepers.is_empty() {
             self.peers.retain(|id, _| self.state.keepers.contains_key(id));
         }
@@ -39,10 +39,10 @@
         self.actions.push(Action::SetPeers(self.peers.clone()));
     }
 
-    /// Adds the sender of a Raft message to the peers, while this keeper has no state that names them.
-    pub(super) fn learn_peer(&mut self, name: &str, id: u64) {
-        let may_learn = self.state.keepers.is_empty() && self.peers.len() < MAX_LEARNED_PEERS;
-        if !may_learn || self.peers.contains_key(&id) {
+    /// Adds the sender of a Raft message to the peers while this keeper has no list of keepers, so that it can answer.
+    pub(super) fn add_provisional_peer(&mut self, name: &str, id: u64) {
+        let may_add = self.state.keepers.is_empty() && self.peers.len() < MAX_PROVISIONAL_PEERS;
+        if !may_add || self.peers.contains_key(&id) {
             return;
         }
         if let Some(address) = self.configured_address(name) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Asks every other configured keeper to become a voter; only a leader can grant it.
+    /// Sends a join request to every other configured keeper; only the leader admits a new voter.
     pub(super) fn request_join(&mut self) {
         let Some(own_address) = self.configured_address(&self.identity.name) else { return };
         for keeper in self.operator.keepers.iter().filter(|keeper| keeper.name != self.identity.name) {
@@ -74,13 +74,14 @@
 
     pub(super) fn on_join_request(&mut self, name: &str, id: u64, join: &JoinRequest, reply: R) {
         let known_id = self.state.keeper_id(name);
-        // A voter that never received its acceptance learns it from any keeper: without its vote there may be no leader.
+        // Any keeper confirms an existing voter, since the reply of the leader may have been lost, and without this vote there
+        // may be no leader.
         if !self.is_leader() && known_id != Some(id) {
             return;
         }
         let outcome = match known_id {
             Some(known_id) if known_id == id => Ok("known".to_string()),
-            Some(_) => Err(ChangeRejected::OtherStore { name: name.to_string() }),
+            Some(_) => Err(ChangeRejected::StoreMismatch { name: name.to_string() }),
             None => self.propose_voter(name, id, join),
         };
         self.reply_with_log_id(reply, self.log_id(), Body::OperatorReply(immediate_reply(outcome)));
@@ -95,7 +96,7 @@
         Ok("being let in".to_string())
     }
 
-    /// Removes a voter that lost its store, so that another store may join under its name.
+    /// Proposes to remove a voter that lost its store, so that a new store may join under its name.
     pub(super) fn replace_keeper(&mut self, name: &str) -> Result<String, ChangeRejected> {
         let id = self
             .state
@@ -108,7 +109,7 @@
         Ok(format!("{name} with number {id} votes no more; another store may join"))
     }
 
-    /// Proposes to add or remove a voter. `record` is the encoded [`KeeperRecord`] of an added one.
+    /// Proposes to add or remove a voter. `record` is the encoded [`KeeperRecord`] of an added voter, and empty otherwise.
     fn propose_voter_change(
         &mut self, change_type: ConfChangeType, id: u64, record: Vec<u8>,
     ) -> Result<(), raft::Error> {
@@ -125,11 +126,11 @@
             self.state.keepers.remove(&change.node_id);
         } else {
             let record = KeeperRecord::decode(change.get_context()).unwrap_or_default();
-            info!("fleet: {} is a keeper", record.name);
+            info!("fleet: keeper {} is a voter", record.name);
             self.state.keepers.insert(change.node_id, record);
         }
         self.update_peers();
-        // A new voter accepts only a snapshot that names it, and the engine sends it the last snapshot there is.
+        // The engine sends a new voter the last snapshot, and the voter accepts it only if it lists the voter.
         self.compact(&conf)
     }
 }
--- a/crates/cluster/src/transport/call.rs
+++ b/crates/cluster/src/transport/call.rs
@@ -1,4 +1,4 @@
-//! Calls: one request, one answer, on a connection of their own.
+//! Opens connections, and makes one-shot calls: one request and its answer on a connection of their own.
 
 use super::{Connection, IO_TIMEOUT, InstanceIdentity, OperatorCallError, TransportError};
 use crate::protocol::{Body, Envelope, EnvelopeCodec, OperatorReply, OperatorRequest};
@@ -10,39 +10,39 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-/// Limit on the wait for an answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for the answer to a call, counted from the end of the write.
+pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Opens a connection within one second.
+/// Opens a connection; times out after 1 s.
 ///
 /// # Errors
 /// [`TransportError::Timeout`] or [`TransportError::Connect`].
 pub async fn connect(address: SocketAddr) -> Result<Connection, TransportError> {
     let stream = timeout(IO_TIMEOUT, TcpStream::connect(address)).await?.map_err(TransportError::Connect)?;
-    // Without it messages are only slower.
+    // A failure is ignored: TCP_NODELAY only reduces latency.
     let _ = stream.set_nodelay(true);
     Ok(Framed::new(stream, EnvelopeCodec::default()))
 }
 
-/// Sends one message and waits for the answer.
+/// Sends one message on a new connection and waits for the answer.
 ///
 /// # Errors
-/// Any failure to connect, write or read in time.
+/// Connecting, writing or reading failed or timed out, or the connection was closed without an answer.
 pub async fn call(address: SocketAddr, envelope: Envelope) -> Result<Envelope, TransportError> {
     let mut connection = connect(address).await?;
     timeout(IO_TIMEOUT, connection.send(envelope)).await??;
     match timeout(ANSWER_TIMEOUT, connection.next()).await {
         Ok(Some(answer)) => Ok(answer?),
         Ok(None) => Err(TransportError::ClosedWithoutAnswer),
-        Err(_) => Err(TransportError::NoAnswer),
+        Err(_) => Err(TransportError::AnswerTimeout),
     }
 }
 
-/// Sends a request to the keepers in turn, until one of them carries it out. Returns that reply, or else the last
-/// rejection by a leader.
+/// Sends a request to the keepers in turn until one accepts it. Returns that reply, or the last rejection by a leader if
+/// none accepts it.
 ///
 /// # Errors
-/// The last failure, if no leader replied.
+/// The last failure if no leader replied, or [`OperatorCallError::NoKeepers`] without keepers.
 pub async fn send_to_leader(
     keepers: &[Keeper], identity: &InstanceIdentity, request: OperatorRequest,
 ) -> Result<OperatorReply, OperatorCallError> {
--- a/crates/cluster/src/transport/error.rs
+++ b/crates/cluster/src/transport/error.rs
@@ -1,51 +1,54 @@
-//! Why a connection or a call fails.
+//! Errors of connections and calls.
 
+use super::IO_TIMEOUT;
+use super::call::ANSWER_TIMEOUT;
+use super::peer::PONG_TIMEOUT;
 use crate::protocol::{PROTOCOL_VERSION, ProtocolError};
 use std::error::Error;
 use std::fmt;
 use std::io;
 use tokio::time::error::Elapsed;
 
-/// Why a connection ends or a call fails. Prints as one line.
+/// The failure of a connection or a call. Prints as one line.
 #[derive(Debug)]
 pub enum TransportError {
     /// The connection could not be opened.
     Connect(io::Error),
     /// A frame could not be read or written.
     Protocol(ProtocolError),
-    /// A connection could not be opened, or a message not written, within its time limit.
+    /// Opening a connection or writing a message timed out.
     Timeout(Elapsed),
-    /// The instance belongs to another fleet, of this name.
-    OtherCluster(String),
-    /// The instance uses another version of the protocol.
-    OtherVersion(u32),
-    /// The other side closed the connection instead of an answer.
+    /// The sender belongs to the fleet of this name, which is not the receiver's.
+    ClusterMismatch(String),
+    /// The sender uses this version of the protocol, which is not the receiver's.
+    VersionMismatch(u32),
+    /// The called instance closed the connection before it answered.
     ClosedWithoutAnswer,
-    /// No answer arrived within the time limit.
-    NoAnswer,
-    /// The other side closed a lasting connection.
-    Closed,
-    /// The other side of a lasting connection answers no pings.
-    Silent,
-    /// The other side of a lasting connection reads nothing.
+    /// No answer to a call arrived before the timeout.
+    AnswerTimeout,
+    /// The peer closed a persistent connection.
+    ConnectionClosed,
+    /// The peer of a persistent connection did not answer pings before the timeout.
+    PeerUnresponsive,
+    /// Writing to a persistent connection timed out, because the peer does not read.
     WriteBlocked,
 }
 
 impl fmt::Display for TransportError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            TransportError::Connect(error) => write!(f, "{error}"),
+            TransportError::Connect(error) => write!(f, "cannot connect: {error}"),
             TransportError::Protocol(error) => write!(f, "{error}"),
-            TransportError::Timeout(error) => write!(f, "{error}"),
-            TransportError::OtherCluster(cluster) => write!(f, "it is of the fleet '{cluster}'"),
-            TransportError::OtherVersion(version) => {
-                write!(f, "it speaks version {version}, and this is {PROTOCOL_VERSION}")
+            TransportError::Timeout(_) => write!(f, "connect or write timed out after {IO_TIMEOUT:?}"),
+            TransportError::ClusterMismatch(cluster) => write!(f, "it is of the fleet '{cluster}'"),
+            TransportError::VersionMismatch(version) => {
+                write!(f, "received protocol version {version}, expected {PROTOCOL_VERSION}")
             }
-            TransportError::ClosedWithoutAnswer => f.write_str("it ended the connection"),
-            TransportError::NoAnswer => f.write_str("no answer came in time"),
-            TransportError::Closed => f.write_str("it was closed"),
-            TransportError::Silent => f.write_str("it is silent"),
-            TransportError::WriteBlocked => f.write_str("nothing can be written"),
+            TransportError::ClosedWithoutAnswer => f.write_str("connection closed before an answer"),
+            TransportError::AnswerTimeout => write!(f, "no answer within {ANSWER_TIMEOUT:?}"),
+            TransportError::ConnectionClosed => f.write_str("closed by the peer"),
+            TransportError::PeerUnresponsive => write!(f, "no answer to pings within {PONG_TIMEOUT:?}"),
+            TransportError::WriteBlocked => write!(f, "write timed out after {IO_TIMEOUT:?}"),
         }
     }
 }
@@ -56,12 +59,12 @@
             TransportError::Connect(error) => Some(error),
             TransportError::Protocol(error) => Some(error),
             TransportError::Timeout(error) => Some(error),
-            TransportError::OtherCluster(_)
-            | TransportError::OtherVersion(_)
+            TransportError::ClusterMismatch(_)
+            | TransportError::VersionMismatch(_)
             | TransportError::ClosedWithoutAnswer
-            | TransportError::NoAnswer
-            | TransportError::Closed
-            | TransportError::Silent
+            | TransportError::AnswerTimeout
+            | TransportError::ConnectionClosed
+            | TransportError::PeerUnresponsive
             | TransportError::WriteBlocked => None,
         }
     }
@@ -79,28 +82,28 @@
     }
 }
 
-/// Why no keeper decided on an operator's request.
+/// Why an operator's request was not decided by a leader.
 #[derive(Debug)]
 pub enum OperatorCallError {
     /// No keeper is configured.
     NoKeepers,
-    /// This keeper does not lead; the text is its own.
+    /// This keeper does not lead.
     NotLeader {
         /// Name of the keeper.
         keeper: String,
-        /// What it answered.
+        /// Text of its reply.
         text: String,
     },
-    /// This keeper answered with another message than a reply.
+    /// This keeper answered with a message that is not an operator reply.
     UnexpectedAnswer {
         /// Name of the keeper.
         keeper: String,
     },
-    /// This keeper could not be called.
+    /// The call to this keeper failed.
     Transport {
         /// Name of the keeper.
         keeper: String,
-        /// Why.
+        /// Error of the call.
         source: TransportError,
     },
 }
@@ -111,7 +114,7 @@
             OperatorCallError::NoKeepers => f.write_str("there is no keeper"),
             OperatorCallError::NotLeader { keeper, text } => write!(f, "{keeper}: {text}"),
             OperatorCallError::UnexpectedAnswer { keeper } => {
-                write!(f, "{keeper}: an answer that is none")
+                write!(f, "{keeper}: expected an operator reply, received another message")
             }
             OperatorCallError::Transport { keeper, source } => write!(f, "{keeper}: {source}"),
         }
--- a/crates/cluster/src/transport/mod.rs
+++ b/crates/cluster/src/transport/mod.rs
@@ -1,7 +1,8 @@
-//! Connections between instances: accepting them, calling an instance once, and one lasting connection to each other keeper.
+//! Connections between instances: a server that accepts them, one-shot calls, and one persistent connection to each other
+//! keeper.
 //!
-//! Carries messages and decides nothing by their content, except that it answers pings, and that it accepts long frames
-//! from keepers only. Messages may be lost, late or duplicated; the layers above must cope.
+//! Forwards messages without interpreting their content, except that it answers pings and accepts long frames from keepers
+//! only. Messages may be lost, delayed or duplicated; the layers above must tolerate it.
 
 mod call;
 mod error;
@@ -21,14 +22,14 @@
 /// A connection to another instance.
 pub type Connection = Framed<TcpStream, EnvelopeCodec>;
 
-/// Most messages that wait for one connection; further ones are dropped, as a network may drop them.
+/// Capacity of a connection's queue of outgoing messages; further messages are dropped.
 const QUEUE_LENGTH: usize = 1_024;
-/// Limit on opening a connection, and on writing one message.
+/// Timeout for opening a connection, and for writing one message.
 const IO_TIMEOUT: Duration = Duration::from_secs(1);
-/// First pause before a failed connection is opened again, and after a failed accept.
+/// Initial delay before a failed connection is reopened; also the delay after a failed accept.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The identity that an instance puts on its messages, and the names that it trusts.
+/// The sender fields of an instance's messages, and the keepers from which it accepts long frames.
 #[derive(Clone, Debug)]
 pub struct InstanceIdentity {
     /// Name of the fleet.
@@ -37,12 +38,12 @@
     pub name: String,
     /// Incarnation of this instance; for a keeper, its Raft identifier.
     pub incarnation: u64,
-    /// Names of the keepers, which alone may send long frames.
+    /// Names of the keepers; only they may send long frames.
     pub keepers: Vec<String>,
 }
 
 impl InstanceIdentity {
-    /// A message from this instance. `log_id` is 0 except between keepers.
+    /// Creates a message from this instance. `log_id` is 0 in messages that are not between keepers.
     pub fn envelope(&self, log_id: u64, body: Body) -> Envelope {
         Envelope {
             cluster: self.cluster.clone(),
--- a/crates/cluster/src/transport/peer.rs
+++ b/crates/cluster/src/transport/peer.rs
@@ -1,4 +1,4 @@
-//! A lasting connection to another keeper, opened again whenever it fails.
+//! A persistent connection to another keeper, reopened whenever it fails.
 
 use super::{
     Connection, IO_TIMEOUT, InstanceIdentity, MIN_RETRY_DELAY, QUEUE_LENGTH, TransportError, connect,
@@ -13,14 +13,14 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, interval, sleep, timeout};
 
-/// Longest pause before a failed connection is opened again; the pause doubles from [`MIN_RETRY_DELAY`].
+/// Longest delay before a failed connection is reopened; the delay doubles from [`MIN_RETRY_DELAY`].
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Interval between pings. A connection that the network cut shows no other sign.
+/// Interval between pings. A connection cut by the network is detected only by missing answers to them.
 const PING_INTERVAL: Duration = Duration::from_millis(500);
-/// Time without an answer to a ping after which the connection counts as cut.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Time without a received message after which the connection is closed.
+pub(super) const PONG_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// The sending side of a connection to another keeper. The connection ends once all clones are dropped.
+/// The sending side of a connection to another keeper. The connection is closed once all clones are dropped.
 #[derive(Clone)]
 pub struct PeerConnection {
     queue: mpsc::Sender<Envelope>,
@@ -29,20 +29,20 @@
 }
 
 impl PeerConnection {
-    /// Starts a local task that keeps a connection to `address` open.
+    /// Starts a local task that opens a connection to `address` and reopens it when it fails.
     pub fn start(address: SocketAddr, identity: Rc<InstanceIdentity>) -> PeerConnection {
         let (queue, outgoing) = mpsc::channel(QUEUE_LENGTH);
         spawn_local(maintain(address, identity, outgoing));
         PeerConnection { queue, address }
     }
 
-    /// Queues a message; false if it is dropped, because the queue is full.
+    /// Queues a message. Returns false if the message is dropped because the queue is full.
     pub fn send(&self, envelope: Envelope) -> bool {
         self.queue.try_send(envelope).is_ok()
     }
 }
 
-/// Opens the connection again and again, until no [`PeerConnection`] is left.
+/// Opens the connection and reopens it when it fails, until all [`PeerConnection`]s are dropped.
 async fn maintain(
     address: SocketAddr, identity: Rc<InstanceIdentity>, mut outgoing: mpsc::Receiver<Envelope>,
 ) {
@@ -53,12 +53,12 @@
                 info!("fleet: connected to {address}");
                 retry_delay = MIN_RETRY_DELAY;
                 match exchange(connection, &identity, &mut outgoing).await {
-                    Err(error) => info!("fleet: connection to {address} ended: {error}"),
+                    Err(error) => info!("fleet: connection to {address} closed: {error}"),
                     Ok(()) => return,
                 }
             }
             Err(_) => {
-                // What is queued now would be outdated by the time the keeper is back.
+                // Queued messages are discarded: they would be outdated once the keeper is reachable again.
                 while outgoing.try_recv().is_ok() {}
                 if outgoing.is_closed() {
                     return;
@@ -70,19 +70,20 @@
     }
 }
 
-/// Sends messages and pings until the connection fails; `Ok` once no [`PeerConnection`] is left.
+/// Sends messages and pings until the connection fails. Returns `Ok` once all [`PeerConnection`]s are dropped.
 async fn exchange(
     mut connection: Connection, identity: &InstanceIdentity, outgoing: &mut mpsc::Receiver<Envelope>,
 ) -> Result<(), TransportError> {
     let mut ping = interval(PING_INTERVAL);
-    let mut last_answer = Instant::now();
+    let mut last_received_at = Instant::now();
     loop {
         let next = tokio::select! {
-            // The first ping is due at once and must go first: by it the other side knows that a keeper sends.
+            // The first ping is due immediately and must be sent first: the peer accepts long frames only after it has
+            // received a message from a keeper.
             biased;
             _ = ping.tick() => {
-                if last_answer.elapsed() > SILENCE_TIMEOUT {
-                    return Err(TransportError::Silent);
+                if last_received_at.elapsed() > PONG_TIMEOUT {
+                    return Err(TransportError::PeerUnresponsive);
                 }
                 identity.envelope(0, Body::Ping(Empty {}))
             }
@@ -91,8 +92,8 @@
                 None => return Ok(()),
             },
             answer = connection.next() => {
-                answer.ok_or(TransportError::Closed)??;
-                last_answer = Instant::now();
+                answer.ok_or(TransportError::ConnectionClosed)??;
+                last_received_at = Instant::now();
                 continue;
             }
         };
--- a/crates/cluster/src/transport/server.rs
+++ b/crates/cluster/src/transport/server.rs
@@ -1,4 +1,4 @@
-//! The accepting side: which instances may connect, and what reaches the instance from them.
+//! The server side: accepts connections, checks the sender of each message, and passes messages to the instance.
 
 use super::{Connection, IO_TIMEOUT, InstanceIdentity, MIN_RETRY_DELAY, QUEUE_LENGTH, TransportError};
 use crate::protocol::{Body, Empty, Envelope, EnvelopeCodec, PROTOCOL_VERSION};
@@ -14,16 +14,16 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// Most accepted connections at a time.
+/// Limit of concurrent accepted connections.
 const MAX_CONNECTIONS: usize = 4_096;
-/// A connection that brings no message for this long is closed.
+/// Time without a message in either direction after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A received message and the way back to its sender.
+/// A received message, and the queue for answers to its sender.
 pub struct IncomingMessage {
-    /// The message. Its fleet and protocol version are those of this instance.
+    /// The message. Its fleet and protocol version have been checked to be those of this instance.
     pub envelope: Envelope,
-    /// Takes answers for the same connection; what does not fit the queue should be dropped.
+    /// Queue of answers on the same connection. Callers should drop an answer when the queue is full.
     pub reply: mpsc::Sender<Envelope>,
 }
 
@@ -37,7 +37,7 @@
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                warn!("fleet: accept: {error}");
+                warn!("fleet: cannot accept a connection: {error}");
                 sleep(MIN_RETRY_DELAY).await;
                 continue;
             }
@@ -47,7 +47,7 @@
             continue;
         }
         let Ok(permit) = permits.clone().try_acquire_owned() else {
-            warn!("fleet: {peer} finds no place");
+            warn!("fleet: {peer} rejected: {MAX_CONNECTIONS} connections are open");
             continue;
         };
         let (identity, inbox) = (identity.clone(), inbox.clone());
@@ -60,11 +60,11 @@
     }
 }
 
-/// Serves one connection until it is closed, idle for too long, or fails.
+/// Serves one connection until it is closed, fails, or is idle for [`IDLE_TIMEOUT`].
 async fn serve_connection(
     stream: TcpStream, identity: &InstanceIdentity, inbox: mpsc::Sender<IncomingMessage>,
 ) -> Result<(), TransportError> {
-    // Without it messages are only slower.
+    // A failure is ignored: TCP_NODELAY only reduces latency.
     let _ = stream.set_nodelay(true);
     let mut connection = Framed::new(stream, EnvelopeCodec::for_untrusted());
     let (reply, mut answers) = mpsc::channel::<Envelope>(QUEUE_LENGTH);
@@ -89,15 +89,16 @@
     }
 }
 
-/// Rejects other fleets and protocol versions, and lets keepers send long frames from now on.
+/// Rejects messages of other fleets and protocol versions. Once a keeper has sent a message, its connection accepts long
+/// frames.
 fn check_sender(
     envelope: &Envelope, identity: &InstanceIdentity, connection: &mut Connection,
 ) -> Result<(), TransportError> {
     if envelope.cluster != identity.cluster {
-        return Err(TransportError::OtherCluster(envelope.cluster.clone()));
+        return Err(TransportError::ClusterMismatch(envelope.cluster.clone()));
     }
     if envelope.version != PROTOCOL_VERSION {
-        return Err(TransportError::OtherVersion(envelope.version));
+        return Err(TransportError::VersionMismatch(envelope.version));
     }
     if identity.keepers.contains(&envelope.from) {
         connection.codec_mut().allow_keeper_frames();
