--- a/src/fleet/command_line.rs
+++ b/src/fleet/command_line.rs
@@ -1,5 +1,5 @@
-//! What operators ask of a fleet from the command line: checks of their file, the fleet's state, and changes to it. A
-//! change is decided by the leader; this module must only pass it on. What it prints is read by scripts of operators.
+//! The operators' commands: checks of an operators' file, the status of a fleet, and changes to it. The leader decides
+//! on changes; this module only sends requests. The output is parsed by operators' scripts.
 
 use super::status::InstanceStatus;
 use crate::cli::FleetCommand;
@@ -14,12 +14,12 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Why an operators' file can't be used; printed as a line for each problem, which names the file.
+/// Why an operators' file can't be used. Prints as one line per problem, each of which starts with the file's path.
 #[derive(Debug)]
 pub enum OperatorFileError {
     /// The file can't be read.
     Unreadable(PathBuf, io::Error),
-    /// The text has these mistakes.
+    /// The file has these mistakes.
     Mistakes(PathBuf, Vec<Mistake>),
 }
 
@@ -44,16 +44,16 @@
     }
 }
 
-/// Why a fleet's command did not succeed.
+/// Why a fleet command failed.
 #[derive(Debug)]
 pub enum FleetCommandError {
     /// The operators' file can't be used.
     File(OperatorFileError),
-    /// No leader decided on the change.
+    /// The change was not decided by a leader.
     NoLeader(OperatorCallError),
-    /// The leader rejected the change; the text is its own.
+    /// The leader rejected the change. Holds the text of its reply.
     Rejected(String),
-    /// No instance told its status.
+    /// No instance returned a status.
     NoStatus(Vec<StatusCallError>),
 }
 
@@ -93,12 +93,12 @@
     }
 }
 
-/// Why the instance at an address did not tell its status.
+/// Why the status of the instance at an address could not be fetched.
 #[derive(Debug)]
 pub enum StatusCallError {
-    /// It could not be called.
+    /// The call failed.
     Transport(SocketAddr, TransportError),
-    /// It answered with another message than a status.
+    /// The instance answered with a message that is not a status.
     UnexpectedAnswer(SocketAddr),
 }
 
@@ -106,7 +106,9 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             StatusCallError::Transport(address, error) => write!(f, "{address}: {error}"),
-            StatusCallError::UnexpectedAnswer(address) => write!(f, "{address}: an answer that is none"),
+            StatusCallError::UnexpectedAnswer(address) => {
+                write!(f, "{address}: expected a status, received another message")
+            }
         }
     }
 }
@@ -123,7 +125,7 @@
 /// Reads an operators' file.
 ///
 /// # Errors
-/// The file can't be read, or has mistakes; all of them are named.
+/// The file can't be read, or has mistakes, all of which are returned.
 pub fn read_operator_file(path: &Path) -> Result<Operator, OperatorFileError> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| OperatorFileError::Unreadable(path.to_path_buf(), error))?;
@@ -148,13 +150,13 @@
 /// The result of a check of an operators' file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileCheck {
-    /// What is to be printed.
+    /// The text or JSON to print.
     pub report: String,
-    /// Whether the file can be used.
+    /// Whether the file has no mistakes.
     pub is_valid: bool,
 }
 
-/// Checks an operators' file, and reports as text or as JSON.
+/// Checks an operators' file and reports the result as text or as JSON.
 pub fn check_operator_file(path: &Path, as_json: bool) -> FileCheck {
     let file = path.display().to_string();
     let error = read_operator_file(path).err();
@@ -170,7 +172,7 @@
     FileCheck { report, is_valid }
 }
 
-/// The mistakes of a file. That it can't be read is one of the file as a whole, at line 0.
+/// Converts the mistakes of a file. A file that can't be read is reported as one mistake at line 0 without a field.
 fn mistake_documents(error: OperatorFileError) -> Vec<MistakeDocument> {
     match error {
         OperatorFileError::Unreadable(_, error) => {
@@ -184,10 +186,10 @@
     }
 }
 
-/// Runs one of the fleet's commands. Returns what is to be printed.
+/// Runs a fleet command. Returns the text to print.
 ///
 /// # Errors
-/// The operators' file can't be used, no leader answers, or the leader rejects the change.
+/// The operators' file can't be used, no instance returned a status, or the change was rejected or not decided.
 pub async fn run(command: FleetCommand) -> Result<String, FleetCommandError> {
     match command {
         FleetCommand::Status { operator, at, json } => {
@@ -221,7 +223,7 @@
     }
 }
 
-/// Who operators are among the instances.
+/// The identity with which operators send requests to instances.
 fn operators_identity(operator: &Operator) -> InstanceIdentity {
     InstanceIdentity {
         cluster: operator.cluster.clone(),
@@ -231,7 +233,8 @@
     }
 }
 
-/// The status of the leader, or else of the first keeper that answers; of the instance at `address` alone if one is given.
+/// Fetches the status of the leader, or of the first keeper that answers if none of them leads. With `address`, fetches
+/// only the status of that instance.
 async fn fetch_status(
     operator: &Operator, address: Option<SocketAddr>,
 ) -> Result<InstanceStatus, FleetCommandError> {
@@ -264,7 +267,8 @@
     Ok(InstanceStatus { from: answer.from, status })
 }
 
-/// Sends a request to the leader. Returns its text, and who has not confirmed the change yet.
+/// Sends a request to the leader. Returns the text of its reply, with the proxies that have not confirmed the change
+/// yet.
 async fn send_to_leader(operator: &Operator, request: OperatorRequest) -> Result<String, FleetCommandError> {
     let identity = operators_identity(operator);
     let reply = transport::send_to_leader(&operator.keepers, &identity, request).await?;
@@ -277,7 +281,7 @@
     Ok(format!("{}; not confirmed yet by {}", reply.text, reply.unconfirmed.join(", ")))
 }
 
-/// A request of operators on what may be out.
+/// A disruption request of operators without a reason.
 fn disruption(subject: String, action: DisruptionAction) -> DisruptionRequest {
     DisruptionRequest {
         subject,
--- a/src/fleet/command_line/tests.rs
+++ b/src/fleet/command_line/tests.rs
@@ -1,9 +1,9 @@
-//! What `linenhill check` and failed commands of a fleet print: scripts of operators read it. Guards against another
-//! text, and against a problem that is not named.
+//! Output of `linenhill check` and of failed fleet commands, which operators' scripts parse. Guards against changed
+//! text and against problems that are not reported.
 
 use super::*;
 
-/// A file of this text, in the system's folder for temporary files.
+/// Writes a temporary file with this text.
 fn file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("linenhill-{}-{name}", std::process::id()));
     std::fs::write(&path, text).expect("written");
@@ -48,13 +48,14 @@
     let address: SocketAddr = "127.0.0.1:7".parse().expect("an address");
     let errors = vec![
         StatusCallError::UnexpectedAnswer(address),
-        StatusCallError::Transport(address, TransportError::NoAnswer),
+        StatusCallError::Transport(address, TransportError::AnswerTimeout),
     ];
-    let reason = TransportError::NoAnswer;
-    let expected = format!("127.0.0.1:7: an answer that is none\n127.0.0.1:7: {reason}");
+    let reason = TransportError::AnswerTimeout;
+    assert_eq!(reason.to_string(), "no answer within 2s");
+    let expected = format!("127.0.0.1:7: expected a status, received another message\n127.0.0.1:7: {reason}");
     assert_eq!(FleetCommandError::NoStatus(errors).to_string(), expected);
     assert_eq!(FleetCommandError::NoStatus(Vec::new()).to_string(), "");
     let error = FleetCommandError::from(OperatorCallError::NoKeepers);
     assert_eq!(error.to_string(), "there is no keeper");
-    assert!(error.source().is_some(), "its cause is kept");
+    assert!(error.source().is_some(), "the source is kept");
 }
--- a/src/fleet/disruption.rs
+++ b/src/fleet/disruption.rs
@@ -1,7 +1,7 @@
-//! Disruption of this process and of members, between the lifecycle, the driver of the decisions, and the keepers:
-//! reports what is in service, applies the quarantine, and asks for permits. What may be out is decided by
-//! `linenhill_decisions::disruption` at the leader; this module must not decide it, and must never confirm a
-//! quarantine that the driver has not applied.
+//! Disruption limits in a proxy: reports the availability of the proxy and its observations of members to the keepers,
+//! applies the quarantine, and requests permits. The leader decides on permits, by `linenhill_decisions::disruption`.
+//! This module must not decide on them, and must never confirm a quarantine that the driver of the decisions has not
+//! applied.
 
 use crate::clients::lifecycle_driver::LifecycleDriver;
 use crate::stages::DriverInput;
@@ -16,14 +16,15 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
-/// How often a permit that some proxies have not confirmed is asked for again.
+/// Interval at which a permit request is repeated until all proxies have confirmed the permit.
 const CONFIRMATION_INTERVAL: Duration = Duration::from_millis(100);
-/// For how long a permit is asked for until all proxies have confirmed it.
+/// Time within which all proxies must confirm a permit.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(4);
-/// How often a permit is given back where no leader answers.
-const RETURN_ATTEMPTS: usize = 100;
+/// Limit of attempts to return a permit while no leader decides.
+const MAX_RETURN_ATTEMPTS: usize = 100;
 
-/// Reports availability to the fleet and applies its quarantine, for as long as the program runs.
+/// Reports availability to the fleet and applies its quarantine. Returns only when the sender of the serving state or
+/// of the quarantine is dropped.
 pub async fn run(
     fleet: Rc<FleetClient>, lifecycle: Rc<LifecycleDriver>, inbox: mpsc::UnboundedSender<DriverInput>,
 ) {
@@ -47,7 +48,7 @@
     }
 }
 
-/// Passes on how the driver observes the members.
+/// Requests the driver's observations of the members, and records them for the next report.
 async fn report_members(fleet: &FleetClient, inbox: &mpsc::UnboundedSender<DriverInput>) {
     let (reply, observations) = oneshot::channel();
     let _ = inbox.send(DriverInput::HealthObservationsRequested(reply));
@@ -56,7 +57,8 @@
     }
 }
 
-/// Confirms a quarantine once the driver has applied it: nothing new is sent to those members after that.
+/// Passes a quarantine to the driver, and confirms it once the driver has applied it. The driver sends no new requests
+/// to its members after that.
 async fn apply_quarantine(
     fleet: &FleetClient, inbox: &mpsc::UnboundedSender<DriverInput>, quarantine: Quarantine,
 ) {
@@ -67,14 +69,15 @@
     }
 }
 
-/// Why the fleet did not change what is out of service.
+/// Why a disruption request did not succeed.
 #[derive(Debug)]
 pub enum DisruptionError {
-    /// The leader denied it; the text is its own.
+    /// The leader denied the request. Holds the text of its reply.
     Denied(String),
-    /// It is granted, but these proxies have not confirmed it yet. Asking again reports how far it is.
+    /// The permit is granted, but these proxies have not confirmed it yet. A repeated request reports the remaining
+    /// ones.
     Unconfirmed(Vec<String>),
-    /// No leader decided on it.
+    /// No leader decided on the request.
     NoLeader(OperatorCallError),
 }
 
@@ -103,11 +106,11 @@
     }
 }
 
-/// Requests a permit for `subject` to be out. For a member this waits until no proxy sends to it any more. Returns the
-/// leader's text. `is_forced` asks for it against the limits.
+/// Requests a permit for `subject` to be unavailable, and waits until all proxies have stopped sending new requests to
+/// it if it is a member. With `is_forced` the limits do not apply. Returns the text of the leader's reply.
 ///
 /// # Errors
-/// The permit is denied, or not confirmed by all proxies within 4 s, or no leader decides.
+/// The permit is denied or not confirmed by all proxies within 4 s, or no leader decides.
 pub async fn request_permit(
     fleet: &FleetClient, subject: &Subject, reason: &str, is_forced: bool,
 ) -> Result<String, DisruptionError> {
@@ -137,7 +140,7 @@
     }
 }
 
-/// Returns the permit of `subject`: it is to be in service again. Returns the leader's text.
+/// Returns the permit of `subject`, so that it can be in service again. Returns the text of the leader's reply.
 ///
 /// # Errors
 /// The return is denied, or no leader decides.
@@ -150,23 +153,24 @@
     accepted_text(fleet.request_disruption(request).await?)
 }
 
-/// Returns this proxy's own permit, whether or not anybody saw the proxy out of service. While no leader decides it is
-/// retried for a bounded time; after that the permit ends once the proxy was seen out and back, or by an operator.
+/// Returns this proxy's own permit, also if the proxy was never observed out of service. Retries a limited number of
+/// times while no leader decides. After that, the permit ends once the keepers have observed the proxy out of service
+/// and back, or when an operator returns it.
 pub async fn return_own_permit(fleet: &FleetClient) {
     let subject = Subject::Proxy(fleet.name());
-    for _ in 0..RETURN_ATTEMPTS {
+    for _ in 0..MAX_RETURN_ATTEMPTS {
         let Err(DisruptionError::NoLeader(_)) = return_permit(fleet, &subject).await else { return };
         sleep(fleet.renewal_interval()).await;
     }
 }
 
-/// The leader's text if it accepted the request.
+/// Returns the text of the leader's reply if it accepted the request.
 fn accepted_text(reply: OperatorReply) -> Result<String, DisruptionError> {
     if reply.ok { Ok(reply.text) } else { Err(DisruptionError::Denied(reply.text)) }
 }
 
 impl LifecycleDriver {
-    /// The availability of this process, as it is reported to the fleet.
+    /// The availability of this process, as reported to the fleet.
     pub fn availability(&self) -> Availability {
         if self.is_serving() {
             Availability::InService
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! This process as one of a fleet: its quotas where they bind, disruptions that the fleet must allow, and the operators'
-//! command line. What is allowed is decided in `linenhill_decisions`; this module carries it out and must not decide it.
-//! Without an operators' file nothing here has an effect.
+//! Integration of a proxy into a fleet: enforcement of its quotas, disruptions that require a permit, and the
+//! operators' commands. The rules are in `linenhill_decisions`, and must not be duplicated here. Without an operators'
+//! file this module has no effect.
 
 pub mod command_line;
 pub mod disruption;
--- a/src/fleet/quota.rs
+++ b/src/fleet/quota.rs
@@ -1,6 +1,6 @@
-//! Quotas of the fleet's budgets where they bind in this proxy. What may be used is decided by the lease in
-//! `linenhill_cluster`; this module only knows which budget bounds what, and gives every acquired unit back. It must
-//! never bound anything without an operators' file.
+//! Enforcement of the fleet's budgets in this proxy. The lease in `linenhill_cluster` decides whether a unit may be
+//! used; this module maps connections, attempts, retries, health checks, admissions and load to budgets, and returns
+//! acquired units. Without an operators' file it must not limit anything.
 
 use crate::api::ClassId;
 use linenhill_cluster::client::FleetClient;
@@ -10,12 +10,12 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// The operators' file binds a budget to a class that the settings don't have.
+/// The operators' file declares a budget for a class that the settings do not define.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownClass {
     /// Name of the budget.
     pub budget: String,
-    /// Name of the class.
+    /// Name of the undefined class.
     pub class: String,
 }
 
@@ -27,7 +27,7 @@
 
 impl std::error::Error for UnknownClass {}
 
-/// The budgets by what they bound. Those of connections and attempts exist once for each member.
+/// Names of the budgets by the resource that they limit. Budgets of connections and attempts have an entry per member.
 struct BoundBudgets {
     fleet: Rc<FleetClient>,
     connections: Vec<String>,
@@ -38,10 +38,10 @@
     load: Option<LoadBudget>,
 }
 
-/// The budget that divides the load of the whole fleet.
+/// The budget that divides the fleet's load between its proxies.
 struct LoadBudget {
     name: String,
-    /// Units of the whole fleet.
+    /// Total units of the fleet.
     total: u64,
 }
 
@@ -61,7 +61,7 @@
         })
     }
 
-    /// The entries of all budgets that exist for this member.
+    /// The entries of this member, one for each budget of connections or attempts.
     fn member_entries<'a>(&'a self, member: &'a str) -> impl Iterator<Item = String> + 'a {
         self.connections.iter().chain(&self.attempts).map(move |budget| member_entry(budget, member))
     }
@@ -93,22 +93,22 @@
     Some(LoadBudget { name, total })
 }
 
-/// The entry of a budget that exists once for each member, as keepers know it.
+/// The keepers' name for a member's entry of a budget.
 fn member_entry(budget: &str, member: &str) -> String {
     format!("{budget}/{member}")
 }
 
-/// What this proxy may use of the fleet's budgets. Clones share it; by default nothing is bounded.
+/// This proxy's quotas of the fleet's budgets, shared between clones. The default has no limits.
 #[derive(Clone, Default)]
 pub struct FleetQuota(Option<Rc<BoundBudgets>>);
 
-/// One unit of each budget that bounds something, in use until it is dropped. It must live as long as the connection or
-/// attempt it stands for.
+/// A guard that holds one unit of each budget that limits a connection or an attempt, and returns them when it is
+/// dropped. It must be held for as long as the connection or attempt exists.
 #[derive(Default)]
 pub struct QuotaUnit {
-    /// `None` where nothing is bounded.
+    /// `None` without limits.
     fleet: Option<Rc<FleetClient>>,
-    /// The entries of which a unit was acquired.
+    /// The entries from which a unit was acquired.
     entries: Vec<String>,
 }
 
@@ -120,42 +120,43 @@
 }
 
 impl FleetQuota {
-    /// The quotas of the fleet's operators' file, which names classes as the settings do.
+    /// Creates the quotas of the budgets in the operators' file. `classes` maps the settings' names of classes to
+    /// identifiers.
     ///
     /// # Errors
-    /// The first class that the settings don't have.
+    /// The first budget of a class that the settings do not define.
     pub fn new(
         fleet: Rc<FleetClient>, classes: &BTreeMap<String, ClassId>,
     ) -> Result<FleetQuota, UnknownClass> {
         Ok(FleetQuota(Some(Rc::new(BoundBudgets::new(fleet, classes)?))))
     }
 
-    /// Records that there is a member with this name: from now on it has budgets of its own.
+    /// Starts enforcing the entries of a member.
     pub fn member_added(&self, member: &str) {
         let Some(bound) = &self.0 else { return };
         bound.member_entries(member).for_each(|entry| bound.fleet.enforce(&entry));
     }
 
-    /// Records that there is no member with this name any more. No unit of its budgets may be in use.
+    /// Stops enforcing the entries of a removed member. Units that are still in use must be returned as usual.
     pub fn member_removed(&self, member: &str) {
         let Some(bound) = &self.0 else { return };
         bound.member_entries(member).for_each(|entry| bound.fleet.stop_enforcing(&entry));
     }
 
-    /// A unit for a new connection to a member; `None` if this proxy's quota has no room.
+    /// Acquires the units for a new connection to a member; `None` if a quota is exhausted.
     pub fn acquire_connection(&self, member: &str) -> Option<QuotaUnit> {
         self.acquire(|bound| &bound.connections, member)
     }
 
-    /// A unit for an attempt at a member; `None` if this proxy's quota has no room.
+    /// Acquires the units for an attempt at a member; `None` if a quota is exhausted.
     pub fn acquire_attempt(&self, member: &str) -> Option<QuotaUnit> {
         self.acquire(|bound| &bound.attempts, member)
     }
 
-    /// Acquires a unit of each of the budgets, or of none.
+    /// Acquires a unit of each of the budgets, or no unit at all.
     fn acquire(&self, budgets: impl Fn(&BoundBudgets) -> &[String], member: &str) -> Option<QuotaUnit> {
         let Some(bound) = &self.0 else { return Some(QuotaUnit::default()) };
-        // Dropped on an early return, it gives back what was acquired before.
+        // An early return drops the guard, which returns the units acquired so far.
         let mut unit = QuotaUnit { fleet: Some(bound.fleet.clone()), entries: Vec::new() };
         for budget in budgets(bound) {
             let entry = member_entry(budget, member);
@@ -168,35 +169,35 @@
         Some(unit)
     }
 
-    /// How many connections to a member are open beyond the quota: as many idle ones are to be closed.
+    /// Number of open connections to a member beyond the quota. The caller closes as many idle ones.
     pub fn excess_connections(&self, member: &str) -> u64 {
         let Some(bound) = &self.0 else { return 0 };
         let excess = |budget: &String| bound.fleet.excess(&member_entry(budget, member));
         bound.connections.iter().map(excess).max().unwrap_or(0)
     }
 
-    /// Spends a token for a second or later attempt. Returns whether the attempt may be sent.
+    /// Spends a token for a retry or a hedged request. Returns whether the attempt may be sent.
     pub fn try_spend_retry(&self) -> bool {
         self.try_spend(|bound| &bound.retries)
     }
 
-    /// Spends a token for a health check. Returns whether it may be sent.
+    /// Spends a token for a health check. Returns whether the health check may be sent.
     pub fn try_spend_health_check(&self) -> bool {
         self.try_spend(|bound| &bound.health_checks)
     }
 
-    /// Spends a token for a request of this class. Returns whether the request may be admitted.
+    /// Spends a token for the admission of a request of this class. Returns whether the request may be admitted.
     pub fn try_spend_admission(&self, class: ClassId) -> bool {
         self.try_spend(|bound| bound.admissions.get(&class).map_or(&[][..], Vec::as_slice))
     }
 
-    /// Spends a token of each of the budgets, up to the first one that is exhausted.
+    /// Spends a token of each of the budgets in order, up to the first exhausted one. Spent tokens are not returned.
     fn try_spend(&self, budgets: impl Fn(&BoundBudgets) -> &[String]) -> bool {
         let Some(bound) = &self.0 else { return true };
         budgets(bound).iter().all(|budget| bound.fleet.spend_token(budget) != AcquireDecision::Exhausted)
     }
 
-    /// This proxy's part, from 0 to 1, of the fleet's load; `None` where no budget divides the load.
+    /// This proxy's fraction, from 0 to 1, of the fleet's load; `None` if no budget divides the load.
     pub fn load_part(&self) -> Option<f64> {
         let bound = self.0.as_ref()?;
         let load = bound.load.as_ref()?;
@@ -204,7 +205,7 @@
         Some(limit as f64 / load.total.max(1) as f64)
     }
 
-    /// Records that clients ask for work here, so that this proxy requests a part of the fleet's load.
+    /// Records that there are client requests, so that this proxy requests units of the fleet's load.
     pub fn record_demand(&self) {
         let Some(bound) = &self.0 else { return };
         if let Some(load) = &bound.load {
@@ -212,13 +213,13 @@
         }
     }
 
-    /// Whether clients may be served: not where disruptions are limited and this proxy is no member of the fleet any
-    /// more, since it can't know which members are out.
+    /// Whether clients may be served. Where disruptions are limited, a proxy whose membership expired must not serve,
+    /// since it may miss that a member was quarantined.
     pub fn may_serve(&self) -> bool {
         self.0.as_ref().is_none_or(|bound| bound.fleet.may_serve())
     }
 
-    /// Returns once quotas changed; never where nothing is bounded.
+    /// Waits until quotas change. Never returns without limits.
     pub async fn changed(&self) {
         match &self.0 {
             Some(bound) => bound.fleet.quota_changed().await,
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -1,5 +1,5 @@
-//! The state of a fleet as `linenhill fleet status` prints it: as text, or as JSON whose field names scripts of operators
-//! read and which must keep them. The translation from the terms of the code stands here alone.
+//! Output of `linenhill fleet status`, as text or as JSON. Operators' scripts rely on the names of the JSON fields,
+//! which must not change; they differ from the names in the code, and are mapped to them only here.
 
 use linenhill_cluster::protocol::{BudgetStatus, SessionStatus, Status, UnavailableStatus};
 use miniserde::Serialize;
@@ -10,7 +10,7 @@
 pub struct InstanceStatus {
     /// Name of the instance that answered.
     pub from: String,
-    /// What it answered.
+    /// Its answer.
     pub status: Status,
 }
 
@@ -58,7 +58,7 @@
 #[derive(Serialize)]
 struct SessionDocument {
     name: String,
-    /// As 16 hexadecimal digits.
+    /// 16 hexadecimal digits.
     incarnation: String,
     version: String,
     zone: String,
@@ -117,14 +117,15 @@
     }
 }
 
-/// The status as text: one line for the instance, then one for each keeper, session, budget and subject that is out.
+/// Formats the status as text: one line for the instance, and one for each keeper, session, budget and unavailable
+/// subject.
 impl fmt::Display for InstanceStatus {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let status = &self.status;
         let leader = if status.leader.is_empty() { "unknown" } else { &status.leader };
         writeln!(
             f,
-            "{} ({}), leader {leader}, term {}, entry {}, news {} ms old",
+            "{} ({}), leader {leader}, term {}, applied entry {}, log age {} ms",
             self.from, status.role, status.term, status.applied, status.log_age_ms
         )?;
         for (name, address) in &status.keepers {
@@ -137,17 +138,17 @@
 }
 
 fn write_session(f: &mut fmt::Formatter, session: &SessionStatus) -> fmt::Result {
-    let lease = if session.has_lease { "holds" } else { "no lease" };
+    let lease = if session.has_lease { "has lease" } else { "no lease" };
     writeln!(
         f,
-        "proxy   {:<16} {:016x} {} {} heard {} ms ago, {lease}",
+        "proxy   {:<16} {:016x} {} {} last request {} ms ago, {lease}",
         session.name, session.incarnation, session.version, session.zone, session.last_request_age_ms
     )
 }
 
 fn write_budget(f: &mut fmt::Formatter, budget: &BudgetStatus) -> fmt::Result {
     let BudgetStatus { name, total, committed, in_use } = budget;
-    writeln!(f, "budget  {name:<24} whole {total}, counted {committed}, in use {in_use}")
+    writeln!(f, "budget  {name:<24} total {total}, committed {committed}, in use {in_use}")
 }
 
 fn write_unavailable(f: &mut fmt::Formatter, unavailable: &UnavailableStatus) -> fmt::Result {
@@ -156,8 +157,8 @@
     if *permit == 0 {
         return writeln!(f, "no permit");
     }
-    let against_limits = if *forced { ", against the limits" } else { "" };
-    writeln!(f, "permit {permit} of {requested_by}: {reason}{against_limits}")
+    let forced_suffix = if *forced { ", forced" } else { "" };
+    writeln!(f, "permit {permit} of {requested_by}: {reason}{forced_suffix}")
 }
 
 #[cfg(test)]
--- a/src/fleet/status/tests.rs
+++ b/src/fleet/status/tests.rs
@@ -1,4 +1,5 @@
-//! What `linenhill fleet status` prints: scripts of operators read both forms. Guards against a renamed or moved field.
+//! Output of `linenhill fleet status`, both forms of which operators' scripts parse. Guards against renamed or moved
+//! fields.
 
 use super::*;
 
@@ -41,25 +42,25 @@
 #[test]
 fn status_as_text_keeps_its_lines() {
     let lines = [
-        "k0 (leader), leader k0, term 2, entry 41, news 5 ms old",
+        "k0 (leader), leader k0, term 2, applied entry 41, log age 5 ms",
         "keeper  k0               127.0.0.1:1",
-        "proxy   p0               00000000000000ab 0.1.0 a heard 12 ms ago, holds",
-        "proxy   p1               00000000000000ab 0.1.0 a heard 12 ms ago, no lease",
-        "budget  links                    whole 9, counted 8, in use 7",
-        "out     proxy/p1                 standby, permit 3 of p1: by hand, against the limits",
+        "proxy   p0               00000000000000ab 0.1.0 a last request 12 ms ago, has lease",
+        "proxy   p1               00000000000000ab 0.1.0 a last request 12 ms ago, no lease",
+        "budget  links                    total 9, committed 8, in use 7",
+        "out     proxy/p1                 standby, permit 3 of p1: by hand, forced",
         "out     proxy/p1                 standby, permit 3 of p1: by hand",
         "out     proxy/p1                 standby, no permit",
     ];
     assert_eq!(status().to_string(), lines.join("\n") + "\n");
     let without_leader = InstanceStatus { from: "p0".into(), status: Status::default() };
-    assert_eq!(without_leader.to_string(), "p0 (), leader unknown, term 0, entry 0, news 0 ms old\n");
+    assert_eq!(without_leader.to_string(), "p0 (), leader unknown, term 0, applied entry 0, log age 0 ms\n");
 }
 
 #[test]
 fn status_as_json_keeps_its_fields() {
-    let session = |name: &str, holds: bool| {
+    let session = |name: &str, has_lease: bool| {
         format!(
-            r#"{{"name":"{name}","incarnation":"00000000000000ab","version":"0.1.0","zone":"a","heard_ms":12,"holds":{holds}}}"#
+            r#"{{"name":"{name}","incarnation":"00000000000000ab","version":"0.1.0","zone":"a","heard_ms":12,"holds":{has_lease}}}"#
         )
     };
     let out = |permit: u64, forced: bool| {
