--- a/crates/cluster/tests/store.rs
+++ b/crates/cluster/tests/store.rs
@@ -1,4 +1,4 @@
-//! A keeper's store across restarts at any moment.
+//! Creating, reopening and validating a keeper's store.
 
 use linenhill_cluster::store::{KeeperStore, StoreError, StoreIdentity, WriteBatch};
 use raft::eraftpb::{ConfState, Entry, HardState};
@@ -19,8 +19,8 @@
     KeeperStore::create(directory, identity(), Some(b"state".to_vec())).expect("a store")
 }
 
-/// Guards against a keeper that cannot start again after it was killed between a snapshot and the next write of its hard
-/// state: the stored commit index is then lower than the snapshot's index.
+/// Guards against a keeper that can't restart after it was killed between a snapshot and the next write of its hard
+/// state, when the stored commit index is lower than the snapshot's index.
 #[test]
 fn store_reopens_after_a_kill_behind_a_snapshot() {
     let directory = directory("snapshot");
@@ -32,7 +32,7 @@
     let conf = ConfState { voters: vec![7], ..ConfState::default() };
     store.compact(6, &conf, b"later".to_vec()).expect("compacted");
     drop(store);
-    let store = KeeperStore::open(&directory).expect("the store again");
+    let store = KeeperStore::open(&directory).expect("the store reopens");
     assert_eq!(store.snapshot().get_metadata().index, 6);
     assert_eq!(store.last_index().expect("an index"), 8);
     assert_eq!(store.initial_state().expect("a state").hard_state.commit, 6);
@@ -42,8 +42,8 @@
     let _ = std::fs::remove_dir_all(directory);
 }
 
-/// Guards against a second store over the first, and against a store that is made up where one was lost: the keeper would
-/// vote twice in a term.
+/// Guards against creating a store over an existing one, and against opening a missing store as an empty one: the
+/// keeper could vote twice in a term.
 #[test]
 fn store_is_created_once() {
     let directory = directory("once");
@@ -55,7 +55,7 @@
     let _ = std::fs::remove_dir_all(directory);
 }
 
-/// Guards against a truncated store that is taken for a whole one: the keeper would have forgotten its vote.
+/// Guards against accepting a truncated store, which may lack the keeper's vote.
 #[test]
 fn truncated_store_is_rejected() {
     let directory = directory("truncated");
--- a/crates/cluster/tests/stored_data.rs
+++ b/crates/cluster/tests/stored_data.rs
@@ -1,8 +1,9 @@
-//! A keeper's store as earlier versions have written it. Each fixture is a store whose bytes never change: a version that
-//! can't read one would stop the keepers of a fleet that is brought up to it.
+//! Compatibility with keepers' stores of earlier versions. The bytes of the fixtures must never change: the keepers of
+//! a fleet could not be upgraded to a version that can't read them.
 //!
-//! `keeper-log` was written by the keeper itself and killed in its work; its log begins with that of the fleet.
-//! `keeper-snapshot` was made of it: a snapshot of the state, and the last six entries behind it. Both by commit 4f22f0b.
+//! `keeper-log` is the store of a keeper that was killed while running; it holds the whole log since the start of the
+//! fleet. `keeper-snapshot` was derived from it, and holds a snapshot and the six entries after it. Both were written
+//! by commit 4f22f0b.
 
 use linenhill_cluster::replicated_state::ReplicatedState;
 use linenhill_cluster::store::KeeperStore;
@@ -11,31 +12,32 @@
 use raft::{GetEntriesContext, Storage};
 use std::path::{Path, PathBuf};
 
-/// The keeper's number, and what the keepers of its log have in common.
-const KEEPER: u64 = 340_989_887_356_953_028;
+/// Raft identifier of the keeper, and identifier of its log.
+const KEEPER_ID: u64 = 340_989_887_356_953_028;
 const LOG_ID: u64 = 17_784_931_650_254_883_521;
-/// The last entry in both stores and its term.
-const LAST: u64 = 37;
-const TERM: u64 = 2;
-/// The entry up to which the second one's snapshot stands for the log.
-const SNAPSHOT: u64 = 31;
+/// Index and term of the last entry in both stores.
+const LAST_INDEX: u64 = 37;
+const LAST_TERM: u64 = 2;
+/// Index of the snapshot in `keeper-snapshot`.
+const SNAPSHOT_INDEX: u64 = 31;
 
-/// A copy of a fixture for one test, since opening a store writes to it and locks it.
-fn opened(fixture: &str, test: &str) -> (KeeperStore, PathBuf) {
+/// Opens a copy of a fixture for one test, since opening a store writes to it and locks it. Returns its directory as
+/// well.
+fn open_fixture(fixture: &str, test: &str) -> (KeeperStore, PathBuf) {
     let name = format!("{}-{test}-{fixture}", std::process::id());
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    let from = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(fixture);
-    let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
-    std::fs::copy(from.join("agreed.redb"), folder.join("agreed.redb")).expect("a copy");
-    (KeeperStore::open(&folder).expect("the store opens"), folder)
+    let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(fixture);
+    let _ = std::fs::remove_dir_all(&directory);
+    std::fs::create_dir_all(&directory).expect("a directory");
+    std::fs::copy(source.join("agreed.redb"), directory.join("agreed.redb")).expect("a copy");
+    (KeeperStore::open(&directory).expect("the store opens"), directory)
 }
 
-/// The agreed state after the entry `last`, from what the store holds.
-fn state_after(disk: &KeeperStore, last: u64) -> ReplicatedState {
-    let mut state = ReplicatedState::decode(disk.snapshot().get_data()).expect("a state");
-    let first = disk.first_index().expect("a first entry");
-    let entries = disk.entries(first, last + 1, None, GetEntriesContext::empty(false)).expect("entries");
+/// The state after the entry `last`, from the store's snapshot and log.
+fn state_after(store: &KeeperStore, last: u64) -> ReplicatedState {
+    let mut state = ReplicatedState::decode(store.snapshot().get_data()).expect("a state");
+    let first = store.first_index().expect("a first entry");
+    let entries = store.entries(first, last + 1, None, GetEntriesContext::empty(false)).expect("entries");
     for entry in entries {
         assert_eq!(entry.get_entry_type(), EntryType::EntryNormal);
         state.apply(&entry.data);
@@ -43,36 +45,42 @@
     state
 }
 
-// Guards against a store that a later version takes for nobody's, or whose vote, log or snapshot it reads otherwise.
+// Guards against a version that doesn't find the identity in an older store, or decodes its vote, log or snapshot
+// differently.
 #[test]
 fn stores_of_earlier_versions_open_with_their_vote_and_log() {
-    for (fixture, snapshot) in [("keeper-log", 1), ("keeper-snapshot", SNAPSHOT)] {
-        let (disk, folder) = opened(fixture, "opens");
-        let whose = disk.identity();
-        assert_eq!((whose.id, whose.log_id), (KEEPER, LOG_ID));
-        assert_eq!((whose.name.as_str(), whose.cluster.as_str()), ("k1", "fixture"));
-        let found = disk.initial_state().expect("a state");
-        assert_eq!((found.hard_state.term, found.hard_state.vote), (TERM, KEEPER));
-        assert_eq!(found.conf_state.voters, [KEEPER]);
-        assert_eq!(disk.snapshot().get_metadata().index, snapshot);
+    for (fixture, snapshot) in [("keeper-log", 1), ("keeper-snapshot", SNAPSHOT_INDEX)] {
+        let (store, directory) = open_fixture(fixture, "opens");
+        let identity = store.identity();
+        assert_eq!((identity.id, identity.log_id), (KEEPER_ID, LOG_ID));
+        assert_eq!((identity.name.as_str(), identity.cluster.as_str()), ("k1", "fixture"));
+        let state = store.initial_state().expect("a state");
+        assert_eq!((state.hard_state.term, state.hard_state.vote), (LAST_TERM, KEEPER_ID));
+        assert_eq!(state.conf_state.voters, [KEEPER_ID]);
+        assert_eq!(store.snapshot().get_metadata().index, snapshot);
         assert_eq!(
-            (disk.first_index().expect("an index"), disk.last_index().expect("an index")),
-            (snapshot + 1, LAST)
+            (store.first_index().expect("an index"), store.last_index().expect("an index")),
+            (snapshot + 1, LAST_INDEX)
         );
-        assert_eq!(disk.term(LAST).expect("a term"), TERM);
-        let _ = std::fs::remove_dir_all(folder);
+        assert_eq!(store.term(LAST_INDEX).expect("a term"), LAST_TERM);
+        let _ = std::fs::remove_dir_all(directory);
     }
 }
 
-// Guards against an entry or a state that a later version reads or writes otherwise: keepers of both versions, of which one
-// has the log and the other the snapshot, would agree on different things. Compared as bytes, so that no name counts.
+// Guards against a version that decodes or encodes entries or the state differently: the states of a keeper that
+// applied the log and of one that received the snapshot would diverge. Compares bytes, so that renamed fields don't
+// matter.
 #[test]
 fn the_log_of_an_earlier_version_leads_to_its_snapshot() {
-    let ((log, one), (snapshot, other)) = (opened("keeper-log", "leads"), opened("keeper-snapshot", "leads"));
-    let written = snapshot.snapshot().get_data();
-    assert!(written.len() > 500, "{} bytes", written.len());
-    assert_eq!(state_after(&log, SNAPSHOT).encode_to_vec(), written);
-    assert_eq!(ReplicatedState::decode(written).expect("a state").encode_to_vec(), written);
-    assert_eq!(state_after(&log, LAST).encode_to_vec(), state_after(&snapshot, LAST).encode_to_vec());
-    [one, other].iter().for_each(|folder| _ = std::fs::remove_dir_all(folder));
+    let ((log, log_directory), (snapshot, snapshot_directory)) =
+        (open_fixture("keeper-log", "leads"), open_fixture("keeper-snapshot", "leads"));
+    let expected = snapshot.snapshot().get_data();
+    assert!(expected.len() > 500, "{} bytes", expected.len());
+    assert_eq!(state_after(&log, SNAPSHOT_INDEX).encode_to_vec(), expected);
+    assert_eq!(ReplicatedState::decode(expected).expect("a state").encode_to_vec(), expected);
+    assert_eq!(
+        state_after(&log, LAST_INDEX).encode_to_vec(),
+        state_after(&snapshot, LAST_INDEX).encode_to_vec()
+    );
+    [log_directory, snapshot_directory].iter().for_each(|directory| _ = std::fs::remove_dir_all(directory));
 }
--- a/crates/cluster/tests/transport.rs
+++ b/crates/cluster/tests/transport.rs
@@ -1,4 +1,4 @@
-//! Which instances are served, and how long their frames may be: limits apply before memory is allocated.
+//! Checks of the sender and limits of the frame size, which apply before memory is allocated.
 
 use futures_util::{SinkExt, StreamExt};
 use linenhill_cluster::protocol::{Body, Empty, Envelope, JoinRequest, MAX_FRAME_BYTES};
@@ -14,7 +14,7 @@
     InstanceIdentity { cluster: "test".into(), name: name.into(), incarnation: 1, keepers }
 }
 
-/// A server that accepts `allowed`, with its address and what it receives.
+/// Starts a server that accepts the prefix `allowed`. Returns its address and the messages that it receives.
 async fn start_server(allowed: &str) -> (SocketAddr, mpsc::Receiver<IncomingMessage>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -29,29 +29,29 @@
     runtime.block_on(LocalSet::new().run_until(test));
 }
 
-fn message_beyond_the_limit() -> Body {
+fn oversized_message() -> Body {
     Body::Join(JoinRequest { address: "a".repeat(MAX_FRAME_BYTES + 1) })
 }
 
-/// Guards against a sender that makes an instance allocate memory by a declared length, and against keepers whose
-/// snapshots are rejected.
+/// Guards against allocating the declared length of a frame from an arbitrary sender, and against rejecting the
+/// snapshots of keepers.
 #[test]
 fn only_keepers_send_long_frames() {
     run_local(async {
         let (address, mut received) = start_server("127.0.0.0/8").await;
         let mut proxy = transport::connect(address).await.expect("a connection");
-        let _ = proxy.send(identity("p9").envelope(0, message_beyond_the_limit())).await;
-        assert!(!matches!(proxy.next().await, Some(Ok(_))), "the connection ends");
+        let _ = proxy.send(identity("p9").envelope(0, oversized_message())).await;
+        assert!(!matches!(proxy.next().await, Some(Ok(_))), "the connection is closed");
         assert!(received.try_recv().is_err());
         let mut keeper = transport::connect(address).await.expect("a connection");
         keeper.send(identity("k1").envelope(0, Body::Ping(Empty {}))).await.expect("sent");
         assert!(keeper.next().await.is_some_and(|pong| pong.is_ok()));
-        keeper.send(identity("k1").envelope(0, message_beyond_the_limit())).await.expect("sent");
+        keeper.send(identity("k1").envelope(0, oversized_message())).await.expect("sent");
         assert_eq!(received.recv().await.expect("a message").envelope.from, "k1");
     });
 }
 
-/// Guards against messages from instances outside the allowed prefixes.
+/// Guards against accepting messages from instances outside the allowed prefixes.
 #[test]
 fn other_prefixes_are_rejected() {
     run_local(async {
@@ -62,7 +62,7 @@
     });
 }
 
-/// Guards against messages from instances of another fleet, or of another version of the protocol.
+/// Guards against accepting messages of another fleet or of another version of the protocol.
 #[test]
 fn other_fleets_and_versions_are_rejected() {
     run_local(async {
