--- a/crates/cluster/src/client/mod.rs
+++ b/crates/cluster/src/client/mod.rs
@@ -1,7 +1,9 @@
-//! A proxy's side of the fleet: it renews the proxy's lease at the leader, and answers what the proxy may use now.
+//! The proxy's client of the keepers: renews the proxy's lease at the leader, and decides whether a unit may be used
+//! now.
 //!
-//! No request of a client ever waits here. Quotas are looked up in [`LeaseHolder`] with the clock read at that moment, and
-//! [`FleetClient::run`] renews them beside. While no keeper answers, the proxy uses what it was granted until that expires.
+//! Client requests never wait for a keeper: each check reads the clock and the local [`LeaseHolder`], which
+//! [`FleetClient::run`] renews concurrently. While no keeper answers, the proxy uses its granted quotas until they
+//! expire.
 
 mod renewal;
 mod status;
@@ -20,33 +22,34 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// Renewals in the time of one lease.
+/// Number of renewals within the duration of one lease.
 const RENEWALS_PER_LEASE: u64 = 3;
 
 /// A proxy's membership, quotas and disruption state.
 ///
-/// All borrows of its cells end before the method returns or awaits.
+/// Methods must not hold a borrow of a cell across an await or after they return.
 pub struct FleetClient {
     lease: RefCell<LeaseHolder>,
     identity: RefCell<Rc<InstanceIdentity>>,
     operator: Operator,
     /// Software version of the proxy.
     version: String,
-    /// Name of the leader that granted last; empty before.
+    /// Name of the leader that sent the last grant; empty before the first grant.
     leader: RefCell<String>,
-    /// Time of the last grant, on [`clock`]. Microseconds.
+    /// Time of the last grant, or of the start before the first one, on [`clock`]. Microseconds.
     last_grant_at: Cell<u64>,
-    /// Wakes the renewal, because a request became due earlier.
+    /// Wakes the renewal when the next request became due earlier than planned.
     renewal_due: Notify,
     quota_changed: Notify,
     reporter: RefCell<HealthReporter>,
     quarantine: watch::Sender<Quarantine>,
-    /// The proxy counts as a member that applies the quarantine until then, on [`clock`]. Microseconds.
+    /// End of the proxy's membership, which requires that it applies the current quarantine, on [`clock`].
+    /// Microseconds.
     member_until: Cell<u64>,
 }
 
 impl FleetClient {
-    /// The client of the proxy `name`, as a new incarnation.
+    /// Creates the client of the proxy `name`, with a new incarnation.
     pub fn new(operator: Operator, name: &str, version: &str) -> Rc<FleetClient> {
         let mut lease = LeaseHolder::new(operator.terms.lease_us);
         for (budget, declared) in operator.budgets.iter().filter(|(_, declared)| !declared.per_key) {
@@ -87,33 +90,34 @@
         &self.operator
     }
 
-    /// Interval at which the lease is renewed.
+    /// Interval between renewals of the lease.
     pub fn renewal_interval(&self) -> Duration {
         Duration::from_micros(self.operator.terms.lease_us / RENEWALS_PER_LEASE)
     }
 
-    /// Starts to enforce the entry of a budget that exists per key, such as per member.
+    /// Starts enforcing an entry of a budget that has one entry per key, such as per member.
     pub fn enforce(&self, entry: &str) {
         self.lease.borrow_mut().enforce(entry, false);
     }
 
-    /// Stops to enforce an entry, because its key is gone. No unit of it may be in use.
+    /// Stops enforcing an entry whose key was removed. Units that are still in use must be released as usual.
     pub fn stop_enforcing(&self, entry: &str) {
         self.lease.borrow_mut().stop_enforcing(entry);
     }
 
-    /// Acquires a unit of a budget of units in use. An acquired unit must be given back by [`FleetClient::release`].
+    /// Acquires a unit of a budget that limits units in use. An acquired unit must be returned by
+    /// [`FleetClient::release`].
     pub fn acquire(&self, entry: &str) -> AcquireDecision {
         let decision = self.lease.borrow_mut().acquire(clock::now(), entry);
         self.renew_if_exhausted(decision)
     }
 
-    /// Gives an acquired unit back.
+    /// Returns an acquired unit.
     pub fn release(&self, entry: &str) {
         self.lease.borrow_mut().release(entry);
     }
 
-    /// Spends a token of a budget that is a rate.
+    /// Spends a token of a budget that limits a rate.
     pub fn spend_token(&self, entry: &str) -> AcquireDecision {
         let decision = self.lease.borrow_mut().spend_token(clock::now(), entry);
         self.renew_if_exhausted(decision)
@@ -126,62 +130,63 @@
         decision
     }
 
-    /// Units that may be used now; none where the budget is not enforced.
+    /// Units that may be used now, or thousandths of a unit per second for a rate; `None` if the budget is not
+    /// enforced.
     pub fn limit(&self, entry: &str) -> Option<u64> {
         self.lease.borrow().limit(clock::now(), entry)
     }
 
-    /// Records a demand for `units`, which the next request reports.
+    /// Records a demand for `units`, to be reported in the next lease request.
     pub fn request_units(&self, entry: &str, units: u64) {
         self.lease.borrow_mut().request_units(entry, units);
     }
 
-    /// Units in use beyond the limit.
+    /// Units in use beyond the limit; 0 for a rate.
     pub fn excess(&self, entry: &str) -> u64 {
         self.lease.borrow().excess(clock::now(), entry)
     }
 
-    /// Returns once limits changed: by a grant, or because one expired.
+    /// Waits until limits change, by a grant or by expiry.
     pub async fn quota_changed(&self) {
         self.quota_changed.notified().await;
     }
 
-    /// Whether the operators' file limits disruptions.
+    /// Whether the operators' file limits disruptions of proxies and members.
     pub fn limits_disruptions(&self) -> bool {
         self.operator.outages.is_some()
     }
 
-    /// Whether clients may be served. Where disruptions are limited, a proxy that is no member any more must not serve: it
-    /// knows neither the quarantine, nor whether it still counts.
+    /// Whether clients may be served. Where disruptions are limited, a proxy whose membership expired must not serve:
+    /// it may miss changes of the quarantine, and may no longer be counted as in service.
     pub fn may_serve(&self) -> bool {
         !self.limits_disruptions() || clock::now() < self.member_until.get()
     }
 
-    /// Records the availability of this proxy. A change is reported at once.
+    /// Records the availability of this proxy. A change is reported immediately.
     pub fn set_own_availability(&self, availability: Availability) {
         if self.reporter.borrow_mut().set_own_availability(availability) {
             self.request_at_once();
         }
     }
 
-    /// Records how this proxy observes the members, for the next report.
+    /// Records this proxy's observations of the members, for the next report.
     pub fn observe_members(&self, observations: BTreeMap<String, HealthObservation>) {
         self.reporter.borrow_mut().observe(observations);
     }
 
-    /// The quarantine in force, and its later editions. Members in it must get no new requests.
+    /// Subscribes to the quarantine and its later editions. No new requests may be sent to its members.
     pub fn subscribe_quarantine(&self) -> watch::Receiver<Quarantine> {
         self.quarantine.subscribe()
     }
 
-    /// Confirms that this proxy applies that edition of the quarantine. Reported at once.
+    /// Records that this proxy applies this edition of the quarantine, and reports it immediately.
     pub fn quarantine_applied(&self, edition: u64) {
         self.reporter.borrow_mut().quarantine_applied(edition);
         self.extend_membership();
         self.request_at_once();
     }
 
-    /// Extends the membership to that of the last grant, unless the grant named a quarantine that is not applied yet.
+    /// Extends the membership to the expiry of the last grant, unless a received quarantine is not applied yet.
     fn extend_membership(&self) {
         if self.reporter.borrow().is_quarantine_applied() {
             self.member_until.set(self.lease.borrow().expiry().floors);
@@ -193,7 +198,7 @@
         self.renewal_due.notify_one();
     }
 
-    /// Asks the leader to change the disruption table.
+    /// Sends the leader a request to change the disruption table.
     ///
     /// # Errors
     /// No leader decided on the request.
--- a/crates/cluster/src/client/renewal.rs
+++ b/crates/cluster/src/client/renewal.rs
@@ -1,4 +1,4 @@
-//! Renewal of a proxy's lease: finds the leader, sends requests when they are due, and applies the answers.
+//! Renewal of a proxy's lease: finds the leader, sends lease requests when they are due, and applies the answers.
 
 use super::{FleetClient, random_incarnation};
 use crate::clock;
@@ -15,47 +15,47 @@
 struct Renewal {
     client: Rc<FleetClient>,
     search: LeaderSearch,
-    /// Connection to the keeper that [`LeaderSearch::current_keeper`] names; none while it is to be opened.
+    /// Connection to [`LeaderSearch::current_keeper`]; `None` until it is opened.
     connection: Option<Connection>,
-    /// Whether the proxy held a lease when it was last checked.
+    /// Whether the proxy held a lease at the last check.
     had_lease: bool,
 }
 
-/// What the renewal does next.
+/// The next step of the renewal.
 enum Step {
     SendRequest,
-    /// A request may be due earlier, or the lease expired: plan anew.
-    Replan,
-    /// The keeper did not answer in time, or the connection failed.
+    /// A request may be due earlier, or the lease expired: the deadlines must be computed again.
+    RecomputeDeadlines,
+    /// The keeper did not answer before its deadline, or the connection failed.
     KeeperLost,
     Received(Box<Envelope>),
 }
 
-/// What an answer means for the search of the leader.
+/// The result of an answer for the search for the leader.
 enum Answer {
     Granted,
-    /// Another keeper leads: its place among the configured keepers, if it is one of them.
+    /// The keeper does not lead. Holds the leader's position in the list of keepers, if it is known and listed.
     NotLeader(Option<usize>),
-    /// No answer to the current request.
+    /// The answer does not affect the search.
     Ignored,
 }
 
 impl FleetClient {
-    /// Renews this proxy's lease. Never returns, unless no keeper is configured.
+    /// Renews this proxy's lease. Returns only if no keeper is configured.
     pub async fn run(self: Rc<Self>) {
         let search = LeaderSearch::new(self.operator.keepers.len(), self.operator.terms.lease_us);
         let mut renewal = Renewal { client: self, search, connection: None, had_lease: false };
         loop {
-            renewal.announce_lease_change();
-            let pause_us = if renewal.connection.is_some() {
+            renewal.handle_lease_change();
+            let delay_us = if renewal.connection.is_some() {
                 renewal.exchange().await
             } else {
                 let Some(connecting) = renewal.connect().await else { return };
                 connecting.err()
             };
-            if let Some(pause_us) = pause_us {
+            if let Some(delay_us) = delay_us {
                 renewal.connection = None;
-                sleep(Duration::from_micros(pause_us)).await;
+                sleep(Duration::from_micros(delay_us)).await;
             }
         }
     }
@@ -95,10 +95,10 @@
         Answer::Granted
     }
 
-    /// Becomes a new incarnation without quota if another process has this one's name.
+    /// Starts a new incarnation without quotas if a newer incarnation holds this proxy's name, or operators removed it.
     fn handle_rejection(&self, rejected: &LeaseRejected) {
         let identity = self.identity();
-        // A rejection of an earlier incarnation must not reject the one drawn since.
+        // A late rejection of an earlier incarnation must not affect the current one.
         if !rejected.superseded || rejected.incarnation != identity.incarnation {
             return;
         }
@@ -113,19 +113,19 @@
 }
 
 impl Renewal {
-    fn announce_lease_change(&mut self) {
+    fn handle_lease_change(&mut self) {
         let has_lease = self.client.lease.borrow().has_lease(clock::now());
         if self.had_lease == has_lease {
             return;
         }
         self.had_lease = has_lease;
         self.client.quota_changed.notify_one();
-        let text = if has_lease { "holds its shares" } else { "has no lease and lives on its floors" };
+        let text = if has_lease { "holds a lease" } else { "has no lease and lives on its floors" };
         info!("fleet: {} {text}", self.client.identity().name);
     }
 
-    /// Connects to the keeper to try next; else the pause before the next one, in microseconds. `None` if no keeper is
-    /// configured.
+    /// Connects to the current keeper of the search. The error is the delay before the next keeper is tried, in
+    /// microseconds; `None` if no keeper is configured.
     async fn connect(&mut self) -> Option<Result<(), u64>> {
         let keeper = self.client.operator.keepers.get(self.search.current_keeper())?;
         match transport::connect(keeper.address).await {
@@ -138,30 +138,31 @@
         }
     }
 
-    /// Sends what is due, or handles what arrives. Returns the pause, in microseconds, if the connection is to be closed.
+    /// Sends a due request, or handles an answer. If the connection must be closed, returns the delay before the next
+    /// keeper is tried, in microseconds.
     async fn exchange(&mut self) -> Option<u64> {
         match self.next_step().await? {
             Step::SendRequest => self.send_request().await,
-            Step::Replan => None,
+            Step::RecomputeDeadlines => None,
             Step::KeeperLost => Some(self.search.keeper_lost(fastrand::f64())),
             Step::Received(envelope) => {
                 let answer = self.client.handle_answer(*envelope);
-                self.note_answer(answer)
+                self.record_answer(answer)
             }
         }
     }
 
-    /// Waits for the next step; `None` without a connection.
+    /// Waits for the next step. Returns `None` without a connection.
     async fn next_step(&mut self) -> Option<Step> {
         let connection = self.connection.as_mut()?;
         let request_at = self.client.lease.borrow().next_request_at();
         let lease_until = self.client.lease.borrow().expiry().quotas;
-        let answer_by = self.search.answer_deadline();
+        let deadline = self.search.answer_deadline();
         let step = tokio::select! {
             () = sleep(clock::duration_until(request_at)) => Step::SendRequest,
-            () = self.client.renewal_due.notified() => Step::Replan,
-            () = sleep(clock::duration_until(lease_until)), if self.had_lease => Step::Replan,
-            () = sleep(clock::duration_until(answer_by.unwrap_or(0))), if answer_by.is_some() => Step::KeeperLost,
+            () = self.client.renewal_due.notified() => Step::RecomputeDeadlines,
+            () = sleep(clock::duration_until(lease_until)), if self.had_lease => Step::RecomputeDeadlines,
+            () = sleep(clock::duration_until(deadline.unwrap_or(0))), if deadline.is_some() => Step::KeeperLost,
             received = connection.next() => match received {
                 Some(Ok(envelope)) => Step::Received(Box::new(envelope)),
                 Some(Err(_)) | None => Step::KeeperLost,
@@ -179,22 +180,22 @@
         let zone = client.operator.zone.clone();
         let request = LeaseRequest { quota, version, zone, report };
         let envelope = client.identity().envelope(0, Body::LeaseRequest(request));
-        let limit = Duration::from_micros(self.search.answer_timeout());
+        let send_timeout = Duration::from_micros(self.search.answer_timeout());
         let connection = self.connection.as_mut()?;
-        match timeout(limit, connection.send(envelope)).await {
+        match timeout(send_timeout, connection.send(envelope)).await {
             Ok(Ok(())) => None,
             Ok(Err(_)) | Err(_) => Some(self.search.keeper_lost(fastrand::f64())),
         }
     }
 
-    /// Notes an answer in the search; returns the pause, in microseconds, if another keeper is to be tried.
-    fn note_answer(&mut self, answer: Answer) -> Option<u64> {
+    /// Records an answer in the search. If another keeper must be tried, returns the delay before it, in microseconds.
+    fn record_answer(&mut self, answer: Answer) -> Option<u64> {
         match answer {
             Answer::Granted => {
                 self.search.request_granted();
                 None
             }
-            Answer::NotLeader(place) => Some(self.search.redirected(place, fastrand::f64())),
+            Answer::NotLeader(position) => Some(self.search.redirected(position, fastrand::f64())),
             Answer::Ignored => None,
         }
     }
--- a/crates/cluster/src/client/status.rs
+++ b/crates/cluster/src/client/status.rs
@@ -1,4 +1,4 @@
-//! What a proxy tells operators about its part in the fleet.
+//! Status requests of operators to a proxy.
 
 use super::FleetClient;
 use crate::clock;
@@ -8,11 +8,11 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// Most received messages that wait for an answer.
+/// Capacity of the queue of received messages.
 const INBOX_LENGTH: usize = 64;
 
 impl FleetClient {
-    /// Answers status requests of operators on `listener`. Never returns.
+    /// Answers operators' status requests on `listener` and ignores all other messages. Never returns.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let (inbox, mut received) = mpsc::channel::<IncomingMessage>(INBOX_LENGTH);
         let accepting = transport::serve(listener, self.operator.allow.clone(), self.identity(), inbox);
@@ -26,7 +26,7 @@
         tokio::join!(accepting, answering);
     }
 
-    /// The state of this proxy's lease.
+    /// The status of this proxy: the keepers in its file, the leader, and the budgets that it enforces.
     pub fn status(&self) -> Status {
         let lease = self.lease.borrow();
         let now = clock::now();
--- a/crates/cluster/src/clock.rs
+++ b/crates/cluster/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that leases are measured by: it also runs while the machine sleeps, and nobody can set it.
+//! The clock for leases. It is monotonic and also advances while the machine is suspended.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
@@ -6,7 +6,7 @@
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const NANOS_PER_MICRO: u64 = 1_000;
 
-/// Time since the machine started, sleep included. Microseconds.
+/// Time since boot, including time suspended. Microseconds.
 pub fn now() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
     // The clock starts at 0 and is never negative.
@@ -15,13 +15,13 @@
     rate::from_real(seconds.saturating_mul(MICROS_PER_SECOND).saturating_add(nanos / NANOS_PER_MICRO))
 }
 
-/// Time from now until `at`, which is in microseconds on this clock; zero if `at` has passed.
+/// Duration until `at`, in microseconds on this clock; zero if `at` has passed.
 pub fn duration_until(at: u64) -> Duration {
     Duration::from_micros(rate::to_real(at.saturating_sub(now())))
 }
 
-/// A clock that runs too fast or too slow, for tests of the bound on clock drift. The environment variable
-/// `LINENHILL_CLOCK_PPM` sets its rate, in millionths of the true rate.
+/// Scales the clock for tests of the bound on clock drift. The environment variable `LINENHILL_CLOCK_PPM` sets the
+/// rate, in millionths of the true rate.
 #[cfg(feature = "fault-injection")]
 mod rate {
     use std::sync::OnceLock;
@@ -34,27 +34,27 @@
         *RATE.get_or_init(|| configured().unwrap_or(TRUE_RATE))
     }
 
-    /// What this clock shows after a real duration.
+    /// Time on the scaled clock after a real time.
     pub(super) fn from_real(real: u64) -> u64 {
         let scaled = u128::from(real) * u128::from(rate()) / u128::from(TRUE_RATE);
         u64::try_from(scaled).unwrap_or(u64::MAX)
     }
 
-    /// Real duration in which this clock advances by `shown`, rounded up.
-    pub(super) fn to_real(shown: u64) -> u64 {
-        let scaled = (u128::from(shown) * u128::from(TRUE_RATE)).div_ceil(u128::from(rate()));
-        u64::try_from(scaled).unwrap_or(u64::MAX)
+    /// Real duration in which the scaled clock advances by `scaled`, rounded up.
+    pub(super) fn to_real(scaled: u64) -> u64 {
+        let real = (u128::from(scaled) * u128::from(TRUE_RATE)).div_ceil(u128::from(rate()));
+        u64::try_from(real).unwrap_or(u64::MAX)
     }
 }
 
-/// The true rate.
+/// Without fault injection the clock runs at the true rate.
 #[cfg(not(feature = "fault-injection"))]
 mod rate {
     pub(super) const fn from_real(real: u64) -> u64 {
         real
     }
 
-    pub(super) const fn to_real(shown: u64) -> u64 {
-        shown
+    pub(super) const fn to_real(scaled: u64) -> u64 {
+        scaled
     }
 }
--- a/crates/cluster/src/keeper.rs
+++ b/crates/cluster/src/keeper.rs
@@ -1,7 +1,7 @@
-//! The process of a keeper: one of three or five that hold the replicated log.
+//! The event loop of a keeper, one of the three or five processes that replicate the log.
 //!
-//! Gives [`RaftNode`] its sockets, its clock and its ticks, and carries out its actions in their order. Must decide nothing
-//! by the content of a message.
+//! Passes received messages, the time and ticks to [`RaftNode`], and carries out its actions in order. Must not
+//! interpret the content of messages.
 
 use crate::clock;
 use crate::protocol::Envelope;
@@ -20,20 +20,21 @@
 
 pub use crate::raft_node::{KeeperError, open_store};
 
-/// Most received messages that wait for the node.
+/// Capacity of the queue of received messages.
 const INBOX_LENGTH: usize = 4_096;
-/// Most received messages that one call of the node handles, beyond the first; they share an entry and a sync.
+/// Limit of received messages, after the first one, that are passed to the node in one call. Their commands share a log
+/// entry and a sync of the store.
 const MAX_BATCH: usize = 512;
-/// Most replies to join requests that wait for the node.
+/// Capacity of the queue of replies to join requests.
 const JOIN_REPLIES_LENGTH: usize = 8;
 
-/// The way back to the sender of a message.
+/// Queue for replies to the sender of a message.
 type ReplySender = mpsc::Sender<Envelope>;
 
-/// Runs a keeper until its store or its engine fails.
+/// Runs a keeper until its store or its Raft engine fails.
 ///
 /// # Errors
-/// That failure.
+/// The failure of the store or the engine.
 pub async fn run(
     operator: Operator, name: &str, store: KeeperStore, listener: TcpListener,
 ) -> Result<(), KeeperError> {
@@ -74,10 +75,10 @@
     Event::Received(message.envelope, message.reply)
 }
 
-/// A keeper's connections to the others.
+/// A keeper's connections to the other keepers.
 struct Connections {
     identity: Rc<InstanceIdentity>,
-    /// By Raft identifier.
+    /// Connections by Raft identifier.
     peers: BTreeMap<u64, PeerConnection>,
     join_reply_sender: mpsc::Sender<Envelope>,
 }
@@ -85,7 +86,7 @@
 impl Connections {
     fn carry_out(&mut self, action: Action<ReplySender>, node: &mut RaftNode<ReplySender>) {
         match action {
-            // A reply that does not fit the sender's queue is dropped; the sender asks again.
+            // A reply is dropped if the queue is full; the sender retries.
             Action::Reply(reply, envelope) => _ = reply.try_send(envelope),
             Action::Send(id, envelope) => {
                 let is_sent = self.peers.get(&id).is_some_and(|peer| peer.send(envelope));
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Keeps the connections whose address is unchanged, ends the others and starts the missing ones.
+    /// Keeps connections whose address is unchanged, closes all others and opens the missing ones.
     fn set_peers(&mut self, addresses: BTreeMap<u64, SocketAddr>) {
         self.peers.retain(|id, peer| addresses.get(id) == Some(&peer.address));
         for (id, address) in addresses {
@@ -111,7 +112,7 @@
 }
 
 async fn request_join(address: SocketAddr, envelope: Envelope, replies: mpsc::Sender<Envelope>) {
-    // A keeper that does not answer is asked again by the node.
+    // Failures are ignored: the node sends join requests periodically.
     if let Ok(answer) = transport::call(address, envelope).await {
         let _ = replies.send(answer).await;
     }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,12 +1,13 @@
-//! The instances of one fleet together: a replicated log among the keepers, and the proxies that lease quota from it.
+//! Coordination of the instances of a fleet: keepers replicate a log, and proxies lease quotas from its state.
 //!
 //! - [`protocol`] and [`transport`]: messages and connections between instances;
-//! - [`raft_node`]: a keeper's decisions, on the Raft engine; [`keeper`] gives it sockets and a clock, [`store`] its disk;
-//! - [`log_entry`] and [`replicated_state`]: what the log holds, and the state that the keepers build from it;
-//! - [`client`]: a proxy's side; [`clock`]: the clock that leases are measured by.
+//! - [`raft_node`]: a keeper's logic, on the Raft engine; [`keeper`] runs it with sockets and a clock, [`store`]
+//!   persists it;
+//! - [`log_entry`] and [`replicated_state`]: the entries of the log, and the state that the keepers build from them;
+//! - [`client`]: a proxy's client of the keepers; [`clock`]: the clock for leases.
 //!
-//! What the log's commands mean, and what a proxy may use, is decided by `linenhill_decisions::{membership, quota,
-//! disruption}`; this crate must not decide it. Nothing here runs unless the operators' file asks for it.
+//! The rules for sessions, quotas and permits are in `linenhill_decisions::{membership, quota, disruption}`, and must
+//! not be duplicated here. Only processes with an operators' file run this code.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/cluster/src/log_entry.rs
+++ b/crates/cluster/src/log_entry.rs
@@ -1,7 +1,7 @@
 //! The entries of the replicated log, as they are encoded on disk and between keepers.
 //!
-//! This module holds messages only; [`crate::replicated_state`] applies them. Tags are part of the stored format and never
-//! change; names of Rust types and fields are not.
+//! This module defines messages only; [`crate::replicated_state`] applies them. Tags are part of the stored format and
+//! must never change; names of Rust types and fields may.
 
 use crate::protocol::LeaseRequest;
 use linenhill_decisions::disruption::DisruptionPolicy;
@@ -10,13 +10,13 @@
 use linenhill_settings::operator::Operator;
 use prost::Message;
 
-/// One entry of the log: the time that passed at the leader, and the commands that it accepted meanwhile.
+/// One entry of the log: the time that elapsed at the leader since its previous entry, and a batch of commands.
 #[derive(Clone, PartialEq, Message)]
 pub struct LogEntry {
-    /// Time since the leader's previous entry, or since it became leader, on the leader's clock. Microseconds.
+    /// Time since the leader's previous entry, or since it became leader, on its own clock. Microseconds.
     #[prost(uint64, tag = "1")]
     pub elapsed_us: u64,
-    /// Commands, in the order in which they apply.
+    /// Commands, in the order in which they are applied.
     #[prost(message, repeated, tag = "2")]
     pub commands: Vec<LoggedCommand>,
 }
@@ -24,16 +24,16 @@
 /// One command of an entry.
 #[derive(Clone, PartialEq, Message)]
 pub struct LoggedCommand {
-    /// The command; none if this version does not know it.
+    /// The command; `None` if this version does not support it.
     #[prost(oneof = "Command", tags = "1, 2, 3, 4")]
     pub command: Option<Command>,
-    /// Identifies the pending request of a [`Command::Disruption`] at the leader; 0 where no request waits by this number.
+    /// Identifies the leader's pending request of a [`Command::Disruption`]; 0 for other commands.
     #[prost(uint64, tag = "15")]
     pub request_id: u64,
 }
 
 impl From<Command> for LoggedCommand {
-    /// A command for which no request waits by a `request_id`.
+    /// Converts a command whose pending request, if any, is not identified by a `request_id`.
     fn from(command: Command) -> LoggedCommand {
         LoggedCommand { command: Some(command), request_id: 0 }
     }
@@ -42,13 +42,13 @@
 /// A change to the replicated state.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Command {
-    /// Replaces budgets, lease terms and disruption limits if the revision is newer.
+    /// Replaces budgets, lease terms and disruption limits if its revision is newer than the agreed one.
     #[prost(message, tag = "1")]
     Declare(Declaration),
-    /// A proxy asks for quota and renews its membership.
+    /// Requests quotas for a proxy and renews its membership.
     #[prost(message, tag = "2")]
     LeaseRequest(SessionLeaseRequest),
-    /// Removes the proxy of this name.
+    /// Removes the proxy with this name.
     #[prost(string, tag = "3")]
     RemoveProxy(String),
     /// Changes the disruption table.
@@ -56,7 +56,7 @@
     Disruption(DisruptionRequest),
 }
 
-/// A request to change what the disruption table says of one subject.
+/// A request to change one subject in the disruption table.
 #[derive(Clone, PartialEq, Message)]
 pub struct DisruptionRequest {
     /// Key of the subject: `proxy/NAME` or `member/ID`.
@@ -65,30 +65,30 @@
     /// A [`DisruptionAction`].
     #[prost(enumeration = "DisruptionAction", tag = "2")]
     pub action: i32,
-    /// Who asks.
+    /// Name of the requester.
     #[prost(string, tag = "3")]
     pub requested_by: String,
-    /// Why, for the status that operators see.
+    /// Reason, shown in the status for operators.
     #[prost(string, tag = "4")]
     pub reason: String,
-    /// Grants a permit beyond the limits.
+    /// Whether to grant the permit even if it exceeds the limits.
     #[prost(bool, tag = "5")]
     pub force: bool,
 }
 
-/// What a [`DisruptionRequest`] asks for.
+/// The change that a [`DisruptionRequest`] makes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum DisruptionAction {
-    /// A permit for the subject to be unavailable.
+    /// Grants a permit for the subject to be unavailable.
     Permit = 0,
-    /// The end of the permit, once the subject is observed in service.
+    /// Ends the permit once the subject is observed in service.
     Return = 1,
-    /// Removal of the subject's record.
+    /// Removes the subject's record.
     Forget = 2,
 }
 
-/// Budgets, lease terms and disruption limits of an operators' file.
+/// Budgets, lease terms and disruption limits from an operators' file.
 #[derive(Clone, PartialEq, Message)]
 pub struct Declaration {
     /// Durations of leases and membership.
@@ -97,10 +97,10 @@
     /// Budgets by name.
     #[prost(btree_map = "string, message", tag = "2")]
     pub budgets: Budgets,
-    /// Revision of the file: a declaration replaces only an older one.
+    /// Revision of the file; a declaration only replaces one of a lower revision.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
-    /// Limits of disruptions; none if they are not limited.
+    /// Limits of disruptions; `None` if they are not limited.
     #[prost(message, optional, tag = "4")]
     pub disruption_policy: Option<DisruptionPolicy>,
 }
@@ -116,7 +116,7 @@
     }
 }
 
-/// A [`LeaseRequest`] with the session that sent it.
+/// A [`LeaseRequest`] with the name and incarnation of its sender.
 #[derive(Clone, PartialEq, Message)]
 pub struct SessionLeaseRequest {
     /// Name of the proxy.
--- a/crates/cluster/src/protocol.rs
+++ b/crates/cluster/src/protocol.rs
@@ -1,7 +1,7 @@
 //! The messages between the instances of one fleet: length-prefixed frames, each of which holds one [`Envelope`].
 //!
-//! This module defines the encoding and its bounds. It must never decide what an instance does with a message. Tags are
-//! part of the wire format and never change; names of Rust fields are not.
+//! This module defines the encoding and its size limits, and must not define how an instance handles a message. Tags
+//! are part of the wire format and must never change; names of Rust fields may.
 
 use crate::log_entry::{Declaration, DisruptionRequest};
 use bytes::{Buf, Bytes, BytesMut};
@@ -13,14 +13,14 @@
 use std::io;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// The version of this protocol. Instances of different versions do not talk to each other.
+/// Version of the protocol. Instances reject messages of other versions.
 pub const PROTOCOL_VERSION: u32 = 2;
-/// Longest frame from a keeper, in bytes: it must fit a snapshot of the largest quota table.
+/// Maximum frame size from a keeper, in bytes. A snapshot with the largest quota table must fit.
 pub const MAX_KEEPER_FRAME_BYTES: usize = 64 << 20;
-/// Longest frame from any other instance, in bytes.
+/// Maximum frame size from any other instance, in bytes.
 pub const MAX_FRAME_BYTES: usize = 512 << 10;
 
-/// One message together with its sender.
+/// A message with its sender.
 #[derive(Clone, PartialEq, Message)]
 pub struct Envelope {
     /// Name of the sender's fleet.
@@ -35,11 +35,11 @@
     /// Incarnation of the sender; for a keeper, its Raft identifier.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
-    /// Identifier of the replicated log that the keeper belongs to; 0 from instances that are not keepers, and from a
-    /// keeper that has not joined yet.
+    /// Identifier of the sender's replicated log in messages between keepers; 0 in other messages, and from a keeper
+    /// that has not joined yet.
     #[prost(uint64, tag = "5")]
     pub log_id: u64,
-    /// The message itself.
+    /// The message; `None` if this version does not support it.
     #[prost(oneof = "Body", tags = "10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21")]
     pub body: Option<Body>,
 }
@@ -50,34 +50,34 @@
     /// A message of the Raft engine, between keepers.
     #[prost(bytes = "vec", tag = "10")]
     Raft(Vec<u8>),
-    /// A proxy asks the leader for quota and renews its membership.
+    /// A proxy's request to the leader for quotas, which also renews its membership.
     #[prost(message, tag = "11")]
     LeaseRequest(LeaseRequest),
-    /// The leader grants a [`LeaseRequest`].
+    /// Grant of a [`LeaseRequest`].
     #[prost(message, tag = "12")]
     LeaseGranted(LeaseGranted),
-    /// The leader rejects a [`LeaseRequest`].
+    /// Rejection of a [`LeaseRequest`].
     #[prost(message, tag = "13")]
     LeaseRejected(LeaseRejected),
-    /// The keeper does not lead, or cannot take the request now.
+    /// The keeper does not lead, or has too many pending requests.
     #[prost(message, tag = "14")]
     NotLeader(NotLeader),
-    /// Asks an instance for its [`Status`].
+    /// Requests an instance's [`Status`].
     #[prost(message, tag = "15")]
     StatusRequest(Empty),
     /// Answer to [`Body::StatusRequest`].
     #[prost(message, tag = "16")]
     Status(Status),
-    /// A new keeper asks to become a voter.
+    /// A new keeper's request to become a voter.
     #[prost(message, tag = "17")]
     Join(JoinRequest),
-    /// Operators, or a proxy on their behalf, ask for a change.
+    /// A change requested by operators, or by a proxy on their behalf.
     #[prost(message, tag = "18")]
     OperatorRequest(OperatorRequest),
     /// Answer to [`Body::OperatorRequest`] and [`Body::Join`].
     #[prost(message, tag = "19")]
     OperatorReply(OperatorReply),
-    /// Checks that the connection is alive.
+    /// Keep-alive check of a connection.
     #[prost(message, tag = "20")]
     Ping(Empty),
     /// Answer to [`Body::Ping`].
@@ -89,7 +89,7 @@
 #[derive(Clone, PartialEq, Message)]
 pub struct Empty {}
 
-/// A proxy's request for quota, with its identity and its health report.
+/// A proxy's request for quotas, with its version, its zone and its health report.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseRequest {
     /// Units in use and in demand, by budget.
@@ -101,7 +101,7 @@
     /// Zone of the proxy.
     #[prost(string, tag = "3")]
     pub zone: String,
-    /// Availability of the proxy and of the members that it observes; none where disruptions are not limited.
+    /// Availability of the proxy and of the members that it observes; `None` if disruptions are not limited.
     #[prost(message, optional, tag = "4")]
     pub report: Option<HealthReport>,
 }
@@ -112,7 +112,7 @@
     /// The proxy's allocations.
     #[prost(message, required, tag = "1")]
     pub grant: Grant,
-    /// Members that must get no new requests; none if the proxy applies the current edition already.
+    /// Members to which no new requests may be sent; `None` if the proxy already applies the current edition.
     #[prost(message, optional, tag = "2")]
     pub quarantine: Option<Quarantine>,
 }
@@ -123,13 +123,13 @@
     /// Sequence number of the rejected request.
     #[prost(uint64, tag = "1")]
     pub seq: u64,
-    /// The rejection is final for this incarnation: a newer one has its name, or operators removed it.
+    /// The rejection is final for this incarnation: a later incarnation replaced it, or operators removed it.
     #[prost(bool, tag = "2")]
     pub superseded: bool,
-    /// Reason for operators.
+    /// Reason, for operators.
     #[prost(string, tag = "3")]
     pub reason: String,
-    /// Incarnation that sent the rejected request.
+    /// Incarnation of the rejected request's sender.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
 }
@@ -145,18 +145,20 @@
 /// A new keeper's request to become a voter.
 #[derive(Clone, PartialEq, Message)]
 pub struct JoinRequest {
-    /// Address at which the other keepers reach it.
+    /// Address at which the other keepers connect to the new one.
     #[prost(string, tag = "1")]
     pub address: String,
 }
 
-/// A change that operators ask for. The first field that is set counts, in the order disruption, declare, remove, replace.
+/// A change requested by operators. Only the first field that is set applies, in the order disruption, declare, remove,
+/// replace.
 #[derive(Clone, PartialEq, Message)]
 pub struct OperatorRequest {
-    /// Name of a proxy that is gone for good.
+    /// Name of a proxy to remove, because it will not return.
     #[prost(string, tag = "1")]
     pub remove: String,
-    /// Name of a keeper that lost its store: its old Raft identifier stops voting, and a new store may join.
+    /// Name of a keeper that lost its store. Its old Raft identifier is removed from the voters, so that a new store
+    /// may join.
     #[prost(string, tag = "2")]
     pub replace: String,
     /// Budgets and lease terms that replace the agreed ones.
@@ -170,21 +172,21 @@
 /// Outcome of an [`OperatorRequest`] or a [`JoinRequest`].
 #[derive(Clone, PartialEq, Message)]
 pub struct OperatorReply {
-    /// The change was made, or is under way.
+    /// The change was made, or is in progress.
     #[prost(bool, tag = "1")]
     pub ok: bool,
-    /// Outcome for operators.
+    /// Description of the outcome, for operators.
     #[prost(string, tag = "2")]
     pub text: String,
     /// Names of the proxies that have not confirmed the change yet.
     #[prost(string, repeated, tag = "3")]
     pub unconfirmed: Vec<String>,
-    /// Nothing was decided, because the keeper that was asked does not lead.
+    /// The request was not decided, because the keeper does not lead.
     #[prost(bool, tag = "4")]
     pub not_leader: bool,
 }
 
-/// The state of an instance, as operators see it.
+/// The state of an instance, for operators.
 #[derive(Clone, PartialEq, Message)]
 pub struct Status {
     /// `leader`, `follower`, `candidate` or `proxy`.
@@ -196,50 +198,50 @@
     /// Raft term.
     #[prost(uint64, tag = "3")]
     pub term: u64,
-    /// Index of the last applied log entry.
+    /// Index of the last applied log entry; 0 at a proxy.
     #[prost(uint64, tag = "4")]
     pub applied: u64,
     /// Addresses of the keepers, by name.
     #[prost(btree_map = "string, string", tag = "5")]
     pub keepers: BTreeMap<String, String>,
-    /// Proxies that are members of the fleet.
+    /// Sessions of the proxies; empty at a proxy.
     #[prost(message, repeated, tag = "6")]
     pub sessions: Vec<SessionStatus>,
     /// Budgets of the fleet; at a proxy, those that it enforces.
     #[prost(message, repeated, tag = "7")]
     pub budgets: Vec<BudgetStatus>,
-    /// Time since the instance last had news of the log, in milliseconds.
+    /// Time since a keeper last applied an entry, or since a proxy's last grant, in milliseconds.
     #[prost(uint64, tag = "8")]
     pub log_age_ms: u64,
-    /// Subjects that are unavailable, or have a permit to be.
+    /// Subjects that are unavailable, or have a permit to be unavailable; empty at a proxy.
     #[prost(message, repeated, tag = "9")]
     pub unavailable: Vec<UnavailableStatus>,
 }
 
-/// An unavailable subject, as operators see it.
+/// An unavailable subject, for operators.
 #[derive(Clone, PartialEq, Message)]
 pub struct UnavailableStatus {
     /// Key of the subject: `proxy/NAME` or `member/ID`.
     #[prost(string, tag = "1")]
     pub subject: String,
-    /// Label of its availability.
+    /// Label of the cause, see `linenhill_decisions::disruption::Availability::label`.
     #[prost(string, tag = "2")]
     pub cause: String,
-    /// Number of its permit; 0 without one.
+    /// Number of the permit; 0 without a permit.
     #[prost(uint64, tag = "3")]
     pub permit: u64,
-    /// Who asked for the permit.
+    /// Name of the permit's requester.
     #[prost(string, tag = "4")]
     pub requested_by: String,
-    /// Reason given for the permit.
+    /// Reason of the permit.
     #[prost(string, tag = "5")]
     pub reason: String,
-    /// The permit was forced beyond the limits.
+    /// The permit was granted by force, without a check of the limits.
     #[prost(bool, tag = "6")]
     pub forced: bool,
 }
 
-/// A proxy's session, as operators see it.
+/// A proxy's session, for operators.
 #[derive(Clone, PartialEq, Message)]
 pub struct SessionStatus {
     /// Name of the proxy.
@@ -254,7 +256,7 @@
     /// Zone of the proxy.
     #[prost(string, tag = "4")]
     pub zone: String,
-    /// Time since the proxy's last request, in milliseconds of log time.
+    /// Time since the proxy's last lease request, in milliseconds of log time.
     #[prost(uint64, tag = "5")]
     pub last_request_age_ms: u64,
     /// The proxy's lease has not expired.
@@ -262,29 +264,29 @@
     pub has_lease: bool,
 }
 
-/// A budget, as operators see it.
+/// A budget, for operators.
 #[derive(Clone, PartialEq, Message)]
 pub struct BudgetStatus {
     /// Name of the budget.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Units of the whole fleet; 0 at a proxy, which does not know them.
+    /// Total units of the fleet; 0 at a proxy, which does not have this figure.
     #[prost(uint64, tag = "2")]
     pub total: u64,
-    /// Units that count as granted to any proxy; at a proxy, the units that it may use now.
+    /// Units that count as granted to any proxy; at a proxy, its current limit.
     #[prost(uint64, tag = "3")]
     pub committed: u64,
-    /// Units in use, as last reported.
+    /// Units in use, as last reported by the proxies; at a proxy, its own.
     #[prost(uint64, tag = "4")]
     pub in_use: u64,
 }
 
-/// Why a frame cannot be read or written. The connection must be closed after it.
+/// A failure to read or write a frame, after which the connection must be closed.
 #[derive(Debug)]
 pub enum ProtocolError {
     /// The connection failed, or a frame exceeds its length limit.
     Io(io::Error),
-    /// The frame holds no valid [`Envelope`].
+    /// The frame does not hold a valid [`Envelope`].
     Decode(prost::DecodeError),
 }
 
@@ -292,7 +294,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ProtocolError::Io(error) => write!(f, "{error}"),
-            ProtocolError::Decode(error) => write!(f, "{error}"),
+            ProtocolError::Decode(error) => write!(f, "invalid frame: {error}"),
         }
     }
 }
@@ -323,13 +325,13 @@
 }
 
 impl EnvelopeCodec {
-    /// Accepts frames of up to [`MAX_FRAME_BYTES`]: the codec allocates memory by the length that a frame declares, before
-    /// the sender is known.
+    /// Accepts frames of up to [`MAX_FRAME_BYTES`]. The codec allocates the declared length of a frame before the
+    /// sender is known.
     pub fn for_untrusted() -> EnvelopeCodec {
         EnvelopeCodec(LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec())
     }
 
-    /// Accepts frames of up to [`MAX_KEEPER_FRAME_BYTES`] from now on, because the sender is a keeper.
+    /// Raises the limit to [`MAX_KEEPER_FRAME_BYTES`], for a connection from a keeper.
     pub fn allow_keeper_frames(&mut self) {
         self.0.set_max_frame_length(MAX_KEEPER_FRAME_BYTES);
     }
--- a/crates/cluster/src/raft_node/bootstrap.rs
+++ b/crates/cluster/src/raft_node/bootstrap.rs
@@ -7,8 +7,8 @@
 use prost::Message as _;
 use std::net::SocketAddr;
 
-/// Opens the store of the keeper `name`, or creates it if there is none. With `found`, creates it for a new log whose only
-/// voter is this keeper.
+/// Opens the store of the keeper `name`, or creates it if there is none. With `found`, creates it for a new log whose
+/// only voter is this keeper.
 ///
 /// # Errors
 /// The operators' file has no store directory or no keeper `name`, the store belongs to another keeper or fleet, or it
--- a/crates/cluster/src/raft_node/mod.rs
+++ b/crates/cluster/src/raft_node/mod.rs
@@ -1,15 +1,16 @@
-//! A keeper's logic without sockets or a clock: [`RaftNode`] drives the Raft engine, persists its state before any message
-//! that depends on it is sent, and applies committed entries.
+//! A keeper's logic without sockets or a clock: [`RaftNode`] drives the Raft engine, persists its state before any
+//! message that depends on it is sent, and applies committed entries.
 //!
-//! [`crate::keeper`] carries out the [`Action`]s; tests run the same node under virtual time. The node writes to its store
-//! itself, because safety depends on the order of writes and messages; it must do no other I/O.
+//! [`crate::keeper`] carries out the [`Action`]s; tests run the same node under virtual time. The node writes to its
+//! store itself, because safety depends on the order of writes and messages; it must do no other I/O.
 //!
-//! Only the leader proposes entries. Each entry carries the time that elapsed on the leader's clock since its previous entry,
-//! or since it became leader. Log time therefore does not advance without a leader, so no grant expires early.
+//! Only the leader proposes entries. Each entry carries the time that elapsed on the leader's clock since its previous
+//! entry, or since it became leader. Log time therefore does not advance without a leader, so no grant expires early.
 //!
-//! Each step has a module: `ticks` (elections and the declaration of a new leader), `requests` and `operators` (received
-//! messages), `voters` (membership of the keepers), `proposals` (new entries), `ready` (store, messages and committed entries
-//! in the order that the engine requires), `replies` (requests whose entry is not applied yet) and `status`.
+//! Each step has a module: `ticks` (elections and the declaration of a new leader), `requests` and `operators`
+//! (received messages), `voters` (membership of the keepers), `proposals` (new entries), `ready` (store, messages and
+//! committed entries in the order that the engine requires), `replies` (requests whose entry is not applied yet) and
+//! `status`.
 
 mod bootstrap;
 mod error;
@@ -81,7 +82,8 @@
     actions: Vec<Action<R>>,
     /// Time of the current call. Microseconds.
     now: u64,
-    /// Seed of election timeouts and request identifiers: keepers have different seeds, and simulations are reproducible.
+    /// Seed of election timeouts and request identifiers: keepers have different seeds, and simulations are
+    /// reproducible.
     seed: u64,
     /// Log time that this keeper has proposed as leader; `None` before its first proposal as leader.
     log_clock: Option<LogClock>,
@@ -99,8 +101,8 @@
 }
 
 impl<R> RaftNode<R> {
-    /// Starts a node from its store at `now`, in microseconds of a clock that also advances while the machine is suspended.
-    /// The first actions are returned by the first call of [`RaftNode::handle`].
+    /// Starts a node from its store at `now`, in microseconds of a clock that also advances while the machine is
+    /// suspended. The first actions are returned by the first call of [`RaftNode::handle`].
     ///
     /// # Errors
     /// The snapshot cannot be decoded, or the engine rejects the store.
--- a/crates/cluster/src/raft_node/proposals.rs
+++ b/crates/cluster/src/raft_node/proposals.rs
@@ -8,8 +8,8 @@
 
 /// Interval between entries without commands, which only advance the log time. Microseconds.
 const IDLE_ENTRY_INTERVAL_US: u64 = 500_000;
-/// Minimum interval between entries, in microseconds. Commands that arrive within it share an entry, a sync of each store
-/// and one division of the quotas; no client request waits for them.
+/// Minimum interval between entries, in microseconds. Commands that arrive within it share an entry, a sync of each
+/// store and one division of the quotas; no client request waits for them.
 const ENTRY_INTERVAL_US: u64 = 10_000;
 /// Size from which no further command is added to an entry, in bytes. Together with the longest command, an entry must
 /// fit into a frame.
@@ -65,7 +65,8 @@
 }
 
 impl<R> RaftNode<R> {
-    /// Proposes entries if this keeper leads and an entry is due. Without commands, an entry only advances the log time.
+    /// Proposes entries if this keeper leads and an entry is due. Without commands, an entry only advances the log
+    /// time.
     pub(super) fn propose(&mut self) {
         if !self.is_leader() {
             return;
@@ -85,8 +86,8 @@
                     self.log_clock = Some(LogClock { term, proposed_until: now });
                     elapsed_us = 0;
                 }
-                // The engine rejects proposals while too many entries are in flight. The entry's requests time out, and their
-                // senders retry.
+                // The engine rejects proposals while too many entries are in flight. The entry's requests time out, and
+                // their senders retry.
                 Err(error) => info!("fleet: proposal of an entry rejected: {error}"),
             }
             if self.proposals.is_empty() {
--- a/crates/cluster/src/raft_node/ready.rs
+++ b/crates/cluster/src/raft_node/ready.rs
@@ -1,5 +1,5 @@
-//! Processes the Raft engine's output in the order that safety requires: writes to the store come before the messages that
-//! depend on them.
+//! Processes the Raft engine's output in the order that safety requires: writes to the store come before the messages
+//! that depend on them.
 
 use super::{KeeperError, RaftNode, decode_state};
 use crate::protocol::Body;
@@ -13,7 +13,8 @@
 const COMPACTION_INTERVAL: u64 = 4_096;
 
 impl<R> RaftNode<R> {
-    /// Persists, applies and sends the engine's output until there is none left; compacts the log when it is long enough.
+    /// Persists, applies and sends the engine's output until there is none left; compacts the log when it is long
+    /// enough.
     pub(super) fn process_ready(&mut self) -> Result<(), KeeperError> {
         while self.engine.has_ready() {
             let ready = self.engine.ready();
--- a/crates/cluster/src/raft_node/replies.rs
+++ b/crates/cluster/src/raft_node/replies.rs
@@ -9,7 +9,8 @@
 
 /// Limit of pending requests.
 pub(super) const MAX_PENDING_REQUESTS: usize = 16_384;
-/// Time after which a pending request is dropped, since its entry may have been lost in a change of leader. Microseconds.
+/// Time after which a pending request is dropped, since its entry may have been lost in a change of leader.
+/// Microseconds.
 const PENDING_TIMEOUT_US: u64 = 5_000_000;
 
 /// Identifies the applied result that a pending request waits for.
@@ -77,7 +78,8 @@
                 Body::LeaseGranted(LeaseGranted { grant, quarantine })
             }
             Err(rejection) => {
-                // Not logged: stale requests and names in use are frequent while proxies restart, and resolve without action.
+                // Not logged: stale requests and names in use are frequent while proxies restart, and resolve without
+                // action.
                 if !matches!(rejection, SessionRejected::StaleRequest | SessionRejected::NameInUse) {
                     info!("fleet: lease request of {name} rejected: {}", rejection.wire_reason());
                 }
--- a/crates/cluster/src/raft_node/ticks.rs
+++ b/crates/cluster/src/raft_node/ticks.rs
@@ -62,8 +62,8 @@
         self.engine.store().term(self.applied).unwrap_or(0) == self.term()
     }
 
-    /// Proposes this keeper's operators' file as the declaration if its revision is accepted; logs a warning if it differs
-    /// from the agreed declaration otherwise.
+    /// Proposes this keeper's operators' file as the declaration if its revision is accepted; logs a warning if it
+    /// differs from the agreed declaration otherwise.
     fn declare_file(&mut self) {
         let declaration = Declaration::from(&self.operator);
         let agreed = &self.state.quota;
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Reports unconfirmed snapshots as failed, so that the engine sends them again: the snapshot or its confirmation may
-    /// have been lost.
+    /// Reports unconfirmed snapshots as failed, so that the engine sends them again: the snapshot or its confirmation
+    /// may have been lost.
     fn retry_snapshots(&mut self) {
         let unconfirmed: Vec<u64> = self
             .engine
--- a/crates/cluster/src/raft_node/voters.rs
+++ b/crates/cluster/src/raft_node/voters.rs
@@ -23,7 +23,8 @@
         self.operator.keepers.iter().find(|keeper| keeper.name == name).map(|keeper| keeper.address)
     }
 
-    /// Updates the peers from the replicated list of keepers. Addresses in this keeper's file override those in the log.
+    /// Updates the peers from the replicated list of keepers. Addresses in this keeper's file override those in the
+    /// log.
     pub(super) fn update_peers(&mut self) {
         // A keeper without a state keeps its provisional peers.
         if !self.state.keepers.is_empty() {
@@ -74,8 +75,8 @@
 
     pub(super) fn on_join_request(&mut self, name: &str, id: u64, join: &JoinRequest, reply: R) {
         let known_id = self.state.keeper_id(name);
-        // Any keeper confirms an existing voter, since the reply of the leader may have been lost, and without this vote there
-        // may be no leader.
+        // Any keeper confirms an existing voter, since the reply of the leader may have been lost, and without this
+        // vote there may be no leader.
         if !self.is_leader() && known_id != Some(id) {
             return;
         }
@@ -109,7 +110,8 @@
         Ok(format!("{name} with number {id} votes no more; another store may join"))
     }
 
-    /// Proposes to add or remove a voter. `record` is the encoded [`KeeperRecord`] of an added voter, and empty otherwise.
+    /// Proposes to add or remove a voter. `record` is the encoded [`KeeperRecord`] of an added voter, and empty
+    /// otherwise.
     fn propose_voter_change(
         &mut self, change_type: ConfChangeType, id: u64, record: Vec<u8>,
     ) -> Result<(), raft::Error> {
--- a/crates/cluster/src/replicated_state.rs
+++ b/crates/cluster/src/replicated_state.rs
@@ -1,7 +1,7 @@
 //! The state that all keepers build from the replicated log: quota table, disruption table and list of keepers.
 //!
-//! Applying an entry must be deterministic: it must not read a clock, draw a random number or depend on the keeper. The
-//! rules are those of `linenhill_decisions::{quota, disruption}`; this module only routes commands to them.
+//! Applying an entry must be deterministic: it must not read a clock, use random numbers or depend on the keeper. The
+//! rules are in `linenhill_decisions::{quota, disruption}`; this module only routes commands to them.
 
 use crate::log_entry::{
     Command, Declaration, DisruptionAction, DisruptionRequest, LogEntry, LoggedCommand, SessionLeaseRequest,
@@ -19,35 +19,35 @@
 pub struct DisruptionResult {
     /// [`LoggedCommand::request_id`] of the request.
     pub request_id: u64,
-    /// The request was granted.
+    /// Whether the request was accepted.
     pub ok: bool,
     /// Incarnations of the proxies that have not confirmed the change yet.
     pub unconfirmed: Vec<u64>,
-    /// Outcome for operators.
+    /// Description of the outcome, for operators.
     pub text: String,
 }
 
-/// Result of one applied command, for the request that waits for it.
+/// Result of an applied command, for its pending request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AppliedResult {
-    /// Of a [`Command::LeaseRequest`].
+    /// Result of a [`Command::LeaseRequest`].
     Quota(QuotaReply),
-    /// Of a [`Command::Disruption`].
+    /// Result of a [`Command::Disruption`].
     Disruption(DisruptionResult),
 }
 
-/// A keeper, as the log records it.
+/// A voter, as recorded in the log.
 #[derive(Clone, PartialEq, Message)]
 pub struct KeeperRecord {
     /// Name of the keeper.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Address at which the other keepers reach it.
+    /// Address at which the other keepers connect to it.
     #[prost(string, tag = "2")]
     pub address: String,
 }
 
-/// The state of the log. Its encoding is the content of a snapshot.
+/// The replicated state. Its encoding is the data of a snapshot.
 #[derive(Clone, PartialEq, Message)]
 pub struct ReplicatedState {
     /// Budgets, sessions and allocations.
@@ -56,12 +56,12 @@
     /// Keepers by Raft identifier.
     #[prost(btree_map = "uint64, message", tag = "2")]
     pub keepers: BTreeMap<u64, KeeperRecord>,
-    /// Subjects that are unavailable, or have a permit to be.
+    /// Availability of proxies and members, and permits.
     #[prost(message, required, tag = "3")]
     pub disruption: DisruptionTable,
 }
 
-/// The commands of an entry, by the table that they change. Each list keeps the order of the entry.
+/// The commands of an entry, by the table that they change. Each list is in the order of the entry.
 #[derive(Default)]
 struct RoutedCommands {
     quota: Vec<QuotaCommand>,
@@ -69,7 +69,7 @@
     disruption: Vec<(u64, DisruptionRequest)>,
 }
 
-/// A health report with the session that sent it.
+/// A health report with the name, incarnation and zone of its sender.
 struct SessionReport {
     name: String,
     incarnation: u64,
@@ -78,7 +78,7 @@
 }
 
 impl ReplicatedState {
-    /// Applies an encoded [`LogEntry`]. An entry that cannot be decoded changes nothing, at every keeper alike.
+    /// Applies an encoded [`LogEntry`]. An entry that cannot be decoded is ignored, which is the same at every keeper.
     pub fn apply(&mut self, data: &[u8]) -> Vec<AppliedResult> {
         let Ok(entry) = LogEntry::decode(data) else { return Vec::new() };
         let commands = self.route(entry.commands);
@@ -99,7 +99,7 @@
         results
     }
 
-    /// Sorts commands by table. The changes of `Declare` and `RemoveProxy` to the disruption table are made at once.
+    /// Groups commands by table. `Declare` and `RemoveProxy` are applied to the disruption table immediately.
     fn route(&mut self, commands: Vec<LoggedCommand>) -> RoutedCommands {
         let mut routed = RoutedCommands::default();
         for LoggedCommand { command, request_id } in commands {
@@ -123,7 +123,7 @@
         routed
     }
 
-    /// Raft identifier of the keeper of this name.
+    /// Raft identifier of the keeper with this name.
     pub fn keeper_id(&self, name: &str) -> Option<u64> {
         self.keepers.iter().find(|(_, keeper)| keeper.name == name).map(|(id, _)| *id)
     }
@@ -155,7 +155,7 @@
     }
 }
 
-/// A granted [`DisruptionRequest`].
+/// An accepted [`DisruptionRequest`].
 struct DisruptionAccepted {
     text: String,
     /// Incarnations of the proxies that have not confirmed the change yet.
@@ -163,23 +163,23 @@
 }
 
 impl DisruptionAccepted {
-    /// A change that no proxy has to confirm.
+    /// An accepted change that requires no confirmation by proxies.
     fn confirmed(text: &str) -> DisruptionAccepted {
         DisruptionAccepted { text: text.to_string(), unconfirmed: Vec::new() }
     }
 }
 
-/// Why a [`DisruptionRequest`] is rejected; operators read the text.
+/// Why a [`DisruptionRequest`] is rejected. The text is sent in the reply.
 enum DisruptionRejected {
-    /// The declaration in force has no disruption policy.
+    /// The agreed declaration has no disruption policy.
     NoPolicy,
-    /// The subject's key has neither of the two forms.
+    /// The key is neither `proxy/NAME` nor `member/ID`.
     InvalidSubject(String),
     /// The disruption table denies the permit.
     Denied { subject: String, reason: PermitDenied },
-    /// There is no record of the subject.
+    /// The disruption table has no record of the subject.
     NoRecord,
-    /// A newer version's action.
+    /// This version does not support the action.
     UnknownAction,
 }
 
--- a/crates/cluster/src/store/error.rs
+++ b/crates/cluster/src/store/error.rs
@@ -1,27 +1,27 @@
-//! Why a keeper's store cannot be used.
+//! Errors of a keeper's store.
 
 use std::error::Error;
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Why a store cannot be used. Prints as one line that begins with the path.
+/// An error of a keeper's store. Prints as one line that begins with the path.
 #[derive(Debug)]
 pub enum StoreError {
-    /// There is no store at this path: it was never made, or it is lost.
+    /// There is no store at this path: it was never created, or it was lost.
     Missing(PathBuf),
-    /// There is a store at this path already.
+    /// A store already exists at this path.
     AlreadyExists(PathBuf),
     /// The directory cannot be created.
     Directory(PathBuf, std::io::Error),
-    /// The database failed: it is truncated, the disk is full, or a sync failed.
+    /// The database failed, for example because it is truncated, the disk is full, or a sync failed.
     Database(PathBuf, Box<redb::Error>),
-    /// A stored or outgoing value is invalid.
+    /// A value that was read, or is to be written, is invalid.
     Invalid {
         /// Path of the store.
         path: PathBuf,
-        /// The invalid value.
-        what: &'static str,
-        /// The decoder's or the engine's error, where there is one.
+        /// Description of the invalid value.
+        value: &'static str,
+        /// Error of the decoder or the engine, if there is one.
         source: Option<Box<dyn Error + Send + Sync>>,
     },
 }
@@ -29,11 +29,16 @@
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            StoreError::Missing(path) => write!(f, "{}: there is no store", path.display()),
-            StoreError::AlreadyExists(path) => write!(f, "{}: there is a store already", path.display()),
-            StoreError::Directory(path, error) => write!(f, "{}: {error}", path.display()),
-            StoreError::Database(path, error) => write!(f, "{}: {error}", path.display()),
-            StoreError::Invalid { path, what, .. } => write!(f, "{}: {what} can't be read", path.display()),
+            StoreError::Missing(path) => write!(f, "{}: no store found", path.display()),
+            StoreError::AlreadyExists(path) => write!(f, "{}: a store already exists", path.display()),
+            StoreError::Directory(path, error) => {
+                write!(f, "{}: cannot create the directory: {error}", path.display())
+            }
+            StoreError::Database(path, error) => write!(f, "{}: database: {error}", path.display()),
+            StoreError::Invalid { path, value, source } => {
+                write!(f, "{}: invalid {value}", path.display())?;
+                source.as_ref().map_or(Ok(()), |source| write!(f, ": {source}"))
+            }
         }
     }
 }
@@ -51,14 +56,14 @@
     }
 }
 
-/// Converts an error of the database.
+/// Returns a conversion of database errors to [`StoreError::Database`].
 pub(super) fn database_error<E: Into<redb::Error>>(path: &Path) -> impl FnOnce(E) -> StoreError {
     move |error| StoreError::Database(path.to_path_buf(), Box::new(error.into()))
 }
 
-/// Converts an error that shows that `what` is invalid.
+/// Returns a conversion of an error in `value`, a description for operators, to [`StoreError::Invalid`].
 pub(super) fn invalid<E: Error + Send + Sync + 'static>(
-    path: &Path, what: &'static str,
+    path: &Path, value: &'static str,
 ) -> impl FnOnce(E) -> StoreError {
-    move |error| StoreError::Invalid { path: path.to_path_buf(), what, source: Some(Box::new(error)) }
+    move |error| StoreError::Invalid { path: path.to_path_buf(), value, source: Some(Box::new(error)) }
 }
--- a/crates/cluster/src/store/load.rs
+++ b/crates/cluster/src/store/load.rs
@@ -1,4 +1,4 @@
-//! Reading a store: every value is checked, since a keeper must not vote on a damaged one.
+//! Reads a store. Every value is validated, since a keeper must not vote with a damaged store.
 
 use super::error::{database_error, invalid};
 use super::{HARD_STATE_KEY, IDENTITY_KEY, LOG, META, SNAPSHOT_KEY, StoreError, StoreIdentity};
@@ -7,7 +7,7 @@
 use redb::{ReadTransaction, ReadableTable};
 use std::path::Path;
 
-/// The decoded values of the table [`META`].
+/// The decoded values of the [`META`] table.
 pub(super) struct StoredMeta {
     pub identity: StoreIdentity,
     pub snapshot: Option<Snapshot>,
@@ -25,18 +25,18 @@
             .and_then(|bytes| StoreIdentity::decode(std::str::from_utf8(&bytes).ok()?))
             .ok_or_else(|| StoreError::Invalid {
                 path: path.to_path_buf(),
-                what: "the identity",
+                value: "identity",
                 source: None,
             })?;
         let snapshot = value(SNAPSHOT_KEY)?.map(|bytes| Snapshot::parse_from_bytes(&bytes)).transpose();
-        let snapshot = snapshot.map_err(invalid(path, "the snapshot"))?;
+        let snapshot = snapshot.map_err(invalid(path, "snapshot"))?;
         let hard_state = value(HARD_STATE_KEY)?.map(|bytes| HardState::parse_from_bytes(&bytes)).transpose();
-        let hard_state = hard_state.map_err(invalid(path, "the vote"))?;
+        let hard_state = hard_state.map_err(invalid(path, "hard state"))?;
         Ok(StoredMeta { identity, snapshot, hard_state })
     }
 }
 
-/// Reads the entries after `snapshot_index`; their indices must be consecutive.
+/// Reads the entries after `snapshot_index`. Their indices must be consecutive.
 pub(super) fn read_entries(
     path: &Path, transaction: &ReadTransaction, snapshot_index: u64,
 ) -> Result<Vec<Entry>, StoreError> {
@@ -45,13 +45,13 @@
     let Ok(table) = transaction.open_table(LOG) else { return Ok(entries) };
     for row in table.iter().map_err(database_error(path))? {
         let (index, bytes) = row.map_err(database_error(path))?;
-        let entry = Entry::parse_from_bytes(bytes.value()).map_err(invalid(path, "an entry"))?;
+        let entry = Entry::parse_from_bytes(bytes.value()).map_err(invalid(path, "log entry"))?;
         if index.value() < next_index {
             continue;
         }
         if entry.index != next_index || index.value() != next_index {
-            let what = "the order of entries";
-            return Err(StoreError::Invalid { path: path.to_path_buf(), what, source: None });
+            let value = "log: entries are not consecutive";
+            return Err(StoreError::Invalid { path: path.to_path_buf(), value, source: None });
         }
         entries.push(entry);
         next_index += 1;
--- a/crates/cluster/src/store/mod.rs
+++ b/crates/cluster/src/store/mod.rs
@@ -1,8 +1,8 @@
 //! A keeper's persistent store: the Raft log, the vote and the last snapshot, in an embedded database.
 //!
-//! Every write is synced before it returns, because messages that rest on it may be sent right after. The store must never
-//! be recreated silently: a store has a Raft identifier that is drawn when it is made, so a keeper that lost its store has
-//! another identifier and can never vote again under the old one.
+//! Every write is synced before it returns, because messages that depend on it may be sent immediately afterwards. A
+//! lost store must never be recreated under its old identity: each store has a random Raft identifier, so a keeper that
+//! lost its store gets another identifier and cannot vote again under the old one.
 
 mod error;
 mod load;
@@ -19,24 +19,24 @@
 use redb::{Builder, Database, ReadableDatabase, StorageBackend, TableDefinition};
 use std::path::{Path, PathBuf};
 
-/// Identity, snapshot and hard state, each under its key.
+/// Identity, snapshot and hard state, by key.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 /// Encoded entries by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 const IDENTITY_KEY: &str = "identity";
 const SNAPSHOT_KEY: &str = "snapshot";
 const HARD_STATE_KEY: &str = "hard";
-/// Version of the stored format, first line of the identity.
-const FORMAT: u64 = 1;
+/// Version of the store's format, which is the first line of the identity.
+const FORMAT_VERSION: u64 = 1;
 const FILE_NAME: &str = "agreed.redb";
-/// Index and term of the snapshot with which a new log begins.
+/// Index and term of the initial snapshot of a new log.
 const INITIAL_INDEX: u64 = 1;
 const INITIAL_TERM: u64 = 1;
 
-/// The keeper that a store belongs to.
+/// The keeper that owns a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreIdentity {
-    /// Raft identifier of the keeper, drawn when the store is made.
+    /// Raft identifier of the keeper, drawn at random when the store is created.
     pub id: u64,
     /// Identifier of the replicated log, shared by its keepers; 0 until this keeper has joined.
     pub log_id: u64,
@@ -47,14 +47,14 @@
 }
 
 impl StoreIdentity {
-    /// One value a line, the version of the format first.
+    /// Encodes one value per line, starting with the format version.
     fn encode(&self) -> String {
-        format!("{FORMAT}\n{}\n{}\n{}\n{}", self.id, self.log_id, self.name, self.cluster)
+        format!("{FORMAT_VERSION}\n{}\n{}\n{}\n{}", self.id, self.log_id, self.name, self.cluster)
     }
 
     fn decode(text: &str) -> Option<StoreIdentity> {
         let mut lines = text.split('\n');
-        if lines.next()?.parse() != Ok(FORMAT) {
+        if lines.next()?.parse() != Ok(FORMAT_VERSION) {
             return None;
         }
         let id = lines.next()?.parse().ok()?;
@@ -65,7 +65,7 @@
     }
 }
 
-/// The store of one keeper. The log is also kept in memory, since the engine reads it often.
+/// The store of one keeper. The log is also held in memory, since the engine reads it often.
 pub struct KeeperStore {
     database: Database,
     path: PathBuf,
@@ -74,12 +74,12 @@
     identity: StoreIdentity,
 }
 
-/// Changes that are written and synced together.
+/// Changes that are written and synced in one transaction.
 #[derive(Default)]
 pub struct WriteBatch<'a> {
     /// A snapshot that replaces the whole log.
     pub snapshot: Option<&'a Snapshot>,
-    /// Entries that replace all entries from the first one's index on.
+    /// Consecutive entries, which replace all stored entries from the index of the first one on.
     pub entries: &'a [Entry],
     /// Term, vote and commit index.
     pub hard_state: Option<&'a HardState>,
@@ -91,8 +91,8 @@
         directory.join(FILE_NAME).exists()
     }
 
-    /// Creates a store for `identity`. With `initial_state`, it begins a log in that encoded state, of which this keeper is
-    /// the only voter.
+    /// Creates a store for `identity`. With `initial_state`, the store begins a new log with this encoded state, and
+    /// its keeper is the only voter.
     pub fn create(
         directory: &Path, identity: StoreIdentity, initial_state: Option<Vec<u8>>,
     ) -> Result<KeeperStore, StoreError> {
@@ -134,7 +134,7 @@
         Ok(store)
     }
 
-    /// Opens the store of a directory.
+    /// Opens the store in a directory.
     pub fn open(directory: &Path) -> Result<KeeperStore, StoreError> {
         let path = directory.join(FILE_NAME);
         if !path.exists() {
@@ -156,18 +156,23 @@
         let stored = StoredMeta::read(&path, &transaction)?;
         let memory = MemStorage::new();
         if let Some(snapshot) = &stored.snapshot {
-            memory.wl().apply_snapshot(snapshot.clone()).map_err(invalid(&path, "the snapshot"))?;
+            memory.wl().apply_snapshot(snapshot.clone()).map_err(invalid(&path, "snapshot"))?;
         }
         let snapshot = stored.snapshot.unwrap_or_default();
         let entries = read_entries(&path, &transaction, snapshot.get_metadata().index)?;
-        memory.wl().append(&entries).map_err(invalid(&path, "the log"))?;
+        memory.wl().append(&entries).map_err(invalid(&path, "log entries"))?;
         if let Some(mut hard_state) = stored.hard_state {
-            // A snapshot holds committed entries only, also where the hard state was written before their commit was known.
+            // The stored commit index may be lower than the snapshot's, since it is not written with each commit. All
+            // entries in a snapshot are committed.
             let metadata = snapshot.get_metadata();
             hard_state.commit = hard_state.commit.max(metadata.index);
             hard_state.term = hard_state.term.max(metadata.term);
             if hard_state.commit > memory.last_index().unwrap_or(0) {
-                return Err(StoreError::Invalid { path, what: "the end of the log", source: None });
+                return Err(StoreError::Invalid {
+                    path,
+                    value: "hard state: the commit index is beyond the end of the log",
+                    source: None,
+                });
             }
             memory.wl().set_hardstate(hard_state);
         }
@@ -175,7 +180,7 @@
         Ok(KeeperStore { database, path, memory, snapshot, identity: stored.identity })
     }
 
-    /// The keeper that the store belongs to.
+    /// The keeper that owns the store.
     pub fn identity(&self) -> &StoreIdentity {
         &self.identity
     }
@@ -198,7 +203,7 @@
         })
     }
 
-    /// Runs `fill` on both tables in one transaction and syncs it.
+    /// Runs `fill` on both tables in one synced transaction.
     fn write(
         &self,
         fill: impl FnOnce(&mut redb::Table<&str, &[u8]>, &mut redb::Table<u64, &[u8]>) -> Result<(), redb::Error>,
@@ -212,7 +217,7 @@
         transaction.commit().map_err(database_error(&self.path))
     }
 
-    /// Writes a batch and syncs it. After an error the store must not be used any more.
+    /// Writes and syncs a batch. The store must not be used after an error, since memory and disk may differ.
     pub fn save(&mut self, batch: &WriteBatch) -> Result<(), StoreError> {
         let snapshot = batch.snapshot.map(|snapshot| self.encode(snapshot)).transpose()?;
         let hard_state = batch.hard_state.map(|hard_state| self.encode(hard_state)).transpose()?;
@@ -245,10 +250,10 @@
     fn save_in_memory(&mut self, batch: &WriteBatch) -> Result<(), StoreError> {
         if let Some(snapshot) = batch.snapshot {
             let applied = self.memory.wl().apply_snapshot(snapshot.clone());
-            applied.map_err(invalid(&self.path, "a snapshot"))?;
+            applied.map_err(invalid(&self.path, "snapshot"))?;
             self.snapshot = snapshot.clone();
         }
-        self.memory.wl().append(batch.entries).map_err(invalid(&self.path, "entries"))?;
+        self.memory.wl().append(batch.entries).map_err(invalid(&self.path, "log entries"))?;
         if let Some(hard_state) = batch.hard_state {
             self.memory.wl().set_hardstate(hard_state.clone());
         }
@@ -256,28 +261,29 @@
     }
 
     fn encode(&self, message: &dyn protobuf::Message) -> Result<Vec<u8>, StoreError> {
-        message.write_to_bytes().map_err(invalid(&self.path, "a message"))
+        message.write_to_bytes().map_err(invalid(&self.path, "message"))
     }
 
-    /// Records the commit index in memory. It need not be synced: the engine learns it anew.
+    /// Records the commit index in memory only. It need not be synced, since the engine determines it again after a
+    /// restart.
     pub fn set_commit_index(&mut self, index: u64) {
         self.memory.wl().mut_hard_state().commit = index;
     }
 
-    /// Replaces the log up to the applied entry `index` by a snapshot of the encoded state at that entry.
+    /// Replaces the log up to the applied entry `index` with a snapshot of the encoded state after that entry.
     pub fn compact(&mut self, index: u64, conf: &ConfState, state: Vec<u8>) -> Result<(), StoreError> {
-        let term = self.memory.term(index).map_err(invalid(&self.path, "an entry's term"))?;
+        let term = self.memory.term(index).map_err(invalid(&self.path, "log index"))?;
         let snapshot = new_snapshot(index, term, conf.clone(), state);
-        let snapshot_bytes = snapshot.write_to_bytes().map_err(invalid(&self.path, "a snapshot"))?;
+        let snapshot_bytes = snapshot.write_to_bytes().map_err(invalid(&self.path, "snapshot"))?;
         let hard_state = self.memory.rl().hard_state().write_to_bytes();
-        let hard_state_bytes = hard_state.map_err(invalid(&self.path, "a vote"))?;
+        let hard_state_bytes = hard_state.map_err(invalid(&self.path, "hard state"))?;
         self.write(|meta, log| {
             meta.insert(SNAPSHOT_KEY, snapshot_bytes.as_slice())?;
             meta.insert(HARD_STATE_KEY, hard_state_bytes.as_slice())?;
             log.retain_in(..=index, |_, _| false)?;
             Ok(())
         })?;
-        self.memory.wl().compact(index).map_err(invalid(&self.path, "the log"))?;
+        self.memory.wl().compact(index).map_err(invalid(&self.path, "log index"))?;
         self.snapshot = snapshot;
         Ok(())
     }
--- a/crates/cluster/src/transport/call.rs
+++ b/crates/cluster/src/transport/call.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// Sends a request to the keepers in turn until one accepts it. Returns that reply, or the last rejection by a leader if
-/// none accepts it.
+/// Sends a request to the keepers in turn until one accepts it. Returns that reply, or the last rejection by a leader
+/// if none accepts it.
 ///
 /// # Errors
 /// The last failure if no leader replied, or [`OperatorCallError::NoKeepers`] without keepers.
--- a/crates/cluster/src/transport/mod.rs
+++ b/crates/cluster/src/transport/mod.rs
@@ -1,8 +1,8 @@
-//! Connections between instances: a server that accepts them, one-shot calls, and one persistent connection to each other
-//! keeper.
+//! Connections between instances: a server that accepts them, one-shot calls, and one persistent connection to each
+//! other keeper.
 //!
-//! Forwards messages without interpreting their content, except that it answers pings and accepts long frames from keepers
-//! only. Messages may be lost, delayed or duplicated; the layers above must tolerate it.
+//! Forwards messages without interpreting their content, except that it answers pings and accepts long frames from
+//! keepers only. Messages may be lost, delayed or duplicated; the layers above must tolerate it.
 
 mod call;
 mod error;
--- a/crates/cluster/src/transport/server.rs
+++ b/crates/cluster/src/transport/server.rs
@@ -89,8 +89,8 @@
     }
 }
 
-/// Rejects messages of other fleets and protocol versions. Once a keeper has sent a message, its connection accepts long
-/// frames.
+/// Rejects messages of other fleets and protocol versions. Once a keeper has sent a message, its connection accepts
+/// long frames.
 fn check_sender(
     envelope: &Envelope, identity: &InstanceIdentity, connection: &mut Connection,
 ) -> Result<(), TransportError> {
