--- a/crates/cluster/src/client/renewal.rs
+++ b/crates/cluster/src/client/renewal.rs
@@ -102,7 +102,7 @@
         if !rejected.superseded || rejected.incarnation != identity.incarnation {
             return;
         }
-        warn!("fleet: another process is {} now; this one has nothing", identity.name);
+        warn!("fleet: another process is {} now; this one has no quotas", identity.name);
         let incarnation = random_incarnation();
         let next = InstanceIdentity { incarnation, ..InstanceIdentity::clone(&identity) };
         self.identity.replace(Rc::new(next));
--- a/crates/cluster/src/raft_node/voters.rs
+++ b/crates/cluster/src/raft_node/voters.rs
@@ -65,7 +65,7 @@
     pub(super) fn on_join_reply(&mut self, answer: Envelope) -> Result<(), KeeperError> {
         let Some(Body::OperatorReply(reply)) = answer.body else { return Ok(()) };
         if !reply.ok {
-            warn!("fleet: {}: {}", answer.from, reply.text);
+            warn!("fleet: {} rejected the join request: {}", answer.from, reply.text);
         } else if answer.log_id > 0 && self.log_id() == 0 {
             info!("fleet: {} lets this keeper in", answer.from);
             self.engine.mut_store().set_log_id(answer.log_id)?;
@@ -132,7 +132,8 @@
             self.state.keepers.insert(change.node_id, record);
         }
         self.update_peers();
-        // The engine sends a new voter the last snapshot, and the voter accepts it only if it lists the voter.
+        // Takes a snapshot now: the engine sends a new voter the last snapshot, and the voter accepts only one that
+        // lists it.
         self.compact(&conf)
     }
 }
