--- a/crates/cluster/src/store/mod.rs
+++ b/crates/cluster/src/store/mod.rs
@@ -77,7 +77,7 @@
 /// Changes that are written and synced in one transaction.
 #[derive(Default)]
 pub struct WriteBatch<'a> {
-    /// A snapshot that replaces the whole log.
+    /// A snapshot that replaces the entire log.
     pub snapshot: Option<&'a Snapshot>,
     /// Consecutive entries, which replace all stored entries from the index of the first one on.
     pub entries: &'a [Entry],
--- a/crates/cluster/tests/stored_data.rs
+++ b/crates/cluster/tests/stored_data.rs
@@ -1,9 +1,9 @@
 //! Compatibility with keepers' stores of earlier versions. The bytes of the fixtures must never change: the keepers of
 //! a fleet could not be upgraded to a version that can't read them.
 //!
-//! `keeper-log` is the store of a keeper that was killed while running; it holds the whole log since the start of the
-//! fleet. `keeper-snapshot` was derived from it, and holds a snapshot and the six entries after it. Both were written
-//! by commit 4f22f0b.
+//! `keeper-log` is the store of a keeper that was killed while running; it holds the complete log since the start of
+//! the fleet. `keeper-snapshot` was derived from it, and holds a snapshot and the six entries after it. Both were
+//! written by commit 4f22f0b.
 
 use linenhill_cluster::replicated_state::ReplicatedState;
 use linenhill_cluster::store::KeeperStore;
