--- a/crates/decisions/src/policy/arrival.rs
+++ b/crates/decisions/src/policy/arrival.rs
@@ -10,8 +10,8 @@
 
 /// The part of a read's time to its latency objective after which the primary may serve it. It is drawn between these,
 /// so that waits which begin together don't end together.
-const POSITION_WAIT_PART_MIN: f64 = 0.25;
-const POSITION_WAIT_PART_MAX: f64 = 0.55;
+const POSITION_WAIT_FRACTION_MIN: f64 = 0.25;
+const POSITION_WAIT_FRACTION_MAX: f64 = 0.55;
 
 /// Until when an answer earns its full weight.
 struct RemainingObjective {
@@ -45,15 +45,16 @@
     }
 
     fn exceeds_quota(&mut self, tenant: TenantId) -> bool {
-        let rate = self.fleet_divisor.part_of(self.settings.tenants[tenant.0].allowance_per_s);
+        let rate = self.fleet_divisor.share_of(self.settings.tenants[tenant.0].allowance_per_s);
         self.tenant_limits.get_mut(tenant.0).is_some_and(|limiter| limiter.exceeds(self.now, rate))
     }
 
     fn queued_request(&mut self, request: &Request, weight: f64) -> QueuedRequest {
-        let drawn = self.rng.get_mut().f64();
-        let wait_part = POSITION_WAIT_PART_MIN + (POSITION_WAIT_PART_MAX - POSITION_WAIT_PART_MIN) * drawn;
+        let random = self.rng.get_mut().f64();
+        let wait_fraction =
+            POSITION_WAIT_FRACTION_MIN + (POSITION_WAIT_FRACTION_MAX - POSITION_WAIT_FRACTION_MIN) * random;
         let objective = self.remaining_objective(request.class, request.time_left);
-        let wait = Micros::from_f64(objective.time.as_f64() * wait_part).min(POSITION_WAIT_MAX);
+        let wait = Micros::from_f64(objective.time.as_f64() * wait_fraction).min(POSITION_WAIT_MAX);
         let weight = if objective.is_past { weight * self.class(request.class).late_weight } else { weight };
         let remembers_sessions = self.settings.session_positions == SessionPositions::Remembered;
         QueuedRequest {
--- a/crates/decisions/src/policy/attempt_outcome.rs
+++ b/crates/decisions/src/policy/attempt_outcome.rs
@@ -58,7 +58,7 @@
         self.record_position_and_role(&ended, out);
         self.record_session_commit(&ended);
         self.record_unanswered(&ended);
-        self.judge_member(&ended, out);
+        self.update_member_from_outcome(&ended, out);
         self.continue_request(&ended, out);
         self.dispatch_queued(ended.group, out);
     }
@@ -76,7 +76,7 @@
     fn record_answer(&mut self, ended: &EndedAttempt, out: &mut Vec<Action>) {
         let id = ended.end.member;
         let is_served = ended.end.outcome == Outcome::Ok;
-        self.record_response(id, if is_served { Response::Served } else { Response::Alive });
+        self.record_response(id, if is_served { Response::Served } else { Response::Reachable });
         self.record_connect_latency(ended);
         self.record_cpu_utilisation(id, ended.end.report.utilisation);
         let now = self.now;
@@ -84,7 +84,7 @@
         member.connections.consecutive_failures = 0;
         member.connections.last_connected = Some(now);
         member.last_answered_send = member.last_answered_send.max(ended.sent.sent);
-        if self.connection_cost.is_short(now) && member.attempts_in_flight.is_empty() {
+        if self.connection_cost.has_shortage(now) && member.attempts_in_flight.is_empty() {
             member.connections.last_connected = None;
             out.push(Action::CloseIdleConnections { member: id });
         }
@@ -132,17 +132,17 @@
         let was_overtaken = member.is_some_and(|member| {
             has_answered_later_send(member.last_answered_send, ended.sent.sent, ended.end.latency)
         });
-        let was_cancelled_in_vain =
+        let is_cancelled_unanswered =
             ended.end.outcome == Outcome::Cancelled && !ended.end.is_request_over && was_overtaken;
         let is_unanswered =
-            was_cancelled_in_vain || matches!(ended.end.outcome, Outcome::TimedOut | Outcome::Reset);
+            is_cancelled_unanswered || matches!(ended.end.outcome, Outcome::TimedOut | Outcome::Reset);
         if ended.is_answered() || is_unanswered {
             self.hedging.record_attempt(is_unanswered);
         }
     }
 
     /// What the end of the attempt says of the member's capacity and health.
-    fn judge_member(&mut self, ended: &EndedAttempt, out: &mut Vec<Action>) {
+    fn update_member_from_outcome(&mut self, ended: &EndedAttempt, out: &mut Vec<Action>) {
         let AttemptEnd { id, member, latency, .. } = ended.end;
         let class = ended.sent.class;
         match ended.end.outcome {
--- a/crates/decisions/src/policy/concurrency_limit.rs
+++ b/crates/decisions/src/policy/concurrency_limit.rs
@@ -11,18 +11,18 @@
 use crate::api::{ClassId, MemberId, Micros, RequestId, Time};
 
 /// Attempts in flight that all routers together begin with at a member.
-const FLEET_LIMIT_FIRST: f64 = 16.0;
+const FLEET_LIMIT_INITIAL: f64 = 16.0;
 /// What all routers together may always have in flight: the cores of a small member.
 const FLEET_LIMIT_MIN: f64 = 3.0;
 /// By how much all routers together raise the limit for each answer.
 const FLEET_LIMIT_STEP: f64 = 2.0;
 /// The limit of one router: first, most, and its largest step.
-const ROUTER_LIMIT_FIRST: f64 = 6.0;
+const ROUTER_LIMIT_INITIAL: f64 = 6.0;
 const ROUTER_LIMIT_MAX: f64 = 64.0;
 const ROUTER_LIMIT_STEP_MAX: f64 = 0.5;
 /// A reduced limit is this part of the attempts in flight, and is not reduced again for a while.
 const REDUCE_FACTOR: f64 = 0.85;
-const REDUCE_GAP: Micros = Micros::from_millis(200);
+const REDUCE_INTERVAL_MIN: Micros = Micros::from_millis(200);
 /// After an error a member is paced for this long.
 const ERROR_PAUSE: Micros = Micros(2 * TICK.0);
 /// A member is under pressure from this latency on, as a part of the latency objective ...
@@ -36,18 +36,18 @@
 /// An attempt counts at most as so many means of its class.
 const RATIO_SAMPLE_MAX: f64 = 10.0;
 /// What was learned of a member is replaced after about this long without an answer, in microseconds.
-const FADE: f64 = 6_000_000.0;
+const SAMPLE_DECAY_US: f64 = 6_000_000.0;
 /// Weight of one more report of a member's utilisation.
 const CPU_UTILISATION_SMOOTHING: f64 = 0.2;
 
 /// The first limit of a member.
-pub(super) fn first_limit(fleet_divisor: FleetDivisor) -> f64 {
-    fleet_divisor.part_of(FLEET_LIMIT_FIRST).min(ROUTER_LIMIT_FIRST)
+pub(super) fn initial_limit(fleet_divisor: FleetDivisor) -> f64 {
+    fleet_divisor.share_of(FLEET_LIMIT_INITIAL).min(ROUTER_LIMIT_INITIAL)
 }
 
 /// How many members one router asks at once, so that hundreds of routers don't each ask every member.
 pub(super) fn health_checks_at_once(fleet_divisor: FleetDivisor) -> usize {
-    fleet_divisor.part_of(FLEET_LIMIT_FIRST).max(1.0) as usize
+    fleet_divisor.share_of(FLEET_LIMIT_INITIAL).max(1.0) as usize
 }
 
 impl ConcurrencyLimit {
@@ -74,7 +74,7 @@
 
 /// Weight of an answer in a member's figures: more after a pause, since older figures fade.
 fn sample_weight(since_last: Micros) -> f64 {
-    MEMBER_SMOOTHING.max(1.0 - (-since_last.as_f64() / FADE).exp())
+    MEMBER_SMOOTHING.max(1.0 - (-since_last.as_f64() / SAMPLE_DECAY_US).exp())
 }
 
 impl Router {
@@ -83,7 +83,7 @@
         self.record_request_served(&id);
         let taken = Micros(latency.0.max(1)).as_f64();
         let objective = self.latency_objective(class);
-        let step = self.fleet_divisor.part_of(FLEET_LIMIT_STEP).min(ROUTER_LIMIT_STEP_MAX);
+        let step = self.fleet_divisor.share_of(FLEET_LIMIT_STEP).min(ROUTER_LIMIT_STEP_MAX);
         let class_objective = self.class(class).latency_objective;
         let mean = self.latencies.record_served(class, taken, class_objective);
         let now = self.now;
@@ -142,9 +142,9 @@
 
     /// Reduces a member's limit below what is in flight, unless that was done just now.
     pub(super) fn reduce_limit(&mut self, member: MemberId) {
-        let limit_min = self.fleet_divisor.part_of(FLEET_LIMIT_MIN).min(1.0);
+        let limit_min = self.fleet_divisor.share_of(FLEET_LIMIT_MIN).min(1.0);
         let now = self.now;
-        let is_due = |member: &&mut Member| now >= member.concurrency.reduced + REDUCE_GAP;
+        let is_due = |member: &&mut Member| now >= member.concurrency.reduced + REDUCE_INTERVAL_MIN;
         let Some(member) = self.members.get_mut(&member).filter(is_due) else { return };
         let in_flight = member.attempts_in_flight.len() as f64;
         let concurrency = &mut member.concurrency;
--- a/crates/decisions/src/policy/connection_failure.rs
+++ b/crates/decisions/src/policy/connection_failure.rs
@@ -8,7 +8,7 @@
 /// After more failures in a row than this a member counts as unreachable, however lately it responded.
 const CONSECUTIVE_FAILURES_MAX: u32 = 5;
 /// A health check is not repeated sooner after a failed connection.
-const HEALTH_CHECK_GAP: Micros = Micros::from_millis(200);
+const HEALTH_CHECK_INTERVAL_MIN: Micros = Micros::from_millis(200);
 /// Weight of one more connection in the cost of connecting.
 const CONNECTION_SMOOTHING: f64 = 0.1;
 /// A failed connection counts as so many mean latencies; one that is established counts no more.
@@ -43,7 +43,7 @@
     }
 
     /// Whether idle connections are given back.
-    pub(super) fn is_short(&self, now: Time) -> bool {
+    pub(super) fn has_shortage(&self, now: Time) -> bool {
         now < self.shortage_until
     }
 }
@@ -59,16 +59,16 @@
         self.connection_cost.record_failed();
         let failures = member.connections.consecutive_failures;
         // Rejected at once, not timed out in a slow handshake.
-        let was_rejected_at_once = taken.0 < self.settings.limits.connect_timeout.0 / 2;
-        let has_responded_lately = self.now <= member.last_sign_of_life() + RECENT_RESPONSE;
-        if failures > CONSECUTIVE_FAILURES_MAX || !has_responded_lately {
-            return self.eject(id, Ejection::unreachable(was_rejected_at_once));
+        let was_refused = taken.0 < self.settings.limits.connect_timeout.0 / 2;
+        let has_responded_recently = self.now <= member.last_response_or_report() + RECENT_RESPONSE;
+        if failures > CONSECUTIVE_FAILURES_MAX || !has_responded_recently {
+            return self.eject(id, Ejection::unreachable(was_refused));
         }
         let pause = Micros::from_f64((TICK.0 << failures) as f64 * jitter);
         member.concurrency.paced_until = self.now + pause;
-        let is_check_due = self.now > member.health_check.last_sent + HEALTH_CHECK_GAP;
+        let is_check_due = self.now > member.health_check.last_sent + HEALTH_CHECK_INTERVAL_MIN;
         // A single failure is a connection that broke.
-        if failures > 1 && was_rejected_at_once {
+        if failures > 1 && was_refused {
             self.connection_cost.shortage_until = self.now + RECENT_RESPONSE;
         }
         if is_check_due && self.budgets.health_checks.try_spend(1.0) {
--- a/crates/decisions/src/policy/cost_budget.rs
+++ b/crates/decisions/src/policy/cost_budget.rs
@@ -7,32 +7,32 @@
 /// The part of the result that health checks in the background may cost.
 const HEALTH_CHECK_SPEND_PER_REQUEST: f64 = 0.004;
 /// The most health checks that are saved up, by one router and by the fleet.
-const HEALTH_CHECKS_SAVED_MAX: f64 = 20.0;
-const HEALTH_CHECKS_SAVED_BY_FLEET: f64 = 60.0;
+const HEALTH_CHECK_BUDGET_MAX: f64 = 20.0;
+const FLEET_HEALTH_CHECK_BUDGET_MAX: f64 = 60.0;
 /// The part of the result that gossip may cost, and the most messages that are saved up.
 const GOSSIP_SPEND_PER_REQUEST: f64 = 0.015;
-const GOSSIP_SAVED_MAX: f64 = 1_000.0;
+const GOSSIP_BUDGET_MAX: f64 = 1_000.0;
 /// Where an action costs nothing, it is accounted with this cost.
 const COST_MIN: f64 = 1e-6;
 
 /// Actions that may be taken now, saved up from the requests that arrived.
 #[derive(Default)]
 pub(super) struct CostBudget {
-    saved: f64,
+    balance: f64,
 }
 
 impl CostBudget {
-    fn accrue(&mut self, spend: f64, cost: f64, saved_max: f64) {
-        self.saved = (self.saved + spend / cost.max(COST_MIN)).min(saved_max);
+    fn accrue(&mut self, spend: f64, cost: f64, balance_max: f64) {
+        self.balance = (self.balance + spend / cost.max(COST_MIN)).min(balance_max);
     }
 
     /// Takes out `actions` if so many are saved up.
     pub(super) fn try_spend(&mut self, actions: f64) -> bool {
-        let is_enough = self.saved >= actions;
-        if is_enough {
-            self.saved -= actions;
+        let is_affordable = self.balance >= actions;
+        if is_affordable {
+            self.balance -= actions;
         }
-        is_enough
+        is_affordable
     }
 }
 
@@ -45,16 +45,16 @@
 impl Default for CostBudgets {
     /// One health check is allowed before any request has arrived.
     fn default() -> CostBudgets {
-        CostBudgets { health_checks: CostBudget { saved: 1.0 }, gossip: CostBudget::default() }
+        CostBudgets { health_checks: CostBudget { balance: 1.0 }, gossip: CostBudget::default() }
     }
 }
 
 impl CostBudgets {
     /// A request arrived.
     pub(super) fn accrue_for_request(&mut self, costs: &Costs, fleet_divisor: FleetDivisor) {
-        let saved_max =
-            fleet_divisor.part_of(HEALTH_CHECKS_SAVED_BY_FLEET).clamp(1.0, HEALTH_CHECKS_SAVED_MAX);
-        self.health_checks.accrue(HEALTH_CHECK_SPEND_PER_REQUEST, costs.health_check, saved_max);
-        self.gossip.accrue(GOSSIP_SPEND_PER_REQUEST, costs.gossip, GOSSIP_SAVED_MAX);
+        let balance_max =
+            fleet_divisor.share_of(FLEET_HEALTH_CHECK_BUDGET_MAX).clamp(1.0, HEALTH_CHECK_BUDGET_MAX);
+        self.health_checks.accrue(HEALTH_CHECK_SPEND_PER_REQUEST, costs.health_check, balance_max);
+        self.gossip.accrue(GOSSIP_SPEND_PER_REQUEST, costs.gossip, GOSSIP_BUDGET_MAX);
     }
 }
--- a/crates/decisions/src/policy/deadline.rs
+++ b/crates/decisions/src/policy/deadline.rs
@@ -11,9 +11,9 @@
 /// A request is short of time with less left than so many mean latencies, or than this part of its objective if that is
 /// less: in a slow time, the clients that give up must be noticed too.
 const SHORT_OF_TIME_MEANS: f64 = 2.0;
-const SHORT_OF_TIME_OBJECTIVE_PART: f64 = 0.7;
+const SHORT_OF_TIME_OBJECTIVE_FRACTION: f64 = 0.7;
 /// An answer can come within this part of its mean latency.
-const FASTEST_ANSWER_PART: f64 = 0.3;
+const FASTEST_ANSWER_MEAN_FRACTION: f64 = 0.3;
 
 impl Router {
     /// Whether too little time is left for a good chance, and the wait for a replica is over: the request goes now to a
@@ -21,7 +21,7 @@
     pub(super) fn is_short_of_time(&self, request: &QueuedRequest) -> bool {
         let lead_by_mean = self.latencies.mean(request.class) * SHORT_OF_TIME_MEANS;
         let objective = request.objective_at - request.arrived;
-        let lead = lead_by_mean.min(objective.as_f64() * SHORT_OF_TIME_OBJECTIVE_PART);
+        let lead = lead_by_mean.min(objective.as_f64() * SHORT_OF_TIME_OBJECTIVE_FRACTION);
         let last_start = request.objective_at.saturating_sub(Micros::from_f64(lead));
         let is_late = self.now >= request.primary_fallback_at.max(last_start);
         let is_late_worthless = self.class(request.class).late_weight == 0.0;
@@ -30,17 +30,18 @@
 
     /// Whether an answer can still be worth something to the client.
     pub(super) fn can_still_succeed(&self, request: &QueuedRequest) -> bool {
-        let fastest_answer = Micros::from_f64(self.latencies.mean(request.class) * FASTEST_ANSWER_PART);
+        let fastest_answer =
+            Micros::from_f64(self.latencies.mean(request.class) * FASTEST_ANSWER_MEAN_FRACTION);
         let soonest = self.now + ANSWER_MARGIN + fastest_answer;
-        let is_late_paid = self.class(request.class).late_weight > 0.0;
+        let is_late_answer_useful = self.class(request.class).late_weight > 0.0;
         let meets_objective = soonest < request.objective_at + ANSWER_MARGIN;
-        let is_in_time = soonest < request.deadline && (is_late_paid || meets_objective);
-        is_in_time && !self.is_stuck_without_primary(request) && self.may_repeat(request)
+        let is_in_time = soonest < request.deadline && (is_late_answer_useful || meets_objective);
+        is_in_time && !self.has_no_primary_past_half_time(request) && self.may_repeat(request)
     }
 
     /// A request that reached no member while its primary is away or warming up is given up at half its time, so that
     /// its client can come back. The price: an election may end just after.
-    fn is_stuck_without_primary(&self, request: &QueuedRequest) -> bool {
+    fn has_no_primary_past_half_time(&self, request: &QueuedRequest) -> bool {
         let half_time = request.arrived.0.midpoint(request.deadline.0);
         let is_past_half = (self.now + ANSWER_MARGIN + ANSWER_MARGIN).0 >= half_time;
         let primary = self.usable_primary(request.group).and_then(|primary| self.members.get(&primary));
--- a/crates/decisions/src/policy/dispatch.rs
+++ b/crates/decisions/src/policy/dispatch.rs
@@ -9,7 +9,7 @@
 
 impl Router {
     /// Whether the primary is the first choice for a class.
-    pub(super) fn is_primary_first(&self, class: ClassId) -> bool {
+    pub(super) fn prefers_primary(&self, class: ClassId) -> bool {
         matches!(self.class(class).read_level, ReadLevel::Write | ReadLevel::Fresh)
     }
 
@@ -52,15 +52,15 @@
         let group = self.groups.get(&request.group)?;
         let is_healthy = |id: &MemberId| self.members.get(id).is_some_and(|member| member.is_healthy());
         let has_waited = self.now >= request.primary_fallback_at;
-        let is_group_lost = has_waited && !group.members.iter().any(is_healthy);
-        if is_group_lost { self.select_replica(request, false) } else { None }
+        let may_use_ejected = has_waited && !group.members.iter().any(is_healthy);
+        if may_use_ejected { self.select_replica(request, false) } else { None }
     }
 
     /// The primary, for a read that no replica serves. Reads get only the capacity that writes and fresh reads leave
     /// there, or waits that expire together would end in one wave.
     fn select_primary_fallback(&self, request: &QueuedRequest) -> Option<MemberId> {
         let group = self.groups.get(&request.group)?;
-        let has_waited = self.now >= request.primary_fallback_at || self.can_no_replica_catch_up(request);
+        let has_waited = self.now >= request.primary_fallback_at || self.no_replica_can_catch_up(request);
         if !has_waited || group.queued_for_primary > 0 {
             return None;
         }
@@ -68,7 +68,7 @@
     }
 
     /// Whether no replica will reach the read's position within its wait: the wait would buy nothing.
-    fn can_no_replica_catch_up(&self, request: &QueuedRequest) -> bool {
+    fn no_replica_can_catch_up(&self, request: &QueuedRequest) -> bool {
         let target = self.target_position(request);
         let Some(group) = self.groups.get(&request.group) else { return false };
         let wait = request.primary_fallback_at.saturating_since(self.now);
--- a/crates/decisions/src/policy/fleet_divisor.rs
+++ b/crates/decisions/src/policy/fleet_divisor.rs
@@ -18,20 +18,20 @@
 
     /// The fleet has agreed on this router's part, from 0 to 1. Without a part, limits go by the fleet's size and members
     /// in slow start get nothing.
-    pub(super) fn from_quota_part(part: f64, fleet_size: u32) -> FleetDivisor {
-        if part > 0.0 {
-            return FleetDivisor { limits: 1.0 / part, slow_start: 1.0 / part };
+    pub(super) fn from_quota_share(share: f64, fleet_size: u32) -> FleetDivisor {
+        if share > 0.0 {
+            return FleetDivisor { limits: 1.0 / share, slow_start: 1.0 / share };
         }
         FleetDivisor { slow_start: f64::INFINITY, ..FleetDivisor::from_fleet_size(fleet_size) }
     }
 
     /// This router's part of what all together may do.
-    pub(super) fn part_of(self, total: f64) -> f64 {
+    pub(super) fn share_of(self, total: f64) -> f64 {
         total / self.limits
     }
 
     /// This router's part of what all together may send to a member in slow start.
-    pub(super) fn slow_start_part_of(self, total: f64) -> f64 {
+    pub(super) fn slow_start_share_of(self, total: f64) -> f64 {
         total / self.slow_start
     }
 }
--- a/crates/decisions/src/policy/gossip.rs
+++ b/crates/decisions/src/policy/gossip.rs
@@ -16,8 +16,8 @@
         let Some(member) = self.members.get_mut(&id) else { return };
         let replication = &mut member.replication;
         let has_moved = replication.position > replication.gossiped + GOSSIP_STEP;
-        let is_wanted = self.settings.limits.gossip && has_moved && receivers > 0.0;
-        if is_wanted && self.budgets.gossip.try_spend(receivers) {
+        let should_send = self.settings.limits.gossip && has_moved && receivers > 0.0;
+        if should_send && self.budgets.gossip.try_spend(receivers) {
             replication.gossiped = replication.position;
             let position = replication.position;
             let is_primary = member.role.claims_primary();
--- a/crates/decisions/src/policy/health_checks.rs
+++ b/crates/decisions/src/policy/health_checks.rs
@@ -9,7 +9,7 @@
 use crate::api::{Action, LoadReport, MemberId, Micros, Outcome};
 
 /// A member in ordinary use is not asked again sooner after its last report or check.
-const HEALTH_CHECK_GAP: Micros = Micros::from_millis(200);
+const HEALTH_CHECK_INTERVAL_MIN: Micros = Micros::from_millis(200);
 
 impl Router {
     /// Asks a member for its report, if that is allowed and none is on its way.
@@ -25,7 +25,7 @@
     }
 
     /// Asks a few of the members, drawn at random: hundreds of routers must not each ask every member.
-    pub(super) fn check_health_of_some(&mut self, mut ids: Vec<MemberId>, out: &mut Vec<Action>) {
+    pub(super) fn check_health_of_sample(&mut self, mut ids: Vec<MemberId>, out: &mut Vec<Action>) {
         self.rng.get_mut().shuffle(&mut ids);
         let at_once = concurrency_limit::health_checks_at_once(self.fleet_divisor);
         for id in ids.into_iter().take(at_once) {
@@ -44,7 +44,7 @@
             return self.check_health(id, out);
         }
         let last_learned = member.replication.reported.max(member.health_check.last_sent);
-        let is_due = member.is_healthy() && now >= last_learned + HEALTH_CHECK_GAP;
+        let is_due = member.is_healthy() && now >= last_learned + HEALTH_CHECK_INTERVAL_MIN;
         if is_due && self.budgets.health_checks.try_spend(1.0) {
             self.check_health(id, out);
         }
@@ -58,26 +58,26 @@
         let taken = self.now - member.health_check.last_sent;
         let Some(group) = member.group else { return };
         match outcome {
-            Outcome::Ok => self.on_healthy(id, report, out),
+            Outcome::Ok => self.on_health_check_passed(id, report, out),
             Outcome::QueueFull | Outcome::NotSent | Outcome::Cancelled | Outcome::MalformedReply => {}
             // A connection that broke, kept or new, says less than what the member has just answered.
-            Outcome::Reset if self.has_just_responded(id) => {}
-            Outcome::ConnectError if self.has_just_responded(id) => {
+            Outcome::Reset if self.has_responded_recently(id) => {}
+            Outcome::ConnectError if self.has_responded_recently(id) => {
                 if let Some(member) = self.members.get_mut(&id) {
                     member.connections.consecutive_failures += 1;
                 }
             }
             _ => {
                 let is_quick = taken.0 < self.settings.limits.connect_timeout.0 / 2;
-                let was_rejected_at_once = outcome == Outcome::ConnectError && is_quick;
-                self.eject(id, Ejection::unreachable(was_rejected_at_once));
+                let was_refused = outcome == Outcome::ConnectError && is_quick;
+                self.eject(id, Ejection::unreachable(was_refused));
             }
         }
         self.dispatch_queued(group, out);
     }
 
-    fn on_healthy(&mut self, id: MemberId, report: LoadReport, out: &mut Vec<Action>) {
-        self.record_response(id, Response::Alive);
+    fn on_health_check_passed(&mut self, id: MemberId, report: LoadReport, out: &mut Vec<Action>) {
+        self.record_response(id, Response::Reachable);
         let position = report.position.map(|position| position.saturating_sub(POSITION_ROUNDING));
         let oldest = self.now.saturating_sub(REPORT_DELAY_MAX);
         // The position of a primary is the time of its report; that of a replica does not tell the report's age.
--- a/crates/decisions/src/policy/hedging.rs
+++ b/crates/decisions/src/policy/hedging.rs
@@ -10,32 +10,32 @@
 
 /// Hedged requests that each request pays for, and the most that are saved up.
 const HEDGES_PER_REQUEST: f64 = 0.05;
-const HEDGES_SAVED_MAX: f64 = 10.0;
+const HEDGE_BUDGET_MAX: f64 = 10.0;
 /// An attempt is hedged after so many of its usual latencies.
-const HEDGE_AFTER: f64 = 3.0;
+const HEDGE_AFTER_LATENCIES: f64 = 3.0;
 /// An attempt is cancelled after so many of its usual latencies while none stay unanswered ...
-const CANCEL_AFTER_MAX: f64 = 10.0;
+const CANCEL_AFTER_LATENCIES_MAX: f64 = 10.0;
 /// ... and after so many while this part of them, or more, stays unanswered.
-const CANCEL_AFTER_MIN: f64 = 4.0;
-const UNANSWERED_HIGH: f64 = 0.15;
+const CANCEL_AFTER_LATENCIES_MIN: f64 = 4.0;
+const UNANSWERED_RATIO_HIGH: f64 = 0.15;
 /// Weight of one more attempt in the part that stays unanswered.
 const UNANSWERED_SMOOTHING: f64 = 0.05;
 /// A new attempt is useful if this part of its mean latency is left.
-const USEFUL_MEAN_PART: f64 = 0.7;
+const USEFUL_MEAN_FRACTION: f64 = 0.7;
 /// The usual latency of a primary is so many means of its class: there is no other member to go to.
-const PRIMARY_USUAL_MEANS: f64 = 2.0;
+const PRIMARY_EXPECTED_MEANS: f64 = 2.0;
 
 /// The budget for hedged requests, and the part of attempts that stays unanswered.
 #[derive(Default)]
 pub(super) struct HedgeBudget {
-    saved: f64,
+    balance: f64,
     unanswered_ratio: f64,
 }
 
 impl HedgeBudget {
     /// A request arrived.
     pub(super) fn accrue_for_request(&mut self) {
-        self.saved = (self.saved + HEDGES_PER_REQUEST).min(HEDGES_SAVED_MAX);
+        self.balance = (self.balance + HEDGES_PER_REQUEST).min(HEDGE_BUDGET_MAX);
     }
 
     /// An attempt ended with an answer, or without one.
@@ -45,13 +45,14 @@
     }
 
     fn is_available(&self) -> bool {
-        self.saved >= 1.0
+        self.balance >= 1.0
     }
 
     /// Usual latencies after which an attempt is cancelled.
     fn cancel_after(&self) -> f64 {
-        let range = CANCEL_AFTER_MAX - CANCEL_AFTER_MIN;
-        (CANCEL_AFTER_MAX - range * self.unanswered_ratio / UNANSWERED_HIGH).max(CANCEL_AFTER_MIN)
+        let range = CANCEL_AFTER_LATENCIES_MAX - CANCEL_AFTER_LATENCIES_MIN;
+        (CANCEL_AFTER_LATENCIES_MAX - range * self.unanswered_ratio / UNANSWERED_RATIO_HIGH)
+            .max(CANCEL_AFTER_LATENCIES_MIN)
     }
 }
 
@@ -62,20 +63,20 @@
 
 impl Router {
     /// Hedges, or cancels, the attempts that are far later than usual.
-    pub(super) fn hedge_or_move_late_attempts(&mut self, out: &mut Vec<Action>) {
+    pub(super) fn hedge_or_cancel_late_attempts(&mut self, out: &mut Vec<Action>) {
         let cancel_after = self.hedging.cancel_after();
-        let act_after = HEDGE_AFTER.min(cancel_after);
+        let act_after = HEDGE_AFTER_LATENCIES.min(cancel_after);
         let late = |(id, request): (&RequestId, &QueuedRequest)| {
-            let waited = self.usual_latencies_waited(request)?;
+            let waited = self.expected_latencies_waited(request)?;
             (waited > act_after).then_some((*id, waited))
         };
         let late: Vec<(RequestId, f64)> = self.requests.iter().filter_map(late).collect();
         for (id, waited) in late {
             if let Some(member) = self.hedge_target(&id) {
-                self.hedging.saved -= 1.0;
+                self.hedging.balance -= 1.0;
                 self.send(id, member, out);
             } else if waited > cancel_after {
-                self.cancel_lone_attempt(id, out);
+                self.cancel_sole_attempt(id, out);
             }
         }
     }
@@ -86,7 +87,7 @@
         self.select_replica(request, true)
     }
 
-    fn cancel_lone_attempt(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn cancel_sole_attempt(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if !self.settings.limits.cancel {
             return;
         }
@@ -98,8 +99,8 @@
 
     /// For how many of its usual latencies the only attempt of a request has been in flight; `None` if another attempt is
     /// not allowed or would not help.
-    fn usual_latencies_waited(&self, request: &QueuedRequest) -> Option<f64> {
-        let attempt = request.lone_attempt()?;
+    fn expected_latencies_waited(&self, request: &QueuedRequest) -> Option<f64> {
+        let attempt = request.sole_attempt()?;
         let class = self.class(request.class);
         if class.idempotency == Idempotency::NotIdempotent || !self.may_repeat(request) {
             return None;
@@ -108,8 +109,8 @@
         if is_last_attempt {
             return None;
         }
-        if self.is_primary_first(request.class) {
-            return self.usual_latencies_waited_at_primary(request, attempt);
+        if self.prefers_primary(request.class) {
+            return self.expected_latencies_waited_at_primary(request, attempt);
         }
         let member = self.members.get(&attempt.member)?;
         let was_ejected_since = member.ejected.as_ref().is_some_and(|ejected| attempt.sent < ejected.since);
@@ -121,7 +122,7 @@
     }
 
     /// A primary that answers what was sent far later is not slow: this answer is lost. Otherwise the attempt stays.
-    fn usual_latencies_waited_at_primary(
+    fn expected_latencies_waited_at_primary(
         &self, request: &QueuedRequest, attempt: &InFlightAttempt,
     ) -> Option<f64> {
         let primary = self.members.get(&attempt.member)?;
@@ -129,13 +130,13 @@
         let is_lost = has_answered_later_send(primary.last_answered_send, attempt.sent, waited);
         let mean = self.latencies.mean(request.class).max(1.0);
         let is_useful = is_lost && self.is_new_attempt_useful(request, mean);
-        is_useful.then(|| waited.as_f64() / (mean * PRIMARY_USUAL_MEANS))
+        is_useful.then(|| waited.as_f64() / (mean * PRIMARY_EXPECTED_MEANS))
     }
 
     /// Whether an attempt begun now can still be answered in time.
     fn is_new_attempt_useful(&self, request: &QueuedRequest, mean: f64) -> bool {
-        let is_late_paid = self.class(request.class).late_weight > 0.0;
-        let latest = if is_late_paid { request.deadline } else { request.objective_at };
-        self.now + Micros::from_f64(mean * USEFUL_MEAN_PART) <= latest
+        let is_late_answer_useful = self.class(request.class).late_weight > 0.0;
+        let latest = if is_late_answer_useful { request.deadline } else { request.objective_at };
+        self.now + Micros::from_f64(mean * USEFUL_MEAN_FRACTION) <= latest
     }
 }
--- a/crates/decisions/src/policy/member.rs
+++ b/crates/decisions/src/policy/member.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// A latency ratio below 1 or over this does not change what is usual for a member.
-const USUAL_RATIO_MAX: f64 = 4.0;
+const EXPECTED_LATENCY_RATIO_MAX: f64 = 4.0;
 
 /// An attempt in flight at a member.
 #[derive(Clone, Copy)]
@@ -23,13 +23,13 @@
     /// This router's next send; `None` until one is scheduled.
     pub(super) next_send: Option<Time>,
     /// How much faster than others it is given requests, by the utilisation it reports.
-    pub(super) pace: f64,
+    pub(super) rate_multiplier: f64,
 }
 
 impl SlowStart {
     /// Warming up since then, or warm, with nothing scheduled.
     pub(super) fn new(warming_since: Option<Time>) -> SlowStart {
-        SlowStart { warming_since, next_send: None, pace: 1.0 }
+        SlowStart { warming_since, next_send: None, rate_multiplier: 1.0 }
     }
 }
 
@@ -142,7 +142,7 @@
 
 impl Member {
     /// A member that was listed for the first time.
-    pub(super) fn new(started: Time, slow_start: SlowStart, first_limit: f64) -> Member {
+    pub(super) fn new(started: Time, slow_start: SlowStart, initial_limit: f64) -> Member {
         Member {
             zone: None,
             group: None,
@@ -152,7 +152,7 @@
             slow_start,
             replication: ReplicationState::default(),
             role: RoleEvidence::default(),
-            concurrency: ConcurrencyLimit::new(first_limit),
+            concurrency: ConcurrencyLimit::new(initial_limit),
             connections: Connections::default(),
             health_check: HealthCheck::default(),
             attempts_in_flight: BTreeMap::new(),
@@ -180,20 +180,20 @@
     }
 
     /// When something was last learned from it: an answer or a position.
-    pub(super) fn last_sign_of_life(&self) -> Time {
+    pub(super) fn last_response_or_report(&self) -> Time {
         self.last_response.max(self.replication.reported)
     }
 
     /// How long it usually takes for a class whose mean is this, in microseconds.
-    pub(super) fn usual_latency(&self, class_mean: f64) -> f64 {
-        class_mean * self.concurrency.latency_ratio.clamp(1.0, USUAL_RATIO_MAX)
+    pub(super) fn expected_latency(&self, class_mean: f64) -> f64 {
+        class_mean * self.concurrency.latency_ratio.clamp(1.0, EXPECTED_LATENCY_RATIO_MAX)
     }
 
     /// The attempts in flight here, as the health of its zone is judged by them.
     pub(super) fn in_flight(
         &self, id: MemberId, mean: impl Fn(ClassId) -> f64,
     ) -> impl Iterator<Item = zone_health::InFlightAttempt> {
-        let usual = move |class: ClassId| self.usual_latency(mean(class));
+        let usual = move |class: ClassId| self.expected_latency(mean(class));
         self.attempts_in_flight.values().filter_map(move |attempt| {
             Some(zone_health::InFlightAttempt {
                 zone: self.zone?,
--- a/crates/decisions/src/policy/member_health.rs
+++ b/crates/decisions/src/policy/member_health.rs
@@ -10,15 +10,15 @@
 use crate::outlier_recovery::EjectedMember;
 
 /// A member is silent without an answer for so many of its usual latencies ...
-const SILENCE_LATENCIES: f64 = 2.0;
+const UNRESPONSIVE_LATENCIES: f64 = 2.0;
 /// ... and so many more, divided by the attempts in flight there ...
-const SILENCE_LATENCIES_SHARED: f64 = 5.0;
+const UNRESPONSIVE_LATENCIES_SHARED: f64 = 5.0;
 /// ... but for this long at least, in microseconds.
-const SILENCE_MIN: f64 = 120_000.0;
+const UNRESPONSIVE_MIN_US: f64 = 120_000.0;
 /// Beyond this latency ratio a member that comes back does not keep its figures.
-const RETURN_LATENCY_RATIO_MAX: f64 = 2.0;
+const READMITTED_LATENCY_RATIO_MAX: f64 = 2.0;
 /// A member counts as restarted only if it was away at least so long.
-const RESTART_TIME_MIN: Micros = Micros::from_millis(1_000);
+const RESTART_ABSENCE_MIN: Micros = Micros::from_millis(1_000);
 /// With so many failed connections in a row they are a sign, however lately the member responded.
 const SIGNIFICANT_CONNECT_FAILURES: u32 = 2;
 
@@ -34,11 +34,11 @@
     /// It takes requests and does not answer them, or answers with errors.
     pub(super) const UNRESPONSIVE: Ejection = Ejection { is_unreachable: false, was_restarted: false };
     /// Its whole zone fell silent.
-    const ZONE_SILENT: Ejection = Ejection { is_unreachable: false, was_restarted: true };
+    const ZONE_UNRESPONSIVE: Ejection = Ejection { is_unreachable: false, was_restarted: true };
 
     /// It can't be reached; nobody listens there if connections are rejected at once.
-    pub(super) fn unreachable(was_rejected_at_once: bool) -> Ejection {
-        Ejection { is_unreachable: true, was_restarted: was_rejected_at_once }
+    pub(super) fn unreachable(was_refused: bool) -> Ejection {
+        Ejection { is_unreachable: true, was_restarted: was_refused }
     }
 }
 
@@ -48,7 +48,7 @@
     /// It served a request.
     Served,
     /// It answered otherwise, or answered a health check: that shows only that its process runs.
-    Alive,
+    Reachable,
 }
 
 impl Router {
@@ -64,20 +64,20 @@
             self.zone_health.record_answer(zone, now);
         }
         let Some(ejected) = &mut member.ejected else { return };
-        if response == Response::Alive && !ejected.unreachable {
+        if response == Response::Reachable && !ejected.unreachable {
             // The process runs, but it may still not answer: one request tries it.
             ejected.trial_ready = true;
             return;
         }
         // Back before the list tells of a restart: it may have to warm up, but not after it was only cut off.
         let was_restarted = ejected.unreachable && ejected.restarted;
-        let was_away_long = now - ejected.since > RESTART_TIME_MIN;
+        let was_away_long_enough = now - ejected.since > RESTART_ABSENCE_MIN;
         let is_warm = member.slow_start.warming_since.is_none_or(|since| since + slow_start < now);
-        if was_restarted && was_away_long && is_warm {
+        if was_restarted && was_away_long_enough && is_warm {
             Router::begin_slow_start(member, now);
         }
         member.ejected = None;
-        member.concurrency.latency_ratio = member.concurrency.latency_ratio.min(RETURN_LATENCY_RATIO_MAX);
+        member.concurrency.latency_ratio = member.concurrency.latency_ratio.min(READMITTED_LATENCY_RATIO_MAX);
     }
 
     /// Takes a member out of ordinary use, or puts off the next trial of one that is out already.
@@ -91,9 +91,9 @@
     }
 
     /// Whether a member is healthy and responded so lately that a lost connection is no sign of its end.
-    pub(super) fn has_just_responded(&self, id: MemberId) -> bool {
+    pub(super) fn has_responded_recently(&self, id: MemberId) -> bool {
         let Some(member) = self.members.get(&id) else { return false };
-        let is_recent = self.now <= member.last_sign_of_life() + RECENT_RESPONSE;
+        let is_recent = self.now <= member.last_response_or_report() + RECENT_RESPONSE;
         let has_connected = member.connections.consecutive_failures < SIGNIFICANT_CONNECT_FAILURES;
         member.ejected.is_none() && has_connected && is_recent
     }
@@ -116,7 +116,7 @@
             return;
         }
         self.check_slow_start(id);
-        if self.is_silent(id) {
+        if self.is_unresponsive(id) {
             self.eject(id, Ejection::UNRESPONSIVE);
         }
         self.check_health_if_due(id, out);
@@ -124,38 +124,38 @@
 
     /// Whether a member has taken requests and answers nothing: it hangs, its link is dead, or its zone is lost. This
     /// shows before the attempts time out.
-    fn is_silent(&self, id: MemberId) -> bool {
+    fn is_unresponsive(&self, id: MemberId) -> bool {
         let Some(member) = self.members.get(&id).filter(|member| member.ejected.is_none()) else {
             return false;
         };
         let oldest = member.attempts_in_flight.values().min_by_key(|attempt| attempt.sent);
         let Some(oldest) = oldest else { return false };
-        let usual = member.usual_latency(self.latencies.mean(oldest.class));
-        let silent_for = (self.now - oldest.sent.max(member.last_response)).as_f64();
+        let usual = member.expected_latency(self.latencies.mean(oldest.class));
+        let unanswered_for = (self.now - oldest.sent.max(member.last_response)).as_f64();
         let in_flight = member.attempts_in_flight.len() as f64;
-        let silence = usual * (SILENCE_LATENCIES + SILENCE_LATENCIES_SHARED / in_flight);
-        silent_for > silence.max(SILENCE_MIN)
+        let threshold = usual * (UNRESPONSIVE_LATENCIES + UNRESPONSIVE_LATENCIES_SHARED / in_flight);
+        unanswered_for > threshold.max(UNRESPONSIVE_MIN_US)
     }
 
     /// Ejects the members of zones that have fallen silent: otherwise a lost zone is learned of at the price of a request
     /// for each member. Kept connections to it would break, so they are closed.
-    pub(super) fn eject_silent_zones(&mut self, out: &mut Vec<Action>) {
+    pub(super) fn eject_unresponsive_zones(&mut self, out: &mut Vec<Action>) {
         let latencies = &self.latencies;
         let in_flight =
             self.members.iter().flat_map(|(id, member)| member.in_flight(*id, |class| latencies.mean(class)));
         for zone in self.zone_health.silent_zones(self.now, in_flight) {
-            for member in self.members_lost_with(zone) {
-                self.eject(member, Ejection::ZONE_SILENT);
+            for member in self.members_to_eject_with_zone(zone) {
+                self.eject(member, Ejection::ZONE_UNRESPONSIVE);
                 out.push(Action::CloseIdleConnections { member });
             }
         }
     }
 
-    fn members_lost_with(&self, zone: ZoneId) -> Vec<MemberId> {
-        let is_new_loss = |member: &Member| {
+    fn members_to_eject_with_zone(&self, zone: ZoneId) -> Vec<MemberId> {
+        let is_newly_lost = |member: &Member| {
             let ejected = member.ejected.as_ref();
             member.zone == Some(zone) && ejected.is_none_or(|ejected| !ejected.restarted)
         };
-        self.members.iter().filter(|(_, member)| is_new_loss(member)).map(|(id, _)| *id).collect()
+        self.members.iter().filter(|(_, member)| is_newly_lost(member)).map(|(id, _)| *id).collect()
     }
 }
--- a/crates/decisions/src/policy/member_list.rs
+++ b/crates/decisions/src/policy/member_list.rs
@@ -3,14 +3,14 @@
 //! A list can be empty, old or wrong while all its members serve: what was learned of a member outlives its absence for
 //! a while. A member that is listed as draining must get nothing new.
 
-use super::concurrency_limit::first_limit;
+use super::concurrency_limit::initial_limit;
 use super::member::{Member, SlowStart};
 use super::router::Router;
 use crate::api::{Discovery, GroupId, ListEntry, ListUpdate, MemberId, MemberState, Micros, Time};
 use std::collections::BTreeSet;
 
 /// What was learned of a member outlives its absence from the list this long.
-const ABSENT_KEPT: Micros = Micros::from_millis(60_000);
+const ABSENT_MEMBER_RETENTION: Micros = Micros::from_millis(60_000);
 /// The evidence of a list for a primary: weaker than any other, since the registry's view of roles is late.
 const LIST_EVIDENCE: Time = Time(1);
 
@@ -33,7 +33,7 @@
         if is_complete {
             self.remove_unlisted(&entries);
         }
-        self.forget_absent_members();
+        self.drop_expired_members();
         let groups: Vec<GroupId> = self.groups.keys().copied().collect();
         for group in groups {
             self.update_primary(group);
@@ -55,12 +55,12 @@
     }
 
     /// Forgets members that have been absent for long and have nothing in flight.
-    fn forget_absent_members(&mut self) {
+    fn drop_expired_members(&mut self) {
         let now = self.now;
         let groups = &mut self.groups;
         self.members.retain(|id, member| {
-            let last_seen = member.absent_since.map(|since| since.max(member.last_sign_of_life()));
-            let is_recent = last_seen.is_none_or(|last_seen| now < last_seen + ABSENT_KEPT);
+            let last_seen = member.absent_since.map(|since| since.max(member.last_response_or_report()));
+            let is_recent = last_seen.is_none_or(|last_seen| now < last_seen + ABSENT_MEMBER_RETENTION);
             let is_in_use = !member.attempts_in_flight.is_empty() || member.health_check.is_in_flight;
             let is_kept = is_recent || is_in_use;
             if !is_kept && let Some(group) = member.group.and_then(|group| groups.get_mut(&group)) {
@@ -91,15 +91,15 @@
         }
         self.groups.entry(entry.group).or_default().members.insert(entry.member);
         let started = entry.started.unwrap_or_default();
-        let first_limit = first_limit(self.fleet_divisor);
+        let initial_limit = initial_limit(self.fleet_divisor);
         let slow_start = self.settings.rules.slow_start;
         let now = self.now;
         let member = self.members.entry(entry.member).or_insert_with(|| {
             let is_warming_up = started > Time::default() && now < started + slow_start;
-            Member::new(started, SlowStart::new(is_warming_up.then_some(started)), first_limit)
+            Member::new(started, SlowStart::new(is_warming_up.then_some(started)), initial_limit)
         });
         if started > member.started {
-            Router::on_restarted(member, started, first_limit);
+            Router::on_restarted(member, started, initial_limit);
         }
         member.zone = Some(entry.zone);
         member.group = Some(entry.group);
@@ -114,11 +114,11 @@
     }
 
     /// A restart: the member warms up, and its old role is void; what it had applied it still has.
-    fn on_restarted(member: &mut Member, started: Time, first_limit: f64) {
+    fn on_restarted(member: &mut Member, started: Time, initial_limit: f64) {
         member.started = started;
         Router::begin_slow_start(member, started);
         member.role.primary_at = Time::default();
-        member.concurrency.limit = first_limit;
+        member.concurrency.limit = initial_limit;
         member.ejected = None;
     }
 }
--- a/crates/decisions/src/policy/primary_tracking.rs
+++ b/crates/decisions/src/policy/primary_tracking.rs
@@ -12,9 +12,9 @@
 use crate::outlier_recovery::EjectedMember;
 
 /// The least gap between searches for a primary or a fresh replica.
-pub(super) const SEARCH_GAP_MIN: Micros = Micros::from_millis(100);
+pub(super) const SEARCH_INTERVAL_MIN: Micros = Micros::from_millis(100);
 /// The gap grows by this for each router of the fleet, since each searches for itself.
-const SEARCH_GAP_PER_ROUTER: Micros = Micros::from_millis(5);
+const SEARCH_INTERVAL_PER_ROUTER: Micros = Micros::from_millis(5);
 /// So many attempts of a write may go to members that only might be primary.
 const CANDIDATE_ATTEMPTS_MAX: u32 = 3;
 
@@ -66,33 +66,33 @@
         };
         let candidates: Vec<&MemberId> = group.members.iter().filter(is_candidate).collect();
         let has_attempts_left = request.attempts_started < CANDIDATE_ATTEMPTS_MAX;
-        let searches = has_attempts_left && self.is_primary_lost(group);
+        let searches = has_attempts_left && self.is_primary_unavailable(group);
         self.rng.borrow_mut().choice(candidates).filter(|_| searches).copied()
     }
 
     /// Healthy, idle, and not known to be a replica of late.
     fn may_be_primary(&self, member: &Member) -> bool {
-        let replica_until = member.role.replica_at + self.search_gap() + REPORT_DELAY_MAX;
+        let replica_until = member.role.replica_at + self.search_interval() + REPORT_DELAY_MAX;
         member.is_healthy() && member.attempts_in_flight.is_empty() && self.now >= replica_until
     }
 
     /// Whether there is no primary, or it has been ejected for a while and no trial of it is due.
-    fn is_primary_lost(&self, group: &Group) -> bool {
+    fn is_primary_unavailable(&self, group: &Group) -> bool {
         let Some(primary) = group.primary.and_then(|primary| self.members.get(&primary)) else { return true };
-        let is_out_for_long =
+        let is_ejected_for_long =
             primary.ejected.as_ref().is_none_or(|ejected| ejected.since + RECENT_RESPONSE < self.now);
-        !primary.may_receive_trial() && is_out_for_long
+        !primary.may_receive_trial() && is_ejected_for_long
     }
 
-    fn search_gap(&self) -> Micros {
+    fn search_interval(&self) -> Micros {
         let fleet_size = u64::from(self.settings.fleet_size);
-        SEARCH_GAP_MIN.max(Micros(fleet_size * SEARCH_GAP_PER_ROUTER.0))
+        SEARCH_INTERVAL_MIN.max(Micros(fleet_size * SEARCH_INTERVAL_PER_ROUTER.0))
     }
 
     /// Asks members who is primary, while nobody is and requests that only a primary can serve wait.
     pub(super) fn search_for_primary(&mut self, id: GroupId, out: &mut Vec<Action>) {
         let has_primary = self.usable_primary(id).is_some();
-        let gap = self.search_gap();
+        let gap = self.search_interval();
         let Some(group) = self.groups.get_mut(&id) else { return };
         let is_due = self.now >= group.next_primary_search && group.queued_for_primary > 0;
         if has_primary || !is_due {
@@ -100,7 +100,7 @@
         }
         group.next_primary_search = self.now + gap;
         let members = group.members.iter().copied().collect();
-        self.check_health_of_some(members, out);
+        self.check_health_of_sample(members, out);
     }
 
     /// Records what a member reports of its position and role.
@@ -118,17 +118,18 @@
             None => {}
         }
         let Some(group) = member.group else { return };
-        self.readmit_primary_seen_alive(group, position.unwrap_or_default());
+        self.readmit_primary_if_log_advanced(group, position.unwrap_or_default());
         self.update_primary(group);
     }
 
     /// If the log has moved on since the primary was ejected, the primary that seemed to hang is alive.
-    fn readmit_primary_seen_alive(&mut self, group: GroupId, position: LogPosition) {
-        let alive_at = position.saturating_sub(REPORT_DELAY_MAX).as_time();
+    fn readmit_primary_if_log_advanced(&mut self, group: GroupId, position: LogPosition) {
+        let log_advanced_at = position.saturating_sub(REPORT_DELAY_MAX).as_time();
         let Some(primary) = self.groups.get(&group).and_then(|group| group.primary) else { return };
         let Some(primary) = self.members.get_mut(&primary) else { return };
-        let is_seen_alive = |ejected: &EjectedMember| !ejected.unreachable && ejected.since < alive_at;
-        if primary.ejected.as_ref().is_some_and(is_seen_alive) {
+        let has_progressed =
+            |ejected: &EjectedMember| !ejected.unreachable && ejected.since < log_advanced_at;
+        if primary.ejected.as_ref().is_some_and(has_progressed) {
             primary.ejected = None;
             primary.last_response = self.now;
         }
--- a/crates/decisions/src/policy/rejection.rs
+++ b/crates/decisions/src/policy/rejection.rs
@@ -15,7 +15,7 @@
     pub(super) fn reject_or_fail(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if self.is_client_retry_harmless(request) {
-            let retry_after = self.draw_retry_after();
+            let retry_after = self.random_retry_after();
             let advice = self.settings.limits.retry_after.then_some(retry_after);
             out.push(Action::Reject { id, retry_after: advice });
         } else {
@@ -36,7 +36,7 @@
         is_recognised || cannot_have_run
     }
 
-    fn draw_retry_after(&mut self) -> Micros {
+    fn random_retry_after(&mut self) -> Micros {
         let fleet_size = f64::from(self.settings.fleet_size.max(1));
         let spread = RETRY_AFTER_MIN.as_f64() * (1.0 + fleet_size.log10());
         let wait = RETRY_AFTER_MIN + Micros::from_f64(spread * self.rng.get_mut().f64());
--- a/crates/decisions/src/policy/replica_selection.rs
+++ b/crates/decisions/src/policy/replica_selection.rs
@@ -12,13 +12,13 @@
 use crate::api::{LogPosition, MemberId, MemberState, Micros, PositionCheck, ReadLevel};
 
 /// A replica that rejected a read doesn't get the same read again sooner.
-const REJECTED_READ_PAUSE: Micros = Micros::from_millis(60);
+const REPLICA_RETRY_PAUSE: Micros = Micros::from_millis(60);
 /// For this long a position that a replica rejected tells that it is behind all later ones.
-const REJECTED_POSITION_VALID: Micros = Micros::from_millis(120);
+const REJECTION_EVIDENCE_MAX_AGE: Micros = Micros::from_millis(120);
 /// Sharpness of the draw: 1 follows latency x (in flight + 1) softly, more sends fewer to the worse.
-const DRAW_SHARPNESS: f64 = 2.5;
+const COST_EXPONENT: f64 = 2.5;
 /// How strongly reads of any age gather on the replica furthest behind.
-const GATHER_EXPONENT: i32 = 24;
+const LAG_PREFERENCE_EXPONENT: i32 = 24;
 /// The latency ratio of a member counts as at least this.
 const LATENCY_RATIO_MIN: f64 = 0.2;
 /// The cost of a send to another zone counts this many times.
@@ -26,18 +26,18 @@
 /// Part of the ordinary weight that a member has whose trial is due.
 const TRIAL_WEIGHT: f64 = 0.3;
 /// The part of a member's limit that a request which is short of time may use.
-const SHORT_OF_TIME_LIMIT_PART: f64 = 0.5;
+const SHORT_OF_TIME_LIMIT_FRACTION: f64 = 0.5;
 
 /// What one draw compares all replicas against.
-struct ReplicaDraw<'a> {
+struct ReplicaSelection<'a> {
     request: &'a QueuedRequest,
     target: LogPosition,
     /// Reads of any age.
     is_any_read: bool,
     /// How far the replica furthest behind is behind now; at least 1 microsecond.
-    furthest_behind: f64,
+    max_lag: f64,
     /// Only replicas that are far behind take part.
-    gathers_behind: bool,
+    prefers_lagging: bool,
     /// Ejected replicas take part only if their trial is due.
     only_healthy: bool,
 }
@@ -45,14 +45,14 @@
 impl Router {
     /// Whether one more request may go to a member: by its limit and pacing and, in slow start, by this router's turn.
     pub(super) fn has_capacity(&self, request: &QueuedRequest, member: &Member) -> bool {
-        let warmth = self.warmth(member);
-        let limit_part = if self.is_short_of_time(request) { SHORT_OF_TIME_LIMIT_PART } else { 1.0 };
-        let limit = (member.concurrency.limit * warmth * limit_part).max(1.0);
+        let capacity_fraction = self.capacity_fraction(member);
+        let limit_fraction = if self.is_short_of_time(request) { SHORT_OF_TIME_LIMIT_FRACTION } else { 1.0 };
+        let limit = (member.concurrency.limit * capacity_fraction * limit_fraction).max(1.0);
         let is_full = member.attempts_in_flight.len() as f64 >= limit;
         if is_full || self.now < member.concurrency.paced_until {
             return false;
         }
-        warmth >= 1.0 || member.slow_start.next_send.is_some_and(|next_send| self.now >= next_send)
+        capacity_fraction >= 1.0 || member.slow_start.next_send.is_some_and(|next_send| self.now >= next_send)
     }
 
     /// The same for a member by its id; one that is not known has none.
@@ -67,7 +67,7 @@
         let age = self.now - replication.reported;
         let reachable = replication.position + age + REPORT_DELAY_MAX + wait;
         let lags_by_report = age < POSITION_WAIT_MAX && reachable < target;
-        let has_just_rejected = self.now < replication.lagging_at + REJECTED_POSITION_VALID;
+        let has_just_rejected = self.now < replication.lagging_at + REJECTION_EVIDENCE_MAX_AGE;
         lags_by_report || (has_just_rejected && replication.lagging_position <= target)
     }
 
@@ -92,37 +92,37 @@
     /// trial is due.
     pub(super) fn select_replica(&self, request: &QueuedRequest, only_healthy: bool) -> Option<MemberId> {
         let group = self.groups.get(&request.group)?;
-        let draw = self.replica_draw(request, group, only_healthy);
+        let selection = self.replica_selection(request, group, only_healthy);
         let mut total = 0.0;
-        let mut drawn = None;
+        let mut selected = None;
         let mut rng = self.rng.borrow_mut();
         for (id, replica) in self.replicas(group) {
-            if !self.takes_part(&draw, *id, replica) {
+            if !self.is_eligible(&selection, *id, replica) {
                 continue;
             }
-            let weight = self.draw_weight(&draw, replica);
+            let weight = self.selection_weight(&selection, replica);
             total += weight;
-            if drawn.is_none() || rng.f64() * total < weight {
-                drawn = Some(*id);
+            if selected.is_none() || rng.f64() * total < weight {
+                selected = Some(*id);
             }
         }
-        drawn
+        selected
     }
 
-    fn replica_draw<'a>(
+    fn replica_selection<'a>(
         &self, request: &'a QueuedRequest, group: &Group, only_healthy: bool,
-    ) -> ReplicaDraw<'a> {
+    ) -> ReplicaSelection<'a> {
         let is_any_read = self.class(request.class).read_level == ReadLevel::Any;
         let healthy = self.replicas(group).map(|(_, replica)| replica).filter(|replica| replica.is_healthy());
-        let furthest_behind = healthy.map(|replica| self.current_lag(replica)).max().unwrap_or_default();
-        let furthest_behind = Micros(furthest_behind.0.max(1)).as_f64();
-        let is_far_behind = furthest_behind > POSITION_WAIT_MAX.as_f64();
-        ReplicaDraw {
+        let max_lag = healthy.map(|replica| self.current_lag(replica)).max().unwrap_or_default();
+        let max_lag = Micros(max_lag.0.max(1)).as_f64();
+        let has_large_lag = max_lag > POSITION_WAIT_MAX.as_f64();
+        ReplicaSelection {
             request,
             target: self.target_position(request),
             is_any_read,
-            furthest_behind,
-            gathers_behind: is_any_read && is_far_behind && self.now < request.primary_fallback_at,
+            max_lag,
+            prefers_lagging: is_any_read && has_large_lag && self.now < request.primary_fallback_at,
             only_healthy,
         }
     }
@@ -132,47 +132,47 @@
         self.now.saturating_since(member.replication.position.as_time())
     }
 
-    fn takes_part(&self, draw: &ReplicaDraw, id: MemberId, replica: &Member) -> bool {
-        let last_failure = draw.request.last_failures.get(&id);
-        let has_paused =
-            last_failure.is_none_or(|last_failure| self.now >= *last_failure + REJECTED_READ_PAUSE);
-        let is_usable = if draw.only_healthy {
+    fn is_eligible(&self, selection: &ReplicaSelection, id: MemberId, replica: &Member) -> bool {
+        let last_failure = selection.request.last_failures.get(&id);
+        let is_retry_pause_over =
+            last_failure.is_none_or(|last_failure| self.now >= *last_failure + REPLICA_RETRY_PAUSE);
+        let is_usable = if selection.only_healthy {
             replica.may_receive_trial()
         } else {
             replica.listed_state == MemberState::InService
         };
         let is_too_fresh =
-            draw.gathers_behind && self.current_lag(replica).as_f64() < draw.furthest_behind / 2.0;
-        has_paused
+            selection.prefers_lagging && self.current_lag(replica).as_f64() < selection.max_lag / 2.0;
+        is_retry_pause_over
             && is_usable
-            && !draw.request.is_in_flight_at(id)
+            && !selection.request.is_in_flight_at(id)
             && !is_too_fresh
-            && self.has_capacity(draw.request, replica)
-            && self.is_fresh_enough(replica, draw.target)
+            && self.has_capacity(selection.request, replica)
+            && self.is_fresh_enough(replica, selection.target)
     }
 
     /// Reads of any age gather on the replica furthest behind, alike at all routers: a long read can stall the log of a
     /// replica, and spread out such reads would keep all of them behind. The price is that this one is slow to promote.
-    fn draw_weight(&self, draw: &ReplicaDraw, replica: &Member) -> f64 {
-        let cost = self.draw_cost(replica);
-        let lag = self.current_lag(replica).as_f64() / draw.furthest_behind;
-        let weight = if draw.is_any_read {
-            lag.powi(GATHER_EXPONENT) / cost
+    fn selection_weight(&self, selection: &ReplicaSelection, replica: &Member) -> f64 {
+        let cost = self.selection_cost(replica);
+        let lag = self.current_lag(replica).as_f64() / selection.max_lag;
+        let weight = if selection.is_any_read {
+            lag.powi(LAG_PREFERENCE_EXPONENT) / cost
         } else {
-            let preference_for_behind = if draw.target == ANY_POSITION { 1.0 + lag } else { 1.0 };
-            cost.powf(-DRAW_SHARPNESS) * preference_for_behind
+            let lag_preference = if selection.target == ANY_POSITION { 1.0 + lag } else { 1.0 };
+            cost.powf(-COST_EXPONENT) * lag_preference
         };
         weight * if replica.ejected.is_some() { TRIAL_WEIGHT } else { 1.0 }
     }
 
     /// What a read costs at a replica: its latency and load, a zone to cross, a connection to establish.
-    fn draw_cost(&self, replica: &Member) -> f64 {
+    fn selection_cost(&self, replica: &Member) -> f64 {
         let is_other_zone = replica.zone != Some(self.settings.zone);
         let distance =
             f64::from(u8::from(is_other_zone)) * CROSS_ZONE_FACTOR * self.settings.costs.cross_zone;
         let ratio = replica.concurrency.latency_ratio.max(LATENCY_RATIO_MIN);
         let in_flight = replica.attempts_in_flight.len() as f64;
-        let load = ratio * (in_flight + 1.0) / self.warmth(replica).powf(1.0 / DRAW_SHARPNESS);
+        let load = ratio * (in_flight + 1.0) / self.capacity_fraction(replica).powf(1.0 / COST_EXPONENT);
         let idle_close = self.settings.limits.idle_close;
         let last_connected = replica.connections.last_connected;
         let is_connected = last_connected.is_some_and(|connected| self.now < connected + idle_close);
--- a/crates/decisions/src/policy/request.rs
+++ b/crates/decisions/src/policy/request.rs
@@ -49,7 +49,7 @@
     }
 
     /// The only attempt in flight, if there is just one and it was not cancelled.
-    pub(super) fn lone_attempt(&self) -> Option<&InFlightAttempt> {
+    pub(super) fn sole_attempt(&self) -> Option<&InFlightAttempt> {
         match self.attempts_in_flight.as_slice() {
             [attempt] if !attempt.is_cancelled => Some(attempt),
             _ => None,
--- a/crates/decisions/src/policy/router.rs
+++ b/crates/decisions/src/policy/router.rs
@@ -10,7 +10,7 @@
 use super::hedging::HedgeBudget;
 use super::member::Member;
 use super::request::QueuedRequest;
-use super::slow_start::FleetPace;
+use super::slow_start::FleetRateMultiplier;
 use super::{MEMBER_CHECK_INTERVAL, TICK};
 use crate::api::{
     Action, Class, ClassId, Discovery, Event, GroupId, MemberId, MemberState, RequestId, Settings, Time,
@@ -64,7 +64,7 @@
     pub(super) tenant_limits: Vec<TenantRateLimiter>,
     pub(super) hedging: HedgeBudget,
     pub(super) connection_cost: ConnectionCost,
-    pub(super) fleet_pace: FleetPace,
+    pub(super) fleet_rate_multiplier: FleetRateMultiplier,
     pub(super) zone_health: ZoneHealth,
     pub(super) budgets: CostBudgets,
     pub(super) polls: PollSchedule,
@@ -94,7 +94,7 @@
             tenant_limits: vec![TenantRateLimiter::new(now); settings.tenants.len()],
             hedging: HedgeBudget::default(),
             connection_cost: ConnectionCost::default(),
-            fleet_pace: FleetPace::neutral(),
+            fleet_rate_multiplier: FleetRateMultiplier::neutral(),
             zone_health: ZoneHealth::default(),
             budgets: CostBudgets::default(),
             polls,
@@ -148,15 +148,15 @@
         if self.polls.take_due(self.now.0) {
             out.push(Action::Subscribe);
         }
-        self.reset_fleet_pace_if_all_warm();
+        self.reset_fleet_rate_multiplier_if_all_warm();
         self.check_members(out);
-        self.eject_silent_zones(out);
+        self.eject_unresponsive_zones(out);
         let queued = self.groups.iter().filter(|(_, group)| !group.queued.is_empty());
         for group in queued.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.search_for_primary(group, out);
             self.dispatch_queued(group, out);
         }
-        self.hedge_or_move_late_attempts(out);
+        self.hedge_or_cancel_late_attempts(out);
     }
 
     /// The settings of a class.
@@ -165,8 +165,8 @@
     }
 
     /// Sets what this router may do of what all may do together, where the fleet agrees on it: from 0 to 1.
-    pub fn set_fleet_quota_share(&mut self, part: f64) {
-        self.fleet_divisor = FleetDivisor::from_quota_part(part, self.settings.fleet_size);
+    pub fn set_fleet_quota_share(&mut self, share: f64) {
+        self.fleet_divisor = FleetDivisor::from_quota_share(share, self.settings.fleet_size);
     }
 
     /// Whether anything is kept of a member: once not, its driver may forget it, too.
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -12,45 +12,47 @@
 /// The least utilisation that a report counts as.
 const CPU_UTILISATION_MIN: f64 = 0.1;
 /// The most by which its own reports change the pace of a member.
-const MEMBER_PACE_MAX: f64 = 2.0;
+const MEMBER_RATE_MULTIPLIER_MAX: f64 = 2.0;
 /// The part of that which counts for all members in slow start, and the most by which theirs changes.
-const FLEET_PACE_EXPONENT: f64 = 0.4;
-const FLEET_PACE_MAX: f64 = 5.0;
+const FLEET_RATE_EXPONENT: f64 = 0.4;
+const FLEET_RATE_MULTIPLIER_MAX: f64 = 5.0;
 /// All routers together may send a member in slow start what so many cores bear.
 const CORES_USED: f64 = 3.0;
 /// The least rate that a gap is computed from.
 const RATE_MIN: f64 = 1e-9;
 
 /// The pace of all members in slow start, learned from their reports.
-pub(super) struct FleetPace {
-    pace: f64,
+pub(super) struct FleetRateMultiplier {
+    rate_multiplier: f64,
 }
 
-impl FleetPace {
+impl FleetRateMultiplier {
     /// Nothing is learned yet.
-    pub(super) fn neutral() -> FleetPace {
-        FleetPace { pace: 1.0 }
+    pub(super) fn neutral() -> FleetRateMultiplier {
+        FleetRateMultiplier { rate_multiplier: 1.0 }
     }
 }
 
 impl SlowStart {
     /// Learns from a report of the member's utilisation.
-    fn record_cpu_utilisation(&mut self, utilisation: f64, fleet_pace: &mut FleetPace) {
+    fn record_cpu_utilisation(&mut self, utilisation: f64, fleet_rate_multiplier: &mut FleetRateMultiplier) {
         let wanted = TARGET_CPU_UTILISATION / utilisation.max(CPU_UTILISATION_MIN);
-        self.pace = wanted.clamp(1.0 / MEMBER_PACE_MAX, MEMBER_PACE_MAX);
-        let pace = fleet_pace.pace * self.pace.powf(FLEET_PACE_EXPONENT);
-        fleet_pace.pace = pace.clamp(1.0 / FLEET_PACE_MAX, FLEET_PACE_MAX);
+        self.rate_multiplier = wanted.clamp(1.0 / MEMBER_RATE_MULTIPLIER_MAX, MEMBER_RATE_MULTIPLIER_MAX);
+        let rate_multiplier =
+            fleet_rate_multiplier.rate_multiplier * self.rate_multiplier.powf(FLEET_RATE_EXPONENT);
+        fleet_rate_multiplier.rate_multiplier =
+            rate_multiplier.clamp(1.0 / FLEET_RATE_MULTIPLIER_MAX, FLEET_RATE_MULTIPLIER_MAX);
     }
 }
 
 impl Router {
     /// How much of its full capacity a member has at least, by the rules' slowest ramp: from 0 to 1.
-    pub(super) fn warmth(&self, member: &Member) -> f64 {
+    pub(super) fn capacity_fraction(&self, member: &Member) -> f64 {
         let Some(since) = member.slow_start.warming_since else { return 1.0 };
         let rules = &self.settings.rules;
         let elapsed = self.now.saturating_since(since).as_f64();
-        let part = elapsed / rules.slow_start.0.max(1) as f64;
-        (rules.slow_start_floor + (1.0 - rules.slow_start_floor) * part).min(1.0)
+        let progress = elapsed / rules.slow_start.0.max(1) as f64;
+        (rules.slow_start_floor + (1.0 - rules.slow_start_floor) * progress).min(1.0)
     }
 
     /// A member reported its utilisation.
@@ -60,14 +62,14 @@
         if let Some(utilisation) = reported
             && member.slow_start.warming_since.is_some()
         {
-            member.slow_start.record_cpu_utilisation(utilisation, &mut self.fleet_pace);
+            member.slow_start.record_cpu_utilisation(utilisation, &mut self.fleet_rate_multiplier);
         }
     }
 
     /// The pace learned from members in slow start ends with the last of them.
-    pub(super) fn reset_fleet_pace_if_all_warm(&mut self) {
-        if self.members.values().all(|member| self.warmth(member) >= 1.0) {
-            self.fleet_pace = FleetPace::neutral();
+    pub(super) fn reset_fleet_rate_multiplier_if_all_warm(&mut self) {
+        if self.members.values().all(|member| self.capacity_fraction(member) >= 1.0) {
+            self.fleet_rate_multiplier = FleetRateMultiplier::neutral();
         }
     }
 
@@ -88,19 +90,21 @@
     /// The mean gap between this router's sends that keeps all routers at a part of what a few cores bear.
     fn mean_slow_start_gap(&self, member: &Member, work: f64) -> f64 {
         let rules = &self.settings.rules;
-        let load = self.fleet_divisor.slow_start_part_of(rules.overload_multiple * CORES_USED);
+        let load = self.fleet_divisor.slow_start_share_of(rules.overload_multiple * CORES_USED);
         let since = member.slow_start.warming_since.unwrap_or(self.now);
         let elapsed = self.now.saturating_since(since).as_f64();
         // A member that has just started does not have the pace of others yet.
-        let pace_max = 1.0 + FLEET_PACE_MAX * elapsed / rules.overload_duration.0.max(1) as f64;
-        let pace = member.slow_start.pace * self.fleet_pace.pace.min(pace_max);
-        work.max(1.0) / (self.warmth(member) * load * pace).max(RATE_MIN)
+        let fleet_multiplier_max =
+            1.0 + FLEET_RATE_MULTIPLIER_MAX * elapsed / rules.overload_duration.0.max(1) as f64;
+        let rate_multiplier = member.slow_start.rate_multiplier
+            * self.fleet_rate_multiplier.rate_multiplier.min(fleet_multiplier_max);
+        work.max(1.0) / (self.capacity_fraction(member) * load * rate_multiplier).max(RATE_MIN)
     }
 
     /// Ends slow start once the member is warm; until then renews a turn that was not used.
     pub(super) fn check_slow_start(&mut self, id: MemberId) {
         let Some(member) = self.members.get(&id) else { return };
-        let is_warm = self.warmth(member) >= 1.0;
+        let is_warm = self.capacity_fraction(member) >= 1.0;
         let turn = member.slow_start.next_send.unwrap_or_default();
         let is_warming = member.slow_start.warming_since.is_some() && !is_warm;
         if is_warming && self.now >= turn + self.settings.rules.overload_duration {
--- a/crates/decisions/src/policy/wait_queue.rs
+++ b/crates/decisions/src/policy/wait_queue.rs
@@ -3,7 +3,7 @@
 //! The work for one event is bounded, however many requests wait.
 
 use super::POSITION_WAIT_MAX;
-use super::primary_tracking::SEARCH_GAP_MIN;
+use super::primary_tracking::SEARCH_INTERVAL_MIN;
 use super::read_position::ANY_POSITION;
 use super::request::QueuedRequest;
 use super::router::Router;
@@ -12,7 +12,7 @@
 /// Requests that a group may queue: a bound on memory and on the work for one event.
 const QUEUED_MAX: usize = 400;
 /// After so many that found no member, the rest is only looked at for whether it can still succeed.
-const FRUITLESS_TRIES_MAX: usize = 24;
+const FAILED_DISPATCHES_MAX: usize = 24;
 /// Weights per microsecond are compared as whole numbers of this fraction.
 const RANK_SCALE: f64 = 1e9;
 /// A member is asked for its position again after this part of the time that it is behind.
@@ -49,15 +49,15 @@
         let ranked = self.ranked_queue(group);
         let for_primary = ranked.iter().filter(|rank| self.is_queued_for_primary(&rank.id)).count();
         self.groups.entry(group).or_default().queued_for_primary = for_primary;
-        let mut fruitless = 0;
-        for (place, rank) in ranked.into_iter().enumerate() {
-            if place >= QUEUED_MAX {
+        let mut failed_dispatches = 0;
+        for (index, rank) in ranked.into_iter().enumerate() {
+            if index >= QUEUED_MAX {
                 self.reject_or_fail(rank.id, out);
-            } else if fruitless < FRUITLESS_TRIES_MAX || self.is_due_for_decision(&rank.id) {
+            } else if failed_dispatches < FAILED_DISPATCHES_MAX || self.is_due_for_decision(&rank.id) {
                 self.dispatch_or_queue(rank.id, out);
                 let is_still_queued =
                     self.groups.get(&group).is_some_and(|group| group.queued.contains(&rank.id));
-                fruitless += usize::from(is_still_queued);
+                failed_dispatches += usize::from(is_still_queued);
             }
         }
         if self.settings.position_check == PositionCheck::None {
@@ -90,7 +90,7 @@
     }
 
     fn is_queued_for_primary(&self, id: &RequestId) -> bool {
-        self.requests.get(id).is_some_and(|request| self.is_primary_first(request.class))
+        self.requests.get(id).is_some_and(|request| self.prefers_primary(request.class))
     }
 
     /// Whether waiting longer can't help a request: it can't succeed, or it must go now.
@@ -110,12 +110,12 @@
             let Some(member) = self.members.get(id) else { return false };
             let position = member.replication.position;
             let behind = target.as_time().saturating_since(position.as_time());
-            let gap = Micros(behind.0 / LAG_CHECK_DIVISOR).max(SEARCH_GAP_MIN).min(POSITION_WAIT_MAX);
+            let gap = Micros(behind.0 / LAG_CHECK_DIVISOR).max(SEARCH_INTERVAL_MIN).min(POSITION_WAIT_MAX);
             position < target && member.ejected.is_none() && self.now >= member.health_check.last_sent + gap
         };
         let lagging: Vec<MemberId> = group.members.iter().filter(is_due).copied().collect();
         if lagging.len() * 2 > group.members.len() {
-            self.check_health_of_some(lagging, out);
+            self.check_health_of_sample(lagging, out);
         }
     }
 }
