--- a/crates/decisions/src/policy/arrival.rs
+++ b/crates/decisions/src/policy/arrival.rs
@@ -1,6 +1,6 @@
-//! A request arrives: what an answer will earn, until when, and which position a read must see.
+//! Handles an arriving request: sets the weight of an answer, its time limits, and the position that a read must see.
 //!
-//! Nothing is rejected here; whether the request can be served is decided when it is dispatched.
+//! No request is rejected here; dispatch decides whether it can be served.
 
 use super::POSITION_WAIT_MAX;
 use super::request::QueuedRequest;
@@ -8,16 +8,16 @@
 use crate::api::{Action, ClassId, Micros, Request, SessionPositions, TenantId};
 use std::collections::BTreeMap;
 
-/// The part of a read's time to its latency objective after which the primary may serve it. It is drawn between these,
-/// so that waits which begin together don't end together.
+/// Fraction of a read's time to its latency objective after which the primary may serve it. Drawn at random from this
+/// range, so that waits that begin together do not end together.
 const POSITION_WAIT_FRACTION_MIN: f64 = 0.25;
 const POSITION_WAIT_FRACTION_MAX: f64 = 0.55;
 
-/// Until when an answer earns its full weight.
+/// What remains of a request's latency objective.
 struct RemainingObjective {
-    /// From now on.
+    /// Time from now within which an answer earns its full weight.
     time: Micros,
-    /// The client has been retrying for so long that an answer earns only the late weight.
+    /// Whether an answer is expected after the objective of a retrying client, and so earns only the late weight.
     is_past: bool,
 }
 
@@ -35,7 +35,7 @@
         self.dispatch_or_queue(request.id, out);
     }
 
-    /// What an answer in time earns, by the site's objective and the tenant's quota.
+    /// The weight of an answer in time, by the site's objective and the tenant's quota.
     fn priority_weight(&mut self, class: ClassId, tenant: Option<TenantId>) -> f64 {
         let weight = self.service_objective.request_arrived(self.now, class);
         if tenant.is_some_and(|tenant| self.exceeds_quota(tenant)) {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// A client that has been retrying waits only for what is left of its timeout, so its latency objective shrinks, and
-    /// its answer earns only the late weight once that has passed.
+    /// The latency objective runs from the client's first attempt, so a retry has only the remainder. If an answer is
+    /// expected to miss it, the request earns only the late weight.
     fn remaining_objective(&mut self, class: ClassId, time_left: Micros) -> RemainingObjective {
         let objective = Micros::from_f64(self.latency_objective(class));
         let mean = self.latencies.mean(class);
--- a/crates/decisions/src/policy/attempt_outcome.rs
+++ b/crates/decisions/src/policy/attempt_outcome.rs
@@ -1,6 +1,6 @@
-//! An attempt ended: what that says of the member, and what becomes of the request.
+//! Handles the end of an attempt: updates the state of the member, and finishes the request or dispatches it again.
 //!
-//! The request is sent again only where `retry` allows it.
+//! A request is sent again only where `retry` allows it.
 
 use super::POSITION_ROUNDING;
 use super::hedging::has_answered_later_send;
@@ -10,12 +10,13 @@
 use super::router::Router;
 use crate::api::{Action, AttemptEnd, GroupId, LogPosition, MemberId, Micros, Outcome, ReadLevel, Role};
 
-/// What a member says of its role in an answer is as old as this at most.
+/// Maximum age of the role that a member reports with an answer.
 const ANSWERED_ROLE_AGE_MAX: Micros = Micros::from_millis(2);
-/// Sessions whose commits are kept for a group: a bound on memory. What is dropped still counts for all.
+/// Maximum number of sessions per group whose last commit is kept, to bound memory. A dropped commit raises the
+/// watermark that applies to all sessions.
 const SESSIONS_MAX: usize = 50_000;
 
-/// An attempt that ended, with what was recorded when it was sent.
+/// An attempt that ended, with the data recorded when it was sent.
 struct EndedAttempt {
     end: AttemptEnd,
     sent: SentAttempt,
@@ -24,25 +25,25 @@
 }
 
 impl EndedAttempt {
-    /// The member answered, whatever it said.
+    /// Whether the member replied, with any result.
     fn is_answered(&self) -> bool {
         use Outcome::{Failed, MalformedReply, NotApplicable, Ok, QueueFull};
         matches!(self.end.outcome, Ok | Failed | QueueFull | NotApplicable | MalformedReply)
     }
 
-    /// Whether the request may have run at the member.
+    /// Whether the member may have run the request.
     fn may_have_run(&self) -> bool {
         use Outcome::{Cancelled, Failed, MalformedReply, Reset, TimedOut};
         matches!(self.end.outcome, Cancelled | Failed | MalformedReply | Reset | TimedOut)
     }
 
-    /// The position that the member has applied. That of a write is its commit, rounded up.
+    /// The position that the member has applied. A write's commit is rounded up, so the rounding is subtracted.
     fn applied_position(&self) -> Option<LogPosition> {
         let rounding = if self.is_write { POSITION_ROUNDING } else { Micros(0) };
         self.end.position.map(|position| position.saturating_sub(rounding))
     }
 
-    /// A member that rejects a write is a replica, whatever it says.
+    /// The member's role. A member that rejects a write as not applicable is a replica, whatever role it reports.
     fn role(&self) -> Option<Role> {
         let rejected_write = self.is_write && self.end.outcome == Outcome::NotApplicable;
         if rejected_write { Some(Role::Replica) } else { self.end.role }
@@ -63,7 +64,7 @@
         self.dispatch_queued(ended.group, out);
     }
 
-    /// Takes an attempt off the member that it was sent to; `None` if it is not known there.
+    /// Removes an attempt from the member it was sent to; `None` if the member does not have it in flight.
     fn take_sent_attempt(&mut self, end: AttemptEnd) -> Option<EndedAttempt> {
         let member = self.members.get_mut(&end.member)?;
         let sent = member.attempts_in_flight.remove(&(end.id, end.attempt))?;
@@ -72,7 +73,8 @@
         Some(EndedAttempt { end, sent, group, is_write })
     }
 
-    /// The member answered: it is alive, and connected.
+    /// Records a reply: the member responds and is connected. During a shortage of connections its idle ones are
+    /// closed.
     fn record_answer(&mut self, ended: &EndedAttempt, out: &mut Vec<Action>) {
         let id = ended.end.member;
         let is_served = ended.end.outcome == Outcome::Ok;
@@ -90,7 +92,7 @@
         }
     }
 
-    /// A read that needed a new connection shows what connecting costs; what a write takes varies more.
+    /// Updates the cost of connecting from reads that needed a new connection; the latency of writes varies more.
     fn record_connect_latency(&mut self, ended: &EndedAttempt) {
         let Some(member) = self.members.get(&ended.end.member) else { return };
         if member.connections.last_connected.is_some() || ended.is_write {
@@ -115,7 +117,7 @@
         self.gossip_position(id, out);
     }
 
-    /// Keeps the commit of a served write, also when its client is long gone: the session's next read must see it.
+    /// Keeps the commit of a served write, even if its client has left: the session's next read must see it.
     fn record_session_commit(&mut self, ended: &EndedAttempt) {
         if ended.end.outcome != Outcome::Ok || !ended.is_write {
             return;
@@ -126,7 +128,8 @@
         commits.shrink_to(SESSIONS_MAX);
     }
 
-    /// Counts whether attempts stay unanswered. A cancelled one does if the member has answered what was sent far later.
+    /// Updates the fraction of unanswered attempts. A cancelled attempt counts as unanswered if the member has
+    /// answered one that was sent much later.
     fn record_unanswered(&mut self, ended: &EndedAttempt) {
         let member = self.members.get(&ended.end.member);
         let was_overtaken = member.is_some_and(|member| {
@@ -141,7 +144,7 @@
         }
     }
 
-    /// What the end of the attempt says of the member's capacity and health.
+    /// Updates the member's concurrency limit and health by the attempt's outcome.
     fn update_member_from_outcome(&mut self, ended: &EndedAttempt, out: &mut Vec<Action>) {
         let AttemptEnd { id, member, latency, .. } = ended.end;
         let class = ended.sent.class;
@@ -149,7 +152,7 @@
             Outcome::Ok => self.on_served(id, member, class, latency),
             Outcome::NotApplicable if !ended.is_write => self.record_lagging(ended),
             Outcome::QueueFull => self.on_rejected_or_failed(member, 0),
-            // Quick errors are a way of saying that a queue is full, but not one after the other.
+            // A member may report a full queue as a quick error, but several errors in a row count as a failure.
             Outcome::Failed if !ended.is_write => self.on_rejected_or_failed(member, 1),
             Outcome::ConnectError => self.on_connect_failed(member, latency, out),
             Outcome::TimedOut => {
@@ -161,7 +164,7 @@
         }
     }
 
-    /// The member rejected a read that it had not applied the position for.
+    /// Records that the member rejected a read because it had not applied the position.
     fn record_lagging(&mut self, ended: &EndedAttempt) {
         let request = self.requests.get(&ended.end.id);
         let target = request.map_or(LogPosition::default(), |request| self.target_position(request));
@@ -171,8 +174,8 @@
         }
     }
 
-    /// A member rejected an attempt for want of capacity, or answered a read with an error: it is paced, and ejected once
-    /// errors come one after the other.
+    /// Handles a rejection for lack of capacity or a failed read: paces the member, and ejects it after more than one
+    /// consecutive error. `errors` is added to their number.
     fn on_rejected_or_failed(&mut self, id: MemberId, errors: u32) {
         self.pace_after_error(id);
         let Some(member) = self.members.get_mut(&id) else { return };
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Records the end at its request, and sends that again if nothing is in flight for it.
+    /// Updates the request, and dispatches it again if it has no final answer and no attempt in flight.
     fn continue_request(&mut self, ended: &EndedAttempt, out: &mut Vec<Action>) {
         let end = &ended.end;
         let now = self.now;
--- a/crates/decisions/src/policy/concurrency_limit.rs
+++ b/crates/decisions/src/policy/concurrency_limit.rs
@@ -1,7 +1,7 @@
-//! How many attempts a router may have in flight at a member, and how long it pauses between them: learned from
-//! latencies, as a part of what all routers together may have.
+//! How many attempts a router may have in flight at a member, and how long it pauses between them: adjusted by
+//! latency, as this router's share of fleet-wide limits.
 //!
-//! The limit never falls below this router's part of the cores that a member has at least.
+//! The limit never falls below this router's share of the cores that a small member has.
 
 use super::fleet_divisor::FleetDivisor;
 use super::member::{ConcurrencyLimit, Member};
@@ -10,75 +10,76 @@
 use super::{MEMBER_SMOOTHING, TICK};
 use crate::api::{ClassId, MemberId, Micros, RequestId, Time};
 
-/// Attempts in flight that all routers together begin with at a member.
+/// Initial limit at a member for all routers together.
 const FLEET_LIMIT_INITIAL: f64 = 16.0;
-/// What all routers together may always have in flight: the cores of a small member.
+/// Minimum limit for all routers together: the cores of a small member.
 const FLEET_LIMIT_MIN: f64 = 3.0;
-/// By how much all routers together raise the limit for each answer.
+/// Increase of the limit per answer, for all routers together.
 const FLEET_LIMIT_STEP: f64 = 2.0;
-/// The limit of one router: first, most, and its largest step.
+/// Limits of one router: initial and maximum limit, and maximum increase per answer.
 const ROUTER_LIMIT_INITIAL: f64 = 6.0;
 const ROUTER_LIMIT_MAX: f64 = 64.0;
 const ROUTER_LIMIT_STEP_MAX: f64 = 0.5;
-/// A reduced limit is this part of the attempts in flight, and is not reduced again for a while.
+/// Factor for reducing a limit, and minimum time between two reductions.
 const REDUCE_FACTOR: f64 = 0.85;
 const REDUCE_INTERVAL_MIN: Micros = Micros::from_millis(200);
-/// After an error a member is paced for this long.
+/// A member is paced for this long after an error.
 const ERROR_PAUSE: Micros = Micros(2 * TICK.0);
-/// A member is under pressure from this latency on, as a part of the latency objective ...
+/// Smoothed latency, as a fraction of the latency objective, above which a member is paced ...
 const PRESSURE_HIGH: f64 = 0.133;
-/// ... and its limit is reduced from so many times that.
+/// ... and multiple of that from which its limit is reduced.
 const PRESSURE_REDUCE_FACTOR: f64 = 1.5;
-/// What noise in the smoothed latency adds to both.
+/// Allowance for noise in both thresholds, in standard deviations of the smoothed latency.
 const PRESSURE_NOISE: f64 = 2.0;
-/// An attempt counts at most as so many latency objectives.
+/// Maximum that one attempt counts, in latency objectives.
 const PRESSURE_SAMPLE_MAX: f64 = 2.0;
-/// An attempt counts at most as so many means of its class.
+/// Maximum that one attempt counts, in means of its class.
 const RATIO_SAMPLE_MAX: f64 = 10.0;
-/// What was learned of a member is replaced after about this long without an answer, in microseconds.
+/// Time without an answer after which earlier observations of a member have decayed to 1/e, in microseconds.
 const SAMPLE_DECAY_US: f64 = 6_000_000.0;
-/// Weight of one more report of a member's utilisation.
+/// Weight of one more utilisation report of a member.
 const CPU_UTILISATION_SMOOTHING: f64 = 0.2;
 
-/// The first limit of a member.
+/// The initial limit of a member at one router.
 pub(super) fn initial_limit(fleet_divisor: FleetDivisor) -> f64 {
     fleet_divisor.share_of(FLEET_LIMIT_INITIAL).min(ROUTER_LIMIT_INITIAL)
 }
 
-/// How many members one router asks at once, so that hundreds of routers don't each ask every member.
+/// How many members one router health-checks at once, so that the routers of a large fleet don't each check every
+/// member.
 pub(super) fn health_checks_at_once(fleet_divisor: FleetDivisor) -> usize {
     fleet_divisor.share_of(FLEET_LIMIT_INITIAL).max(1.0) as usize
 }
 
 impl ConcurrencyLimit {
-    /// Smooths in the utilisation that the member reports, if it does.
+    /// Updates the smoothed utilisation, if the member reported one.
     pub(super) fn record_cpu_utilisation(&mut self, reported: Option<f64>) {
         let Some(reported) = reported else { return };
         let smoothed = |utilisation: f64| utilisation + CPU_UTILISATION_SMOOTHING * (reported - utilisation);
         self.cpu_utilisation = Some(self.cpu_utilisation.map_or(reported, smoothed));
     }
 
-    /// Pauses so long after an attempt that took `taken` that the member is in use for its limit's part of the time, if
-    /// the limit is under one.
+    /// Pauses after an attempt that took `taken`, so that a member with a limit below 1 is in use for that fraction
+    /// of the time.
     fn pace_after(&mut self, now: Time, taken: f64) {
         let pause = taken * (1.0 / self.limit - 1.0).max(0.0);
         self.paced_until = self.paced_until.max(now + Micros::from_f64(pause));
     }
 
-    /// Many routers with one attempt in flight each make a queue at a member that is idle by its own report: such a
-    /// member is not busy.
+    /// Whether the member may be busy. Many routers with one attempt in flight each can cause queueing at a member
+    /// that reports a low utilisation; that alone does not make it busy.
     fn is_busy(&self) -> bool {
         self.cpu_utilisation.is_none_or(|utilisation| utilisation > TARGET_CPU_UTILISATION)
     }
 }
 
-/// Weight of an answer in a member's figures: more after a pause, since older figures fade.
+/// Weight of an answer in a member's statistics: higher after a pause, since earlier observations decay.
 fn sample_weight(since_last: Micros) -> f64 {
     MEMBER_SMOOTHING.max(1.0 - (-since_last.as_f64() / SAMPLE_DECAY_US).exp())
 }
 
 impl Router {
-    /// An attempt was served after `latency`.
+    /// Handles an attempt that was served after `latency`.
     pub(super) fn on_served(&mut self, id: RequestId, member_id: MemberId, class: ClassId, latency: Micros) {
         self.record_request_served(&id);
         let taken = Micros(latency.0.max(1)).as_f64();
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Counts what a class was served, for the weights of later requests.
+    /// Counts the weight earned by a served request, for the priority weights of later requests.
     fn record_request_served(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         let class = &self.settings.classes[request.class.0];
@@ -119,7 +120,7 @@
         self.service_objective.request_served(request.class, weight);
     }
 
-    /// An attempt timed out or was cancelled: it took at least `latency`.
+    /// Handles an attempt that timed out or was cancelled, and so took at least `latency`.
     pub(super) fn on_unfinished(&mut self, member: MemberId, class: ClassId, latency: Micros) {
         let taken = latency.as_f64();
         let objective = self.latency_objective(class);
@@ -132,7 +133,7 @@
         concurrency.pace_after(now, taken.min(objective));
     }
 
-    /// A member rejected an attempt for want of capacity, or answered a read with an error.
+    /// Handles a rejection for lack of capacity or a failed read.
     pub(super) fn pace_after_error(&mut self, member: MemberId) {
         self.reduce_limit(member);
         if let Some(member) = self.members.get_mut(&member) {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Reduces a member's limit below what is in flight, unless that was done just now.
+    /// Reduces a member's limit below the attempts in flight, unless it was reduced within `REDUCE_INTERVAL_MIN`.
     pub(super) fn reduce_limit(&mut self, member: MemberId) {
         let limit_min = self.fleet_divisor.share_of(FLEET_LIMIT_MIN).min(1.0);
         let now = self.now;
--- a/crates/decisions/src/policy/connection_failure.rs
+++ b/crates/decisions/src/policy/connection_failure.rs
@@ -1,25 +1,25 @@
-//! What a failed connection says: a member that is gone, a member out of connections, or one connection that broke.
+//! Handles connection failures: the member is unreachable, is out of connections, or a single connection broke.
 
 use super::member_health::Ejection;
 use super::router::Router;
 use super::{RECENT_RESPONSE, TICK};
 use crate::api::{Action, MemberId, Micros, Time};
 
-/// After more failures in a row than this a member counts as unreachable, however lately it responded.
+/// After more consecutive failures than this a member counts as unreachable, however recently it responded.
 const CONSECUTIVE_FAILURES_MAX: u32 = 5;
-/// A health check is not repeated sooner after a failed connection.
+/// Minimum time between health checks that follow a failed connection.
 const HEALTH_CHECK_INTERVAL_MIN: Micros = Micros::from_millis(200);
 /// Weight of one more connection in the cost of connecting.
 const CONNECTION_SMOOTHING: f64 = 0.1;
-/// A failed connection counts as so many mean latencies; one that is established counts no more.
+/// Cost of a failed connection, and the maximum for an established one, in mean latencies.
 const CONNECTION_COST_MAX: f64 = 5.0;
 
-/// What establishing a connection costs, and whether members are short of connections.
+/// The cost of establishing a connection, and whether members are short of connections.
 #[derive(Default)]
 pub(super) struct ConnectionCost {
-    /// In mean latencies of an attempt, smoothed.
+    /// Cost in mean latencies of an attempt, smoothed.
     mean_latencies: f64,
-    /// Members are short of connections until then.
+    /// Until when members count as short of connections.
     shortage_until: Time,
 }
 
@@ -29,7 +29,7 @@
         1.0 + self.mean_latencies
     }
 
-    /// An attempt that needed a new connection took this many mean latencies longer.
+    /// Records an attempt that took this many mean latencies longer because it needed a new connection.
     pub(super) fn record_connected(&mut self, extra: f64) {
         self.record(extra.clamp(0.0, CONNECTION_COST_MAX));
     }
@@ -42,15 +42,16 @@
         self.mean_latencies += CONNECTION_SMOOTHING * (cost - self.mean_latencies);
     }
 
-    /// Whether idle connections are given back.
+    /// Whether members are short of connections, so that idle ones are to be closed.
     pub(super) fn has_shortage(&self, now: Time) -> bool {
         now < self.shortage_until
     }
 }
 
 impl Router {
-    /// A connection failed after `taken`. A member that has not responded lately is unreachable. One that has is out of
-    /// connections: it is paced, and idle ones are given back. The price: one that has just died is tried again.
+    /// Handles a connection that failed after `taken`. A member that has not responded recently counts as
+    /// unreachable. One that has is assumed to be out of connections: it is paced, and repeated refusals make the
+    /// router close idle connections. The price: a member that has just gone down is tried again.
     pub(super) fn on_connect_failed(&mut self, id: MemberId, taken: Micros, out: &mut Vec<Action>) {
         let jitter = 0.5 + self.rng.get_mut().f64();
         let Some(member) = self.members.get_mut(&id) else { return };
@@ -58,7 +59,7 @@
         member.connections.consecutive_failures += 1;
         self.connection_cost.record_failed();
         let failures = member.connections.consecutive_failures;
-        // Rejected at once, not timed out in a slow handshake.
+        // Refused, as opposed to timed out in a slow handshake.
         let was_refused = taken.0 < self.settings.limits.connect_timeout.0 / 2;
         let has_responded_recently = self.now <= member.last_response_or_report() + RECENT_RESPONSE;
         if failures > CONSECUTIVE_FAILURES_MAX || !has_responded_recently {
@@ -67,7 +68,7 @@
         let pause = Micros::from_f64((TICK.0 << failures) as f64 * jitter);
         member.concurrency.paced_until = self.now + pause;
         let is_check_due = self.now > member.health_check.last_sent + HEALTH_CHECK_INTERVAL_MIN;
-        // A single failure is a connection that broke.
+        // A single failure is one broken connection, not a shortage.
         if failures > 1 && was_refused {
             self.connection_cost.shortage_until = self.now + RECENT_RESPONSE;
         }
--- a/crates/decisions/src/policy/cost_budget.rs
+++ b/crates/decisions/src/policy/cost_budget.rs
@@ -1,21 +1,21 @@
-//! Budgets for health checks and gossip: each request pays in a fraction of the site's result, each action takes its
-//! cost out.
+//! Budgets for health checks and gossip: each request adds a fraction of the site's objective, each action withdraws
+//! its cost.
 
 use super::fleet_divisor::FleetDivisor;
 use crate::api::Costs;
 
-/// The part of the result that health checks in the background may cost.
+/// Fraction of the site's objective that background health checks may cost.
 const HEALTH_CHECK_SPEND_PER_REQUEST: f64 = 0.004;
-/// The most health checks that are saved up, by one router and by the fleet.
+/// Maximum number of health checks saved up, for one router and for the fleet.
 const HEALTH_CHECK_BUDGET_MAX: f64 = 20.0;
 const FLEET_HEALTH_CHECK_BUDGET_MAX: f64 = 60.0;
-/// The part of the result that gossip may cost, and the most messages that are saved up.
+/// Fraction of the site's objective that gossip may cost, and the maximum number of messages saved up.
 const GOSSIP_SPEND_PER_REQUEST: f64 = 0.015;
 const GOSSIP_BUDGET_MAX: f64 = 1_000.0;
-/// Where an action costs nothing, it is accounted with this cost.
+/// Minimum cost of an action, for sites where it costs nothing.
 const COST_MIN: f64 = 1e-6;
 
-/// Actions that may be taken now, saved up from the requests that arrived.
+/// Number of actions that may be taken now, saved up from the requests that arrived.
 #[derive(Default)]
 pub(super) struct CostBudget {
     balance: f64,
@@ -26,7 +26,7 @@
         self.balance = (self.balance + spend / cost.max(COST_MIN)).min(balance_max);
     }
 
-    /// Takes out `actions` if so many are saved up.
+    /// Withdraws `actions` if the balance covers them.
     pub(super) fn try_spend(&mut self, actions: f64) -> bool {
         let is_affordable = self.balance >= actions;
         if is_affordable {
@@ -50,7 +50,7 @@
 }
 
 impl CostBudgets {
-    /// A request arrived.
+    /// Adds the budget that an arriving request brings.
     pub(super) fn accrue_for_request(&mut self, costs: &Costs, fleet_divisor: FleetDivisor) {
         let balance_max =
             fleet_divisor.share_of(FLEET_HEALTH_CHECK_BUDGET_MAX).clamp(1.0, HEALTH_CHECK_BUDGET_MAX);
--- a/crates/decisions/src/policy/deadline.rs
+++ b/crates/decisions/src/policy/deadline.rs
@@ -1,23 +1,24 @@
-//! Admission by deadline: whether an answer can still be worth something to the client, and when a request must go now
-//! or not at all.
+//! Admission by deadline: whether an answer can still be useful to the client, and when a request must be sent now or
+//! not at all.
 //!
-//! Inputs are the request's times, the mean latency of its class, and whether its primary is there.
+//! Decided from the request's times, the mean latency of its class, and whether its primary is available.
 
 use super::ANSWER_MARGIN;
 use super::request::QueuedRequest;
 use super::router::Router;
 use crate::api::{Action, ClassId, Micros, RequestId};
 
-/// A request is short of time with less left than so many mean latencies, or than this part of its objective if that is
-/// less: in a slow time, the clients that give up must be noticed too.
+/// A request is short of time when less than this many mean latencies remain, or less than this fraction of its
+/// objective if that is shorter. The second bound admits new requests while latencies are high, so that clients that
+/// give up are still observed.
 const SHORT_OF_TIME_MEANS: f64 = 2.0;
 const SHORT_OF_TIME_OBJECTIVE_FRACTION: f64 = 0.7;
-/// An answer can come within this part of its mean latency.
+/// Fraction of the mean latency in which the fastest answers arrive.
 const FASTEST_ANSWER_MEAN_FRACTION: f64 = 0.3;
 
 impl Router {
-    /// Whether too little time is left for a good chance, and the wait for a replica is over: the request goes now to a
-    /// member with capacity to spare, or is given up.
+    /// Whether the wait for a replica is over and too little time remains for a good chance, in a class without
+    /// weight for late answers: the request is sent now, to a member with spare capacity, or is given up.
     pub(super) fn is_short_of_time(&self, request: &QueuedRequest) -> bool {
         let lead_by_mean = self.latencies.mean(request.class) * SHORT_OF_TIME_MEANS;
         let objective = request.objective_at - request.arrived;
@@ -28,7 +29,7 @@
         (is_late || request.is_past_objective) && is_late_worthless
     }
 
-    /// Whether an answer can still be worth something to the client.
+    /// Whether an answer can still be useful to the client.
     pub(super) fn can_still_succeed(&self, request: &QueuedRequest) -> bool {
         let fastest_answer =
             Micros::from_f64(self.latencies.mean(request.class) * FASTEST_ANSWER_MEAN_FRACTION);
@@ -39,8 +40,9 @@
         is_in_time && !self.has_no_primary_past_half_time(request) && self.may_repeat(request)
     }
 
-    /// A request that reached no member while its primary is away or warming up is given up at half its time, so that
-    /// its client can come back. The price: an election may end just after.
+    /// Whether half of the request's time has passed, it has reached no member, and its primary is unavailable or
+    /// warming up. Such a request is given up so that its client can retry. The price: an election may end just
+    /// after.
     fn has_no_primary_past_half_time(&self, request: &QueuedRequest) -> bool {
         let half_time = request.arrived.0.midpoint(request.deadline.0);
         let is_past_half = (self.now + ANSWER_MARGIN + ANSWER_MARGIN).0 >= half_time;
@@ -49,14 +51,14 @@
         is_past_half && !request.has_reached_member && is_primary_away
     }
 
-    /// The time in which an answer earns its full weight, in microseconds: the class's latency objective, or less where
-    /// clients are seen to leave earlier.
+    /// The time in which an answer earns its full weight, in microseconds: the class's latency objective, or less
+    /// where clients leave earlier.
     pub(super) fn latency_objective(&self, class: ClassId) -> f64 {
         self.latencies.effective_objective(class, self.class(class).latency_objective)
     }
 
-    /// A client left. One that leaves before its deadline shows how long clients of its class wait. The price: a few
-    /// hasty clients hurry all.
+    /// Handles a client that left. Leaving before the deadline shows how long the clients of its class wait. The
+    /// price: a few impatient clients shorten the objective for all.
     pub(super) fn on_client_gone(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if let Some(request) = self.requests.get(&id)
             && self.now + ANSWER_MARGIN < request.deadline
--- a/crates/decisions/src/policy/dispatch.rs
+++ b/crates/decisions/src/policy/dispatch.rs
@@ -1,6 +1,6 @@
-//! Which member an attempt goes to, by what the request needs; and the send itself.
+//! Selects the member for an attempt, and sends it.
 //!
-//! Writes and fresh reads go to the primary, other reads to a replica, and to the primary once they have waited.
+//! Writes and fresh reads go to the primary. Other reads go to a replica, or to the primary after a wait.
 
 use super::member::SentAttempt;
 use super::request::{InFlightAttempt, QueuedRequest};
@@ -8,7 +8,7 @@
 use crate::api::{Action, ClassId, MemberId, ReadLevel, RequestId};
 
 impl Router {
-    /// Whether the primary is the first choice for a class.
+    /// Whether requests of a class go to the primary first.
     pub(super) fn prefers_primary(&self, class: ClassId) -> bool {
         matches!(self.class(class).read_level, ReadLevel::Write | ReadLevel::Fresh)
     }
@@ -22,7 +22,7 @@
         }
     }
 
-    /// A primary that was silent or away gets one write at a time, to show whether it is back.
+    /// An ejected primary receives one write at a time, as a trial.
     fn select_for_write(&self, request: &QueuedRequest) -> Option<MemberId> {
         let group = self.groups.get(&request.group)?;
         let primary = group.primary.filter(|primary| {
@@ -33,7 +33,8 @@
         primary.or_else(|| self.primary_candidate_for_write(request, group))
     }
 
-    /// Without a primary, a replica that has applied everything up to the read's arrival sees as much.
+    /// Without a confirmed primary, a replica that has applied everything committed before the read's arrival may
+    /// serve it.
     fn select_for_fresh_read(&self, request: &QueuedRequest) -> Option<MemberId> {
         match self.confirmed_primary(request.group) {
             Some(primary) => self.has_capacity_at(request, primary).then_some(primary),
@@ -48,7 +49,7 @@
         if let Some(primary) = self.select_primary_fallback(request) {
             return Some(primary);
         }
-        // If every member is ejected, a wrong view is more likely than a dead group.
+        // If all members are ejected, a false detection is more likely than the loss of the whole group.
         let group = self.groups.get(&request.group)?;
         let is_healthy = |id: &MemberId| self.members.get(id).is_some_and(|member| member.is_healthy());
         let has_waited = self.now >= request.primary_fallback_at;
@@ -56,8 +57,8 @@
         if may_use_ejected { self.select_replica(request, false) } else { None }
     }
 
-    /// The primary, for a read that no replica serves. Reads get only the capacity that writes and fresh reads leave
-    /// there, or waits that expire together would end in one wave.
+    /// The primary, for a read that no replica can serve; only while no write or fresh read is queued for it.
+    /// Otherwise waits that expire together would reach the primary in one burst.
     fn select_primary_fallback(&self, request: &QueuedRequest) -> Option<MemberId> {
         let group = self.groups.get(&request.group)?;
         let has_waited = self.now >= request.primary_fallback_at || self.no_replica_can_catch_up(request);
@@ -67,7 +68,7 @@
         self.confirmed_primary(request.group).filter(|primary| self.has_capacity_at(request, *primary))
     }
 
-    /// Whether no replica will reach the read's position within its wait: the wait would buy nothing.
+    /// Whether no replica is expected to reach the read's position before the wait ends, so that waiting has no use.
     fn no_replica_can_catch_up(&self, request: &QueuedRequest) -> bool {
         let target = self.target_position(request);
         let Some(group) = self.groups.get(&request.group) else { return false };
@@ -76,7 +77,7 @@
             .all(|(_, replica)| !replica.is_healthy() || self.is_lagging(replica, target, wait))
     }
 
-    /// Starts the next attempt of a request.
+    /// Sends the next attempt of a request, and records it at the request and the member.
     pub(super) fn send(&mut self, id: RequestId, member: MemberId, out: &mut Vec<Action>) {
         let Some(class) = self.requests.get(&id).map(|request| request.class) else { return };
         if self.members.get(&member).is_some_and(|member| member.slow_start.warming_since.is_some()) {
--- a/crates/decisions/src/policy/fleet_divisor.rs
+++ b/crates/decisions/src/policy/fleet_divisor.rs
@@ -1,23 +1,23 @@
-//! By how much this router divides what all routers together may do to a member, since each sees only its own part.
+//! Divides fleet-wide limits at a member among routers, since each router sees only its own attempts.
 
-/// The divisors of one router.
+/// Divisors that give one router's share of fleet-wide limits.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FleetDivisor {
-    /// For concurrency limits and whatever else must not stop a router that nothing was granted yet.
+    /// For concurrency limits and other limits that must not stop a router without a granted share.
     limits: f64,
-    /// For what a member in slow start bears.
+    /// For the load on members in slow start.
     slow_start: f64,
 }
 
 impl FleetDivisor {
-    /// Every router of the fleet counts alike.
+    /// Equal shares for all routers of the fleet.
     pub(super) fn from_fleet_size(fleet_size: u32) -> FleetDivisor {
         let routers = f64::from(fleet_size.max(1));
         FleetDivisor { limits: routers, slow_start: routers }
     }
 
-    /// The fleet has agreed on this router's part, from 0 to 1. Without a part, limits go by the fleet's size and members
-    /// in slow start get nothing.
+    /// The share that the fleet has granted to this router, from 0 to 1. Without a share, limits are divided by the
+    /// fleet's size and members in slow start get nothing.
     pub(super) fn from_quota_share(share: f64, fleet_size: u32) -> FleetDivisor {
         if share > 0.0 {
             return FleetDivisor { limits: 1.0 / share, slow_start: 1.0 / share };
@@ -25,12 +25,12 @@
         FleetDivisor { slow_start: f64::INFINITY, ..FleetDivisor::from_fleet_size(fleet_size) }
     }
 
-    /// This router's part of what all together may do.
+    /// This router's share of a fleet-wide limit.
     pub(super) fn share_of(self, total: f64) -> f64 {
         total / self.limits
     }
 
-    /// This router's part of what all together may send to a member in slow start.
+    /// This router's share of what the whole fleet may send to a member in slow start.
     pub(super) fn slow_start_share_of(self, total: f64) -> f64 {
         total / self.slow_start
     }
--- a/crates/decisions/src/policy/gossip.rs
+++ b/crates/decisions/src/policy/gossip.rs
@@ -1,16 +1,17 @@
-//! Positions that routers send each other: each of many routers alone learns too little to know which member is fresh.
+//! Positions that routers send each other: one router of a large fleet receives too few reports to know which members
+//! are fresh.
 //!
-//! A gossiped position is a lower bound, so that a late or lost message does no harm.
+//! A gossiped position is a lower bound, so a late or lost message does no harm.
 
 use super::primary_tracking::RoleReport;
 use super::router::Router;
 use crate::api::{Action, GroupId, LogPosition, MemberId, Micros, Role};
 
-/// A position is sent again once it has moved on by this.
+/// Minimum advance of a position before it is gossiped again.
 const GOSSIP_STEP: Micros = Micros::from_millis(100);
 
 impl Router {
-    /// Sends a member's position to all other routers, if it has moved on since any of them sent it.
+    /// Sends a member's position to all other routers, if it has advanced by `GOSSIP_STEP` since any of them sent it.
     pub(super) fn gossip_position(&mut self, id: MemberId, out: &mut Vec<Action>) {
         let receivers = f64::from(self.settings.fleet_size.saturating_sub(1));
         let Some(member) = self.members.get_mut(&id) else { return };
@@ -25,7 +26,8 @@
         }
     }
 
-    /// Another router sent a position. It counts like an old report, of known members only; one in the future is wrong.
+    /// Handles a position from another router. It counts like an old report, for known members only; one in the
+    /// future is ignored.
     pub(super) fn on_gossip(
         &mut self, id: MemberId, position: LogPosition, is_primary: bool, out: &mut Vec<Action>,
     ) {
--- a/crates/decisions/src/policy/group.rs
+++ b/crates/decisions/src/policy/group.rs
@@ -1,4 +1,4 @@
-//! The record of a group: its members, its primary, its queue, and the commits that its sessions must see.
+//! State of a group: its members, its primary, its queue, and the commits that its sessions must see.
 
 use crate::api::{LogPosition, MemberId, RequestId, SessionKey, Time};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,21 +9,21 @@
     pub(super) members: BTreeSet<MemberId>,
     /// Requests that wait for a member.
     pub(super) queued: BTreeSet<RequestId>,
-    /// How many of them only the primary can serve.
+    /// How many of the queued requests go to the primary first.
     pub(super) queued_for_primary: usize,
     pub(super) session_commits: SessionCommits,
     pub(super) primary: Option<MemberId>,
-    /// Members are not asked who is primary before then.
+    /// Earliest time of the next search for a primary.
     pub(super) next_primary_search: Time,
 }
 
 impl Group {
-    /// Whether it has members, queued requests, or sessions: a group that was only named has none.
+    /// Whether the group has members, queued requests or sessions. A group that a request merely named has none.
     pub(super) fn is_used(&self) -> bool {
         !(self.members.is_empty() && self.queued.is_empty() && self.session_commits.is_empty())
     }
 
-    /// Takes a request out of the queue.
+    /// Removes a request from the queue.
     pub(super) fn dequeue(&mut self, id: &RequestId) {
         self.queued.remove(id);
         if self.queued.is_empty() {
@@ -32,17 +32,17 @@
     }
 }
 
-/// Commits of answered writes by session, in bounded memory.
+/// Last commits of answered writes by session, in bounded memory.
 #[derive(Default)]
 pub(super) struct SessionCommits {
     by_session: BTreeMap<SessionKey, LogPosition>,
     by_commit: BTreeSet<(LogPosition, SessionKey)>,
-    /// The newest commit that was dropped: a session that is not kept must see at least this.
+    /// The newest commit that was dropped: a session whose commit is not kept must see at least this.
     watermark: LogPosition,
 }
 
 impl SessionCommits {
-    /// Records a commit, unless a newer one of the session is known.
+    /// Records a commit, unless a newer one is recorded for the session.
     pub(super) fn record(&mut self, session: SessionKey, commit: LogPosition) {
         let known = self.by_session.get(&session).copied().unwrap_or_default();
         if known < commit {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Drops the sessions with the oldest commits, as far as there are more than `sessions_max`.
+    /// Drops the sessions with the oldest commits until at most `sessions_max` remain.
     pub(super) fn shrink_to(&mut self, sessions_max: usize) {
         while self.by_session.len() > sessions_max
             && let Some((commit, dropped)) = self.by_commit.pop_first()
@@ -62,13 +62,13 @@
         }
     }
 
-    /// The newest commit that the session must see; zero when there is none.
+    /// The newest commit that the session must see; zero if there is none.
     pub(super) fn commit_of(&self, session: Option<SessionKey>) -> LogPosition {
         let known = session.and_then(|session| self.by_session.get(&session).copied());
         known.unwrap_or_default().max(self.watermark)
     }
 
-    /// Sessions kept.
+    /// Number of sessions whose commit is kept.
     pub(super) fn session_count(&self) -> usize {
         self.by_session.len()
     }
--- a/crates/decisions/src/policy/health_checks.rs
+++ b/crates/decisions/src/policy/health_checks.rs
@@ -1,6 +1,6 @@
-//! Health checks: when a member is asked for its load report, and what the answer says.
+//! Health checks: when a member is asked for its load report, and how the result is applied.
 //!
-//! Checks of members in ordinary use are paid from a budget. Nothing is asked of a member that drains or is gone.
+//! Checks of healthy members are paid from a budget. Members that drain or are gone are not checked.
 
 use super::member_health::{Ejection, Response};
 use super::primary_tracking::RoleReport;
@@ -8,11 +8,11 @@
 use super::{POSITION_ROUNDING, REPORT_DELAY_MAX, concurrency_limit};
 use crate::api::{Action, LoadReport, MemberId, Micros, Outcome};
 
-/// A member in ordinary use is not asked again sooner after its last report or check.
+/// Minimum time since the last report or check of a healthy member before it is checked again.
 const HEALTH_CHECK_INTERVAL_MIN: Micros = Micros::from_millis(200);
 
 impl Router {
-    /// Asks a member for its report, if that is allowed and none is on its way.
+    /// Sends a health check, if that is allowed and none is in flight.
     pub(super) fn check_health(&mut self, id: MemberId, out: &mut Vec<Action>) {
         let is_allowed = self.settings.limits.health_checks;
         let Some(member) = self.members.get_mut(&id).filter(|member| is_allowed && member.may_be_checked())
@@ -24,7 +24,7 @@
         out.push(Action::CheckHealth { member: id });
     }
 
-    /// Asks a few of the members, drawn at random: hundreds of routers must not each ask every member.
+    /// Sends health checks to a random sample: the routers of a large fleet must not each check every member.
     pub(super) fn check_health_of_sample(&mut self, mut ids: Vec<MemberId>, out: &mut Vec<Action>) {
         self.rng.get_mut().shuffle(&mut ids);
         let at_once = concurrency_limit::health_checks_at_once(self.fleet_divisor);
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Asks a member whose trial is due, or a healthy one of which nothing was learned lately.
+    /// Checks an ejected member whose trial is due, or a healthy one without a recent report or check.
     pub(super) fn check_health_if_due(&mut self, id: MemberId, out: &mut Vec<Action>) {
         let now = self.now;
         let is_allowed = self.settings.limits.health_checks;
@@ -60,7 +60,7 @@
         match outcome {
             Outcome::Ok => self.on_health_check_passed(id, report, out),
             Outcome::QueueFull | Outcome::NotSent | Outcome::Cancelled | Outcome::MalformedReply => {}
-            // A connection that broke, kept or new, says less than what the member has just answered.
+            // A broken connection, whether reused or new, is weaker evidence than the member's recent response.
             Outcome::Reset if self.has_responded_recently(id) => {}
             Outcome::ConnectError if self.has_responded_recently(id) => {
                 if let Some(member) = self.members.get_mut(&id) {
@@ -80,7 +80,8 @@
         self.record_response(id, Response::Reachable);
         let position = report.position.map(|position| position.saturating_sub(POSITION_ROUNDING));
         let oldest = self.now.saturating_sub(REPORT_DELAY_MAX);
-        // The position of a primary is the time of its report; that of a replica does not tell the report's age.
+        // A primary's position is the time of its report. That of a replica may lag and does not show the report's
+        // age.
         let primary_as_of = position.map_or(oldest, |position| position.as_time()).min(self.now);
         let role = RoleReport { role: report.role, primary_as_of, replica_as_of: oldest };
         self.record_report(id, position, role);
--- a/crates/decisions/src/policy/hedging.rs
+++ b/crates/decisions/src/policy/hedging.rs
@@ -1,31 +1,31 @@
-//! What becomes of an attempt that is far later than usual: a second attempt beside it where that is allowed and within
-//! budget; otherwise it is cancelled and the request sent anew.
+//! Handles attempts that take far longer than expected: sends a hedged request where that is allowed and within
+//! budget; otherwise cancels the attempt, and the request is sent again.
 //!
-//! The more attempts stay unanswered, the sooner one is cancelled: answers are lost, or members hang. The price is that
-//! long work is begun twice. A request that may not run twice is left alone.
+//! The more attempts remain unanswered (lost answers or hung members), the earlier an attempt is cancelled, at the
+//! price of starting long work twice. Requests that are not idempotent are left alone.
 
 use super::request::{InFlightAttempt, QueuedRequest};
 use super::router::Router;
 use crate::api::{Action, Idempotency, MemberId, Micros, RequestId, Time};
 
-/// Hedged requests that each request pays for, and the most that are saved up.
+/// Budget for hedged requests that each request adds, and the maximum that is saved up.
 const HEDGES_PER_REQUEST: f64 = 0.05;
 const HEDGE_BUDGET_MAX: f64 = 10.0;
-/// An attempt is hedged after so many of its usual latencies.
+/// An attempt is hedged after this many expected latencies.
 const HEDGE_AFTER_LATENCIES: f64 = 3.0;
-/// An attempt is cancelled after so many of its usual latencies while none stay unanswered ...
+/// An attempt is cancelled after this many expected latencies while no attempts remain unanswered ...
 const CANCEL_AFTER_LATENCIES_MAX: f64 = 10.0;
-/// ... and after so many while this part of them, or more, stays unanswered.
+/// ... falling linearly to this many once the fraction of unanswered attempts reaches the ratio below.
 const CANCEL_AFTER_LATENCIES_MIN: f64 = 4.0;
 const UNANSWERED_RATIO_HIGH: f64 = 0.15;
-/// Weight of one more attempt in the part that stays unanswered.
+/// Weight of one more attempt in the fraction of unanswered attempts.
 const UNANSWERED_SMOOTHING: f64 = 0.05;
-/// A new attempt is useful if this part of its mean latency is left.
+/// A new attempt is useful only if this fraction of its mean latency remains.
 const USEFUL_MEAN_FRACTION: f64 = 0.7;
-/// The usual latency of a primary is so many means of its class: there is no other member to go to.
+/// Expected latency of a primary, in means of its class: above 1, since there is no other member to try.
 const PRIMARY_EXPECTED_MEANS: f64 = 2.0;
 
-/// The budget for hedged requests, and the part of attempts that stays unanswered.
+/// The budget for hedged requests, and the fraction of attempts that remain unanswered.
 #[derive(Default)]
 pub(super) struct HedgeBudget {
     balance: f64,
@@ -33,12 +33,12 @@
 }
 
 impl HedgeBudget {
-    /// A request arrived.
+    /// Adds the budget that an arriving request brings.
     pub(super) fn accrue_for_request(&mut self) {
         self.balance = (self.balance + HEDGES_PER_REQUEST).min(HEDGE_BUDGET_MAX);
     }
 
-    /// An attempt ended with an answer, or without one.
+    /// Records whether an ended attempt remained unanswered.
     pub(super) fn record_attempt(&mut self, is_unanswered: bool) {
         let observed = f64::from(u8::from(is_unanswered));
         self.unanswered_ratio += UNANSWERED_SMOOTHING * (observed - self.unanswered_ratio);
@@ -48,7 +48,7 @@
         self.balance >= 1.0
     }
 
-    /// Usual latencies after which an attempt is cancelled.
+    /// Number of expected latencies after which an attempt is cancelled.
     fn cancel_after(&self) -> f64 {
         let range = CANCEL_AFTER_LATENCIES_MAX - CANCEL_AFTER_LATENCIES_MIN;
         (CANCEL_AFTER_LATENCIES_MAX - range * self.unanswered_ratio / UNANSWERED_RATIO_HIGH)
@@ -56,13 +56,13 @@
     }
 }
 
-/// Whether the member has answered something that was sent after three quarters of the time since `sent`.
+/// Whether the member has answered an attempt sent in the last quarter of the time waited since `sent`.
 pub(super) fn has_answered_later_send(last_answered_send: Time, sent: Time, waited: Micros) -> bool {
     last_answered_send > sent + Micros(waited.0 * 3 / 4)
 }
 
 impl Router {
-    /// Hedges, or cancels, the attempts that are far later than usual.
+    /// Hedges or cancels the attempts that take far longer than expected.
     pub(super) fn hedge_or_cancel_late_attempts(&mut self, out: &mut Vec<Action>) {
         let cancel_after = self.hedging.cancel_after();
         let act_after = HEDGE_AFTER_LATENCIES.min(cancel_after);
@@ -97,7 +97,7 @@
         out.push(Action::Cancel { id, attempt: attempt.number });
     }
 
-    /// For how many of its usual latencies the only attempt of a request has been in flight; `None` if another attempt is
+    /// Number of expected latencies that a request's only attempt has been in flight; `None` if another attempt is
     /// not allowed or would not help.
     fn expected_latencies_waited(&self, request: &QueuedRequest) -> Option<f64> {
         let attempt = request.sole_attempt()?;
@@ -121,7 +121,8 @@
         self.is_new_attempt_useful(request, mean).then(|| (self.now - attempt.sent).as_f64() / mean)
     }
 
-    /// A primary that answers what was sent far later is not slow: this answer is lost. Otherwise the attempt stays.
+    /// If the primary has answered a much later attempt, this answer is lost rather than slow. Otherwise the attempt
+    /// is kept.
     fn expected_latencies_waited_at_primary(
         &self, request: &QueuedRequest, attempt: &InFlightAttempt,
     ) -> Option<f64> {
@@ -133,7 +134,7 @@
         is_useful.then(|| waited.as_f64() / (mean * PRIMARY_EXPECTED_MEANS))
     }
 
-    /// Whether an attempt begun now can still be answered in time.
+    /// Whether an attempt sent now can still be answered in time.
     fn is_new_attempt_useful(&self, request: &QueuedRequest, mean: f64) -> bool {
         let is_late_answer_useful = self.class(request.class).late_weight > 0.0;
         let latest = if is_late_answer_useful { request.deadline } else { request.objective_at };
--- a/crates/decisions/src/policy/member.rs
+++ b/crates/decisions/src/policy/member.rs
@@ -1,11 +1,11 @@
-//! The record of a member. Plain data in the parts that the modules beside it decide on.
+//! State of a member. Plain data; each part belongs to one of the other modules.
 
 use crate::api::{ClassId, GroupId, LogPosition, MemberId, MemberState, RequestId, SessionKey, Time, ZoneId};
 use crate::outlier_recovery::EjectedMember;
 use crate::zone_health;
 use std::collections::BTreeMap;
 
-/// A latency ratio below 1 or over this does not change what is usual for a member.
+/// Upper bound of the latency ratio in a member's expected latency; ratios below 1 count as 1.
 const EXPECTED_LATENCY_RATIO_MAX: f64 = 4.0;
 
 /// An attempt in flight at a member.
@@ -16,18 +16,18 @@
     pub(super) session: Option<SessionKey>,
 }
 
-/// What slow start knows of a member.
+/// Slow-start state of a member.
 pub(super) struct SlowStart {
-    /// It has been warming up since then; `None` once it is warm.
+    /// When warm-up began; `None` once the member is warm.
     pub(super) warming_since: Option<Time>,
-    /// This router's next send; `None` until one is scheduled.
+    /// When this router may send its next request; `None` until one is scheduled.
     pub(super) next_send: Option<Time>,
-    /// How much faster than others it is given requests, by the utilisation it reports.
+    /// Factor on the rate of sends, by the utilisation that the member reports.
     pub(super) rate_multiplier: f64,
 }
 
 impl SlowStart {
-    /// Warming up since then, or warm, with nothing scheduled.
+    /// Warming up since that time, or warm, with no send scheduled.
     pub(super) fn new(warming_since: Option<Time>) -> SlowStart {
         SlowStart { warming_since, next_send: None, rate_multiplier: 1.0 }
     }
@@ -36,55 +36,55 @@
 /// How far a member has applied the log of its group.
 #[derive(Default)]
 pub(super) struct ReplicationState {
-    /// The furthest position that is known to be applied.
+    /// Highest position that is known to be applied.
     pub(super) position: LogPosition,
-    /// When a position was last learned.
+    /// When a position was last received.
     pub(super) reported: Time,
-    /// The furthest position that any router has gossiped.
+    /// Highest position that any router has gossiped.
     pub(super) gossiped: LogPosition,
-    /// The position for which it last rejected a read, and when.
+    /// Position for which the member last rejected a read, and when.
     pub(super) lagging_position: LogPosition,
     pub(super) lagging_at: Time,
 }
 
-/// What speaks for a member as its group's primary.
+/// Evidence of a member's role in its group.
 #[derive(Default)]
 pub(super) struct RoleEvidence {
-    /// It was primary then, by the newest evidence; zero without any.
+    /// Latest time at which the member is known to have been primary; zero without evidence.
     pub(super) primary_at: Time,
-    /// It was a replica then; zero without evidence.
+    /// Latest time at which the member is known to have been a replica; zero without evidence.
     pub(super) replica_at: Time,
-    /// The role that came with its last answer was primary.
+    /// Whether the last answer that carried a role reported the member as primary.
     pub(super) is_confirmed_primary: bool,
 }
 
 impl RoleEvidence {
-    /// Whether the newest evidence says that it is primary.
+    /// Whether the newest evidence shows the member as primary.
     pub(super) fn claims_primary(&self) -> bool {
         self.primary_at > self.replica_at
     }
 }
 
-/// What limits the attempts in flight at a member.
+/// Limits on the attempts in flight at a member.
 pub(super) struct ConcurrencyLimit {
-    /// Attempts that this router may have in flight there.
+    /// Attempts that this router may have in flight there; may be less than 1.
     pub(super) limit: f64,
-    /// The limit was last reduced then.
+    /// When the limit was last reduced.
     pub(super) reduced: Time,
-    /// Nothing is sent before then.
+    /// Nothing is sent before this time.
     pub(super) paced_until: Time,
-    /// Latency in class means, smoothed.
+    /// Latency in means of the class, smoothed.
     pub(super) latency_ratio: f64,
-    /// Latency as a part of the latency objective, smoothed.
+    /// Latency as a fraction of the latency objective, smoothed.
     pub(super) overload_pressure: f64,
-    /// Share of its processors that it reports in use, smoothed; `None` where it does not report.
+    /// Fraction of the processors that the member reports in use, smoothed; `None` if it does not report any.
     pub(super) cpu_utilisation: Option<f64>,
-    /// An attempt was last served then.
+    /// When an attempt was last served.
     pub(super) last_served: Time,
 }
 
 impl ConcurrencyLimit {
-    /// Nothing is known yet but the first limit.
+    /// The state before any answer.
     pub(super) fn new(limit: f64) -> ConcurrencyLimit {
         ConcurrencyLimit {
             limit,
@@ -98,30 +98,30 @@
     }
 }
 
-/// The connections to a member.
+/// Connections to a member.
 #[derive(Default)]
 pub(super) struct Connections {
-    /// When one was last known to be established; `None` while there is none.
+    /// When a connection was last known to be established; `None` while there is none.
     pub(super) last_connected: Option<Time>,
-    /// Failures to connect in a row.
+    /// Consecutive failures to connect.
     pub(super) consecutive_failures: u32,
 }
 
-/// Health checks of a member.
+/// Health-check state of a member.
 #[derive(Default)]
 pub(super) struct HealthCheck {
     pub(super) is_in_flight: bool,
     pub(super) last_sent: Time,
 }
 
-/// A member, listed or of late.
+/// A member that is listed now or was listed recently.
 pub(super) struct Member {
     pub(super) zone: Option<ZoneId>,
     pub(super) group: Option<GroupId>,
     pub(super) listed_state: MemberState,
-    /// When its process started; zero if that is long ago.
+    /// When the member's process started; zero if that is long ago.
     pub(super) started: Time,
-    /// It is missing from the list since then.
+    /// When the member was first missing from the list; `None` while it is listed.
     pub(super) absent_since: Option<Time>,
     pub(super) slow_start: SlowStart,
     pub(super) replication: ReplicationState,
@@ -130,18 +130,18 @@
     pub(super) connections: Connections,
     pub(super) health_check: HealthCheck,
     pub(super) attempts_in_flight: BTreeMap<(RequestId, u32), SentAttempt>,
-    /// When the latest send that was answered was sent.
+    /// Latest send time among the attempts that were answered.
     pub(super) last_answered_send: Time,
-    /// An attempt was last served then.
+    /// When an attempt was last served, or the primary was readmitted because its group's log advanced.
     pub(super) last_response: Time,
-    /// Answers with an error, in a row.
+    /// Consecutive answers with an error.
     pub(super) consecutive_errors: u32,
-    /// Set while it gets no ordinary requests.
+    /// Set while the member is ejected.
     pub(super) ejected: Option<EjectedMember>,
 }
 
 impl Member {
-    /// A member that was listed for the first time.
+    /// A member that is listed for the first time.
     pub(super) fn new(started: Time, slow_start: SlowStart, initial_limit: f64) -> Member {
         Member {
             zone: None,
@@ -163,33 +163,34 @@
         }
     }
 
-    /// Listed as serving, and not ejected.
+    /// Whether the member is listed as in service and not ejected.
     pub(super) fn is_healthy(&self) -> bool {
         self.listed_state == MemberState::InService && self.ejected.is_none()
     }
 
-    /// Healthy, or ejected and due for one trial request.
+    /// Whether the member is healthy, or ejected and due for one trial request.
     pub(super) fn may_receive_trial(&self) -> bool {
         let is_due = self.ejected.as_ref().is_none_or(|ejected| ejected.trial_ready);
         self.listed_state == MemberState::InService && is_due
     }
 
-    /// A health check is new work, too: none while one is in flight, or the member drains or is gone.
+    /// Whether a health check may be sent. It counts as new work: none while another is in flight, or while the
+    /// member drains or is gone.
     pub(super) fn may_be_checked(&self) -> bool {
         self.listed_state == MemberState::InService && !self.health_check.is_in_flight
     }
 
-    /// When something was last learned from it: an answer or a position.
+    /// When an answer or a position was last received from the member.
     pub(super) fn last_response_or_report(&self) -> Time {
         self.last_response.max(self.replication.reported)
     }
 
-    /// How long it usually takes for a class whose mean is this, in microseconds.
+    /// Expected latency for a class with this mean latency, in microseconds.
     pub(super) fn expected_latency(&self, class_mean: f64) -> f64 {
         class_mean * self.concurrency.latency_ratio.clamp(1.0, EXPECTED_LATENCY_RATIO_MAX)
     }
 
-    /// The attempts in flight here, as the health of its zone is judged by them.
+    /// The attempts in flight here, in the form that the health of the zone is computed from; none without a zone.
     pub(super) fn in_flight(
         &self, id: MemberId, mean: impl Fn(ClassId) -> f64,
     ) -> impl Iterator<Item = zone_health::InFlightAttempt> {
--- a/crates/decisions/src/policy/member_health.rs
+++ b/crates/decisions/src/policy/member_health.rs
@@ -1,7 +1,7 @@
-//! Which members are healthy: responses, silence, errors and lost zones eject a member or bring it back.
+//! Which members are healthy: missing answers, errors and lost zones eject a member, responses readmit it.
 //!
-//! An ejected member gets trials only. A single lost answer or broken connection must not eject a member that has just
-//! responded.
+//! An ejected member receives trial requests only. A single lost answer or broken connection must not eject a member
+//! that has responded recently.
 
 use super::member::Member;
 use super::router::Router;
@@ -9,50 +9,52 @@
 use crate::api::{Action, MemberId, MemberState, Micros, ZoneId};
 use crate::outlier_recovery::EjectedMember;
 
-/// A member is silent without an answer for so many of its usual latencies ...
+/// A member is unresponsive after this many expected latencies without an answer ...
 const UNRESPONSIVE_LATENCIES: f64 = 2.0;
-/// ... and so many more, divided by the attempts in flight there ...
+/// ... plus this many divided by its attempts in flight ...
 const UNRESPONSIVE_LATENCIES_SHARED: f64 = 5.0;
-/// ... but for this long at least, in microseconds.
+/// ... but not before this time, in microseconds.
 const UNRESPONSIVE_MIN_US: f64 = 120_000.0;
-/// Beyond this latency ratio a member that comes back does not keep its figures.
+/// The latency ratio of a readmitted member is capped at this value.
 const READMITTED_LATENCY_RATIO_MAX: f64 = 2.0;
-/// A member counts as restarted only if it was away at least so long.
+/// A recovered member counts as restarted only if it was ejected for longer than this.
 const RESTART_ABSENCE_MIN: Micros = Micros::from_millis(1_000);
-/// With so many failed connections in a row they are a sign, however lately the member responded.
+/// This many consecutive connection failures are significant, however recently the member responded.
 const SIGNIFICANT_CONNECT_FAILURES: u32 = 2;
 
-/// What was seen of a member that is ejected.
+/// The evidence for which a member is ejected.
 #[derive(Clone, Copy)]
 pub(super) struct Ejection {
     is_unreachable: bool,
-    /// Its return will count as a restart.
+    /// Whether the member counts as restarted once it recovers.
     was_restarted: bool,
 }
 
 impl Ejection {
-    /// It takes requests and does not answer them, or answers with errors.
+    /// The member accepts requests and does not answer them, or answers with errors.
     pub(super) const UNRESPONSIVE: Ejection = Ejection { is_unreachable: false, was_restarted: false };
-    /// Its whole zone fell silent.
+    /// No member of its zone responds.
     const ZONE_UNRESPONSIVE: Ejection = Ejection { is_unreachable: false, was_restarted: true };
 
-    /// It can't be reached; nobody listens there if connections are rejected at once.
+    /// The member can't be reached. If the connection was refused, no process listens there, and recovery counts as a
+    /// restart.
     pub(super) fn unreachable(was_refused: bool) -> Ejection {
         Ejection { is_unreachable: true, was_restarted: was_refused }
     }
 }
 
-/// What a member responded to.
+/// What kind of response a member sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Response {
-    /// It served a request.
+    /// The member served a request.
     Served,
-    /// It answered otherwise, or answered a health check: that shows only that its process runs.
+    /// Any other answer, or the answer to a health check: shows only that the process is running.
     Reachable,
 }
 
 impl Router {
-    /// A member responded: it is not silent, and an ejected one may come back.
+    /// Records a response of a member and its zone, and readmits an ejected member where the response suffices for
+    /// that.
     pub(super) fn record_response(&mut self, id: MemberId, response: Response) {
         let now = self.now;
         let slow_start = self.settings.rules.slow_start;
@@ -65,11 +67,12 @@
         }
         let Some(ejected) = &mut member.ejected else { return };
         if response == Response::Reachable && !ejected.unreachable {
-            // The process runs, but it may still not answer: one request tries it.
+            // The process is running, but may still not serve requests: one trial request finds out.
             ejected.trial_ready = true;
             return;
         }
-        // Back before the list tells of a restart: it may have to warm up, but not after it was only cut off.
+        // The list has not reported a restart yet. The member may need slow start, but not if it was only
+        // disconnected.
         let was_restarted = ejected.unreachable && ejected.restarted;
         let was_away_long_enough = now - ejected.since > RESTART_ABSENCE_MIN;
         let is_warm = member.slow_start.warming_since.is_none_or(|since| since + slow_start < now);
@@ -80,7 +83,7 @@
         member.concurrency.latency_ratio = member.concurrency.latency_ratio.min(READMITTED_LATENCY_RATIO_MAX);
     }
 
-    /// Takes a member out of ordinary use, or puts off the next trial of one that is out already.
+    /// Ejects a member, or postpones the next trial of one that is ejected already.
     pub(super) fn eject(&mut self, id: MemberId, ejection: Ejection) {
         let jitter = 0.5 + self.rng.get_mut().f64();
         let now = self.now;
@@ -90,7 +93,7 @@
         ejected.failed(now, ejection.is_unreachable, ejection.was_restarted, jitter);
     }
 
-    /// Whether a member is healthy and responded so lately that a lost connection is no sign of its end.
+    /// Whether a member is healthy and has responded so recently that a lost connection is no evidence against it.
     pub(super) fn has_responded_recently(&self, id: MemberId) -> bool {
         let Some(member) = self.members.get(&id) else { return false };
         let is_recent = self.now <= member.last_response_or_report() + RECENT_RESPONSE;
@@ -98,7 +101,7 @@
         member.ejected.is_none() && has_connected && is_recent
     }
 
-    /// Looks at the members with attempts in flight, and now and then at all.
+    /// Checks the members with attempts in flight, and at each `MEMBER_CHECK_INTERVAL` all members.
     pub(super) fn check_members(&mut self, out: &mut Vec<Action>) {
         let checks_all = self.now >= self.next_member_check;
         if checks_all {
@@ -122,8 +125,8 @@
         self.check_health_if_due(id, out);
     }
 
-    /// Whether a member has taken requests and answers nothing: it hangs, its link is dead, or its zone is lost. This
-    /// shows before the attempts time out.
+    /// Whether a member has attempts in flight and has answered none for too long: it hangs, its link is down, or its
+    /// zone is lost. Detected before the attempts time out.
     fn is_unresponsive(&self, id: MemberId) -> bool {
         let Some(member) = self.members.get(&id).filter(|member| member.ejected.is_none()) else {
             return false;
@@ -137,8 +140,8 @@
         unanswered_for > threshold.max(UNRESPONSIVE_MIN_US)
     }
 
-    /// Ejects the members of zones that have fallen silent: otherwise a lost zone is learned of at the price of a request
-    /// for each member. Kept connections to it would break, so they are closed.
+    /// Ejects the members of unresponsive zones; otherwise the loss of a zone would cost one request per member to
+    /// detect. Idle connections to them are closed, since they would break.
     pub(super) fn eject_unresponsive_zones(&mut self, out: &mut Vec<Action>) {
         let latencies = &self.latencies;
         let in_flight =
--- a/crates/decisions/src/policy/member_list.rs
+++ b/crates/decisions/src/policy/member_list.rs
@@ -1,7 +1,7 @@
-//! What lists say: which members there are, which drain or are gone, and which were restarted.
+//! Applies membership lists: members that are added, draining, gone or restarted.
 //!
-//! A list can be empty, old or wrong while all its members serve: what was learned of a member outlives its absence for
-//! a while. A member that is listed as draining must get nothing new.
+//! A list can be empty, stale or wrong while all its members serve, so the state of an absent member is kept for a
+//! while. A member that is listed as draining must get no new requests.
 
 use super::concurrency_limit::initial_limit;
 use super::member::{Member, SlowStart};
@@ -9,9 +9,9 @@
 use crate::api::{Discovery, GroupId, ListEntry, ListUpdate, MemberId, MemberState, Micros, Time};
 use std::collections::BTreeSet;
 
-/// What was learned of a member outlives its absence from the list this long.
+/// How long the state of a member is kept after it went missing from the list.
 const ABSENT_MEMBER_RETENTION: Micros = Micros::from_millis(60_000);
-/// The evidence of a list for a primary: weaker than any other, since the registry's view of roles is late.
+/// Time given to a list's evidence of a primary: earlier than any other evidence, since the list's roles lag.
 const LIST_EVIDENCE: Time = Time(1);
 
 impl Router {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Forgets members that have been absent for long and have nothing in flight.
+    /// Drops members that have been absent for `ABSENT_MEMBER_RETENTION` and have nothing in flight.
     fn drop_expired_members(&mut self) {
         let now = self.now;
         let groups = &mut self.groups;
@@ -70,8 +70,8 @@
         });
     }
 
-    /// A member is missing from a complete list, or listed as gone. Where only a listed drain forbids sends, it stays in
-    /// use. The price: one that is truly gone costs a failed connection.
+    /// Handles a member that is missing from a complete list, or listed as gone. Where only a listed drain forbids
+    /// sends, it stays in use, at the price of a failed connection if it is really gone.
     fn on_removed(&mut self, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.absent_since.get_or_insert(self.now);
@@ -105,7 +105,7 @@
         member.group = Some(entry.group);
         member.listed_state = entry.state;
         member.absent_since = None;
-        // The list's roles count only while there was never any better evidence.
+        // The list's role counts only as long as there has been no better evidence.
         let has_only_list_evidence =
             member.role.replica_at == Time::default() && member.role.primary_at <= LIST_EVIDENCE;
         if self.settings.list_names_primary && has_only_list_evidence {
@@ -113,7 +113,8 @@
         }
     }
 
-    /// A restart: the member warms up, and its old role is void; what it had applied it still has.
+    /// Handles a restart: the member enters slow start and its earlier role is void. Its applied position stays
+    /// valid.
     fn on_restarted(member: &mut Member, started: Time, initial_limit: f64) {
         member.started = started;
         Router::begin_slow_start(member, started);
--- a/crates/decisions/src/policy/primary_tracking.rs
+++ b/crates/decisions/src/policy/primary_tracking.rs
@@ -1,7 +1,7 @@
-//! Who is primary of a group, by the newest evidence, and the search while nobody is.
+//! Tracks the primary of each group by the newest evidence, and searches for one while none is known.
 //!
-//! A read may rely on a member as primary only if its last answer confirms that, unless members check positions
-//! themselves: a list or report can be wrong or old.
+//! A read may rely on a primary only if the member's last answer confirmed the role, or if members check positions
+//! themselves: a list or report can be wrong or stale.
 
 use super::group::Group;
 use super::member::Member;
@@ -11,25 +11,25 @@
 use crate::api::{Action, GroupId, LogPosition, MemberId, Micros, PositionCheck, Role, Time};
 use crate::outlier_recovery::EjectedMember;
 
-/// The least gap between searches for a primary or a fresh replica.
+/// Minimum interval between searches for a primary or for a fresh replica.
 pub(super) const SEARCH_INTERVAL_MIN: Micros = Micros::from_millis(100);
-/// The gap grows by this for each router of the fleet, since each searches for itself.
+/// The minimum interval grows by this for each router of the fleet, since each router searches on its own.
 const SEARCH_INTERVAL_PER_ROUTER: Micros = Micros::from_millis(5);
-/// So many attempts of a write may go to members that only might be primary.
+/// A write may use this many attempts on members that are only candidates for primary.
 const CANDIDATE_ATTEMPTS_MAX: u32 = 3;
 
-/// A role that a member was reported to have, and how old that is at least.
+/// A reported role, with the latest time at which the member is certain to have had it.
 #[derive(Clone, Copy, Default)]
 pub(super) struct RoleReport {
     pub(super) role: Option<Role>,
-    /// If it is primary, it was then.
+    /// When the member was primary, if that is its role.
     pub(super) primary_as_of: Time,
-    /// If it is a replica, it was then.
+    /// When the member was a replica, if that is its role.
     pub(super) replica_as_of: Time,
 }
 
 impl Router {
-    /// The newest evidence wins: the member with the latest claim that nothing newer of its own denies.
+    /// Sets the group's primary to the member with the latest claim that no newer evidence of its own contradicts.
     pub(super) fn update_primary(&mut self, group: GroupId) {
         let Some(group) = self.groups.get_mut(&group) else { return };
         let claim = |id: &MemberId| {
@@ -45,8 +45,8 @@
         self.members.get(&primary)?.is_healthy().then_some(primary)
     }
 
-    /// The primary that a read may rely on. Where members don't check positions, only the role in its last answer keeps a
-    /// stale read from a member that is primary no longer.
+    /// The primary that a read may rely on. Where members don't check positions, a stale read from a former primary
+    /// is prevented only by the role in its last answer.
     pub(super) fn confirmed_primary(&self, group: GroupId) -> Option<MemberId> {
         let primary = self.usable_primary(group)?;
         let members_check = self.settings.position_check != PositionCheck::None;
@@ -54,8 +54,8 @@
         self.members.get(&primary).is_some_and(is_confirmed).then_some(primary)
     }
 
-    /// A member that a write may try while no primary is known, or the known one has been ejected for long. A replica
-    /// rejects it at once, untouched, which tells as much as a health check. The price: a connection and an attempt.
+    /// A member on which a write may be tried while there is no usable primary. A replica rejects the write at once
+    /// without running it, which is as informative as a health check. The price: a connection and an attempt.
     pub(super) fn primary_candidate_for_write(
         &self, request: &QueuedRequest, group: &Group,
     ) -> Option<MemberId> {
@@ -70,13 +70,14 @@
         self.rng.borrow_mut().choice(candidates).filter(|_| searches).copied()
     }
 
-    /// Healthy, idle, and not known to be a replica of late.
+    /// Whether the member is healthy, idle, and not recently known to be a replica.
     fn may_be_primary(&self, member: &Member) -> bool {
         let replica_until = member.role.replica_at + self.search_interval() + REPORT_DELAY_MAX;
         member.is_healthy() && member.attempts_in_flight.is_empty() && self.now >= replica_until
     }
 
-    /// Whether there is no primary, or it has been ejected for a while and no trial of it is due.
+    /// Whether there is no primary, it is not in service, or it has been ejected for a while and no trial of it is
+    /// due.
     fn is_primary_unavailable(&self, group: &Group) -> bool {
         let Some(primary) = group.primary.and_then(|primary| self.members.get(&primary)) else { return true };
         let is_ejected_for_long =
@@ -89,7 +90,7 @@
         SEARCH_INTERVAL_MIN.max(Micros(fleet_size * SEARCH_INTERVAL_PER_ROUTER.0))
     }
 
-    /// Asks members who is primary, while nobody is and requests that only a primary can serve wait.
+    /// Sends health checks to find the primary, while none is usable and requests that need it are queued.
     pub(super) fn search_for_primary(&mut self, id: GroupId, out: &mut Vec<Action>) {
         let has_primary = self.usable_primary(id).is_some();
         let gap = self.search_interval();
@@ -103,10 +104,10 @@
         self.check_health_of_sample(members, out);
     }
 
-    /// Records what a member reports of its position and role.
+    /// Records the position and role that a member reported.
     pub(super) fn record_report(&mut self, id: MemberId, position: Option<LogPosition>, role: RoleReport) {
         let Some(member) = self.members.get_mut(&id) else { return };
-        // A position in the future is no position.
+        // A position well in the future is invalid.
         let known = position.filter(|position| position.as_time() < self.now + RECENT_RESPONSE);
         if let Some(position) = known {
             member.replication.position = member.replication.position.max(position);
@@ -122,7 +123,7 @@
         self.update_primary(group);
     }
 
-    /// If the log has moved on since the primary was ejected, the primary that seemed to hang is alive.
+    /// Readmits an unresponsive primary if its group's log has advanced since it was ejected.
     fn readmit_primary_if_log_advanced(&mut self, group: GroupId, position: LogPosition) {
         let log_advanced_at = position.saturating_sub(REPORT_DELAY_MAX).as_time();
         let Some(primary) = self.groups.get(&group).and_then(|group| group.primary) else { return };
--- a/crates/decisions/src/policy/read_position.rs
+++ b/crates/decisions/src/policy/read_position.rs
@@ -1,15 +1,16 @@
-//! The log position that a read must see: of its session, or by its class's bound on the age of data.
+//! The log position that a read must see, by its session or by its class's bound on the age of data.
 
 use super::POSITION_ROUNDING;
 use super::request::QueuedRequest;
 use super::router::Router;
 use crate::api::{LogPosition, ReadLevel, Request, SessionPositions};
 
-/// The target of a read that any data will do for.
+/// The target position of reads that accept data of any age.
 pub(super) const ANY_POSITION: LogPosition = LogPosition(0);
 
 impl Router {
-    /// The position that a session or fresh read needs, fixed at its arrival; [`ANY_POSITION`] where none is.
+    /// The position that a session or fresh read requires, fixed at its arrival; [`ANY_POSITION`] if it requires
+    /// none.
     pub(super) fn required_position(&self, request: &Request) -> LogPosition {
         match self.class(request.class).read_level {
             ReadLevel::Fresh => self.now.as_log_position(),
@@ -32,7 +33,7 @@
         }
     }
 
-    /// The position needed now: the target of a bounded read moves with the clock.
+    /// The position required now: the target of a bounded read advances with the clock.
     pub(super) fn target_position(&self, request: &QueuedRequest) -> LogPosition {
         match self.class(request.class).read_level {
             ReadLevel::Bounded(age_max) => self.now.saturating_sub(age_max).as_log_position(),
--- a/crates/decisions/src/policy/rejection.rs
+++ b/crates/decisions/src/policy/rejection.rs
@@ -1,4 +1,4 @@
-//! The final answer of a request that can't succeed, given at once, and the end of its record.
+//! The final answer of a request that can't succeed, and the removal of its state.
 //!
 //! A request is rejected only where a retry by its client does no harm; otherwise it fails.
 
@@ -6,12 +6,12 @@
 use super::router::Router;
 use crate::api::{Action, DeduplicationScope, Idempotency, Micros, RequestId};
 
-/// Clients of rejected requests come back after this at the earliest. The rest of the wait is drawn, up to as much again
-/// and more the more routers there are, since they reject together.
+/// Minimum Retry-After. A random time of up to the same length, longer in larger fleets, is added to spread the
+/// retries, since routers reject requests at the same time.
 const RETRY_AFTER_MIN: Micros = Micros::from_millis(150);
 
 impl Router {
-    /// Gives the final answer of a request that can't succeed any more.
+    /// Gives the final answer of a request that can no longer succeed.
     pub(super) fn reject_or_fail(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if self.is_client_retry_harmless(request) {
@@ -24,7 +24,7 @@
         self.remove_request(id, out);
     }
 
-    /// Whether its client may send it again: it can't have run, or a second execution is recognised wherever it runs.
+    /// Whether the client can safely retry: the request can't have run, or all members recognise a repeat.
     fn is_client_retry_harmless(&self, request: &QueuedRequest) -> bool {
         let is_recognised = match self.class(request.class).idempotency {
             Idempotency::Idempotent => true,
@@ -43,7 +43,7 @@
         wait.min(self.settings.limits.max_retry_after)
     }
 
-    /// Drops a request that is over, and cancels what is still in flight for it.
+    /// Removes a request that has ended, and cancels its attempts in flight.
     pub(super) fn remove_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         if let Some(group) = self.groups.get_mut(&request.group) {
--- a/crates/decisions/src/policy/replica_selection.rs
+++ b/crates/decisions/src/policy/replica_selection.rs
@@ -1,7 +1,7 @@
-//! Which replica gets a read: a random draw among those that are fresh enough and have capacity, weighted by latency,
-//! load, and distance.
+//! Selects the replica for a read: a random draw among those that are fresh enough and have capacity, weighted by
+//! latency, load and distance.
 //!
-//! A replica that is known not to have applied the target position must never be drawn.
+//! A replica that is known not to have applied the target position must never be selected.
 
 use super::group::Group;
 use super::member::Member;
@@ -11,39 +11,41 @@
 use super::{POSITION_WAIT_MAX, REPORT_DELAY_MAX};
 use crate::api::{LogPosition, MemberId, MemberState, Micros, PositionCheck, ReadLevel};
 
-/// A replica that rejected a read doesn't get the same read again sooner.
+/// Minimum time after a failed attempt before the same request is sent to that replica again.
 const REPLICA_RETRY_PAUSE: Micros = Micros::from_millis(60);
-/// For this long a position that a replica rejected tells that it is behind all later ones.
+/// How long a position that a replica rejected is evidence that it has not applied any later one.
 const REJECTION_EVIDENCE_MAX_AGE: Micros = Micros::from_millis(120);
-/// Sharpness of the draw: 1 follows latency x (in flight + 1) softly, more sends fewer to the worse.
+/// Exponent of the cost in the weight: 1 is inversely proportional to latency x (in flight + 1), more sends fewer to
+/// the worse.
 const COST_EXPONENT: f64 = 2.5;
-/// How strongly reads of any age gather on the replica furthest behind.
+/// Exponent of the relative lag in the weight: concentrates reads of any age on the replica with the largest lag.
 const LAG_PREFERENCE_EXPONENT: i32 = 24;
-/// The latency ratio of a member counts as at least this.
+/// Lower bound of a member's latency ratio.
 const LATENCY_RATIO_MIN: f64 = 0.2;
-/// The cost of a send to another zone counts this many times.
+/// Factor on the cost of crossing zones.
 const CROSS_ZONE_FACTOR: f64 = 10.0;
-/// Part of the ordinary weight that a member has whose trial is due.
+/// Factor on the weight of an ejected member whose trial is due.
 const TRIAL_WEIGHT: f64 = 0.3;
-/// The part of a member's limit that a request which is short of time may use.
+/// Fraction of a member's limit that a request short of time may use.
 const SHORT_OF_TIME_LIMIT_FRACTION: f64 = 0.5;
 
-/// What one draw compares all replicas against.
+/// The criteria of one selection.
 struct ReplicaSelection<'a> {
     request: &'a QueuedRequest,
     target: LogPosition,
-    /// Reads of any age.
+    /// Whether the read accepts data of any age.
     is_any_read: bool,
-    /// How far the replica furthest behind is behind now; at least 1 microsecond.
+    /// Largest lag of a healthy replica, in microseconds; at least 1.
     max_lag: f64,
-    /// Only replicas that are far behind take part.
-    prefers_lagging: bool,
-    /// Ejected replicas take part only if their trial is due.
+    /// Whether only replicas with a lag of at least half the largest are eligible.
+    requires_lagging: bool,
+    /// Whether ejected replicas are eligible only if their trial is due.
     only_healthy: bool,
 }
 
 impl Router {
-    /// Whether one more request may go to a member: by its limit and pacing and, in slow start, by this router's turn.
+    /// Whether a member can take one more request, by its limit and pacing and, in slow start, by this router's
+    /// schedule.
     pub(super) fn has_capacity(&self, request: &QueuedRequest, member: &Member) -> bool {
         let capacity_fraction = self.capacity_fraction(member);
         let limit_fraction = if self.is_short_of_time(request) { SHORT_OF_TIME_LIMIT_FRACTION } else { 1.0 };
@@ -55,13 +57,13 @@
         capacity_fraction >= 1.0 || member.slow_start.next_send.is_some_and(|next_send| self.now >= next_send)
     }
 
-    /// The same for a member by its id; one that is not known has none.
+    /// [`Router::has_capacity`] for a member by its id; false for an unknown member.
     pub(super) fn has_capacity_at(&self, request: &QueuedRequest, member: MemberId) -> bool {
         self.members.get(&member).is_some_and(|member| self.has_capacity(request, member))
     }
 
-    /// Whether a member is known not to reach the position within `wait`: by its last report, even if it has applied the
-    /// log in real time since, or by a read that it has just rejected.
+    /// Whether a member will not reach the position within `wait`: by its last report, even assuming that it has
+    /// applied the log in real time since, or by a read that it rejected recently.
     pub(super) fn is_lagging(&self, member: &Member, target: LogPosition, wait: Micros) -> bool {
         let replication = &member.replication;
         let age = self.now - replication.reported;
@@ -71,7 +73,8 @@
         lags_by_report || (has_just_rejected && replication.lagging_position <= target)
     }
 
-    /// Where members don't check, only what is known to be applied counts; elsewhere the replica checks.
+    /// Where members don't check positions, the replica must be known to have applied the target; otherwise the
+    /// replica checks.
     fn is_fresh_enough(&self, member: &Member, target: LogPosition) -> bool {
         if target == ANY_POSITION || member.replication.position >= target {
             return true;
@@ -80,7 +83,7 @@
         members_check && !self.is_lagging(member, target, Micros(0))
     }
 
-    /// The members of a group, without its primary.
+    /// The members of a group except its primary.
     pub(super) fn replicas<'a>(
         &'a self, group: &'a Group,
     ) -> impl Iterator<Item = (&'a MemberId, &'a Member)> {
@@ -88,8 +91,8 @@
         replicas.filter_map(|id| Some((id, self.members.get(id)?)))
     }
 
-    /// Draws a replica for a read; `None` if none can take it. With `only_healthy` ejected ones take part only if their
-    /// trial is due.
+    /// Selects a replica for a read at random; `None` if none can take it. With `only_healthy`, ejected replicas are
+    /// eligible only if their trial is due.
     pub(super) fn select_replica(&self, request: &QueuedRequest, only_healthy: bool) -> Option<MemberId> {
         let group = self.groups.get(&request.group)?;
         let selection = self.replica_selection(request, group, only_healthy);
@@ -122,12 +125,12 @@
             target: self.target_position(request),
             is_any_read,
             max_lag,
-            prefers_lagging: is_any_read && has_large_lag && self.now < request.primary_fallback_at,
+            requires_lagging: is_any_read && has_large_lag && self.now < request.primary_fallback_at,
             only_healthy,
         }
     }
 
-    /// How far a member is behind now, as far as is known.
+    /// How far a member lags by its last known position.
     fn current_lag(&self, member: &Member) -> Micros {
         self.now.saturating_since(member.replication.position.as_time())
     }
@@ -142,7 +145,7 @@
             replica.listed_state == MemberState::InService
         };
         let is_too_fresh =
-            selection.prefers_lagging && self.current_lag(replica).as_f64() < selection.max_lag / 2.0;
+            selection.requires_lagging && self.current_lag(replica).as_f64() < selection.max_lag / 2.0;
         is_retry_pause_over
             && is_usable
             && !selection.request.is_in_flight_at(id)
@@ -151,8 +154,9 @@
             && self.is_fresh_enough(replica, selection.target)
     }
 
-    /// Reads of any age gather on the replica furthest behind, alike at all routers: a long read can stall the log of a
-    /// replica, and spread out such reads would keep all of them behind. The price is that this one is slow to promote.
+    /// Reads of any age are concentrated on the replica with the largest lag, which is the same for all routers: a
+    /// long read can stall a replica's log, and spreading such reads would make all replicas lag. The price: that
+    /// replica is slow to promote.
     fn selection_weight(&self, selection: &ReplicaSelection, replica: &Member) -> f64 {
         let cost = self.selection_cost(replica);
         let lag = self.current_lag(replica).as_f64() / selection.max_lag;
@@ -165,7 +169,8 @@
         weight * if replica.ejected.is_some() { TRIAL_WEIGHT } else { 1.0 }
     }
 
-    /// What a read costs at a replica: its latency and load, a zone to cross, a connection to establish.
+    /// The cost of a read at a replica, from its latency and load, the distance, and whether a connection must be
+    /// established.
     fn selection_cost(&self, replica: &Member) -> f64 {
         let is_other_zone = replica.zone != Some(self.settings.zone);
         let distance =
--- a/crates/decisions/src/policy/retry.rs
+++ b/crates/decisions/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent once more. A request must never run twice unless its class allows it.
+//! Whether a request may be sent again. A request must never run twice unless its class allows it.
 
 use super::ANSWER_MARGIN;
 use super::request::QueuedRequest;
@@ -6,7 +6,8 @@
 use crate::api::Idempotency;
 
 impl Router {
-    /// Whether one more attempt can't make the effect happen twice, also once its connection is established.
+    /// Whether another attempt is within the limit of attempts and can't cause a second execution. A keyed request
+    /// must reach the member within its window even if connecting takes the full time-out.
     pub(super) fn may_repeat(&self, request: &QueuedRequest) -> bool {
         if request.attempts_started >= self.settings.limits.max_attempts {
             return false;
--- a/crates/decisions/src/policy/router.rs
+++ b/crates/decisions/src/policy/router.rs
@@ -1,6 +1,6 @@
-//! The router: its state, the dispatch of events, and what drivers may ask of it.
+//! The router: its state, the dispatch of events to the modules of the policy, and the queries of its driver.
 //!
-//! It decides nothing by itself; the modules beside it do, each on its own part of the state.
+//! The decisions are made in the other modules, each on its own part of this state.
 
 use super::class_latency::ClassLatencies;
 use super::connection_failure::ConnectionCost;
@@ -24,35 +24,36 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// How a router sees a member.
+/// Availability and role of a member as this router observes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedHealth {
-    /// Whether it can be used, and why not.
+    /// Whether the member can be used, and the reason if not.
     pub availability: Availability,
-    /// It is its group's primary, as far as is known.
+    /// Whether the newest evidence shows the member as its group's primary.
     pub is_primary: bool,
 }
 
 impl Default for ObservedHealth {
-    /// A member of which nothing is known.
+    /// The state of an unknown member.
     fn default() -> ObservedHealth {
         ObservedHealth { availability: Availability::Delisted, is_primary: false }
     }
 }
 
-/// The timer that wakes the router; an earlier one replaces a later one.
+/// The router's wake-up timer; it is replaced only by one that is due earlier.
 #[derive(Default)]
 struct WakeTimer {
-    /// The token of the latest timer; older ones are void.
+    /// Token of the latest timer; older timers are ignored when they fire.
     token: u64,
-    /// When it comes due; `None` while none is set.
+    /// When the timer is due; `None` while no timer is set.
     due: Option<Time>,
 }
 
-/// One instance of the decisions.
+/// The decisions of one proxy instance.
 pub struct Router {
     pub(super) settings: Settings,
-    /// Behind a cell since a weighted draw reads all other state. It is never borrowed across a call.
+    /// In a `RefCell` because replicas are drawn through `&self`. Code that holds a borrow must not call anything
+    /// that draws.
     pub(super) rng: RefCell<fastrand::Rng>,
     pub(super) now: Time,
     pub(super) members: BTreeMap<MemberId, Member>,
@@ -74,7 +75,7 @@
 }
 
 impl Router {
-    /// A router that knows nothing yet but its settings. Equal seeds give equal random draws.
+    /// Creates a router without members. Equal seeds give equal random draws.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Router {
         let class_weights = settings.classes.iter().map(|class| class.priority_weight);
         let client_timeouts = settings.classes.iter().map(|class| class.client_timeout.0);
@@ -105,7 +106,8 @@
         }
     }
 
-    /// Takes one event and pushes the actions it calls for, to be carried out in order.
+    /// Handles one event and appends the resulting actions to `out`, to be carried out in order. A `now` before that
+    /// of an earlier call counts as the latest time seen.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
@@ -132,7 +134,8 @@
         }
     }
 
-    /// Wakes soon only while a request is here: most of the time a router of hundreds has none.
+    /// Uses the short interval only while there are open requests: in a fleet of hundreds, a router has none most of
+    /// the time.
     fn set_wake_timer(&mut self, out: &mut Vec<Action>) {
         let busy_gap = TICK.max(self.settings.tick);
         let gap = if self.requests.is_empty() { MEMBER_CHECK_INTERVAL } else { busy_gap };
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Looks at everything that changes with time alone.
+    /// Runs the periodic work: polls, member checks, dispatch of queued requests, and hedging.
     fn on_tick(&mut self, out: &mut Vec<Action>) {
         if self.polls.take_due(self.now.0) {
             out.push(Action::Subscribe);
@@ -159,27 +162,27 @@
         self.hedge_or_cancel_late_attempts(out);
     }
 
-    /// The settings of a class.
+    /// The settings of a class, which must be one of `Settings::classes`.
     pub(super) fn class(&self, class: ClassId) -> &Class {
         &self.settings.classes[class.0]
     }
 
-    /// Sets what this router may do of what all may do together, where the fleet agrees on it: from 0 to 1.
+    /// Sets this router's share of the fleet-wide limits, as granted by the fleet's quota: from 0 to 1.
     pub fn set_fleet_quota_share(&mut self, share: f64) {
         self.fleet_divisor = FleetDivisor::from_quota_share(share, self.settings.fleet_size);
     }
 
-    /// Whether anything is kept of a member: once not, its driver may forget it, too.
+    /// Whether the router holds state for a member. Once it does not, the driver can drop its own.
     pub fn has_record_of(&self, member: MemberId) -> bool {
         self.members.contains_key(&member)
     }
 
-    /// Whether anything new may reach a member: it neither drains nor is gone.
+    /// Whether new requests may be sent to a member: it is listed, and neither draining nor gone. It may be ejected.
     pub fn accepts_new_requests(&self, member: MemberId) -> bool {
         self.members.get(&member).is_some_and(|member| member.listed_state == MemberState::InService)
     }
 
-    /// How a member is seen: why it is out, if it is, and whether it is its group's primary.
+    /// The availability of a member, with the reason if it is out of service, and its role.
     pub fn observed_health(&self, member: MemberId) -> ObservedHealth {
         let Some(member) = self.members.get(&member) else { return ObservedHealth::default() };
         let warming_until =
@@ -196,12 +199,12 @@
         ObservedHealth { availability, is_primary: member.role.claims_primary() }
     }
 
-    /// Whether a member gets no ordinary requests now: it drains, is gone, or is ejected.
+    /// Whether a member gets no ordinary requests now: it is draining, gone, ejected or unknown.
     pub fn is_avoided(&self, member: MemberId) -> bool {
         self.members.get(&member).is_none_or(|member| !member.is_healthy())
     }
 
-    /// How many members, groups, requests and sessions are kept.
+    /// Number of members, groups, requests and sessions for which state is held.
     pub fn record_count(&self) -> usize {
         let sessions: usize = self.groups.values().map(|group| group.session_commits.session_count()).sum();
         self.members.len() + self.groups.len() + self.requests.len() + sessions
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -1,40 +1,42 @@
-//! How much a member that was started lately is given: what all routers together send it must stay below what it bears.
+//! Limits the load on recently started members: what all routers together send must stay below what the member can
+//! serve.
 //!
-//! Its capacity is taken to grow as slowly as the rules allow. Each router schedules its own next send with a random gap,
-//! so that routers stay apart. Members that report a low utilisation are given more, and so are the ones after them.
+//! Its capacity is assumed to grow as slowly as the rules allow. Each router schedules its own next send with a
+//! random gap, so that routers don't send in step. Low reported utilisation raises the rate for that member and for
+//! later ones.
 
 use super::member::{Member, SlowStart};
 use super::router::Router;
 use crate::api::{MemberId, Micros, Time};
 
-/// The utilisation of its processors that a member in slow start is brought to.
+/// CPU utilisation to which a member in slow start is loaded.
 pub(super) const TARGET_CPU_UTILISATION: f64 = 0.85;
-/// The least utilisation that a report counts as.
+/// Lower bound of a reported utilisation.
 const CPU_UTILISATION_MIN: f64 = 0.1;
-/// The most by which its own reports change the pace of a member.
+/// Maximum factor by which a member's own reports change its rate.
 const MEMBER_RATE_MULTIPLIER_MAX: f64 = 2.0;
-/// The part of that which counts for all members in slow start, and the most by which theirs changes.
+/// Exponent of each report's factor in the fleet-wide multiplier, and maximum of that multiplier.
 const FLEET_RATE_EXPONENT: f64 = 0.4;
 const FLEET_RATE_MULTIPLIER_MAX: f64 = 5.0;
-/// All routers together may send a member in slow start what so many cores bear.
+/// Load of all routers together on a member in slow start, in cores at its present capacity.
 const CORES_USED: f64 = 3.0;
-/// The least rate that a gap is computed from.
+/// Lower bound of the send rate, per microsecond, so that a gap is finite.
 const RATE_MIN: f64 = 1e-9;
 
-/// The pace of all members in slow start, learned from their reports.
+/// Factor on the send rate to all members in slow start, from their utilisation reports.
 pub(super) struct FleetRateMultiplier {
     rate_multiplier: f64,
 }
 
 impl FleetRateMultiplier {
-    /// Nothing is learned yet.
+    /// The multiplier before any report.
     pub(super) fn neutral() -> FleetRateMultiplier {
         FleetRateMultiplier { rate_multiplier: 1.0 }
     }
 }
 
 impl SlowStart {
-    /// Learns from a report of the member's utilisation.
+    /// Adjusts the rates by a report of the member's utilisation.
     fn record_cpu_utilisation(&mut self, utilisation: f64, fleet_rate_multiplier: &mut FleetRateMultiplier) {
         let wanted = TARGET_CPU_UTILISATION / utilisation.max(CPU_UTILISATION_MIN);
         self.rate_multiplier = wanted.clamp(1.0 / MEMBER_RATE_MULTIPLIER_MAX, MEMBER_RATE_MULTIPLIER_MAX);
@@ -46,7 +48,8 @@
 }
 
 impl Router {
-    /// How much of its full capacity a member has at least, by the rules' slowest ramp: from 0 to 1.
+    /// The fraction of its full capacity that a member is certain to have, by the slowest ramp that the rules allow:
+    /// from 0 to 1.
     pub(super) fn capacity_fraction(&self, member: &Member) -> f64 {
         let Some(since) = member.slow_start.warming_since else { return 1.0 };
         let rules = &self.settings.rules;
@@ -55,7 +58,7 @@
         (rules.slow_start_floor + (1.0 - rules.slow_start_floor) * progress).min(1.0)
     }
 
-    /// A member reported its utilisation.
+    /// Records the utilisation that a member reported.
     pub(super) fn record_cpu_utilisation(&mut self, member: MemberId, reported: Option<f64>) {
         let Some(member) = self.members.get_mut(&member) else { return };
         member.concurrency.record_cpu_utilisation(reported);
@@ -66,15 +69,15 @@
         }
     }
 
-    /// The pace learned from members in slow start ends with the last of them.
+    /// Resets the fleet-wide multiplier once no member is in slow start.
     pub(super) fn reset_fleet_rate_multiplier_if_all_warm(&mut self) {
         if self.members.values().all(|member| self.capacity_fraction(member) >= 1.0) {
             self.fleet_rate_multiplier = FleetRateMultiplier::neutral();
         }
     }
 
-    /// Schedules when this router may next send to a member in slow start, for requests that take about `work`
-    /// microseconds. A turn that was not used counts for a while only, or all routers would save up one each.
+    /// Schedules this router's next send to a member in slow start, for requests that take about `work` microseconds.
+    /// An unused turn carries over only for a limited time; otherwise all routers would accumulate one each.
     pub(super) fn schedule_slow_start_send(&mut self, id: MemberId, work: f64) {
         let Some(member) = self.members.get(&id) else { return };
         let gap = self.mean_slow_start_gap(member, work);
@@ -87,13 +90,14 @@
         }
     }
 
-    /// The mean gap between this router's sends that keeps all routers at a part of what a few cores bear.
+    /// The mean gap between this router's sends to a member, in microseconds, at which the whole fleet's load stays
+    /// within the limit.
     fn mean_slow_start_gap(&self, member: &Member, work: f64) -> f64 {
         let rules = &self.settings.rules;
         let load = self.fleet_divisor.slow_start_share_of(rules.overload_multiple * CORES_USED);
         let since = member.slow_start.warming_since.unwrap_or(self.now);
         let elapsed = self.now.saturating_since(since).as_f64();
-        // A member that has just started does not have the pace of others yet.
+        // Shortly after its start a member does not get the full fleet-wide multiplier.
         let fleet_multiplier_max =
             1.0 + FLEET_RATE_MULTIPLIER_MAX * elapsed / rules.overload_duration.0.max(1) as f64;
         let rate_multiplier = member.slow_start.rate_multiplier
@@ -101,7 +105,7 @@
         work.max(1.0) / (self.capacity_fraction(member) * load * rate_multiplier).max(RATE_MIN)
     }
 
-    /// Ends slow start once the member is warm; until then renews a turn that was not used.
+    /// Ends slow start once the member is warm; until then reschedules a turn that was not used.
     pub(super) fn check_slow_start(&mut self, id: MemberId) {
         let Some(member) = self.members.get(&id) else { return };
         let is_warm = self.capacity_fraction(member) >= 1.0;
@@ -114,7 +118,7 @@
         }
     }
 
-    /// A member is back that may have been restarted: it warms up from now on.
+    /// Starts warm-up of a member that was, or may have been, restarted.
     pub(super) fn begin_slow_start(member: &mut Member, since: Time) {
         member.slow_start = SlowStart::new(Some(since));
     }
--- a/crates/decisions/src/policy/wait_queue.rs
+++ b/crates/decisions/src/policy/wait_queue.rs
@@ -1,6 +1,6 @@
-//! Requests that wait: for a log position, for capacity, or for a primary; and the order in which they are tried again.
+//! Requests that wait for a log position, for capacity or for a primary, and the order in which they are retried.
 //!
-//! The work for one event is bounded, however many requests wait.
+//! The work per event is bounded, however many requests wait.
 
 use super::POSITION_WAIT_MAX;
 use super::primary_tracking::SEARCH_INTERVAL_MIN;
@@ -9,16 +9,16 @@
 use super::router::Router;
 use crate::api::{Action, GroupId, MemberId, Micros, PositionCheck, RequestId, Time};
 
-/// Requests that a group may queue: a bound on memory and on the work for one event.
+/// Maximum number of queued requests per group, to bound memory and the work per event.
 const QUEUED_MAX: usize = 400;
-/// After so many that found no member, the rest is only looked at for whether it can still succeed.
+/// After this many requests without a member, the rest are only checked for whether they must be decided now.
 const FAILED_DISPATCHES_MAX: usize = 24;
-/// Weights per microsecond are compared as whole numbers of this fraction.
+/// Weights per microsecond are compared as integers in units of one over this.
 const RANK_SCALE: f64 = 1e9;
-/// A member is asked for its position again after this part of the time that it is behind.
+/// A lagging member is checked again after its lag divided by this.
 const LAG_CHECK_DIVISOR: u64 = 8;
 
-/// The place of a request in the queue: the largest weight for its work first, then the earliest objective.
+/// Order of the queue: highest weight per unit of work first, then earliest objective.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QueueRank {
     negative_weight_rate: i64,
@@ -27,7 +27,7 @@
 }
 
 impl Router {
-    /// Sends a request to a member if one can take it now; otherwise it is queued, or given up if it can't succeed.
+    /// Sends a request if a member can take it now; otherwise queues it, or gives it up if it can't succeed.
     pub(super) fn dispatch_or_queue(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if !self.can_still_succeed(request) {
@@ -42,7 +42,7 @@
         self.groups.entry(request.group).or_default().queued.insert(id);
     }
 
-    /// Tries the queued requests of a group again, the most valuable first.
+    /// Dispatches the queued requests of a group again, in the order of their rank.
     pub(super) fn dispatch_queued(&mut self, group: GroupId, out: &mut Vec<Action>) {
         let Some(queue) = self.groups.get_mut(&group) else { return };
         queue.queued_for_primary = 0;
@@ -75,7 +75,8 @@
         ranked
     }
 
-    /// An answer's chance to come in time falls with what is left of the objective: what has waited too long goes last.
+    /// Ranks a request by its expected weight per unit of work. The chance of an answer in time falls with the
+    /// remaining time, so requests that have waited too long come last.
     fn queue_rank(&self, id: RequestId, request: &QueuedRequest) -> QueueRank {
         let work = self.latencies.mean(request.class).max(1.0);
         let late_weight = self.class(request.class).late_weight;
@@ -93,14 +94,14 @@
         self.requests.get(id).is_some_and(|request| self.prefers_primary(request.class))
     }
 
-    /// Whether waiting longer can't help a request: it can't succeed, or it must go now.
+    /// Whether further waiting can't help a request: it can't succeed, or must be sent now.
     fn is_due_for_decision(&self, id: &RequestId) -> bool {
         let request = self.requests.get(id);
         request.is_some_and(|request| !self.can_still_succeed(request) || self.is_short_of_time(request))
     }
 
-    /// Where members don't check positions, reads wait here for them: asks a few members that are behind, unless half
-    /// of them are known to be fresh, since the reads then wait for capacity.
+    /// Where members don't check positions, reads wait for replicas to reach theirs: checks some of the lagging
+    /// members. None if no more than half of the group lags, since the reads then wait for capacity.
     fn check_lagging_members(&mut self, group: GroupId, out: &mut Vec<Action>) {
         let Some(group) = self.groups.get(&group) else { return };
         let waiting = group.queued.iter().filter_map(|id| self.requests.get(id));
