--- a/src/bin/linenhill-simulator-adapter/adapter.rs
+++ b/src/bin/linenhill-simulator-adapter/adapter.rs
@@ -1,7 +1,8 @@
-//! The instances of one run, and the batch that is being read: hands each event to its instance at once, and collects
-//! what the instances do until the batch ends. It must never reorder events or actions: the simulator replays them.
+//! The instances of one run and the batch that is being read. Each event goes to its instance at once, and the
+//! actions are collected until the batch ends. Events and actions must never be reordered: the simulator replays
+//! them.
 
-use crate::decode::{InstanceNames, MemberList, MemberNames, decode_event, decode_member};
+use crate::decode::{InstanceContext, MemberList, NameInterners, decode_event, decode_member};
 use crate::encode::{encode_action, encode_batch_end, encode_instance};
 use crate::error::MessageError;
 use crate::fields::MessageFields;
@@ -11,64 +12,65 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Entries of a list for which memory is reserved at once, whatever length the list announces.
+/// Maximum number of list entries for which memory is reserved in advance, whatever length the list announces.
 const MAX_RESERVED_ENTRIES: usize = 4_096;
 
-/// How far the batch has come.
+/// Whether the batch is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchState {
-    /// More messages follow.
+    /// More messages of the batch follow.
     Incomplete,
-    /// The reply is complete.
+    /// The batch has ended and its reply is complete.
     Complete,
 }
 
-/// The decisions of one proxy.
+/// One proxy instance: its decisions, and the context for decoding its messages.
 struct Instance {
     router: Router,
-    names: InstanceNames,
+    context: InstanceContext,
 }
 
-/// A batch of messages, all of one moment.
+/// A batch of messages that share one time.
 #[derive(Clone, Copy)]
 struct Batch {
     now: Time,
     number: u64,
 }
 
-/// A list of which entries are still to come.
+/// A list that has not received all its entries.
 struct IncompleteList {
     number: u64,
-    /// Its entries, once it is complete.
+    /// Number of entries that the list was announced with.
     length: usize,
     entries: Vec<ListEntry>,
 }
 
-/// The instances and the batch that is being read.
+/// The instances, and the batch that is being read.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<u64, Instance>,
     lists: BTreeMap<u64, MemberList>,
-    member_names: MemberNames,
-    /// The batch that is being read; none between batches.
+    interners: NameInterners,
+    /// The batch that is being read; `None` between batches.
     batch: Option<Batch>,
-    /// For which instance the next messages of the batch are.
+    /// The instance to which the next messages of the batch are addressed.
     current_instance: Option<u64>,
     incomplete_list: Option<IncompleteList>,
-    /// Of the last event; kept for its memory.
+    /// Actions of the last event; a field only to reuse its memory.
     actions: Vec<Action>,
     reply: String,
-    /// Whose actions were written last in this batch.
+    /// The instance to which the latest actions of the reply belong.
     reply_instance: Option<u64>,
 }
 
 impl Adapter {
-    /// Handles one message, without the end of its line.
+    /// Handles one message, given without its line ending.
     pub fn handle_line(&mut self, line: &str) -> Result<BatchState, MessageError> {
         let mut fields = MessageFields::new(line);
         let message = fields.message();
-        if self.incomplete_list.is_some() && message != "MEMBER" {
-            return Err(MessageError::IncompleteList(message.to_string()));
+        if let Some(list) = self.incomplete_list.as_ref().filter(|_| message != "MEMBER") {
+            let (received, length) = (list.entries.len(), list.length);
+            return Err(MessageError::IncompleteList { message: message.to_string(), received, length });
         }
         if message == "TURN" {
             self.begin_batch(&mut fields)?;
@@ -82,12 +84,12 @@
                 self.end_batch(batch);
                 return Ok(BatchState::Complete);
             }
-            "INSTANCE" => self.current_instance = Some(fields.number("driverId")?),
+            "INSTANCE" => self.current_instance = Some(fields.integer("driverId")?),
             "CENSUS" => self.begin_list(&mut fields)?,
             "MEMBER" => self.add_member(&mut fields)?,
             "ATTACH" => self.attach(line, batch.now)?,
             "CRASH_NOW" => {
-                let instance = self.current_instance_for(message)?;
+                let instance = self.require_instance(message)?;
                 self.instances.remove(&instance);
             }
             _ => self.handle_event(&mut fields, batch.now)?,
@@ -115,8 +117,8 @@
         if self.batch.is_some() {
             return Err(MessageError::NestedBatch);
         }
-        let now = Time(fields.number("time")?);
-        let number = fields.number("batch")?;
+        let now = Time(fields.integer("time")?);
+        let number = fields.integer("batch")?;
         self.batch = Some(Batch { now, number });
         Ok(())
     }
@@ -129,15 +131,15 @@
         self.reply_instance = None;
     }
 
-    /// The instance for which a message is.
-    fn current_instance_for(&self, message: &str) -> Result<u64, MessageError> {
+    /// The instance to which a message is addressed.
+    fn require_instance(&self, message: &str) -> Result<u64, MessageError> {
         self.current_instance.ok_or_else(|| MessageError::NoInstance(message.to_string()))
     }
 
-    /// Handles CENSUS, which announces the length of a list.
+    /// Handles CENSUS, which announces the number and length of a list.
     fn begin_list(&mut self, fields: &mut MessageFields) -> Result<(), MessageError> {
-        let number = fields.number("sheet")?;
-        let length: usize = fields.number("lines")?;
+        let number = fields.integer("sheet")?;
+        let length: usize = fields.integer("lines")?;
         if length == 0 {
             self.lists.insert(number, MemberList::default());
         } else {
@@ -147,12 +149,12 @@
         Ok(())
     }
 
-    /// Handles MEMBER, an entry of the list that is being read.
+    /// Handles MEMBER, the next entry of the list that is being read.
     fn add_member(&mut self, fields: &mut MessageFields) -> Result<(), MessageError> {
         let Some(mut list) = self.incomplete_list.take() else {
             return Err(MessageError::MemberOutsideList);
         };
-        list.entries.push(decode_member(fields, &mut self.member_names)?);
+        list.entries.push(decode_member(fields, &mut self.interners)?);
         if list.entries.len() == list.length {
             self.lists.insert(list.number, Arc::new(list.entries));
         } else {
@@ -161,33 +163,33 @@
         Ok(())
     }
 
-    /// Handles ATTACH, which starts an instance. Its settings are the rest of the line: they may contain tabs.
+    /// Handles ATTACH, which starts an instance. The profile is the rest of the line, since it may contain tabs.
     fn attach(&mut self, line: &str, now: Time) -> Result<(), MessageError> {
-        let instance = self.current_instance_for("ATTACH")?;
+        let instance = self.require_instance("ATTACH")?;
         let missing = |field| MessageError::MissingField { message: "ATTACH".to_string(), field };
         let mut fields = line.splitn(3, '\t').skip(1);
         let seed = fields.next().ok_or_else(|| missing("prng"))?;
         let profile = fields.next().ok_or_else(|| missing("profileData"))?;
         let seed = parse_seed(seed)?;
         let profile: Profile = settings::parse(profile).map_err(MessageError::MalformedProfile)?;
-        let site = profile.site(&mut self.member_names.zones).map_err(MessageError::UnusableProfile)?;
+        let site = profile.site(&mut self.interners.zones).map_err(MessageError::UnusableProfile)?;
         let router = Router::new(site.settings, seed, now);
-        let names = InstanceNames {
+        let context = InstanceContext {
             classes: site.classes,
             tenants: site.tenants,
             position_origin: site.position_origin,
         };
-        self.instances.insert(instance, Instance { router, names });
+        self.instances.insert(instance, Instance { router, context });
         Ok(())
     }
 
-    /// Handles a message for an instance, and appends its actions to the reply.
+    /// Handles an event for an instance, and appends its actions to the reply.
     fn handle_event(&mut self, fields: &mut MessageFields, now: Time) -> Result<(), MessageError> {
-        let number = self.current_instance_for(fields.message())?;
+        let number = self.require_instance(fields.message())?;
         let not_attached =
             || MessageError::NotAttached { message: fields.message().to_string(), instance: number };
         let instance = self.instances.get_mut(&number).ok_or_else(not_attached)?;
-        let Some(event) = decode_event(fields, &self.lists, &instance.names)? else { return Ok(()) };
+        let Some(event) = decode_event(fields, &self.lists, &instance.context)? else { return Ok(()) };
         self.actions.clear();
         instance.router.handle(now, event, &mut self.actions);
         if !self.actions.is_empty() && self.reply_instance != Some(number) {
@@ -201,11 +203,12 @@
     }
 }
 
-/// A seed of any sign, of which the lowest 64 bits count.
+/// Parses a seed of either sign, and keeps its lowest 64 bits.
 fn parse_seed(text: &str) -> Result<u64, MessageError> {
-    let seed = text.parse::<i128>().map_err(|_| MessageError::WrongValue {
+    let seed = text.parse::<i128>().map_err(|_| MessageError::InvalidValue {
         message: "ATTACH".to_string(),
         field: "prng",
+        expected: "an integer in range",
         value: text.to_string(),
     })?;
     Ok(seed as u64)
--- a/src/bin/linenhill-simulator-adapter/decode.rs
+++ b/src/bin/linenhill-simulator-adapter/decode.rs
@@ -1,5 +1,5 @@
-//! Decodes messages: an entry of a list, or an event of the decisions. The simulator's names of messages, fields and
-//! values end here; a field that is read and not used is still checked.
+//! Decodes list entries and events. The simulator's names of messages, fields and values are not used beyond this
+//! module and `fields`. A field that is read but not used is still checked.
 
 use crate::MICROS_PER_MILLI;
 use crate::error::MessageError;
@@ -15,90 +15,94 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A list of members, which many events may refer to.
+/// A list of members, shared by the events that refer to it.
 pub type MemberList = Arc<Vec<ListEntry>>;
 
-/// The numbers by which the decisions know zones and kinds of members; the same for all instances.
+/// Assigns the numbers of zones and kinds; shared by all instances.
 #[derive(Default)]
-pub struct MemberNames {
-    /// The zones, also those of the instances' settings.
+pub struct NameInterners {
+    /// Zones, including those in the instances' profiles.
     pub zones: NameInterner,
     kinds: NameInterner,
 }
 
-/// What an instance's settings say of the fields of its messages.
-pub struct InstanceNames {
-    /// The classes by their names.
+/// Values of an instance's profile that are needed to decode its messages.
+pub struct InstanceContext {
+    /// Ids of the classes by name.
     pub classes: BTreeMap<String, ClassId>,
-    /// The tenants by their names.
+    /// Ids of the tenants by name.
     pub tenants: BTreeMap<String, TenantId>,
-    /// The Unix time from which the simulator counts positions, in microseconds.
+    /// Unix time from which the simulator counts positions, in microseconds.
     pub position_origin: u64,
 }
 
 /// Decodes MEMBER, an entry of a list.
-pub fn decode_member(fields: &mut MessageFields, names: &mut MemberNames) -> Result<ListEntry, MessageError> {
-    let member = MemberId(fields.number("member")?);
-    let zone = ZoneId(names.zones.intern(fields.text("site")?));
-    let kind = KindId(names.kinds.intern(fields.text("shape")?));
+pub fn decode_member(
+    fields: &mut MessageFields, interners: &mut NameInterners,
+) -> Result<ListEntry, MessageError> {
+    let member = MemberId(fields.integer("member")?);
+    let zone = ZoneId(interners.zones.intern(fields.text("site")?));
+    let kind = KindId(interners.kinds.intern(fields.text("shape")?));
     let group = decode_group(fields, "group")?;
     let state = match fields.text("stageState")? {
         "in_service" => MemberState::InService,
         "terminating" => MemberState::Draining,
         "terminated" => MemberState::Gone,
-        text => return Err(fields.wrong_value("stageState", text)),
+        text => {
+            return Err(fields.invalid_value("stageState", "in_service, terminating or terminated", text));
+        }
     };
     let weight = fields.finite_or("heft", 1.0)?;
-    let started_at = fields.number_or::<i64>("born", 0)?;
+    let started_at = fields.integer_or::<i64>("born", 0)?;
     let started = u64::try_from(started_at).ok().filter(|micros| *micros > 0).map(Time);
     let primary_hint = fields.finite_or("writer", 0.0)? >= IS_PRIMARY;
     Ok(ListEntry { member, zone, kind, group, state, weight, started, primary_hint })
 }
 
-/// Decodes a message for an instance; `None` if it carries nothing that an instance understands.
+/// Decodes an event for an instance; `None` if it holds gossip that can't be decoded.
 pub fn decode_event(
-    fields: &mut MessageFields, lists: &BTreeMap<u64, MemberList>, names: &InstanceNames,
+    fields: &mut MessageFields, lists: &BTreeMap<u64, MemberList>, context: &InstanceContext,
 ) -> Result<Option<Event>, MessageError> {
     match fields.message() {
         "DISCOVERY" => decode_list_update(fields, lists).map(|update| Some(Event::ListUpdated(update))),
-        "QUERY" => decode_request(fields, names).map(|request| Some(Event::RequestArrived(request))),
+        "QUERY" => decode_request(fields, context).map(|request| Some(Event::RequestArrived(request))),
         "FIRST_BYTE" => Ok(Some(Event::AttemptStarted { id: fields.request_id()? })),
-        "RETURNED" => decode_attempt_end(fields, names).map(|end| Some(Event::AttemptEnded(end))),
+        "RETURNED" => decode_attempt_end(fields, context).map(|end| Some(Event::AttemptEnded(end))),
         "LAPSED" => Ok(Some(Event::ClientGone { id: fields.request_id()? })),
-        "DEADLINE_HIT" => Ok(Some(Event::TimerDue { token: fields.number("nonce")? })),
-        "CHECK_RESULT" => decode_health_check(fields, names).map(Some),
+        "DEADLINE_HIT" => Ok(Some(Event::TimerDue { token: fields.integer("nonce")? })),
+        "CHECK_RESULT" => decode_health_check(fields, context).map(Some),
         "PEER_DATA" => decode_gossip(fields),
         message => Err(MessageError::UnknownMessage(message.to_string())),
     }
 }
 
-/// Decodes DISCOVERY: how a list became known, or that it did not.
+/// Decodes DISCOVERY: an update of the list, or a failure of discovery.
 fn decode_list_update(
     fields: &mut MessageFields, lists: &BTreeMap<u64, MemberList>,
 ) -> Result<ListUpdate, MessageError> {
-    let number = fields.number_or("sheet", 0)?;
+    let number = fields.integer_or("sheet", 0)?;
     let kind = fields.text("how")?;
-    let _epoch: i64 = fields.number_or("epoch", 0)?;
+    let _epoch: i64 = fields.integer_or("epoch", 0)?;
     let list = || lists.get(&number).cloned().ok_or(MessageError::UnknownList(number));
     match kind {
         "diff" => Ok(ListUpdate::Changes(list()?)),
         "snapshot" => Ok(ListUpdate::Full(list()?)),
         "disk" => Ok(ListUpdate::Cached(list()?)),
         "error" => Ok(ListUpdate::Failed { silent_for: None }),
-        text => Err(fields.wrong_value("how", text)),
+        text => Err(fields.invalid_value("how", "diff, snapshot, disk or error", text)),
     }
 }
 
 /// Decodes QUERY: a client's request.
-fn decode_request(fields: &mut MessageFields, names: &InstanceNames) -> Result<Request, MessageError> {
+fn decode_request(fields: &mut MessageFields, context: &InstanceContext) -> Result<Request, MessageError> {
     let id = fields.request_id()?;
     let class_name = fields.text("grade")?;
-    let class = names.classes.get(class_name).copied();
-    let class = class.ok_or_else(|| fields.wrong_value("grade", class_name))?;
+    let class = context.classes.get(class_name).copied();
+    let class = class.ok_or_else(|| fields.invalid_value("grade", "a class of the profile", class_name))?;
     let time_left = fields.duration("left")?;
     let tenant_name = fields.optional_text("owner")?;
-    let tenant = tenant_name.and_then(|name| names.tenants.get(name).copied());
-    let _flags: u64 = fields.number_or("flags", 0)?;
+    let tenant = tenant_name.and_then(|name| context.tenants.get(name).copied());
+    let _flags: u64 = fields.integer_or("flags", 0)?;
     let last_write_age = decode_last_write_age(fields)?;
     let _predicted = fields.finite_or("predicted", 0.0)?;
     let group = decode_group(fields, "partitionNo")?;
@@ -106,40 +110,44 @@
     Ok(Request { id, class, time_left, tenant, last_write_age, group, session })
 }
 
-/// The number of a group, which the simulator writes as any finite number; 0 when absent.
+/// Decodes the number of a group, which may be any finite number; 0 if absent.
 fn decode_group(fields: &mut MessageFields, field: &'static str) -> Result<GroupId, MessageError> {
     Ok(GroupId(fields.finite_or(field, 0.0)? as u32))
 }
 
-/// The age of the session's last write; `None` if there was none, which a negative number says as well.
+/// Decodes the age of the session's last write; `None` if it is absent or negative, which both mean that there was
+/// none.
 fn decode_last_write_age(fields: &mut MessageFields) -> Result<Option<Micros>, MessageError> {
     let age_ms = fields.finite_or("tokenAgeMs", -1.0)?;
     Ok((age_ms >= 0.0).then_some(Micros((age_ms * MICROS_PER_MILLI as f64) as u64)))
 }
 
-/// The key of a session, in hexadecimal.
+/// Decodes the key of a session, given in hexadecimal.
 fn decode_session(fields: &mut MessageFields) -> Result<Option<SessionKey>, MessageError> {
     let Some(text) = fields.optional_text("connKey")? else { return Ok(None) };
-    let key = u64::from_str_radix(text, 16).map_err(|_| fields.wrong_value("connKey", text))?;
+    let key = u64::from_str_radix(text, 16)
+        .map_err(|_| fields.invalid_value("connKey", "a hexadecimal number of 64 bits", text))?;
     Ok(Some(SessionKey(key)))
 }
 
 /// Decodes RETURNED: the end of an attempt.
-fn decode_attempt_end(fields: &mut MessageFields, names: &InstanceNames) -> Result<AttemptEnd, MessageError> {
+fn decode_attempt_end(
+    fields: &mut MessageFields, context: &InstanceContext,
+) -> Result<AttemptEnd, MessageError> {
     let id = fields.request_id()?;
-    let attempt = fields.number("hop")?;
-    let member = MemberId(fields.number("member")?);
+    let attempt = fields.integer("hop")?;
+    let member = MemberId(fields.integer("member")?);
     let outcome = fields.outcome()?;
     let latency = fields.duration("latency")?;
     let is_request_over = fields.flag("final")?;
-    let mark = fields.number_or("mark", 0)?;
-    let (position, role) = split_mark(mark, names.position_origin);
-    let report = fields.load_report(names.position_origin)?;
+    let mark = fields.integer_or("mark", 0)?;
+    let (position, role) = split_mark(mark, context.position_origin);
+    let report = fields.load_report(context.position_origin)?;
     Ok(AttemptEnd { id, attempt, member, outcome, latency, is_request_over, position, role, report })
 }
 
-/// The position and the role that a mark carries. The mark is four times the position in milliseconds since
-/// `position_origin`, in which 0 stands for none, and the role.
+/// Splits a mark into a position and a role. The position is `mark / 4`, in milliseconds since `position_origin`, and
+/// absent if 0; the role is `mark % 4`.
 fn split_mark(mark: u64, position_origin: u64) -> (Option<LogPosition>, Option<Role>) {
     let position_ms = mark / 4;
     let position = (position_ms > 0)
@@ -153,19 +161,19 @@
 }
 
 /// Decodes CHECK_RESULT: the end of a health check.
-fn decode_health_check(fields: &mut MessageFields, names: &InstanceNames) -> Result<Event, MessageError> {
+fn decode_health_check(fields: &mut MessageFields, context: &InstanceContext) -> Result<Event, MessageError> {
     let outcome = fields.outcome()?;
     let _latency = fields.duration("latency")?;
-    let member = MemberId(fields.number("member")?);
-    let report = fields.load_report(names.position_origin)?;
+    let member = MemberId(fields.integer("member")?);
+    let report = fields.load_report(context.position_origin)?;
     Ok(Event::HealthCheckEnded { member, outcome, report })
 }
 
-/// Decodes PEER_DATA: what another instance sent about a member.
+/// Decodes PEER_DATA: gossip from another instance.
 fn decode_gossip(fields: &mut MessageFields) -> Result<Option<Event>, MessageError> {
-    let _sender: i64 = fields.number("who")?;
+    let _sender: i64 = fields.integer("who")?;
     let text = fields.optional_text("octets")?.unwrap_or_default();
-    let bytes = STANDARD.decode(text).map_err(|_| fields.wrong_value("octets", text))?;
+    let bytes = STANDARD.decode(text).map_err(|_| fields.invalid_value("octets", "base64", text))?;
     let gossip = PositionGossip::decode(&bytes);
     Ok(gossip.map(|PositionGossip { member, position, is_primary }| Event::PositionGossiped {
         member,
--- a/src/bin/linenhill-simulator-adapter/encode.rs
+++ b/src/bin/linenhill-simulator-adapter/encode.rs
@@ -1,4 +1,4 @@
-//! Encodes actions of the decisions in the simulator's terms: one line each.
+//! Encodes actions as messages of the simulator, one per line.
 
 use crate::gossip::PositionGossip;
 use base64::Engine;
@@ -6,10 +6,10 @@
 use linenhill::api::{Action, Micros, RequestId};
 use std::fmt::Write;
 
-/// The name of all other instances as the recipient of a message.
+/// Recipient of a message that goes to all other instances.
 const ALL_INSTANCES: &str = "*";
 
-/// Appends the line that says whose the actions after it are.
+/// Appends the line that names the instance of the actions after it.
 pub fn encode_instance(instance: u64, reply: &mut String) {
     push_line(reply, format_args!("BY\t{instance}"));
 }
@@ -47,11 +47,11 @@
 }
 
 fn push_line(reply: &mut String, line: std::fmt::Arguments) {
-    // Writing to a string does not fail.
+    // Writing to a `String` can't fail.
     let _ = writeln!(reply, "{line}");
 }
 
-/// A duration in microseconds; 0 stands for none.
+/// A duration in microseconds; 0 if absent.
 fn micros_or_zero(duration: Option<Micros>) -> u64 {
     duration.map_or(0, |duration| duration.0)
 }
--- a/src/bin/linenhill-simulator-adapter/error.rs
+++ b/src/bin/linenhill-simulator-adapter/error.rs
@@ -1,57 +1,63 @@
-//! Why a message of the simulator can't be used. The text names the message and the field in the simulator's words, so
-//! that it can be found in its input.
+//! Errors in the simulator's messages. Their texts use the simulator's names of messages and fields, so that the
+//! cause can be found in the input.
 
 use linenhill::settings::FormError;
 use std::fmt;
 
-/// What is wrong with a message.
+/// Why a message was rejected.
 #[derive(Debug)]
 pub enum MessageError {
-    /// The line is not UTF-8.
+    /// The line is not valid UTF-8.
     NotUtf8,
-    /// No message has this name.
+    /// The name of the message is unknown.
     UnknownMessage(String),
-    /// The message has too few fields; this is the first that is missing.
+    /// The message has too few fields; `field` is the first that is missing.
     MissingField { message: String, field: &'static str },
-    /// A field holds something else than it should.
-    WrongValue { message: String, field: &'static str, value: String },
-    /// The message stands outside a batch.
+    /// A field can't be parsed, or its value is out of range or unknown.
+    InvalidValue { message: String, field: &'static str, expected: &'static str, value: String },
+    /// The message requires an open batch.
     OutsideBatch(String),
-    /// A batch begins inside another one.
+    /// A batch begins before the previous one has ended.
     NestedBatch,
-    /// The message interrupts a list.
-    IncompleteList(String),
-    /// A member stands outside a list.
+    /// Another message arrived before all entries of a list.
+    IncompleteList { message: String, received: usize, length: usize },
+    /// An entry arrived without a list that is being read.
     MemberOutsideList,
-    /// A list of this number was never sent.
+    /// No list with this number was defined.
     UnknownList(u64),
-    /// The message is for an instance, and none was named.
+    /// No instance was selected for the message in this batch.
     NoInstance(String),
-    /// The message is for an instance of this number that was never attached, or has crashed.
+    /// The selected instance was never attached, or has crashed.
     NotAttached { message: String, instance: u64 },
-    /// An instance's settings can't be read.
+    /// An instance's profile can't be parsed.
     MalformedProfile(FormError),
-    /// An instance's settings can't be used.
+    /// An instance's profile is valid JSON but can't be used.
     UnusableProfile(FormError),
 }
 
 impl fmt::Display for MessageError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            MessageError::NotUtf8 => write!(f, "not UTF-8"),
+            MessageError::NotUtf8 => write!(f, "not valid UTF-8"),
             MessageError::UnknownMessage(message) => write!(f, "unknown message '{message}'"),
             MessageError::MissingField { message, field } => {
                 write!(f, "{message}: field '{field}' is missing")
             }
-            MessageError::WrongValue { message, field, value } => {
-                write!(f, "{message}: field '{field}' has a wrong value '{value}'")
+            MessageError::InvalidValue { message, field, expected, value } => {
+                write!(f, "{message}: field '{field}': expected {expected}, got '{value}'")
             }
-            MessageError::OutsideBatch(message) => write!(f, "'{message}' outside a batch"),
-            MessageError::NestedBatch => write!(f, "TURN inside a batch"),
-            MessageError::IncompleteList(message) => write!(f, "'{message}' where a MEMBER line is due"),
-            MessageError::MemberOutsideList => write!(f, "MEMBER outside a CENSUS"),
-            MessageError::UnknownList(list) => write!(f, "DISCOVERY: list {list} was never set up"),
-            MessageError::NoInstance(message) => write!(f, "{message} before any INSTANCE"),
+            MessageError::OutsideBatch(message) => {
+                write!(f, "expected TURN to begin a batch, got '{message}'")
+            }
+            MessageError::NestedBatch => write!(f, "expected GO to end the batch, got another TURN"),
+            MessageError::IncompleteList { message, received, length } => {
+                write!(f, "expected MEMBER ({received} of {length} received), got '{message}'")
+            }
+            MessageError::MemberOutsideList => write!(f, "got MEMBER without a CENSUS that announces it"),
+            MessageError::UnknownList(list) => {
+                write!(f, "DISCOVERY: list {list} was not defined by a CENSUS")
+            }
+            MessageError::NoInstance(message) => write!(f, "{message}: no INSTANCE selected in this batch"),
             MessageError::NotAttached { message, instance } => {
                 write!(f, "{message}: instance {instance} is not attached")
             }
--- a/src/bin/linenhill-simulator-adapter/fields.rs
+++ b/src/bin/linenhill-simulator-adapter/fields.rs
@@ -1,24 +1,27 @@
-//! The fields of one message, which tabs separate. They have no names on the wire: each is read by its place, and the
-//! name that a reader gives it is for errors.
+//! The tab-separated fields of one message. Fields are identified by position; the names passed by callers are used
+//! in errors only.
 
 use crate::error::MessageError;
 use linenhill::api::{LoadReport, LogPosition, Micros, Outcome, RequestId, Role};
 use std::str::{FromStr, Split};
 
-/// What stands for a field without a value.
+/// Placeholder of a field without a value.
 const ABSENT: &str = "-";
-/// From this value on a number says that a member is the primary.
+/// A member is the primary if the number of its role is at least this.
 pub const IS_PRIMARY: f64 = 0.5;
 const MICROS_PER_SECOND: f64 = 1e6;
+/// Expected values, as errors name them.
+const INTEGER: &str = "an integer in range";
+const FINITE: &str = "a finite number";
 
-/// The fields of a message that are not read yet.
+/// The fields of a message that have not been read yet.
 pub struct MessageFields<'a> {
     message: &'a str,
     rest: Split<'a, char>,
 }
 
 impl<'a> MessageFields<'a> {
-    /// The fields of the message on this line.
+    /// Splits the message on this line into its fields.
     pub fn new(line: &'a str) -> MessageFields<'a> {
         let mut rest = line.split('\t');
         let message = rest.next().unwrap_or_default();
@@ -30,65 +33,81 @@
         self.message
     }
 
-    /// The next field.
+    /// Reads the next field.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, MessageError> {
         let missing = || MessageError::MissingField { message: self.message.to_string(), field };
         self.rest.next().ok_or_else(missing)
     }
 
-    /// The next field; `None` if it has no value.
+    /// Reads the next field; `None` if it has no value.
     pub fn optional_text(&mut self, field: &'static str) -> Result<Option<&'a str>, MessageError> {
         let text = self.text(field)?;
         Ok(Some(text).filter(|text| *text != ABSENT))
     }
 
-    /// The error for a field of this message that holds something else than it should.
-    pub fn wrong_value(&self, field: &'static str, value: impl ToString) -> MessageError {
-        MessageError::WrongValue { message: self.message.to_string(), field, value: value.to_string() }
+    /// The error for a field of this message whose value is not what was expected.
+    pub fn invalid_value(
+        &self, field: &'static str, expected: &'static str, value: impl ToString,
+    ) -> MessageError {
+        MessageError::InvalidValue {
+            message: self.message.to_string(),
+            field,
+            expected,
+            value: value.to_string(),
+        }
     }
 
-    /// The next field as a number.
-    pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, MessageError> {
+    /// Reads the next field as an integer.
+    pub fn integer<T: FromStr>(&mut self, field: &'static str) -> Result<T, MessageError> {
         let text = self.text(field)?;
-        text.parse().map_err(|_| self.wrong_value(field, text))
+        text.parse().map_err(|_| self.invalid_value(field, INTEGER, text))
     }
 
-    /// The next field as a number; `absent` if it has no value.
-    pub fn number_or<T: FromStr>(&mut self, field: &'static str, absent: T) -> Result<T, MessageError> {
-        match self.optional_text(field)? {
-            None => Ok(absent),
-            Some(text) => text.parse().map_err(|_| self.wrong_value(field, text)),
-        }
+    /// Reads the next field as an integer; `absent` if it has no value.
+    pub fn integer_or<T: FromStr>(&mut self, field: &'static str, absent: T) -> Result<T, MessageError> {
+        self.parse_or(field, INTEGER, absent)
     }
 
-    /// The next field as a finite number; `absent` if it has no value.
+    /// Reads the next field as a finite number; `absent` if it has no value.
     pub fn finite_or(&mut self, field: &'static str, absent: f64) -> Result<f64, MessageError> {
-        let number: f64 = self.number_or(field, absent)?;
-        if number.is_finite() { Ok(number) } else { Err(self.wrong_value(field, number)) }
+        let number: f64 = self.parse_or(field, FINITE, absent)?;
+        if number.is_finite() { Ok(number) } else { Err(self.invalid_value(field, FINITE, number)) }
+    }
+
+    fn parse_or<T: FromStr>(
+        &mut self, field: &'static str, expected: &'static str, absent: T,
+    ) -> Result<T, MessageError> {
+        match self.optional_text(field)? {
+            None => Ok(absent),
+            Some(text) => text.parse().map_err(|_| self.invalid_value(field, expected, text)),
+        }
     }
 
-    /// The next field as a flag, 0 or 1.
+    /// Reads the next field as a flag, 0 or 1.
     pub fn flag(&mut self, field: &'static str) -> Result<bool, MessageError> {
         match self.text(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
-            text => Err(self.wrong_value(field, text)),
+            text => Err(self.invalid_value(field, "0 or 1", text)),
         }
     }
 
-    /// The next field as a request's id.
+    /// Reads the next field as a request's id.
     pub fn request_id(&mut self) -> Result<RequestId, MessageError> {
         let text = self.text("ref")?;
-        text.as_bytes().try_into().map(RequestId).map_err(|_| self.wrong_value("ref", text))
+        text.as_bytes()
+            .try_into()
+            .map(RequestId)
+            .map_err(|_| self.invalid_value("ref", "an id of 36 bytes", text))
     }
 
-    /// The next field as a duration in microseconds; a negative one, or none, is 0.
+    /// Reads the next field as a duration in microseconds; 0 if it is negative or has no value.
     pub fn duration(&mut self, field: &'static str) -> Result<Micros, MessageError> {
-        let micros = self.number_or::<i64>(field, 0)?;
+        let micros = self.integer_or::<i64>(field, 0)?;
         Ok(Micros(u64::try_from(micros).unwrap_or(0)))
     }
 
-    /// The next field as the outcome of an attempt or of a health check.
+    /// Reads the next field as the outcome of an attempt or a health check.
     pub fn outcome(&mut self) -> Result<Outcome, MessageError> {
         match self.text("code")? {
             "Ok" => Ok(Outcome::Ok),
@@ -100,17 +119,18 @@
             "Canceled" => Ok(Outcome::Cancelled),
             "Ignored" => Ok(Outcome::NotSent),
             "Miss" => Ok(Outcome::NotApplicable),
-            text => Err(self.wrong_value("code", text)),
+            text => Err(self.invalid_value("code", "the name of an outcome", text)),
         }
     }
 
-    /// The next field as a member's load report: pairs of a name and a finite number. `position_origin` is the Unix time
-    /// in microseconds from which the simulator counts positions, in seconds. Names that are not known are ignored.
+    /// Reads the next field as a member's load report: pairs of a name and a finite number. Positions in it are in
+    /// seconds since `position_origin`, a Unix time in microseconds. Unknown names are ignored.
     pub fn load_report(&mut self, position_origin: u64) -> Result<LoadReport, MessageError> {
         let mut report = LoadReport::default();
         let Some(text) = self.optional_text("pressure")? else { return Ok(report) };
         for pair in text.split(',').filter(|pair| !pair.is_empty()) {
-            let (name, value) = parse_pair(pair).ok_or_else(|| self.wrong_value("pressure", pair))?;
+            let (name, value) = parse_pair(pair)
+                .ok_or_else(|| self.invalid_value("pressure", "a name, a colon and a finite number", pair))?;
             match name {
                 "x0" => {
                     let micros = (value * MICROS_PER_SECOND).floor() as i64;
@@ -126,7 +146,7 @@
     }
 }
 
-/// A name and a finite number, which a colon separates.
+/// Splits a pair of a name and a finite number, separated by a colon.
 fn parse_pair(pair: &str) -> Option<(&str, f64)> {
     let (name, value) = pair.split_once(':')?;
     let value: f64 = value.parse().ok()?;
--- a/src/bin/linenhill-simulator-adapter/gossip.rs
+++ b/src/bin/linenhill-simulator-adapter/gossip.rs
@@ -1,41 +1,41 @@
-//! What instances send each other about a member, as the bytes that a message between them carries. Its length is what
-//! such a message costs, so it is fixed.
+//! Encoding of the gossip that instances exchange. Its length is fixed, since the cost of a message depends on it.
 
 use crate::MICROS_PER_MILLI;
 use linenhill::api::{LogPosition, MemberId};
 use linenhill::settings::GOSSIP_MESSAGE_BYTES;
 
-/// Bytes of the member's number, which come first.
+/// Length of the member's id, which comes first, in bytes.
 const MEMBER_BYTES: usize = 4;
-/// Of the state as a number of 8 bytes, so many at the front are not sent: they are 0 for as long as positions matter.
-const UNSENT_STATE_BYTES: usize = 8 - (GOSSIP_MESSAGE_BYTES - MEMBER_BYTES);
+/// Leading bytes of the packed value that are omitted. The 47 bits of milliseconds that remain last for over 4,000
+/// years.
+const OMITTED_BYTES: usize = 8 - (GOSSIP_MESSAGE_BYTES - MEMBER_BYTES);
 
-/// A position that a member has applied, and whether it was the primary then.
+/// A position that a member has applied, and whether the member was primary then.
 pub struct PositionGossip {
-    /// The member.
+    /// The member in question.
     pub member: MemberId,
-    /// The position; its part below a millisecond is not sent.
+    /// The position; encoded in whole milliseconds.
     pub position: LogPosition,
-    /// Whether the member was the primary.
+    /// Whether the member was primary.
     pub is_primary: bool,
 }
 
 impl PositionGossip {
-    /// The member's number, then the position in milliseconds, doubled to make room for the flag; both big-endian.
+    /// Encodes the member's id, and the position in milliseconds times two plus the primary flag; both big-endian.
     pub fn encode(&self) -> Vec<u8> {
-        let state = self.position.0 / MICROS_PER_MILLI * 2 + u64::from(self.is_primary);
-        [&self.member.0.to_be_bytes()[..], &state.to_be_bytes()[UNSENT_STATE_BYTES..]].concat()
+        let packed = self.position.0 / MICROS_PER_MILLI * 2 + u64::from(self.is_primary);
+        [&self.member.0.to_be_bytes()[..], &packed.to_be_bytes()[OMITTED_BYTES..]].concat()
     }
 
-    /// Decodes what [`PositionGossip::encode`] makes; `None` for bytes of any other length.
+    /// Decodes the result of [`PositionGossip::encode`]; `None` for any other length.
     pub fn decode(bytes: &[u8]) -> Option<PositionGossip> {
         let bytes = <[u8; GOSSIP_MESSAGE_BYTES]>::try_from(bytes).ok()?;
-        let (member, state) = bytes.split_first_chunk::<MEMBER_BYTES>()?;
-        let state = state.iter().fold(0, |state, byte| state << 8 | u64::from(*byte));
+        let (member, packed) = bytes.split_first_chunk::<MEMBER_BYTES>()?;
+        let packed = packed.iter().fold(0, |packed, byte| packed << 8 | u64::from(*byte));
         Some(PositionGossip {
             member: MemberId(u32::from_be_bytes(*member)),
-            position: LogPosition(state / 2 * MICROS_PER_MILLI),
-            is_primary: state % 2 == 1,
+            position: LogPosition(packed / 2 * MICROS_PER_MILLI),
+            is_primary: packed % 2 == 1,
         })
     }
 }
--- a/src/bin/linenhill-simulator-adapter/main.rs
+++ b/src/bin/linenhill-simulator-adapter/main.rs
@@ -1,13 +1,13 @@
-//! Connects a simulator to the decisions: reads its messages on standard input, one a line, and answers each batch on
-//! standard output, for many instances of the proxy's decisions at once.
+//! Connects a simulator to the decisions of many proxy instances: reads the simulator's messages from standard input,
+//! one per line, and replies to each batch on standard output.
 //!
-//! - `fields`: the fields of one message; `gossip`: what instances send each other about a member;
-//! - `decode`: a message becomes an event of the decisions; `encode`: an action becomes a message;
+//! - `fields`: the fields of one message; `gossip`: the encoding of gossip between instances;
+//! - `decode`: messages to events; `encode`: actions to messages;
 //! - `adapter`: the instances, and the batch that is being read;
-//! - `error`: why a message can't be used.
+//! - `error`: errors in messages.
 //!
-//! It decides nothing, and never goes on after a message that it can't use: a simulation with a hole in it would be
-//! taken for a result. Names of messages and fields are the simulator's; `decode` and `encode` translate them.
+//! The adapter makes no decisions itself. It stops at the first message that it can't use: a simulation that skipped
+//! one would still look like a valid result.
 #![forbid(unsafe_code)]
 
 mod adapter;
@@ -23,30 +23,30 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// The size of the output buffer, in bytes.
+/// Size of the output buffer, in bytes.
 const OUTPUT_BUFFER: usize = 1 << 16;
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// Why a run ended before its input did.
+/// Why a run failed.
 #[derive(Debug)]
 enum RunError {
-    /// The input can't be read.
+    /// Reading the input failed.
     Read(io::Error),
-    /// The output can't be written.
+    /// Writing the output failed.
     Write(io::Error),
-    /// The message on this line can't be used; lines are counted from 1.
+    /// A message was rejected; lines are counted from 1.
     Message { line: u64, error: MessageError },
-    /// The input ended before its last batch did.
+    /// The input ended in the middle of a batch.
     IncompleteBatch,
 }
 
 impl fmt::Display for RunError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            RunError::Read(e) => write!(f, "reading: {e}"),
-            RunError::Write(e) => write!(f, "writing: {e}"),
+            RunError::Read(e) => write!(f, "reading standard input: {e}"),
+            RunError::Write(e) => write!(f, "writing standard output: {e}"),
             RunError::Message { line, error } => write!(f, "line {line}: {error}"),
-            RunError::IncompleteBatch => write!(f, "input ended inside a batch"),
+            RunError::IncompleteBatch => write!(f, "input ended before the batch did"),
         }
     }
 }
@@ -64,14 +64,14 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("linenhill-simulator-adapter: {problem}");
+        Err(error) => {
+            eprintln!("linenhill-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Serves batches until the end of the input.
+/// Handles batches until the input ends.
 fn run() -> Result<(), RunError> {
     let mut input = io::stdin().lock();
     let mut output = io::BufWriter::with_capacity(OUTPUT_BUFFER, io::stdout().lock());
@@ -93,7 +93,7 @@
     }
 }
 
-/// Handles a line with its end, which is a line feed, possibly after a carriage return.
+/// Handles a line including its line ending, a line feed or a carriage return and line feed.
 fn handle_line(adapter: &mut Adapter, bytes: &[u8]) -> Result<BatchState, MessageError> {
     let text = std::str::from_utf8(bytes).map_err(|_| MessageError::NotUtf8)?;
     let text = text.strip_suffix('\n').unwrap_or(text);
