--- a/crates/decisions/src/policy/concurrency_limit.rs
+++ b/crates/decisions/src/policy/concurrency_limit.rs
@@ -1,7 +1,8 @@
 //! How many attempts a router may have in flight at a member, and how long it pauses between them: adjusted by
 //! latency, as this router's share of fleet-wide limits.
 //!
-//! The limit never falls below this router's share of the cores that a small member has.
+//! The limit is never reduced below this router's share of the cores of a small member, or below 1 where that share is
+//! larger.
 
 use super::fleet_divisor::FleetDivisor;
 use super::member::{ConcurrencyLimit, Member};
@@ -12,7 +13,7 @@
 
 /// Initial limit at a member for all routers together.
 const FLEET_LIMIT_INITIAL: f64 = 16.0;
-/// Minimum limit for all routers together: the cores of a small member.
+/// Minimum limit for all routers together: the cores of a small member. The minimum of one router is at most 1.
 const FLEET_LIMIT_MIN: f64 = 3.0;
 /// Increase of the limit per answer, for all routers together.
 const FLEET_LIMIT_STEP: f64 = 2.0;
@@ -141,7 +142,8 @@
         }
     }
 
-    /// Reduces a member's limit below the attempts in flight, unless it was reduced within `REDUCE_INTERVAL_MIN`.
+    /// Reduces a member's limit below its attempts in flight, counting the one that has just ended. Does nothing if the
+    /// last reduction was less than `REDUCE_INTERVAL_MIN` ago.
     pub(super) fn reduce_limit(&mut self, member: MemberId) {
         let limit_min = self.fleet_divisor.share_of(FLEET_LIMIT_MIN).min(1.0);
         let now = self.now;
--- a/crates/decisions/src/policy/member_health.rs
+++ b/crates/decisions/src/policy/member_health.rs
@@ -67,7 +67,7 @@
         }
         let Some(ejected) = &mut member.ejected else { return };
         if response == Response::Reachable && !ejected.unreachable {
-            // The process is running, but may still not serve requests: one trial request finds out.
+            // The process is running, but may still not serve requests: one trial request decides that.
             ejected.trial_ready = true;
             return;
         }
@@ -133,10 +133,10 @@
         };
         let oldest = member.attempts_in_flight.values().min_by_key(|attempt| attempt.sent);
         let Some(oldest) = oldest else { return false };
-        let usual = member.expected_latency(self.latencies.mean(oldest.class));
+        let expected = member.expected_latency(self.latencies.mean(oldest.class));
         let unanswered_for = (self.now - oldest.sent.max(member.last_response)).as_f64();
         let in_flight = member.attempts_in_flight.len() as f64;
-        let threshold = usual * (UNRESPONSIVE_LATENCIES + UNRESPONSIVE_LATENCIES_SHARED / in_flight);
+        let threshold = expected * (UNRESPONSIVE_LATENCIES + UNRESPONSIVE_LATENCIES_SHARED / in_flight);
         unanswered_for > threshold.max(UNRESPONSIVE_MIN_US)
     }
 
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -18,10 +18,11 @@
 /// Exponent of each report's factor in the fleet-wide multiplier, and maximum of that multiplier.
 const FLEET_RATE_EXPONENT: f64 = 0.4;
 const FLEET_RATE_MULTIPLIER_MAX: f64 = 5.0;
-/// Load of all routers together on a member in slow start, in cores at its present capacity.
+/// All routers together may send a member in slow start `overload_multiple` times the present capacity of this many
+/// cores.
 const CORES_USED: f64 = 3.0;
-/// Lower bound of the send rate, per microsecond, so that a gap is finite.
-const RATE_MIN: f64 = 1e-9;
+/// Lower bound of the load that a gap is computed from, so that the gap is finite.
+const LOAD_MIN: f64 = 1e-9;
 
 /// Factor on the send rate to all members in slow start, from their utilisation reports.
 pub(super) struct FleetRateMultiplier {
@@ -102,7 +103,7 @@
             1.0 + FLEET_RATE_MULTIPLIER_MAX * elapsed / rules.overload_duration.0.max(1) as f64;
         let rate_multiplier = member.slow_start.rate_multiplier
             * self.fleet_rate_multiplier.rate_multiplier.min(fleet_multiplier_max);
-        work.max(1.0) / (self.capacity_fraction(member) * load * rate_multiplier).max(RATE_MIN)
+        work.max(1.0) / (self.capacity_fraction(member) * load * rate_multiplier).max(LOAD_MIN)
     }
 
     /// Ends slow start once the member is warm; until then reschedules a turn that was not used.
--- a/crates/decisions/src/policy/wait_queue.rs
+++ b/crates/decisions/src/policy/wait_queue.rs
@@ -11,9 +11,10 @@
 
 /// Maximum number of queued requests per group, to bound memory and the work per event.
 const QUEUED_MAX: usize = 400;
-/// After this many requests without a member, the rest are only checked for whether they must be decided now.
+/// After this many requests of one round that no member could take, the rest are only dispatched if they must be
+/// decided now.
 const FAILED_DISPATCHES_MAX: usize = 24;
-/// Weights per microsecond are compared as integers in units of one over this.
+/// Factor that converts weights per microsecond to integers for comparison.
 const RANK_SCALE: f64 = 1e9;
 /// A lagging member is checked again after its lag divided by this.
 const LAG_CHECK_DIVISOR: u64 = 8;
@@ -64,6 +65,7 @@
             self.check_lagging_members(group, out);
         }
     }
+
     fn ranked_queue(&self, group: GroupId) -> Vec<QueueRank> {
         let Some(group) = self.groups.get(&group) else { return Vec::new() };
         let mut ranked = Vec::with_capacity(group.queued.len());
@@ -110,8 +112,8 @@
         let is_due = |id: &&MemberId| {
             let Some(member) = self.members.get(id) else { return false };
             let position = member.replication.position;
-            let behind = target.as_time().saturating_since(position.as_time());
-            let gap = Micros(behind.0 / LAG_CHECK_DIVISOR).max(SEARCH_INTERVAL_MIN).min(POSITION_WAIT_MAX);
+            let lag = target.as_time().saturating_since(position.as_time());
+            let gap = Micros(lag.0 / LAG_CHECK_DIVISOR).max(SEARCH_INTERVAL_MIN).min(POSITION_WAIT_MAX);
             position < target && member.ejected.is_none() && self.now >= member.health_check.last_sent + gap
         };
         let lagging: Vec<MemberId> = group.members.iter().filter(is_due).copied().collect();
