--- a/crates/decisions/src/policy/member_health.rs
+++ b/crates/decisions/src/policy/member_health.rs
@@ -146,7 +146,7 @@
         let latencies = &self.latencies;
         let in_flight =
             self.members.iter().flat_map(|(id, member)| member.in_flight(*id, |class| latencies.mean(class)));
-        for zone in self.zone_health.silent_zones(self.now, in_flight) {
+        for zone in self.zone_health.unresponsive_zones(self.now, in_flight) {
             for member in self.members_to_eject_with_zone(zone) {
                 self.eject(member, Ejection::ZONE_UNRESPONSIVE);
                 out.push(Action::CloseIdleConnections { member });
