--- a/crates/decisions/src/policy/connection_failure.rs
+++ b/crates/decisions/src/policy/connection_failure.rs
@@ -19,7 +19,7 @@
 pub(super) struct ConnectionCost {
     /// Cost in mean latencies of an attempt, smoothed.
     mean_latencies: f64,
-    /// Until when members count as short of connections.
+    /// Members count as short of connections before this time.
     shortage_until: Time,
 }
 
@@ -51,7 +51,7 @@
 impl Router {
     /// Handles a connection that failed after `taken`. A member that has not responded recently counts as
     /// unreachable. One that has is assumed to be out of connections: it is paced, and repeated refusals make the
-    /// router close idle connections. The price: a member that has just gone down is tried again.
+    /// router close idle connections. Trade-off: a member that has just gone down is tried again.
     pub(super) fn on_connect_failed(&mut self, id: MemberId, taken: Micros, out: &mut Vec<Action>) {
         let jitter = 0.5 + self.rng.get_mut().f64();
         let Some(member) = self.members.get_mut(&id) else { return };
--- a/crates/decisions/src/policy/deadline.rs
+++ b/crates/decisions/src/policy/deadline.rs
@@ -41,7 +41,7 @@
     }
 
     /// Whether half of the request's time has passed, it has reached no member, and its primary is unavailable or
-    /// warming up. Such a request is given up so that its client can retry. The price: an election may end just
+    /// warming up. Such a request is given up so that its client can retry. Trade-off: an election may end just
     /// after.
     fn has_no_primary_past_half_time(&self, request: &QueuedRequest) -> bool {
         let half_time = request.arrived.0.midpoint(request.deadline.0);
--- a/crates/decisions/src/policy/gossip.rs
+++ b/crates/decisions/src/policy/gossip.rs
@@ -16,8 +16,8 @@
         let receivers = f64::from(self.settings.fleet_size.saturating_sub(1));
         let Some(member) = self.members.get_mut(&id) else { return };
         let replication = &mut member.replication;
-        let has_moved = replication.position > replication.gossiped + GOSSIP_STEP;
-        let should_send = self.settings.limits.gossip && has_moved && receivers > 0.0;
+        let has_advanced = replication.position > replication.gossiped + GOSSIP_STEP;
+        let should_send = self.settings.limits.gossip && has_advanced && receivers > 0.0;
         if should_send && self.budgets.gossip.try_spend(receivers) {
             replication.gossiped = replication.position;
             let position = replication.position;
--- a/crates/decisions/src/policy/health_checks.rs
+++ b/crates/decisions/src/policy/health_checks.rs
@@ -43,8 +43,8 @@
         {
             return self.check_health(id, out);
         }
-        let last_learned = member.replication.reported.max(member.health_check.last_sent);
-        let is_due = member.is_healthy() && now >= last_learned + HEALTH_CHECK_INTERVAL_MIN;
+        let last_report_or_check = member.replication.reported.max(member.health_check.last_sent);
+        let is_due = member.is_healthy() && now >= last_report_or_check + HEALTH_CHECK_INTERVAL_MIN;
         if is_due && self.budgets.health_checks.try_spend(1.0) {
             self.check_health(id, out);
         }
--- a/crates/decisions/src/policy/primary_tracking.rs
+++ b/crates/decisions/src/policy/primary_tracking.rs
@@ -55,7 +55,7 @@
     }
 
     /// A member on which a write may be tried while there is no usable primary. A replica rejects the write at once
-    /// without running it, which is as informative as a health check. The price: a connection and an attempt.
+    /// without running it, which is as informative as a health check. Trade-off: a connection and an attempt.
     pub(super) fn primary_candidate_for_write(
         &self, request: &QueuedRequest, group: &Group,
     ) -> Option<MemberId> {
@@ -108,8 +108,8 @@
     pub(super) fn record_report(&mut self, id: MemberId, position: Option<LogPosition>, role: RoleReport) {
         let Some(member) = self.members.get_mut(&id) else { return };
         // A position well in the future is invalid.
-        let known = position.filter(|position| position.as_time() < self.now + RECENT_RESPONSE);
-        if let Some(position) = known {
+        let valid = position.filter(|position| position.as_time() < self.now + RECENT_RESPONSE);
+        if let Some(position) = valid {
             member.replication.position = member.replication.position.max(position);
             member.replication.reported = self.now;
         }
--- a/crates/decisions/src/policy/replica_selection.rs
+++ b/crates/decisions/src/policy/replica_selection.rs
@@ -155,7 +155,7 @@
     }
 
     /// Reads of any age are concentrated on the replica with the largest lag, which is the same for all routers: a
-    /// long read can stall a replica's log, and spreading such reads would make all replicas lag. The price: that
+    /// long read can stall a replica's log, and spreading such reads would make all replicas lag. Trade-off: that
     /// replica is slow to promote.
     fn selection_weight(&self, selection: &ReplicaSelection, replica: &Member) -> f64 {
         let cost = self.selection_cost(replica);
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -39,8 +39,9 @@
 impl SlowStart {
     /// Adjusts the rates by a report of the member's utilisation.
     fn record_cpu_utilisation(&mut self, utilisation: f64, fleet_rate_multiplier: &mut FleetRateMultiplier) {
-        let wanted = TARGET_CPU_UTILISATION / utilisation.max(CPU_UTILISATION_MIN);
-        self.rate_multiplier = wanted.clamp(1.0 / MEMBER_RATE_MULTIPLIER_MAX, MEMBER_RATE_MULTIPLIER_MAX);
+        let target_ratio = TARGET_CPU_UTILISATION / utilisation.max(CPU_UTILISATION_MIN);
+        self.rate_multiplier =
+            target_ratio.clamp(1.0 / MEMBER_RATE_MULTIPLIER_MAX, MEMBER_RATE_MULTIPLIER_MAX);
         let rate_multiplier =
             fleet_rate_multiplier.rate_multiplier * self.rate_multiplier.powf(FLEET_RATE_EXPONENT);
         fleet_rate_multiplier.rate_multiplier =
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -104,58 +104,51 @@
     }
 }
 
+/// Lines of a second batch and their errors; `ID` stands for the id of a request.
+const SECOND_BATCH_ERRORS: [(&str, &str); 20] = [
+    ("QUERY\tshort\tw\t1\t-\t0\t-\t-\t4\t-", "QUERY: field 'ref': expected an id of 36 bytes, got 'short'"),
+    (
+        "QUERY\tID\tnone\t1\t-\t0\t-\t-\t4\t-",
+        "QUERY: field 'grade': expected a class of the profile, got 'none'",
+    ),
+    ("QUERY\tID\tw\t1\t-\t4\tinf\t-\t4\t-", "QUERY: field 'tokenAgeMs': expected a finite number, got 'inf'"),
+    (
+        "QUERY\tID\tw\t1\t-\t4\t-\t-\t4\tkey",
+        "QUERY: field 'connKey': expected a hexadecimal number of 64 bits, got 'key'",
+    ),
+    ("QUERY\tID\tw\t1\t-\t4\t-\t-\t4", "QUERY: field 'connKey' is missing"),
+    (
+        "RETURNED\tID\t0\t51\tSplendid\t1\t1\t0\t-",
+        "RETURNED: field 'code': expected the name of an outcome, got 'Splendid'",
+    ),
+    ("RETURNED\tID\t0\t51\tOk\t1\t2\t0\t-", "RETURNED: field 'final': expected 0 or 1, got '2'"),
+    (
+        "RETURNED\tID\t0\t51\tOk\t1\t1\t0\tx0:1,x1",
+        "RETURNED: field 'pressure': expected a name, a colon and a finite number, got 'x1'",
+    ),
+    (
+        "CHECK_RESULT\tOk\t1\t51\tx0:NaN",
+        "CHECK_RESULT: field 'pressure': expected a name, a colon and a finite number, got 'x0:NaN'",
+    ),
+    ("PEER_DATA\t3\t=", "PEER_DATA: field 'octets': expected base64, got '='"),
+    ("DEADLINE_HIT\tx", "DEADLINE_HIT: field 'nonce': expected an integer in range, got 'x'"),
+    ("DISCOVERY\t0\tpush\t1", "DISCOVERY: field 'how': expected diff, snapshot, disk or error, got 'push'"),
+    ("DISCOVERY\t9\tsnapshot\t1", "DISCOVERY: list 9 was not defined by a CENSUS"),
+    ("CENSUS\t1", "CENSUS: field 'lines' is missing"),
+    ("MEMBER\t51\ta\tstd\t4\tin_service\t1\t-\t0", "got MEMBER without a CENSUS that announces it"),
+    ("ATTACH\t1", "ATTACH: field 'profileData' is missing"),
+    ("ATTACH\tx\t{}", "ATTACH: field 'prng': expected an integer in range, got 'x'"),
+    ("ATTACH\t1\t{", "ATTACH: field 'profileData': the text is not JSON"),
+    ("TURN\t5010000\t2", "expected GO to end the batch, got another TURN"),
+    ("NOSUCH\t1", "unknown message 'NOSUCH'"),
+];
+
 // Guards against an error in a later batch that names a wrong line, message or field.
 #[test]
 fn errors_in_a_second_batch_name_the_message_and_the_field() {
-    let cases = [
-        (
-            "QUERY\tshort\tw\t1\t-\t0\t-\t-\t4\t-",
-            "QUERY: field 'ref': expected an id of 36 bytes, got 'short'",
-        ),
-        (
-            "QUERY\tID\tnone\t1\t-\t0\t-\t-\t4\t-",
-            "QUERY: field 'grade': expected a class of the profile, got 'none'",
-        ),
-        (
-            "QUERY\tID\tw\t1\t-\t4\tinf\t-\t4\t-",
-            "QUERY: field 'tokenAgeMs': expected a finite number, got 'inf'",
-        ),
-        (
-            "QUERY\tID\tw\t1\t-\t4\t-\t-\t4\tkey",
-            "QUERY: field 'connKey': expected a hexadecimal number of 64 bits, got 'key'",
-        ),
-        ("QUERY\tID\tw\t1\t-\t4\t-\t-\t4", "QUERY: field 'connKey' is missing"),
-        (
-            "RETURNED\tID\t0\t51\tSplendid\t1\t1\t0\t-",
-            "RETURNED: field 'code': expected the name of an outcome, got 'Splendid'",
-        ),
-        ("RETURNED\tID\t0\t51\tOk\t1\t2\t0\t-", "RETURNED: field 'final': expected 0 or 1, got '2'"),
-        (
-            "RETURNED\tID\t0\t51\tOk\t1\t1\t0\tx0:1,x1",
-            "RETURNED: field 'pressure': expected a name, a colon and a finite number, got 'x1'",
-        ),
-        (
-            "CHECK_RESULT\tOk\t1\t51\tx0:NaN",
-            "CHECK_RESULT: field 'pressure': expected a name, a colon and a finite number, got 'x0:NaN'",
-        ),
-        ("PEER_DATA\t3\t=", "PEER_DATA: field 'octets': expected base64, got '='"),
-        ("DEADLINE_HIT\tx", "DEADLINE_HIT: field 'nonce': expected an integer in range, got 'x'"),
-        (
-            "DISCOVERY\t0\tpush\t1",
-            "DISCOVERY: field 'how': expected diff, snapshot, disk or error, got 'push'",
-        ),
-        ("DISCOVERY\t9\tsnapshot\t1", "DISCOVERY: list 9 was not defined by a CENSUS"),
-        ("CENSUS\t1", "CENSUS: field 'lines' is missing"),
-        ("MEMBER\t51\ta\tstd\t4\tin_service\t1\t-\t0", "got MEMBER without a CENSUS that announces it"),
-        ("ATTACH\t1", "ATTACH: field 'profileData' is missing"),
-        ("ATTACH\tx\t{}", "ATTACH: field 'prng': expected an integer in range, got 'x'"),
-        ("ATTACH\t1\t{", "ATTACH: field 'profileData': the text is not JSON"),
-        ("TURN\t5010000\t2", "expected GO to end the batch, got another TURN"),
-        ("NOSUCH\t1", "unknown message 'NOSUCH'"),
-    ];
     let first_batch = first_batch();
     let line_number = first_batch.lines().count() + 3;
-    for (line, error) in cases {
+    for (line, error) in SECOND_BATCH_ERRORS {
         let line = line.replace("ID", REQUEST_ID);
         let input = format!("{first_batch}TURN\t5010000\t2\nINSTANCE\t3\n{line}\nGO\n");
         assert_eq!(error_of(&input), format!("line {line_number}: {error}"), "{line}");
