--- a/crates/decisions/src/policy/deadline.rs
+++ b/crates/decisions/src/policy/deadline.rs
@@ -57,8 +57,8 @@
         self.latencies.effective_objective(class, self.class(class).latency_objective)
     }
 
-    /// Handles a client that left. Leaving before the deadline shows how long the clients of its class wait. The
-    /// price: a few impatient clients shorten the objective for all.
+    /// Handles a client that left. Leaving before the deadline shows how long the clients of its class wait.
+    /// Trade-off: a few impatient clients shorten the objective for all.
     pub(super) fn on_client_gone(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if let Some(request) = self.requests.get(&id)
             && self.now + ANSWER_MARGIN < request.deadline
--- a/crates/decisions/src/policy/hedging.rs
+++ b/crates/decisions/src/policy/hedging.rs
@@ -98,7 +98,7 @@
     }
 
     /// Number of expected latencies that a request's only attempt has been in flight; `None` if another attempt is
-    /// not allowed or would not help.
+    /// not allowed or would not help. The expected latency is the mean of the class, and more at a primary.
     fn expected_latencies_waited(&self, request: &QueuedRequest) -> Option<f64> {
         let attempt = request.sole_attempt()?;
         let class = self.class(request.class);
--- a/crates/decisions/src/policy/primary_tracking.rs
+++ b/crates/decisions/src/policy/primary_tracking.rs
@@ -13,9 +13,9 @@
 
 /// Minimum interval between searches for a primary or for a fresh replica.
 pub(super) const SEARCH_INTERVAL_MIN: Micros = Micros::from_millis(100);
-/// The minimum interval grows by this for each router of the fleet, since each router searches on its own.
+/// The interval is at least this per router of the fleet, since each router searches on its own.
 const SEARCH_INTERVAL_PER_ROUTER: Micros = Micros::from_millis(5);
-/// A write may use this many attempts on members that are only candidates for primary.
+/// Once a write has used this many attempts, it is not tried at further candidates for primary.
 const CANDIDATE_ATTEMPTS_MAX: u32 = 3;
 
 /// A reported role, with the latest time at which the member is certain to have had it.
@@ -107,7 +107,7 @@
     /// Records the position and role that a member reported.
     pub(super) fn record_report(&mut self, id: MemberId, position: Option<LogPosition>, role: RoleReport) {
         let Some(member) = self.members.get_mut(&id) else { return };
-        // A position well in the future is invalid.
+        // A position further in the future than `RECENT_RESPONSE` is invalid.
         let valid = position.filter(|position| position.as_time() < self.now + RECENT_RESPONSE);
         if let Some(position) = valid {
             member.replication.position = member.replication.position.max(position);
--- a/crates/decisions/src/policy/rejection.rs
+++ b/crates/decisions/src/policy/rejection.rs
@@ -24,7 +24,8 @@
         self.remove_request(id, out);
     }
 
-    /// Whether the client can safely retry: the request can't have run, or all members recognise a repeat.
+    /// Whether the client can safely retry: the request can't have run, is idempotent, or is recognised as a repeat by
+    /// all members.
     fn is_client_retry_harmless(&self, request: &QueuedRequest) -> bool {
         let is_recognised = match self.class(request.class).idempotency {
             Idempotency::Idempotent => true,
