--- a/crates/decisions/src/policy/primary_tracking.rs
+++ b/crates/decisions/src/policy/primary_tracking.rs
@@ -1,7 +1,7 @@
-//! Who is primary of a group, by the newest evidence, and the search while nobody is.
+//! Tracks the primary of each group by the newest evidence, and searches for one while none is known.
 //!
-//! A read may rely on a member as primary only if its last answer confirms that, unless members check positions
-//! themselves: a list or report can be wrong or old.
+//! A read may rely on a primary only if the member's last answer confirmed the role, or if members check positions
+//! themselves: a list or report can be wrong or stale.
 
 use super::group::Group;
 use super::member::Member;
@@ -11,25 +11,25 @@
 use crate::api::{Action, GroupId, LogPosition, MemberId, Micros, PositionCheck, Role, Time};
 use crate::outlier_recovery::EjectedMember;
 
-/// The least gap between searches for a primary or a fresh replica.
-pub(super) const SEARCH_GAP_MIN: Micros = Micros::from_millis(100);
-/// The gap grows by this for each router of the fleet, since each searches for itself.
-const SEARCH_GAP_PER_ROUTER: Micros = Micros::from_millis(5);
-/// So many attempts of a write may go to members that only might be primary.
+/// Minimum interval between searches for a primary or for a fresh replica.
+pub(super) const SEARCH_INTERVAL_MIN: Micros = Micros::from_millis(100);
+/// The interval is at least this per router of the fleet, since each router searches on its own.
+const SEARCH_INTERVAL_PER_ROUTER: Micros = Micros::from_millis(5);
+/// Once a write has used this many attempts, it is not tried at further candidates for primary.
 const CANDIDATE_ATTEMPTS_MAX: u32 = 3;
 
-/// A role that a member was reported to have, and how old that is at least.
+/// A reported role, with the latest time at which the member is certain to have had it.
 #[derive(Clone, Copy, Default)]
 pub(super) struct RoleReport {
     pub(super) role: Option<Role>,
-    /// If it is primary, it was then.
+    /// When the member was primary, if that is its role.
     pub(super) primary_as_of: Time,
-    /// If it is a replica, it was then.
+    /// When the member was a replica, if that is its role.
     pub(super) replica_as_of: Time,
 }
 
 impl Router {
-    /// The newest evidence wins: the member with the latest claim that nothing newer of its own denies.
+    /// Sets the group's primary to the member with the latest claim that no newer evidence of its own contradicts.
     pub(super) fn update_primary(&mut self, group: GroupId) {
         let Some(group) = self.groups.get_mut(&group) else { return };
         let claim = |id: &MemberId| {
@@ -45,8 +45,8 @@
         self.members.get(&primary)?.is_healthy().then_some(primary)
     }
 
-    /// The primary that a read may rely on. Where members don't check positions, only the role in its last answer keeps a
-    /// stale read from a member that is primary no longer.
+    /// The primary that a read may rely on. Where members don't check positions, a stale read from a former primary
+    /// is prevented only by the role in its last answer.
     pub(super) fn confirmed_primary(&self, group: GroupId) -> Option<MemberId> {
         let primary = self.usable_primary(group)?;
         let members_check = self.settings.position_check != PositionCheck::None;
@@ -54,8 +54,8 @@
         self.members.get(&primary).is_some_and(is_confirmed).then_some(primary)
     }
 
-    /// A member that a write may try while no primary is known, or the known one has been ejected for long. A replica
-    /// rejects it at once, untouched, which tells as much as a health check. The price: a connection and an attempt.
+    /// A member on which a write may be tried while there is no usable primary. A replica rejects the write at once
+    /// without running it, which is as informative as a health check. Trade-off: a connection and an attempt.
     pub(super) fn primary_candidate_for_write(
         &self, request: &QueuedRequest, group: &Group,
     ) -> Option<MemberId> {
@@ -66,33 +66,34 @@
         };
         let candidates: Vec<&MemberId> = group.members.iter().filter(is_candidate).collect();
         let has_attempts_left = request.attempts_started < CANDIDATE_ATTEMPTS_MAX;
-        let searches = has_attempts_left && self.is_primary_lost(group);
+        let searches = has_attempts_left && self.is_primary_unavailable(group);
         self.rng.borrow_mut().choice(candidates).filter(|_| searches).copied()
     }
 
-    /// Healthy, idle, and not known to be a replica of late.
+    /// Whether the member is healthy, idle, and not recently known to be a replica.
     fn may_be_primary(&self, member: &Member) -> bool {
-        let replica_until = member.role.replica_at + self.search_gap() + REPORT_DELAY_MAX;
+        let replica_until = member.role.replica_at + self.search_interval() + REPORT_DELAY_MAX;
         member.is_healthy() && member.attempts_in_flight.is_empty() && self.now >= replica_until
     }
 
-    /// Whether there is no primary, or it has been ejected for a while and no trial of it is due.
-    fn is_primary_lost(&self, group: &Group) -> bool {
+    /// Whether there is no primary, it is not in service, or it has been ejected for a while and no trial of it is
+    /// due.
+    fn is_primary_unavailable(&self, group: &Group) -> bool {
         let Some(primary) = group.primary.and_then(|primary| self.members.get(&primary)) else { return true };
-        let is_out_for_long =
+        let is_ejected_for_long =
             primary.ejected.as_ref().is_none_or(|ejected| ejected.since + RECENT_RESPONSE < self.now);
-        !primary.may_receive_trial() && is_out_for_long
+        !primary.may_receive_trial() && is_ejected_for_long
     }
 
-    fn search_gap(&self) -> Micros {
+    fn search_interval(&self) -> Micros {
         let fleet_size = u64::from(self.settings.fleet_size);
-        SEARCH_GAP_MIN.max(Micros(fleet_size * SEARCH_GAP_PER_ROUTER.0))
+        SEARCH_INTERVAL_MIN.max(Micros(fleet_size * SEARCH_INTERVAL_PER_ROUTER.0))
     }
 
-    /// Asks members who is primary, while nobody is and requests that only a primary can serve wait.
+    /// Sends health checks to find the primary, while none is usable and requests that need it are queued.
     pub(super) fn search_for_primary(&mut self, id: GroupId, out: &mut Vec<Action>) {
         let has_primary = self.usable_primary(id).is_some();
-        let gap = self.search_gap();
+        let gap = self.search_interval();
         let Some(group) = self.groups.get_mut(&id) else { return };
         let is_due = self.now >= group.next_primary_search && group.queued_for_primary > 0;
         if has_primary || !is_due {
@@ -100,15 +101,15 @@
         }
         group.next_primary_search = self.now + gap;
         let members = group.members.iter().copied().collect();
-        self.check_health_of_some(members, out);
+        self.check_health_of_sample(members, out);
     }
 
-    /// Records what a member reports of its position and role.
+    /// Records the position and role that a member reported.
     pub(super) fn record_report(&mut self, id: MemberId, position: Option<LogPosition>, role: RoleReport) {
         let Some(member) = self.members.get_mut(&id) else { return };
-        // A position in the future is no position.
-        let known = position.filter(|position| position.as_time() < self.now + RECENT_RESPONSE);
-        if let Some(position) = known {
+        // A position further in the future than `RECENT_RESPONSE` is invalid.
+        let valid = position.filter(|position| position.as_time() < self.now + RECENT_RESPONSE);
+        if let Some(position) = valid {
             member.replication.position = member.replication.position.max(position);
             member.replication.reported = self.now;
         }
@@ -118,17 +119,18 @@
             None => {}
         }
         let Some(group) = member.group else { return };
-        self.readmit_primary_seen_alive(group, position.unwrap_or_default());
+        self.readmit_primary_if_log_advanced(group, position.unwrap_or_default());
         self.update_primary(group);
     }
 
-    /// If the log has moved on since the primary was ejected, the primary that seemed to hang is alive.
-    fn readmit_primary_seen_alive(&mut self, group: GroupId, position: LogPosition) {
-        let alive_at = position.saturating_sub(REPORT_DELAY_MAX).as_time();
+    /// Readmits an unresponsive primary if its group's log has advanced since it was ejected.
+    fn readmit_primary_if_log_advanced(&mut self, group: GroupId, position: LogPosition) {
+        let log_advanced_at = position.saturating_sub(REPORT_DELAY_MAX).as_time();
         let Some(primary) = self.groups.get(&group).and_then(|group| group.primary) else { return };
         let Some(primary) = self.members.get_mut(&primary) else { return };
-        let is_seen_alive = |ejected: &EjectedMember| !ejected.unreachable && ejected.since < alive_at;
-        if primary.ejected.as_ref().is_some_and(is_seen_alive) {
+        let has_progressed =
+            |ejected: &EjectedMember| !ejected.unreachable && ejected.since < log_advanced_at;
+        if primary.ejected.as_ref().is_some_and(has_progressed) {
             primary.ejected = None;
             primary.last_response = self.now;
         }
