--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -10,54 +10,54 @@
 
 /// Why a JSON text can't be used. Prints as one line; fields are paths, as in `classes[2].slo`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FormError {
+pub enum JsonError {
     /// The text is no JSON.
     NotJson,
     /// A field that must be there is missing.
     Missing(String),
     /// A field holds a value of a wrong type or out of range.
-    Wrong(String),
+    Invalid(String),
     /// A field holds a value that can't be served, and what was expected.
-    Unserved(String, &'static str),
+    Unexpected(String, &'static str),
 }
 
-impl FormError {
+impl JsonError {
     /// The same error of a document that is the field `parent` of another one.
-    pub fn within(self, parent: &str) -> FormError {
+    pub fn within(self, parent: &str) -> JsonError {
         let path = |field: String| format!("{parent}.{field}");
         match self {
-            FormError::NotJson => FormError::NotJson,
-            FormError::Missing(field) => FormError::Missing(path(field)),
-            FormError::Wrong(field) => FormError::Wrong(path(field)),
-            FormError::Unserved(field, expected) => FormError::Unserved(path(field), expected),
+            JsonError::NotJson => JsonError::NotJson,
+            JsonError::Missing(field) => JsonError::Missing(path(field)),
+            JsonError::Invalid(field) => JsonError::Invalid(path(field)),
+            JsonError::Unexpected(field, expected) => JsonError::Unexpected(path(field), expected),
         }
     }
 }
 
-impl fmt::Display for FormError {
+impl fmt::Display for JsonError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            FormError::NotJson => write!(f, "the text is not JSON"),
-            FormError::Missing(field) => write!(f, "field '{field}' is missing"),
-            FormError::Wrong(field) => write!(f, "field '{field}' has a wrong value"),
-            FormError::Unserved(field, expected) => {
+            JsonError::NotJson => write!(f, "the text is not JSON"),
+            JsonError::Missing(field) => write!(f, "field '{field}' is missing"),
+            JsonError::Invalid(field) => write!(f, "field '{field}' has a wrong value"),
+            JsonError::Unexpected(field, expected) => {
                 write!(f, "field '{field}' has a wrong value: expected {expected}")
             }
         }
     }
 }
 
-impl Error for FormError {}
+impl Error for JsonError {}
 
 /// Reads a JSON text into a document whose fields are all optional.
 ///
 /// # Errors
 ///
-/// [`FormError::NotJson`], or [`FormError::Wrong`] with the first field of a wrong type.
-pub fn parse<T: Deserialize>(text: &str) -> Result<T, FormError> {
+/// [`JsonError::NotJson`], or [`JsonError::Invalid`] with the first field of a wrong type.
+pub fn parse<T: Deserialize>(text: &str) -> Result<T, JsonError> {
     json::from_str(text).map_err(|_| match json::from_str::<Value>(text) {
-        Err(_) => FormError::NotJson,
-        Ok(root) => FormError::Wrong(first_wrong_field::<T>(&root)),
+        Err(_) => JsonError::NotJson,
+        Ok(root) => JsonError::Invalid(first_wrong_field::<T>(&root)),
     })
 }
 
@@ -65,9 +65,9 @@
 ///
 /// # Errors
 ///
-/// [`FormError::Missing`] with this field.
-pub fn required<T>(field: &str, value: Option<T>) -> Result<T, FormError> {
-    value.ok_or_else(|| FormError::Missing(field.to_string()))
+/// [`JsonError::Missing`] with this field.
+pub fn required<T>(field: &str, value: Option<T>) -> Result<T, JsonError> {
+    value.ok_or_else(|| JsonError::Missing(field.to_string()))
 }
 
 /// A step from a value of a document to one inside it.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod operator;
 mod profile;
 
-pub use json::{FormError, parse, required};
+pub use json::{JsonError, parse, required};
 pub use name_interner::NameInterner;
 pub use profile::{Profile, Site};
 
--- a/crates/settings/src/profile/classes.rs
+++ b/crates/settings/src/profile/classes.rs
@@ -2,7 +2,7 @@
 
 use super::document::{ClassDoc, SpecificsDoc};
 use super::values::{micros, micros_or_zero, required_micros, unserved};
-use crate::json::{FormError, required};
+use crate::json::{JsonError, required};
 use linenhill_decisions::api::{Class, ClassId, DeduplicationScope, Idempotency, Micros, ReadLevel};
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
 /// The first field that is missing or wrong, or the second class of a name.
 pub fn convert_classes(
     documents: Option<Vec<ClassDoc>>, specifics: &SpecificsDoc,
-) -> Result<Classes, FormError> {
+) -> Result<Classes, JsonError> {
     let read_levels = required("specifics.readLevel", specifics.read_level.as_deref())?;
     let bounds = specifics.class_bound.as_deref().unwrap_or_default();
     let mut classes = Classes::default();
@@ -47,7 +47,7 @@
 
 fn class(
     document: &ClassDoc, read_level: ReadLevel, path: impl Fn(&str) -> String,
-) -> Result<Class, FormError> {
+) -> Result<Class, JsonError> {
     Ok(Class {
         idempotency: idempotency(document, &path)?,
         latency_objective: required_micros(&path("slo"), document.slo)?,
@@ -58,7 +58,7 @@
     })
 }
 
-fn read_level(level: &str, bound: Option<f64>) -> Result<ReadLevel, FormError> {
+fn read_level(level: &str, bound: Option<f64>) -> Result<ReadLevel, JsonError> {
     match level {
         "mutate" => Ok(ReadLevel::Write),
         "strong" => Ok(ReadLevel::Fresh),
@@ -72,7 +72,7 @@
     }
 }
 
-fn idempotency(document: &ClassDoc, path: impl Fn(&str) -> String) -> Result<Idempotency, FormError> {
+fn idempotency(document: &ClassDoc, path: impl Fn(&str) -> String) -> Result<Idempotency, JsonError> {
     match required(&path("semantics"), document.semantics.as_deref())? {
         "read_like" => Ok(Idempotency::Idempotent),
         "idempotency_key" => Ok(Idempotency::Keyed {
--- a/crates/settings/src/profile/mod.rs
+++ b/crates/settings/src/profile/mod.rs
@@ -10,7 +10,7 @@
 pub use document::Profile;
 
 use crate::NameInterner;
-use crate::json::{FormError, required};
+use crate::json::{JsonError, required};
 use classes::convert_classes;
 use linenhill_decisions::api::{ClassId, Micros, Settings, TenantId, ZoneId};
 use std::collections::BTreeMap;
@@ -53,7 +53,7 @@
     ///
     /// The first field that is missing or wrong: classes and tenants come first, the other tables in the order of
     /// [`Settings`].
-    pub fn site(self, zones: &mut NameInterner) -> Result<Site, FormError> {
+    pub fn site(self, zones: &mut NameInterner) -> Result<Site, JsonError> {
         let specifics = required("specifics", self.specifics)?;
         let classes = convert_classes(self.classes, &specifics)?;
         let max_client_timeout = classes.max_client_timeout();
--- a/crates/settings/src/profile/tables.rs
+++ b/crates/settings/src/profile/tables.rs
@@ -4,7 +4,7 @@
 use super::values::{
     micros_or, micros_or_zero, required_micros, required_positive, unserved, weight_or_zero,
 };
-use crate::json::{FormError, required};
+use crate::json::{JsonError, required};
 use crate::{DEFAULT_DRAIN_GRACE, GOSSIP_MESSAGE_BYTES};
 use linenhill_decisions::api::{
     Costs, Discovery, Limits, Micros, ObjectiveWeights, PositionCheck, Rules, SessionPositions, Tenant,
@@ -22,7 +22,7 @@
     pub ids: BTreeMap<String, TenantId>,
 }
 
-pub fn convert_tenants(documents: Vec<TenantDoc>) -> Result<Tenants, FormError> {
+pub fn convert_tenants(documents: Vec<TenantDoc>) -> Result<Tenants, JsonError> {
     let mut tenants = Tenants::default();
     for (index, document) in documents.into_iter().enumerate() {
         let path = |field: &str| format!("tenants[{index}].{field}");
@@ -34,7 +34,7 @@
 }
 
 /// How the result is weighted; everything that is served counts alike where the settings give no goal.
-pub fn convert_goal(goal: Option<&GoalDoc>) -> Result<ObjectiveWeights, FormError> {
+pub fn convert_goal(goal: Option<&GoalDoc>) -> Result<ObjectiveWeights, JsonError> {
     let Some(goal) = goal else {
         return Ok(ObjectiveWeights { total: 1.0, worst_class: 0.0 });
     };
@@ -44,7 +44,7 @@
     })
 }
 
-pub fn convert_discovery(discovery: Option<&str>) -> Result<Discovery, FormError> {
+pub fn convert_discovery(discovery: Option<&str>) -> Result<Discovery, JsonError> {
     match required("discovery", discovery)? {
         "pushed" => Ok(Discovery::Pushed),
         "on_request" => Ok(Discovery::OnRequest),
@@ -53,7 +53,7 @@
 }
 
 /// What is allowed; what the settings don't allow is forbidden.
-pub fn convert_limits(limits: &LimitsDoc) -> Result<Limits, FormError> {
+pub fn convert_limits(limits: &LimitsDoc) -> Result<Limits, JsonError> {
     Ok(Limits {
         cancel: limits.cancel.unwrap_or(false),
         health_checks: limits.may_probe.unwrap_or(false),
@@ -77,7 +77,7 @@
     }
 }
 
-pub fn convert_rules(rules: &RulesDoc) -> Result<Rules, FormError> {
+pub fn convert_rules(rules: &RulesDoc) -> Result<Rules, JsonError> {
     Ok(Rules {
         // Without a limit no instance ever counts as notified before it has asked.
         poll_within: micros_or(Micros(u64::MAX), "rules.askWithin", rules.ask_within)?,
@@ -90,7 +90,7 @@
     })
 }
 
-pub fn convert_server_checks(specifics: &SpecificsDoc) -> Result<PositionCheck, FormError> {
+pub fn convert_server_checks(specifics: &SpecificsDoc) -> Result<PositionCheck, JsonError> {
     let field = "specifics.serverChecks";
     match required(field, specifics.server_checks.as_deref())? {
         "off" => Ok(PositionCheck::None),
@@ -100,7 +100,7 @@
     }
 }
 
-pub fn convert_write_marks(specifics: &SpecificsDoc) -> Result<SessionPositions, FormError> {
+pub fn convert_write_marks(specifics: &SpecificsDoc) -> Result<SessionPositions, JsonError> {
     let field = "specifics.writeMarks";
     match required(field, specifics.write_marks.as_deref())? {
         "brought" => Ok(SessionPositions::CarriedByRequest),
@@ -110,7 +110,7 @@
 }
 
 /// Whether lists name primaries at all; a mark that trails and one that never changes are used alike.
-pub fn convert_shows_role(specifics: &SpecificsDoc) -> Result<bool, FormError> {
+pub fn convert_shows_role(specifics: &SpecificsDoc) -> Result<bool, JsonError> {
     let field = "specifics.showsRole";
     match required(field, specifics.shows_role.as_deref())? {
         "off" => Ok(false),
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -117,7 +117,7 @@
     let received = tokio::select! {
         biased;
         received = timeout(CALL_TIMEOUT, calls.next()) => received,
-        () = incomplete_call.close_signal.notified() => return CloseReason::MadeRoom,
+        () = incomplete_call.close_signal.notified() => return CloseReason::Evicted,
     };
     drop(incomplete_call);
     let (response, reason) = match received {
--- a/src/bin/linenhill-simulator-adapter/error.rs
+++ b/src/bin/linenhill-simulator-adapter/error.rs
@@ -1,7 +1,7 @@
 //! Why a message of the simulator can't be used. The text names the message and the field in the simulator's words, so
 //! that it can be found in its input.
 
-use linenhill::settings::FormError;
+use linenhill::settings::JsonError;
 use std::fmt;
 
 /// What is wrong with a message.
@@ -30,9 +30,9 @@
     /// The message is for an instance of this number that was never attached, or has crashed.
     NotAttached { message: String, instance: u64 },
     /// An instance's settings can't be read.
-    MalformedProfile(FormError),
+    MalformedProfile(JsonError),
     /// An instance's settings can't be used.
-    UnusableProfile(FormError),
+    UnusableProfile(JsonError),
 }
 
 impl fmt::Display for MessageError {
--- a/src/clients/listener.rs
+++ b/src/clients/listener.rs
@@ -102,7 +102,7 @@
         let Some(connection) = admit(&connection_gate).await else {
             // Nothing is written: a reply that the client's unread request cuts off would make that request lost, while
             // a connection that ends in silence lets the client send it anew.
-            record_end(&counters, peer, CloseReason::EdgeFull);
+            record_end(&counters, peer, CloseReason::NoConnectionSlot);
             continue;
         };
         let _ = stream.set_nodelay(true);
--- a/src/clients/session/input.rs
+++ b/src/clients/session/input.rs
@@ -148,7 +148,7 @@
     async fn close_for_room(&mut self, close_by: Instant) -> Result<(), CloseReason> {
         let is_over = !self.is_started || Instant::now() >= close_by;
         if is_over || !self.has_begun_message().await {
-            return Err(CloseReason::MadeRoom);
+            return Err(CloseReason::Evicted);
         }
         Ok(())
     }
--- a/src/clients/session/mod.rs
+++ b/src/clients/session/mod.rs
@@ -107,7 +107,7 @@
         !session.pipeline.has_requests() || reason.is_by_peer(),
         format_args!("a client's connection ended with requests open, code={reason}"),
     );
-    if matches!(reason, CloseReason::Protocol | CloseReason::EdgeFull) {
+    if matches!(reason, CloseReason::Protocol | CloseReason::NoConnectionSlot) {
         // From now on it counts as a connection without requests: it only waits for its last answer to be read.
         session.connection.mark_started();
         session.linger().await;
@@ -201,7 +201,7 @@
                     class.as_deref(),
                 );
                 self.send([replies::final_answer(rejected, true)]).await?;
-                Err(CloseReason::EdgeFull)
+                Err(CloseReason::NoConnectionSlot)
             }
             ClientMessage::Request(request) => {
                 self.connection.mark_busy();
--- a/src/clients/session/respond.rs
+++ b/src/clients/session/respond.rs
@@ -123,7 +123,7 @@
                 }
                 None => {
                     pending.streamed(false);
-                    return Err(CloseReason::CutOff);
+                    return Err(CloseReason::ResponseTruncated);
                 }
             }
         }
--- a/src/close_reason.rs
+++ b/src/close_reason.rs
@@ -63,9 +63,9 @@
     /// A cancel request, which this proxy does not support.
     CancelRequest = "cancel-request",
     /// It had no open request, and a new connection needed its slot.
-    MadeRoom = "made-room",
+    Evicted = "made-room",
     /// All connection slots are taken.
-    EdgeFull = "edge-full",
+    NoConnectionSlot = "edge-full",
     /// The connection failed.
     Io = "io",
     /// The peer did not read its answer.
@@ -75,7 +75,7 @@
     /// An idle connection was retired before the member would close it.
     Retired = "retired",
     /// An idle connection was closed because its descriptor or its part of the quota is needed, or its member left.
-    GivenBack = "given-back",
+    Released = "given-back",
     /// The attempt was cancelled by this proxy.
     Cancelled = "cancelled",
     /// The attempt was not answered in time.
@@ -87,17 +87,17 @@
     /// The connection broke while an attempt was in flight.
     Reset = "reset",
     /// The member turned the connection away.
-    TurnedAway = "turned-away",
+    ConnectionRejected = "turned-away",
     /// The discovery address has changed.
-    Moved = "moved",
+    DiscoveryAddressChanged = "moved",
     /// Discovery answered with an error.
-    Status = "status",
+    ErrorStatus = "status",
     /// The watch sent nothing within its time limit.
-    Silent = "silent",
+    WatchTimeout = "silent",
     /// The watch ended.
     WatchEnded = "watch-ended",
     /// A streamed response broke off.
-    CutOff = "cut-off",
+    ResponseTruncated = "cut-off",
     /// The operator's call was answered, and one call is all that a connection carries.
     Answered = "answered",
 }
@@ -113,7 +113,7 @@
                 | Reason::ClientGone
                 | Reason::Io
                 | Reason::WriteTimeout
-                | Reason::CutOff
+                | Reason::ResponseTruncated
         )
     }
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -3,7 +3,7 @@
 //! Reading changes nothing: no socket is bound, no descriptor is taken and no directory is made here.
 
 use crate::discovery::list::{EndpointList, IdentifierTable, ListDoc};
-use crate::settings::{self, FormError, Profile, Site, required};
+use crate::settings::{self, JsonError, Profile, Site, required};
 use miniserde::Deserialize;
 use std::error::Error;
 use std::fmt;
@@ -74,7 +74,7 @@
     /// The file can't be read.
     Unreadable(PathBuf, io::Error),
     /// The file's text can't be used.
-    Malformed(PathBuf, FormError),
+    Malformed(PathBuf, JsonError),
     /// This variable holds no address.
     Variable(&'static str),
     /// This variable names no descriptor beyond the standard ones.
@@ -105,13 +105,13 @@
 
 /// What is wrong with a value, before it is known which file it came from.
 enum ValueError {
-    Form(FormError),
+    Form(JsonError),
     Variable(&'static str),
     Descriptor(&'static str),
 }
 
-impl From<FormError> for ValueError {
-    fn from(error: FormError) -> ValueError {
+impl From<JsonError> for ValueError {
+    fn from(error: JsonError) -> ValueError {
         ValueError::Form(error)
     }
 }
@@ -244,7 +244,7 @@
         return text.parse().map_err(|_| ValueError::Variable(variable));
     }
     let text = required(field, field_value)?;
-    text.parse().map_err(|_| FormError::Wrong(field.to_string()).into())
+    text.parse().map_err(|_| JsonError::Invalid(field.to_string()).into())
 }
 
 fn descriptor(text: &str) -> Result<i32, ValueError> {
@@ -253,17 +253,17 @@
 }
 
 /// A seed in hexadecimal digits, as the platform gives it.
-fn seed(text: &str) -> Result<u64, FormError> {
-    u64::from_str_radix(text, 16).map_err(|_| FormError::Wrong("seed".to_string()))
+fn seed(text: &str) -> Result<u64, JsonError> {
+    u64::from_str_radix(text, 16).map_err(|_| JsonError::Invalid("seed".to_string()))
 }
 
 /// Checks the settings, also for what a proxy on real sockets needs beyond the adapter.
-fn site(profile: Profile, names: &mut IdentifierTable) -> Result<Site, FormError> {
+fn site(profile: Profile, names: &mut IdentifierTable) -> Result<Site, JsonError> {
     let site = profile.site(&mut names.zones).map_err(|error| error.within("settings"))?;
     // Without time no connection would come up; the adapter has none to open.
     if site.settings.limits.connect_timeout.0 == 0 {
         let field = "settings.limits.connectTimeout".to_string();
-        return Err(FormError::Unserved(field, "microseconds, 1 or more"));
+        return Err(JsonError::Unexpected(field, "microseconds, 1 or more"));
     }
     Ok(site)
 }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -121,7 +121,7 @@
                 reason = open_watch(address, &self.status, &self.inbox, self.first_message_timeout) => Some(reason),
                 () = address_changed(&mut self.address) => None,
             };
-            let reason = failure.unwrap_or(CloseReason::Moved);
+            let reason = failure.unwrap_or(CloseReason::DiscoveryAddressChanged);
             self.metrics.record_discovery_call_end(reason);
             let lasted = seconds(Micros(clock.now().0.saturating_sub(opened_at.0)));
             let silent = seconds(self.status.silence());
@@ -131,7 +131,7 @@
             self.log_end(address, reason, *last_reason);
             *last_reason = Some(reason);
             if failure.is_some() {
-                self.status.record_end(opened_at, reason == CloseReason::Silent);
+                self.status.record_end(opened_at, reason == CloseReason::WatchTimeout);
                 return EndedWatch { opened_at, reason };
             }
             self.trigger.agent_moved(clock.now());
@@ -152,7 +152,7 @@
     fn silence_of(&self, ended: &EndedWatch, now: Time) -> Option<Micros> {
         let since_opened = now.0.saturating_sub(ended.opened_at.0);
         let silence = Micros(self.status.silence().0.min(since_opened));
-        (ended.reason == CloseReason::Silent).then_some(silence)
+        (ended.reason == CloseReason::WatchTimeout).then_some(silence)
     }
 }
 
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -2,7 +2,7 @@
 //! in it may cause a panic, and one bad entry of a watch must never hide the others.
 
 use crate::api::{GroupId, KindId, ListEntry, MemberId, MemberState, Micros, Time, ZoneId};
-use crate::settings::{self, FormError, required};
+use crate::settings::{self, JsonError, required};
 use miniserde::Deserialize;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -73,7 +73,7 @@
     /// The list with its readable entries.
     pub list: EndpointList,
     /// What is wrong with each of the others.
-    pub skipped: Vec<FormError>,
+    pub skipped: Vec<JsonError>,
 }
 
 /// What happened to the list of members.
@@ -93,8 +93,8 @@
 
 /// Decodes a list of a watch and skips the entries that can't be read: they must not keep the changes of the others
 /// from taking effect. An error means that the list as a whole can't be read.
-pub fn decode(line: &[u8]) -> Result<DecodedList, FormError> {
-    let text = std::str::from_utf8(line).map_err(|_| FormError::NotJson)?;
+pub fn decode(line: &[u8]) -> Result<DecodedList, JsonError> {
+    let text = std::str::from_utf8(line).map_err(|_| JsonError::NotJson)?;
     let doc = settings::parse::<ListDoc>(text)?;
     let version = required("version", doc.version)?;
     let is_full = required("full", doc.full)?;
@@ -111,7 +111,7 @@
 
 impl ListDoc {
     /// Checks a list of the configuration, of which every entry must be readable.
-    pub fn into_list(self) -> Result<EndpointList, FormError> {
+    pub fn into_list(self) -> Result<EndpointList, JsonError> {
         let entries = required("servers", self.servers)?.into_iter().enumerate();
         let endpoints = entries.map(|(index, entry)| entry.into_endpoint(index)).collect::<Result<_, _>>()?;
         let version = required("version", self.version)?;
@@ -122,9 +122,9 @@
 
 impl EndpointDoc {
     /// Checks the entry at `index` of its list, whose fields errors name by their JSON keys.
-    fn into_endpoint(self, index: usize) -> Result<Endpoint, FormError> {
+    fn into_endpoint(self, index: usize) -> Result<Endpoint, JsonError> {
         let path = |field: &str| format!("servers[{index}].{field}");
-        let wrong = |field: &str| FormError::Wrong(path(field));
+        let wrong = |field: &str| JsonError::Invalid(path(field));
         let id = required(&path("id"), self.id)?;
         let state = parse_state(&required(&path("state"), self.state)?).ok_or_else(|| wrong("state"))?;
         let address = match required(&path("addr"), self.addr)?.parse() {
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -7,7 +7,7 @@
 use crate::discovery::http::{ResponsePart, WatchCodec};
 use crate::discovery::list::{self, DecodedList, EndpointList, ListEvent};
 use crate::discovery::status::DiscoveryStatus;
-use crate::settings::FormError;
+use crate::settings::JsonError;
 use crate::stages::DriverInput;
 use crate::timeouts::timeout_with_final_poll;
 use futures_util::StreamExt;
@@ -81,7 +81,7 @@
     let mut message_timeout = first_message_timeout;
     loop {
         let Ok(part) = timeout_with_final_poll(message_timeout, parts.next()).await else {
-            return CloseReason::Silent;
+            return CloseReason::WatchTimeout;
         };
         message_timeout = SILENCE_TIMEOUT;
         let line = match part {
@@ -89,7 +89,7 @@
             Some(Ok(ResponsePart::Status(STATUS_OK))) => continue,
             Some(Ok(ResponsePart::Status(code))) => {
                 warn!("discovery answered {code}");
-                return CloseReason::Status;
+                return CloseReason::ErrorStatus;
             }
             Some(Ok(ResponsePart::Line(line))) => line,
             Some(Ok(ResponsePart::End)) | None => return CloseReason::WatchEnded,
@@ -158,7 +158,7 @@
 }
 
 /// Logs one line for all entries of a list that can't be read: there may be thousands.
-fn log_skipped(skipped: &[FormError]) {
+fn log_skipped(skipped: &[JsonError]) {
     if let Some(problem) = skipped.first() {
         warn!("discovery: {} entries were not taken, the first: {problem}", skipped.len());
     }
--- a/src/hot_restart/maintenance_log.rs
+++ b/src/hot_restart/maintenance_log.rs
@@ -8,7 +8,7 @@
 use crate::api::Time;
 use crate::clock::Clock;
 use crate::maintenance::{Maintenance, MaintenanceOrder, OrderRejected};
-use crate::settings::{self, FormError};
+use crate::settings::{self, JsonError};
 use crate::stages::DriverInput;
 use log::{info, warn};
 use miniserde::{Deserialize, Serialize};
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 enum ReadError {
     Saved(SavedError),
-    Form(FormError),
+    Form(JsonError),
 }
 
 impl fmt::Display for ReadError {
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -81,7 +81,7 @@
             Outcome::QueueFull => Outcome::QueueFull,
             _ => Outcome::ConnectError,
         };
-        SessionError { outcome, close_reason: CloseReason::TurnedAway }
+        SessionError { outcome, close_reason: CloseReason::ConnectionRejected }
     }
 }
 
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -218,7 +218,7 @@
             let IdleConnection { connection, idle_since } = self.take_last_settled(member)?;
             let close_reason = if self.is_over_quota(member) {
                 // The quota shrank or its lease expired, perhaps while this process was stopped.
-                Some(CloseReason::GivenBack)
+                Some(CloseReason::Released)
             } else if idle_since.elapsed() >= self.0.retire_after {
                 Some(CloseReason::Retired)
             } else {
@@ -246,7 +246,7 @@
     /// Keeps a connection for its next use, or closes it: where the member has moved or is forgotten, and where it is
     /// beyond the quota, since a connection in constant use would otherwise outlive its lease.
     pub fn put_back(&self, member: MemberId, connection: MemberConnection) {
-        connection.close_reason().set(CloseReason::GivenBack);
+        connection.close_reason().set(CloseReason::Released);
         if self.is_over_quota(member) {
             return;
         }
@@ -313,5 +313,5 @@
 
 /// Closes idle connections for which the proxy has no further use. Not to be called while the slots are borrowed.
 fn close_all(idle: impl IntoIterator<Item = IdleConnection>) {
-    idle.into_iter().for_each(|idle| idle.close(CloseReason::GivenBack));
+    idle.into_iter().for_each(|idle| idle.close(CloseReason::Released));
 }
--- a/tests/components/connection_admission.rs
+++ b/tests/components/connection_admission.rs
@@ -93,7 +93,7 @@
     local.spawn_local(answer_requests);
     let done = local.run_until(timeout(Duration::from_secs(20), hold_connections(at))).await;
     assert!(done.is_ok(), "after {} connections no more could be opened", counters.clients.get());
-    let made_room = counters.ended.get(CloseReason::MadeRoom);
+    let made_room = counters.ended.get(CloseReason::Evicted);
     let all_ended = counters.ended.total();
     assert!(made_room >= 32 && made_room == all_ended, "{made_room} of {all_ended}");
 }
@@ -116,7 +116,7 @@
         assert!(connection_gate.admit().is_some());
     };
     let (reason, ()) = tokio::join!(session, play);
-    assert_eq!(reason, CloseReason::MadeRoom);
+    assert_eq!(reason, CloseReason::Evicted);
 }
 
 /// Guards against a request that is cut off because its connection has to make room when only its first bytes are read,
@@ -149,6 +149,6 @@
             assert!(asked_to_close.elapsed() < ends_within);
         };
         let (reason, ()) = tokio::join!(session, play);
-        assert_eq!(reason, CloseReason::MadeRoom);
+        assert_eq!(reason, CloseReason::Evicted);
     }
 }
--- a/tests/components/discovery_watch.rs
+++ b/tests/components/discovery_watch.rs
@@ -94,26 +94,26 @@
     let list = r#"{"version":43,"full":false,"servers":[]}"#;
     let bad_list = r#"{"version":44,"full":false,"servers":[{"id":5}]}"#;
     let alive = response(&["", "", "", "", list].map(chunk));
-    assert_eq!(play_watch(alive.clone()).await, ended(43, 1, CloseReason::Silent));
+    assert_eq!(play_watch(alive.clone()).await, ended(43, 1, CloseReason::WatchTimeout));
     let later_list = list.replace("43", "45");
     let parts = [&alive[..], &[chunk(bad_list), chunk(&later_list)]].concat();
     assert_eq!(play_watch(parts).await, ended(43, 1, CloseReason::Protocol));
-    assert_eq!(play_watch(vec![]).await, ended(41, 0, CloseReason::Silent));
+    assert_eq!(play_watch(vec![]).await, ended(41, 0, CloseReason::WatchTimeout));
     // A call that waits in turn for 2 s is not given up: the next one would wait behind it. Later it may have fallen
     // silent right after it was made, and what it misses counts as notified 6 s after that.
     let late = |steps| [vec![String::new(); steps], response(&[chunk(list)])].concat();
-    assert_eq!(play_watch(late(1)).await, ended(43, 1, CloseReason::Silent));
-    assert_eq!(play_watch(late(2)).await, ended(41, 0, CloseReason::Silent));
+    assert_eq!(play_watch(late(1)).await, ended(43, 1, CloseReason::WatchTimeout));
+    assert_eq!(play_watch(late(2)).await, ended(41, 0, CloseReason::WatchTimeout));
     assert_eq!(first_message_timeout(Discovery::OnRequest), FIRST_MESSAGE_TIMEOUT);
     assert_eq!(first_message_timeout(Discovery::Pushed), Duration::from_millis(1_500));
     // Bytes that trickle in without ever making a line.
     let trickle = vec!["1\r\n \r\n".to_string(); 9];
-    assert_eq!(play_watch(response(&trickle)).await, ended(41, 0, CloseReason::Silent));
+    assert_eq!(play_watch(response(&trickle)).await, ended(41, 0, CloseReason::WatchTimeout));
     // A call that is answered with nothing new gives one event, so that the backoff after failures starts anew.
     assert_eq!(unchanged_events(&["", "", list]).await, [true, false]);
     assert_eq!(unchanged_events(&[list, "", ""]).await, [false]);
     let busy = "HTTP/1.1 503 Service Unavailable\r\n\r\n".to_string();
-    assert_eq!(play_watch(vec![busy]).await, ended(41, 0, CloseReason::Status));
+    assert_eq!(play_watch(vec![busy]).await, ended(41, 0, CloseReason::ErrorStatus));
     let empty = format!("{RESPONSE_HEAD}{LAST_CHUNK}");
     assert_eq!(play_watch(vec![empty]).await, ended(41, 0, CloseReason::WatchEnded));
 }
@@ -137,7 +137,7 @@
     let complete = chunk(&large_list(50, true, 60));
     for cut in (1..complete.len()).step_by(397) {
         let parts = vec![RESPONSE_HEAD.to_string() + &complete[..cut], complete[cut..].to_string()];
-        assert_eq!(play_watch(parts).await, ended(50, 1, CloseReason::Silent), "cut at {cut}");
+        assert_eq!(play_watch(parts).await, ended(50, 1, CloseReason::WatchTimeout), "cut at {cut}");
     }
     let new = large_list(50, false, 60);
     let older = large_list(49, false, 60);
@@ -145,12 +145,12 @@
     let before_use = large_list(40, false, 60);
     let restarted = large_list(3, true, 60);
     for (what, lists, end) in [
-        ("twice", vec![&new, &new], ended(50, 2, CloseReason::Silent)),
-        ("older", vec![&new, &older], ended(50, 1, CloseReason::Silent)),
-        ("empty", vec![&new, &empty], ended(51, 2, CloseReason::Silent)),
-        ("from before the list in use", vec![&before_use], ended(41, 0, CloseReason::Silent)),
-        ("a service that began anew", vec![&restarted], ended(3, 1, CloseReason::Silent)),
-        ("but not amid a watch", vec![&new, &restarted], ended(50, 1, CloseReason::Silent)),
+        ("twice", vec![&new, &new], ended(50, 2, CloseReason::WatchTimeout)),
+        ("older", vec![&new, &older], ended(50, 1, CloseReason::WatchTimeout)),
+        ("empty", vec![&new, &empty], ended(51, 2, CloseReason::WatchTimeout)),
+        ("from before the list in use", vec![&before_use], ended(41, 0, CloseReason::WatchTimeout)),
+        ("a service that began anew", vec![&restarted], ended(3, 1, CloseReason::WatchTimeout)),
+        ("but not amid a watch", vec![&new, &restarted], ended(50, 1, CloseReason::WatchTimeout)),
     ] {
         let lines: Vec<&str> = lines_of(&lists);
         assert_eq!(play_watch(response_in_one_part(&lines)).await, end, "{what}");
@@ -174,7 +174,7 @@
         let lines = chunk("") + &chunk(text) + &chunk("") + &chunk(&text.replace("50", "51"));
         for cut in (1..lines.len()).step_by(89) {
             let parts = vec![RESPONSE_HEAD.to_string() + &lines[..cut], lines[cut..].to_string()];
-            assert_eq!(play_watch(parts).await, ended(51, 2, CloseReason::Silent), "cut at {cut}");
+            assert_eq!(play_watch(parts).await, ended(51, 2, CloseReason::WatchTimeout), "cut at {cut}");
         }
     }
     let next = chunk("") + &chunk(&flat);
@@ -185,7 +185,7 @@
     // Each member's entry is read by itself: one that can't be read keeps back no other one.
     let with_bad_address = flat.replacen("10.1.0.1:6543", "10.1.0.1:port", 1);
     let parts = response_in_one_part(&[&with_bad_address]);
-    assert_eq!(play_watch(parts).await, ended(50, 1, CloseReason::Silent));
+    assert_eq!(play_watch(parts).await, ended(50, 1, CloseReason::WatchTimeout));
     let DecodedList { list, skipped } = list::decode(with_bad_address.as_bytes()).expect("a list");
     assert_eq!((list.endpoints.len(), skipped.len()), (1, 1));
     assert!(skipped[0].to_string().contains("servers[0].addr"), "{}", skipped[0]);
