--- a/src/clients/listener.rs
+++ b/src/clients/listener.rs
@@ -102,7 +102,7 @@
         let Some(connection) = admit(&connection_gate).await else {
             // The connection is closed without a reply: unread input would reset it and could cut the reply off, and the
             // client's request would count as lost. A client whose connection closes without a reply can send it again.
-            record_end(&counters, peer, CloseReason::EdgeFull);
+            record_end(&counters, peer, CloseReason::NoConnectionSlot);
             continue;
         };
         let _ = stream.set_nodelay(true);
