--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)] // The tests use the rest.
 mod peer;
 
-use peer::Act;
+use peer::MemberAction;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,16 +13,16 @@
 type Store = Rc<RefCell<BTreeMap<String, String>>>;
 
 /// `INSERT ... VALUES ('key', 'value')` keeps a value, `SELECT ... = 'key'` reads it.
-fn run(store: &Store, primary: bool, statement: &str) -> Act {
+fn run(store: &Store, primary: bool, statement: &str) -> MemberAction {
     let quoted: Vec<&str> = statement.split('\'').skip(1).step_by(2).collect();
     match quoted[..] {
-        [_, _] if !primary => Act::Error("25006"),
+        [_, _] if !primary => MemberAction::Error("25006"),
         [key, value] => {
             store.borrow_mut().insert(key.to_string(), value.to_string());
-            Act::Row(value.to_string())
+            MemberAction::Row(value.to_string())
         }
-        [key] => Act::Row(store.borrow().get(key).cloned().unwrap_or_default()),
-        _ => Act::Error("42601"),
+        [key] => MemberAction::Row(store.borrow().get(key).cloned().unwrap_or_default()),
+        _ => MemberAction::Error("42601"),
     }
 }
 
--- a/examples/toy/peer.rs
+++ b/examples/toy/peer.rs
@@ -13,17 +13,17 @@
 use tokio_util::codec::Framed;
 
 /// What a member does with a statement.
-pub enum Act {
+pub enum MemberAction {
     /// Answers with a row of this value.
     Row(String),
     /// Answers with an error of this SQLSTATE.
     Error(&'static str),
     /// Breaks the connection.
-    Break,
+    Disconnect,
     /// Breaks it in the middle of a row of this value.
-    Torn(String),
+    TruncatedRow(String),
     /// Says nothing until the proxy hangs up, then calls this.
-    Silence(Box<dyn FnOnce()>),
+    NoReply(Box<dyn FnOnce()>),
 }
 
 fn message(kind: u8, body: &[u8]) -> Bytes {
@@ -50,7 +50,7 @@
 pub async fn member<F, R>(listener: TcpListener, primary: bool, act: F)
 where
     F: Fn(String) -> R + Clone + 'static,
-    R: Future<Output = Act>,
+    R: Future<Output = MemberAction>,
 {
     while let Ok((stream, _)) = listener.accept().await {
         let act = act.clone();
@@ -61,7 +61,7 @@
 async fn serve<F, R>(stream: TcpStream, primary: bool, act: F) -> Option<()>
 where
     F: Fn(String) -> R,
-    R: Future<Output = Act>,
+    R: Future<Output = MemberAction>,
 {
     serve_until_idle(stream, primary, act, Duration::from_secs(86_400)).await
 }
@@ -80,7 +80,7 @@
 pub async fn serve_until_idle<F, R>(stream: TcpStream, primary: bool, act: F, idle: Duration) -> Option<()>
 where
     F: Fn(String) -> R,
-    R: Future<Output = Act>,
+    R: Future<Output = MemberAction>,
 {
     let mut framed = Framed::new(stream, FrontendCodec::default());
     while let Ok(Some(Ok(got))) = timeout(idle, framed.next()).await {
@@ -91,19 +91,20 @@
                 let text = String::from_utf8_lossy(&text).into_owned();
                 let now = SystemTime::now().duration_since(UNIX_EPOCH).ok()?.as_millis() as u64;
                 let health = format!("x0={}.{:03},x1={}", now / 1_000, now % 1_000, u8::from(primary));
-                let done = if text == "SHOW health" { Act::Row(health.clone()) } else { act(text).await };
+                let done =
+                    if text == "SHOW health" { MemberAction::Row(health.clone()) } else { act(text).await };
                 match done {
-                    Act::Row(value) => answers.extend(row(&value)),
-                    Act::Error(code) => {
+                    MemberAction::Row(value) => answers.extend(row(&value)),
+                    MemberAction::Error(code) => {
                         let (message, detail) = ("scripted".into(), None);
                         answers.push(Reply::Error { fatal: false, code, message, detail });
                     }
-                    Act::Break => return None,
-                    Act::Torn(value) => {
+                    MemberAction::Disconnect => return None,
+                    MemberAction::TruncatedRow(value) => {
                         write_torn_row(framed.get_mut(), &value).await?;
                         return None;
                     }
-                    Act::Silence(hung_up) => {
+                    MemberAction::NoReply(hung_up) => {
                         while framed.get_mut().read_u8().await.is_ok() {}
                         hung_up();
                         return None;
--- a/tests/cluster_harness/counting_member.rs
+++ b/tests/cluster_harness/counting_member.rs
@@ -2,7 +2,7 @@
 
 use super::operator_file::{Budgets, Terms};
 use super::{ADMISSIONS_PER_SECOND, MEMBER_LIMIT};
-use crate::harness::{Act, peer};
+use crate::harness::{MemberAction, peer};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::ErrorKind;
@@ -128,7 +128,7 @@
             counts.record_attempt(&statement, terms.budgets);
             sleep(Duration::from_millis(terms.work_ms)).await;
             drop(attempt);
-            Act::Row("served".into())
+            MemberAction::Row("served".into())
         }
     };
     let idle = Duration::from_millis(terms.idle_ms);
--- a/tests/components/member_connection.rs
+++ b/tests/components/member_connection.rs
@@ -54,7 +54,7 @@
 /// Guards against writing to a connection that its member may be closing, and against exceeding the descriptors.
 #[tokio::test]
 async fn the_pool_skips_old_connections_and_evicts_idle_ones() {
-    let act = |_| std::future::ready(peer::Act::Break);
+    let act = |_| std::future::ready(peer::MemberAction::Disconnect);
     let play = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -14,7 +14,7 @@
 pub use client::{connect_client, encode, query_command, read_answer};
 pub use discovery::{WATCH_HEAD, accept_watch, send_watch_line};
 pub use operator_calls::{operator_call, try_operator_call};
-pub use peer::Act;
+pub use peer::MemberAction;
 pub use program::{
     Program, inheriting_command, program_command, start_program, try_wait_until_listening,
     wait_until_listening, write_test_file,
@@ -55,7 +55,7 @@
 pub fn run_with_members<A, R, T, F>(name: &str, act: A, test: T)
 where
     A: Fn(usize, String) -> R + Clone + 'static,
-    R: Future<Output = Act> + 'static,
+    R: Future<Output = MemberAction> + 'static,
     T: FnOnce(SocketAddr, Rc<Program>) -> F,
     F: Future<Output = ()>,
 {
@@ -66,7 +66,7 @@
 pub fn run_with_config<A, R, T, F>(name: &str, config: &str, act: A, test: T)
 where
     A: Fn(usize, String) -> R + Clone + 'static,
-    R: Future<Output = Act> + 'static,
+    R: Future<Output = MemberAction> + 'static,
     T: FnOnce(SocketAddr, Rc<Program>) -> F,
     F: Future<Output = ()>,
 {
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -4,7 +4,7 @@
 
 mod harness;
 
-use harness::peer::{self, Act};
+use harness::peer::{self, MemberAction};
 use harness::{
     CONFIG, Program, READ, WATCH_HEAD, WRITE, accept_watch, bind_loopback, connect_client, encode,
     program_command, query_command, read_answer, run_local, send_watch_line, start_program, write_test_file,
@@ -42,7 +42,7 @@
             if statement.contains("INSERT") {
                 sent.borrow_mut().push(Instant::now());
             }
-            std::future::ready(Act::Row("x".to_string()))
+            std::future::ready(MemberAction::Row("x".to_string()))
         };
         spawn_local(peer::member(listener, index == 0, serve));
     }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -3,7 +3,7 @@
 mod harness;
 
 use harness::{
-    Act, CONFIG, Program, READ, config_with_operators, connect_client, encode, inheriting_command,
+    CONFIG, MemberAction, Program, READ, config_with_operators, connect_client, encode, inheriting_command,
     operator_call, query_command, read_answer, run_with_config, start_program, write_test_file,
 };
 use std::cell::RefCell;
@@ -19,7 +19,7 @@
 /// complete their request.
 #[test]
 fn operators_are_answered_beside_slow_callers() {
-    let act = |_, _| std::future::ready(Act::Row("served".into()));
+    let act = |_, _| std::future::ready(MemberAction::Row("served".into()));
     run_with_config("door", &config_with_operators(), act, |_, program| async move {
         let operators = program.logged_address("operators call at ");
         let mut slow_callers = Vec::new();
@@ -47,7 +47,7 @@
 /// Guards against a drain that the front does not see, that ends the process, or that lasts for ever.
 #[test]
 fn drain_ends_connections_and_can_be_reverted() {
-    let act = |_, _| std::future::ready(Act::Row("served".into()));
+    let act = |_, _| std::future::ready(MemberAction::Row("served".into()));
     run_with_config("standby", &config_with_operators(), act, |address, program| async move {
         let operators = program.logged_address("operators call at ");
         let mut kept = connect_client(address, &[READ]).await;
@@ -90,13 +90,13 @@
         let member_gate = member_gate.clone();
         async move {
             match statement {
-                s if s.contains("error") => Act::Error("XX000"),
-                s if s.contains("full") => Act::Error("53300"),
+                s if s.contains("error") => MemberAction::Error("XX000"),
+                s if s.contains("full") => MemberAction::Error("53300"),
                 s if s.contains("hold") => {
                     let _ = member_gate.acquire().await;
-                    Act::Row("served".into())
+                    MemberAction::Row("served".into())
                 }
-                _ => Act::Row("served".into()),
+                _ => MemberAction::Row("served".into()),
             }
         }
     };
@@ -140,11 +140,11 @@
 /// Members that serve everything, and count the statements of each.
 fn counting_members(
     counts: &Rc<RefCell<[u32; 3]>>,
-) -> impl Fn(usize, String) -> Ready<Act> + Clone + 'static {
+) -> impl Fn(usize, String) -> Ready<MemberAction> + Clone + 'static {
     let counts = counts.clone();
     move |member: usize, _| {
         counts.borrow_mut()[member] += 1;
-        std::future::ready(Act::Row("served".into()))
+        std::future::ready(MemberAction::Row("served".into()))
     }
 }
 
@@ -238,7 +238,7 @@
 /// Guards against a second version that can't start beside the first, and against clients rejected between the two.
 #[test]
 fn new_version_takes_over_the_socket_under_load() {
-    let act = |_, _| std::future::ready(Act::Row("served".into()));
+    let act = |_, _| std::future::ready(MemberAction::Row("served".into()));
     run_with_config("upgrade", &config_with_operators(), act, |_, first| async move {
         let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = socket.local_addr().expect("an address");
--- a/tests/pipeline.rs
+++ b/tests/pipeline.rs
@@ -3,7 +3,7 @@
 
 mod harness;
 
-use harness::{Act, CONFIG, Program, READ, connect_client, read_answer, run_with_config};
+use harness::{CONFIG, MemberAction, Program, READ, connect_client, read_answer, run_with_config};
 use linenhill::clients::pipeline::MAX_MESSAGES;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 fn run_within_time<A, R, F>(name: &str, act: A, test: impl FnOnce(SocketAddr, Rc<Program>) -> F)
 where
     A: Fn(usize, String) -> R + Clone + 'static,
-    R: Future<Output = Act> + 'static,
+    R: Future<Output = MemberAction> + 'static,
     F: Future<Output = ()>,
 {
     run_with_config(name, CONFIG, act, |address, program| async move {
@@ -70,15 +70,15 @@
 /// many reads of the flood they have been sent.
 fn gated(
     gate: &Rc<Semaphore>, sent: &Rc<Cell<usize>>,
-) -> impl Fn(usize, String) -> std::pin::Pin<Box<dyn Future<Output = Act>>> + Clone + 'static {
+) -> impl Fn(usize, String) -> std::pin::Pin<Box<dyn Future<Output = MemberAction>>> + Clone + 'static {
     let (gate, sent) = (gate.clone(), sent.clone());
     move |_, statement| {
         let (gate, sent) = (gate.clone(), sent.clone());
         Box::pin(async move {
-            let Some(number) = number(&statement) else { return Act::Row("other".into()) };
+            let Some(number) = number(&statement) else { return MemberAction::Row("other".into()) };
             sent.set(sent.get() + 1);
             let _ = gate.acquire().await.expect("never closed");
-            Act::Row(format!("row {number}."))
+            MemberAction::Row(format!("row {number}."))
         })
     }
 }
@@ -126,7 +126,7 @@
 fn flood_from_a_client_that_does_not_read_is_dropped() {
     let act = |_, statement: String| {
         let row = if number(&statement).is_some() { "v".repeat(60_000) } else { "other".into() };
-        std::future::ready(Act::Row(row))
+        std::future::ready(MemberAction::Row(row))
     };
     run_within_time("flood-unread", act, |address, program| async move {
         let flooding = flooding_client(address).await;
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -4,7 +4,7 @@
 mod harness;
 
 use harness::{
-    Act, CONFIG, READ, WRITE, connect_client, encode, program_command, query_command, read_answer,
+    CONFIG, MemberAction, READ, WRITE, connect_client, encode, program_command, query_command, read_answer,
     run_with_config, run_with_members, write_test_file,
 };
 use std::cell::RefCell;
@@ -23,7 +23,11 @@
     let act = move |member: usize, statement: String| {
         received.borrow_mut().push(statement.clone());
         let is_rejected = statement.contains("INSERT") && member > 0;
-        let reply = if is_rejected { Act::Error("25006") } else { Act::Row(statement[..8].to_string()) };
+        let reply = if is_rejected {
+            MemberAction::Error("25006")
+        } else {
+            MemberAction::Row(statement[..8].to_string())
+        };
         std::future::ready(reply)
     };
     run_with_members("served", act, |address, _program| async move {
@@ -55,7 +59,11 @@
             received.borrow_mut().push(statement);
         }
         let row = if is_write { "written".into() } else { value.clone() };
-        std::future::ready(if is_write && member > 0 { Act::Error("25006") } else { Act::Row(row) })
+        std::future::ready(if is_write && member > 0 {
+            MemberAction::Error("25006")
+        } else {
+            MemberAction::Row(row)
+        })
     };
     let config = CONFIG.replace("\"memory_mb\": 192", "\"memory_mb\": 32");
     run_with_config("long", &config, act, |address, _program| async move {
@@ -90,7 +98,7 @@
     let count = attempts.clone();
     let act = move |_, _| {
         *count.borrow_mut() += 1;
-        std::future::ready(Act::Torn("v".repeat(1_000_000)))
+        std::future::ready(MemberAction::TruncatedRow("v".repeat(1_000_000)))
     };
     run_with_members("torn", act, |address, program| async move {
         let mut client = connect_client(address, &[READ]).await;
@@ -109,7 +117,7 @@
 #[test]
 fn rejections_carry_retry_after_and_unknown_outcomes_fail() {
     let act = |_, statement: String| {
-        std::future::ready(Act::Error(if statement.contains("INSERT") { "XX000" } else { "53300" }))
+        std::future::ready(MemberAction::Error(if statement.contains("INSERT") { "XX000" } else { "53300" }))
     };
     run_with_members("refused", act, |address, _program| async move {
         let mut client = connect_client(address, &[READ, WRITE]).await;
@@ -126,9 +134,9 @@
     let act = |member, statement: String| {
         let is_write = statement.contains("INSERT");
         std::future::ready(match member {
-            0 => Act::Row("from the primary".into()),
-            _ if is_write => Act::Error("25006"),
-            _ => Act::Error("72000"),
+            0 => MemberAction::Row("from the primary".into()),
+            _ if is_write => MemberAction::Error("25006"),
+            _ => MemberAction::Error("72000"),
         })
     };
     run_with_members("miss", act, |address, _program| async move {
@@ -143,7 +151,7 @@
     let broken = Rc::new(RefCell::new(false));
     let act = move |_, _| {
         let first = !broken.replace(true);
-        std::future::ready(if first { Act::Break } else { Act::Row("second".into()) })
+        std::future::ready(if first { MemberAction::Disconnect } else { MemberAction::Row("second".into()) })
     };
     run_with_members("reset", act, |address, _program| async move {
         let mut client = connect_client(address, &[READ]).await;
@@ -161,7 +169,7 @@
     let act = move |_, _| {
         notify_received.notify_one();
         let notify_hung_up = notify_hung_up.clone();
-        std::future::ready(Act::Silence(Box::new(move || notify_hung_up.notify_one())))
+        std::future::ready(MemberAction::NoReply(Box::new(move || notify_hung_up.notify_one())))
     };
     run_with_members("gone", act, |address, _program| async move {
         let client = connect_client(address, &[READ]).await;
@@ -184,7 +192,7 @@
         async move {
             notify_received.notify_one();
             wait_to_answer.notified().await;
-            Act::Row("kept".into())
+            MemberAction::Row("kept".into())
         }
     };
     run_with_members("stop", act, |address, program| async move {
@@ -202,7 +210,7 @@
 /// Guards against a reload that ends the program, loses a connection, or leaves discovery where it was.
 #[test]
 fn a_reload_moves_discovery_and_keeps_the_rest() {
-    let act = |_, _| std::future::ready(Act::Row("served".into()));
+    let act = |_, _| std::future::ready(MemberAction::Row("served".into()));
     run_with_members("reload", act, |address, program| async move {
         let mut before = connect_client(address, &[READ]).await;
         assert!(read_answer(&mut before).await.contains("served"));
@@ -242,7 +250,7 @@
         let member_gate = member_gate.clone();
         async move {
             let _ = member_gate.acquire().await;
-            Act::Row("served".into())
+            MemberAction::Row("served".into())
         }
     };
     let config = CONFIG.replace("\"sockets\": 1024", "\"sockets\": 96");
@@ -288,7 +296,7 @@
 
 #[test]
 fn protocol_errors_are_answered() {
-    let act = |_, _| std::future::ready(Act::Row("served".into()));
+    let act = |_, _| std::future::ready(MemberAction::Row("served".into()));
     run_with_members("protocol", act, |address, _program| async move {
         let mut client =
             connect_client(address, &["/* id=1,c=none,d=9 */ SELECT 1", "/* id=1,c=list */ SELECT 1"]).await;
--- a/tests/pushed.rs
+++ b/tests/pushed.rs
@@ -4,7 +4,7 @@
 mod harness;
 
 use harness::{
-    Act, Program, WATCH_HEAD, accept_watch, bind_loopback, connect_client, peer, program_command,
+    MemberAction, Program, WATCH_HEAD, accept_watch, bind_loopback, connect_client, peer, program_command,
     read_answer, run_local, send_watch_line, start_program, write_test_file,
 };
 use linenhill::api::{Discovery, Micros};
@@ -79,7 +79,7 @@
             let (listener, address) = bind_loopback().await;
             config = config.replace(&format!("127.0.0.1:700{}", i + 1), &address.to_string());
             members.push(address.to_string());
-            let act = move |_: String| std::future::ready(Act::Row(format!("from {i}")));
+            let act = move |_: String| std::future::ready(MemberAction::Row(format!("from {i}")));
             tokio::task::spawn_local(peer::member(listener, i == 0, act));
         }
         let (agent, agent_address) = bind_loopback().await;
