--- a/crates/decisions/src/outlier_recovery.rs
+++ b/crates/decisions/src/outlier_recovery.rs
@@ -1,33 +1,30 @@
-//! How an ejected member is tried again: a pure state machine for each such member, told what happened and
-//! when.
+//! The schedule by which an ejected member is retried: one state machine without I/O per ejected member.
 //!
-//! A member that can't be reached costs a probe for each trial, and most of its probes reach nobody. A member
-//! that accepts work and answers nothing, or only errors, costs a request for each trial, since a probe finds
-//! it alive; and each router of the fleet tries it for itself. So the more routers there are, the rarer are
-//! their trials of such a member.
+//! A trial of an unreachable member costs a probe, and most of these reach no process. A trial of a member that accepts
+//! requests and answers none, or only with errors, costs a request, since a probe would succeed. Every router of the
+//! fleet runs its own trials, so the gaps between trials of such a member grow with the number of routers.
 
 use crate::api::{Micros, Time};
 
-/// The gap after a first failure; it doubles up to [`LONGEST_GAP`].
+/// Gap after a first failure; it doubles up to [`LONGEST_GAP`].
 const FIRST_GAP: Micros = Micros::from_millis(250);
-/// The longest gap between trials.
+/// Longest gap between trials in a fleet of up to [`UNSCALED_FLEET_SIZE`] routers.
 const LONGEST_GAP: Micros = Micros::from_millis(2_000);
-/// From this many routers on, the gaps of members that accept work and don't answer grow with the fleet.
-const SMALL_FLEET: u64 = 16;
+/// Fleet size above which the gaps of members that accept requests without answering grow with the fleet.
+const UNSCALED_FLEET_SIZE: u64 = 16;
 
-/// A member that receives no ordinary requests: it can't be reached, or it accepts work and doesn't answer
-/// it.
+/// A member that receives trials only, because it is unreachable or accepts requests without answering them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EjectedMember {
-    /// When it was ejected.
+    /// When the member was ejected.
     pub since: Time,
-    /// It can't be reached, so a trial is a probe.
+    /// The member is unreachable, so a trial is a probe.
     pub unreachable: bool,
-    /// Its return counts as a restart: a connection failed at once because nobody listened, or its whole zone
-    /// went silent. A single member that was only cut off comes back as it was, and the list tells of a
-    /// restart behind a cut.
+    /// The member's return counts as a restart: a connection failed at once because no process was listening, or the
+    /// whole zone was unresponsive. A single member behind a network partition returns without a restart, and if it did
+    /// restart, the list shows it.
     pub restarted: bool,
-    /// One request may try it.
+    /// One request may be sent to the member as a trial.
     pub trial_ready: bool,
     /// When the next trial is due.
     pub trial_at: Time,
@@ -36,7 +33,7 @@
 }
 
 impl EjectedMember {
-    /// Ejected now, by one router of a fleet of this size.
+    /// A member that was ejected at `now` by one of `fleet_size` routers.
     pub fn new(now: Time, fleet_size: u32) -> EjectedMember {
         EjectedMember {
             since: now,
@@ -49,12 +46,11 @@
         }
     }
 
-    /// It failed, for the first time or again; `unreachable` and `restarted` hold from then on if they ever
-    /// did.
+    /// Records the first or a further failure. `unreachable` and `restarted` stay set once either was passed.
     ///
-    /// A first silence may be a lost answer, so a probe is due at once. Otherwise the next trial comes after
-    /// the backoff. That of an unreachable member is multiplied by `jitter` (0.5 to 1.5), since hundreds of
-    /// routers lose it together.
+    /// After a first failure of a reachable member a trial is due at once, since only one answer may have been lost.
+    /// Otherwise the next trial follows after the backoff. The backoff of an unreachable member is multiplied by
+    /// `jitter` (0.5 to 1.5), since hundreds of routers lose it at the same time.
     pub fn failed(&mut self, now: Time, unreachable: bool, restarted: bool, jitter: f64) {
         self.unreachable |= unreachable;
         self.restarted |= restarted;
@@ -68,15 +64,15 @@
         };
     }
 
-    /// One request was sent to try it.
+    /// Records that a request was sent as a trial.
     pub fn trial_sent(&mut self, now: Time) {
         self.trial_ready = false;
         self.trial_at = now + self.backoff;
         self.backoff = Micros(self.backoff.0 * 2).min(self.scaled(LONGEST_GAP));
     }
 
-    /// Whether a trial is due; if so, the one after it is scheduled. Where `probes` are not allowed, a
-    /// request may try it at once.
+    /// Returns whether a trial is due, and if so schedules the next one. Where `probes` are not allowed, a request may
+    /// be sent as the trial at once.
     pub fn take_due_trial(&mut self, now: Time, probes: bool) -> bool {
         let is_due = now >= self.trial_at && !self.trial_ready;
         if is_due {
@@ -86,11 +82,11 @@
         is_due
     }
 
-    /// The gap that one router keeps so that the trials of the whole fleet stay few.
+    /// The gap for one router that limits the rate of trials from the whole fleet.
     fn scaled(&self, gap: Micros) -> Micros {
         if self.unreachable {
             return gap;
         }
-        gap.max(Micros(gap.0.saturating_mul(self.fleet_size) / SMALL_FLEET))
+        gap.max(Micros(gap.0.saturating_mul(self.fleet_size) / UNSCALED_FLEET_SIZE))
     }
 }
--- a/crates/decisions/src/platform_bounds.rs
+++ b/crates/decisions/src/platform_bounds.rs
@@ -1,24 +1,24 @@
-//! The bounds that the platform holds every proxy to, as its pages give them.
+//! Bounds that the platform requires every proxy to keep.
 //!
-//! A wait that could break one of them is derived from it, where it is used, and not chosen for another reason:
-//! the incident of 2026-12-02 had two waits that were sized by the politeness towards a service and by the patience
-//! with slow clients, and both were longer than what was owed (`docs/incidents/`).
+//! A wait that could exceed one of them is derived from it at its place of use. In the incident of 2026-12-02 two waits
+//! had been sized for other purposes, to limit the load on a service and to tolerate slow clients, and both exceeded
+//! the bound that applied to them (`docs/incidents/`).
 
 use crate::api::Micros;
 
-/// A change of the list counts as notified at the latest this long after discovery had it and could be reached.
+/// A list change counts as notified at the latest this long after discovery had it and was reachable.
 pub const NOTIFIED_AFTER: Micros = Micros(6_000_000);
 
-/// A proxy may be held up for so long between reading its clock and writing. What must not be written any more
-/// after some moment is not begun later than this before it.
+/// Longest time for which a proxy may be held up between reading its clock and writing. A write that is forbidden from
+/// some moment on is started no later than this long before it.
 pub const MAX_HOLD_UP: Micros = Micros(150_000);
 
-/// A client that stops in the middle of a message and stays is owed an error or a close within this time.
+/// A client that stalls in the middle of a message and stays connected must get an error or a close within this time.
 pub const STALLED_CLIENT_TIMEOUT: Micros = Micros(3_000_000);
 
-/// No attempt may begin later than this after its client has closed its connection.
+/// No attempt may begin later than this after its client closed the connection.
 pub const CLIENT_GONE_MAX_DELAY: Micros = Micros(100_000);
 
-/// The longest time that was seen between the death of a process and the start of the next one under its name
-/// (a release, `docs/incidents/`). What changed while no process ran is missing in the saved list of the next one.
+/// Longest time between the exit of a process and the start of the next one of the same name, as seen in a release
+/// (`docs/incidents/`). List changes made in between are missing from the saved list of the next process.
 pub const MAX_RESTART_TIME: Micros = Micros(5_000_000);
--- a/crates/decisions/src/poll_schedule.rs
+++ b/crates/decisions/src/poll_schedule.rs
@@ -1,111 +1,108 @@
-//! When discovery is polled: a pure state machine, told how each poll ended.
+//! The schedule by which discovery is polled: a state machine without I/O that is driven by the result of each poll.
 //!
-//! All proxies of a fleet poll one discovery service, which serves one call at a time. A call that it
-//! rejects, or that its caller abandons, still costs it a turn. Calls that arrive together therefore keep
-//! arriving together: whoever is rejected returns with all the others. So the first poll of a proxy that has
-//! a saved list goes out in a slot of its own, by the proxy's place in the fleet; and after a failure the
-//! next poll is drawn from a backoff window that holds one turn for each proxy, and doubles up to two
+//! All proxies of a fleet poll one discovery service, which serves one call at a time. A call that it rejects, or that
+//! its caller abandons, still takes up service time, so calls that collide once would collide at each retry. A proxy
+//! with a saved list therefore sends its first poll in a slot of its own, given by its index in the fleet. After a
+//! failure the next poll is drawn from a backoff window that has room for one call of each proxy, and doubles up to two
 //! (`docs/design/fleet.md`).
 //!
-//! A watch that fell silent sets a deadline instead. What it misses counts as notified some seconds later,
-//! and the grace of a drain runs from then. Until the deadline, polls are drawn from all the time that is
-//! left, because the watches of the whole fleet may have fallen silent at once (`docs/design/crossings.md`).
+//! A watch that became silent sets a deadline: changes that it missed count as notified some seconds later, and the
+//! drain grace runs from then. Until the deadline, polls are drawn from the whole window up to it, which spreads the
+//! calls of a fleet whose watches all became silent at once (`docs/design/crossings.md`).
 //!
-//! The module must never let a second poll go out beside one that is out, and never leave none due after a
-//! failure.
+//! At most one poll is in progress at any time, and after a failure another one is always due.
 
 use crate::platform_bounds::{MAX_HOLD_UP, NOTIFIED_AFTER};
 use std::collections::BTreeSet;
 
-/// Time that the service is assumed to need for one call. Microseconds. An assumption: nothing tells its
-/// capacity.
-const SERVICE_TURN: u64 = 40_000;
-/// The backoff window after a first failure is at least this long. Microseconds.
+/// Time allowed for the service to answer one call; the service does not report its capacity. Microseconds.
+const SERVICE_TIME: u64 = 40_000;
+/// Lower bound on the backoff window after a first failure. Microseconds.
 const FIRST_WINDOW_MIN: u64 = 250_000;
-/// The backoff window grows at least to this length, if that is in time. Microseconds.
+/// The backoff window grows to at least this length, unless a drain or `poll_within` requires less. Microseconds.
 const LONGEST_WINDOW_MIN: u64 = 2_000_000;
-/// The turns of a whole fleet take no longer than this. Microseconds. Services were seen to serve all proxies in 2.6
-/// to 5 s, 300 of them as well as 100: what they bear grows with the fleet (`docs/incidents/`).
-const FLEET_TURNS_MAX: u64 = 3_400_000;
-/// The longest time that one call is waited for. Microseconds.
+/// Upper bound on the time planned for one call of every proxy. Microseconds. Services answered all proxies within 2.6
+/// to 5 s, both for 100 and for 300 proxies: their capacity grows with the fleet (`docs/incidents/`).
+const FLEET_POLL_TIME_MAX: u64 = 3_400_000;
+/// Longest time that a poll waits for its answer. Microseconds.
 const CALL_TIMEOUT: u64 = 3_000_000;
-/// Part of the time before the deadline that is reserved for the call itself and what follows it.
-/// Microseconds.
+/// Time reserved before a deadline for the call itself and for applying its result. Microseconds.
 const CALL_RESERVE: u64 = 1_000_000;
-/// Bound on the silent watches that are remembered. Silence is noticed after 1.5 s and counts for 6 s and a
-/// grace.
+/// Bound on the deadlines of silent watches that are kept. Silence is detected after 3 s, and its deadline lies within
+/// 6 s plus the drain grace of its start.
 const SILENT_WATCHES_MAX: usize = 8;
-/// The shortest gap between polls. Microseconds. A service that fails calls at once is not polled in a loop.
+/// Shortest gap between polls, so that a service that fails calls at once is not polled in a tight loop. Microseconds.
 const GAP_MIN: u64 = 50_000;
 
-/// When the next poll is due. All times are in microseconds on the caller's clock.
+/// The schedule of one proxy. All times are in microseconds on the caller's clock.
 #[derive(Debug)]
 pub struct PollSchedule {
-    /// When the next poll is due; none while one is out, or where lists are pushed.
+    /// When the next poll is due; `None` while one is in progress, or where lists are pushed.
     next_poll: Option<u64>,
     first_slot: FirstSlot,
-    /// One turn of discovery for each proxy of the fleet, as far as there is time for that.
-    fleet_turns: u64,
+    /// Time for one call of every proxy in the fleet, within its bounds.
+    fleet_poll_time: u64,
     windows: Windows,
     /// The window from which the gap after the next failure is drawn.
     window: u64,
-    /// No gap is longer: `poll_within`, less a fifth.
+    /// Longest gap between polls: four fifths of `poll_within`.
     longest_gap: u64,
     drain_grace: u64,
-    /// One for each watch that fell silent since the last poll that succeeded: what it missed must be polled
-    /// by then.
+    /// For each watch that became silent since the last successful poll, the time by which the changes that it missed
+    /// must be polled.
     deadlines: BTreeSet<u64>,
 }
 
-/// When the first poll may go out, counted from the moment at which a saved list is known.
+/// When the first poll may be sent, counted from when a saved list was loaded.
 #[derive(Debug)]
 struct FirstSlot {
     offset: u64,
-    /// The poll is placed by chance within this length.
+    /// The poll is placed at random within this length.
     length: u64,
 }
 
-/// The lengths of the backoff window: after a first failure, and at most.
+/// Lengths of the backoff window.
 #[derive(Debug)]
 struct Windows {
+    /// After a first failure.
     first: u64,
     longest: u64,
 }
 
 impl Windows {
-    /// Windows that hold the turns of the fleet, and end in time for a drain that binds after `grace`.
-    fn new(fleet_turns: u64, longest_gap: u64, grace: u64) -> Windows {
-        // Discovery may come back right after a call was made that is waited for in vain, and the call that brings
-        // the news takes its time as well.
-        let binds = NOTIFIED_AFTER.0.saturating_add(grace).saturating_sub(MAX_HOLD_UP.0);
-        let in_time = binds.saturating_sub(CALL_TIMEOUT + CALL_RESERVE);
-        let longest = LONGEST_WINDOW_MIN.max(2 * fleet_turns).min(in_time).min(longest_gap);
-        Windows { first: FIRST_WINDOW_MIN.max(fleet_turns).min(longest), longest }
+    /// Windows that have room for the calls of the fleet, and end before a drain with this grace takes effect.
+    fn new(fleet_poll_time: u64, longest_gap: u64, grace: u64) -> Windows {
+        // Discovery may recover right after a call that then times out, and the next call takes time as well.
+        let drain_effective_after = NOTIFIED_AFTER.0.saturating_add(grace).saturating_sub(MAX_HOLD_UP.0);
+        let longest_before_drain = drain_effective_after.saturating_sub(CALL_TIMEOUT + CALL_RESERVE);
+        let longest = LONGEST_WINDOW_MIN.max(2 * fleet_poll_time).min(longest_before_drain).min(longest_gap);
+        Windows { first: FIRST_WINDOW_MIN.max(fleet_poll_time).min(longest), longest }
     }
 }
 
 impl PollSchedule {
-    /// A schedule for the proxy at `index` of a fleet; without an index its first slot is a matter of chance.
-    /// The first poll is due at `first_poll`, which is `None` where lists are pushed. A proxy that has not
-    /// polled for `poll_within` microseconds counts as notified, so every gap stays well below that.
+    /// A schedule for the proxy at `index` of a fleet; without an index its first poll is placed at random within the
+    /// time of the whole fleet. The first poll is due at `first_poll`, which is `None` where lists are pushed. A proxy
+    /// that has not polled for `poll_within` microseconds counts as notified, so every gap is shorter than that.
     pub fn new(
         index: Option<u32>, fleet_size: u32, poll_within: u64, first_poll: Option<u64>,
     ) -> PollSchedule {
         let fleet_size = fleet_size.max(1);
         let longest_gap = (poll_within / 5 * 4).max(1);
-        let fleet_turns = (u64::from(fleet_size) * SERVICE_TURN).min(FLEET_TURNS_MAX).min(longest_gap);
+        let fleet_poll_time =
+            (u64::from(fleet_size) * SERVICE_TIME).min(FLEET_POLL_TIME_MAX).min(longest_gap);
         let first_slot = match index {
             Some(index) => FirstSlot {
-                offset: fleet_turns * u64::from(index % fleet_size) / u64::from(fleet_size),
-                length: fleet_turns / u64::from(fleet_size),
+                offset: fleet_poll_time * u64::from(index % fleet_size) / u64::from(fleet_size),
+                length: fleet_poll_time / u64::from(fleet_size),
             },
-            None => FirstSlot { offset: 0, length: fleet_turns },
+            None => FirstSlot { offset: 0, length: fleet_poll_time },
         };
-        let windows = Windows::new(fleet_turns, longest_gap, 0);
+        let windows = Windows::new(fleet_poll_time, longest_gap, 0);
         PollSchedule {
             next_poll: first_poll,
             first_slot,
-            fleet_turns,
+            fleet_poll_time,
             longest_gap,
             window: windows.first,
             windows,
@@ -114,15 +111,14 @@
         }
     }
 
-    /// The same schedule, where a draining member may receive requests for `grace` microseconds after the
-    /// notification.
+    /// Sets the drain grace: a draining member may receive requests for `grace` microseconds after the notification.
     pub fn with_drain_grace(self, grace: u64) -> PollSchedule {
-        let windows = Windows::new(self.fleet_turns, self.longest_gap, grace);
+        let windows = Windows::new(self.fleet_poll_time, self.longest_gap, grace);
         PollSchedule { drain_grace: grace, window: windows.first, windows, ..self }
     }
 
-    /// A saved list of this many members was loaded. Unless it is empty, the first poll waits for its slot,
-    /// and is placed within the slot by `chance` (0 to 1).
+    /// Records that a saved list of this many members was loaded. Unless it is empty, the first poll waits for its
+    /// slot; `chance`, a random number from 0 to 1, places it within the slot.
     pub fn list_loaded(&mut self, now: u64, chance: f64, members: usize) {
         if members == 0 {
             return;
@@ -131,15 +127,15 @@
         self.next_poll = self.next_poll.map(|due| due.max(slot));
     }
 
-    /// The poll brought a list, or the answer that nothing has changed.
+    /// Records that the poll returned a list, or that nothing has changed.
     pub fn succeeded(&mut self) {
         self.window = self.windows.first;
         self.deadlines.clear();
     }
 
-    /// The poll failed, or its watch ended; `silent_for` tells for how long the watch had been silent, if
-    /// that was the cause. `chance` (0 to 1) places the next poll in the later half of the backoff window, or
-    /// anywhere before the nearest deadline.
+    /// Records that the poll failed or its watch ended; `silent_for` is the time since the watch's last message, if
+    /// silence was the cause. `chance`, a random number from 0 to 1, places the next poll in the later half of the
+    /// backoff window, or, with a deadline ahead, anywhere in the window before it.
     pub fn failed(&mut self, now: u64, chance: f64, silent_for: Option<u64>) {
         if let Some(silent_for) = silent_for {
             self.add_deadline(now.saturating_sub(silent_for));
@@ -153,18 +149,19 @@
         self.window = (self.window * 2).min(self.windows.longest);
     }
 
-    /// Remembers a watch that fell silent at this moment. Each silent watch keeps a deadline of its own: a
-    /// later one leaves no more time for what an earlier one missed, and still counts once the earlier
+    /// Adds the deadline of a watch that became silent at this time. Each silent watch has its own deadline: a later
+    /// one does not extend the time for changes that an earlier one missed, and remains in force after the earlier
     /// deadline has passed.
     fn add_deadline(&mut self, silent_since: u64) {
-        let drain_binds = silent_since.saturating_add(NOTIFIED_AFTER.0).saturating_add(self.drain_grace);
-        self.deadlines.insert(drain_binds.saturating_sub(CALL_RESERVE));
+        let drain_effective_at =
+            silent_since.saturating_add(NOTIFIED_AFTER.0).saturating_add(self.drain_grace);
+        self.deadlines.insert(drain_effective_at.saturating_sub(CALL_RESERVE));
         while self.deadlines.len() > SILENT_WATCHES_MAX {
             self.deadlines.pop_last();
         }
     }
 
-    /// Whether a poll is due. Says so once: from then on the poll counts as out.
+    /// Returns whether a poll is due. If so, the poll counts as in progress from then on.
     pub fn take_due(&mut self, now: u64) -> bool {
         self.next_poll.take_if(|due| *due <= now).is_some()
     }
--- a/crates/decisions/src/staleness.rs
+++ b/crates/decisions/src/staleness.rs
@@ -1,50 +1,49 @@
-//! How old the news of discovery is, and when that is worth a line in the log: a pure record, told what
-//! arrived and when.
+//! The time since discovery last sent a message, and when that time is logged.
 //!
-//! A list that stays in use because nothing newer arrived looks like one that is up to date. Whether
-//! discovery has nothing to tell or can't be reached shows only in when it last sent anything at all.
+//! A list that is in use because no newer one arrived looks like one that is up to date. Only the time of the last
+//! message distinguishes a discovery service without changes from one that is unreachable.
 
 use crate::api::{Micros, Time};
 
-/// Silence of this length is worth a line in the log, and again after each doubling. Discovery sends
-/// something every 2 s, if only that nothing is new: this is three times that.
-const SILENCE_NOTICED: Micros = Micros(6_000_000);
+/// A silence of this length is logged, and again each time its length has doubled. Discovery sends a message at least
+/// every 2 s, possibly without changes; this is three times that.
+const FIRST_NOTICE_AFTER: Micros = Micros(6_000_000);
 
-/// A line for the log.
+/// A silence to be logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// Nothing has arrived for this long.
+    /// No message has arrived for this long.
     Silent(Micros),
-    /// Something arrived again, after this long.
+    /// A message arrived after a logged silence of this length.
     Resumed(Micros),
 }
 
-/// When discovery last sent something.
+/// The times of the last message and the last list from discovery.
 #[derive(Debug)]
 pub struct StalenessMonitor {
-    /// When the last message arrived; before that, when monitoring began.
+    /// When the last message arrived; before the first one, when monitoring began.
     last_message: Time,
     last_list: Option<Time>,
-    /// The length of silence that is worth the next line.
+    /// The length of silence at which the next notice is due.
     next_notice: Micros,
 }
 
 impl StalenessMonitor {
-    /// Nothing has arrived yet.
+    /// A monitor that starts at `now`, before any message.
     pub fn new(now: Time) -> StalenessMonitor {
-        StalenessMonitor { last_message: now, last_list: None, next_notice: SILENCE_NOTICED }
+        StalenessMonitor { last_message: now, last_list: None, next_notice: FIRST_NOTICE_AFTER }
     }
 
-    /// Discovery sent a message, possibly only that nothing is new. A notice if a silence was logged before.
+    /// Records a message of discovery, with or without changes. Returns a notice if the silence before it was logged.
     pub fn record_message(&mut self, now: Time) -> Option<Notice> {
         let silence = self.silence(now);
-        let was_noticed = self.next_notice > SILENCE_NOTICED;
+        let was_logged = self.next_notice > FIRST_NOTICE_AFTER;
         self.last_message = self.last_message.max(now);
-        self.next_notice = SILENCE_NOTICED;
-        was_noticed.then_some(Notice::Resumed(silence))
+        self.next_notice = FIRST_NOTICE_AFTER;
+        was_logged.then_some(Notice::Resumed(silence))
     }
 
-    /// A list, or changes to one, came into use.
+    /// Records that a list, or changes to one, came into use.
     pub fn record_list(&mut self, now: Time) {
         self.last_list = Some(now);
     }
@@ -54,12 +53,12 @@
         elapsed(self.last_message, now)
     }
 
-    /// Time since a list last came into use, if one did.
+    /// Time since a list last came into use; `None` if none did.
     pub fn list_age(&self, now: Time) -> Option<Micros> {
         self.last_list.map(|at| elapsed(at, now))
     }
 
-    /// A notice if the silence is worth a line now.
+    /// Returns a notice if the silence is to be logged now.
     pub fn check_silence(&mut self, now: Time) -> Option<Notice> {
         let silence = self.silence(now);
         if silence < self.next_notice {
--- a/crates/decisions/src/zone_health.rs
+++ b/crates/decisions/src/zone_health.rs
@@ -1,67 +1,66 @@
-//! Which zones have gone silent: a pure record of when each zone last answered, compared with the attempts in
-//! flight there.
+//! Detects zones that no longer answer, from the last answer of each zone and the attempts in flight there.
 //!
-//! A router of a large fleet sends each member a request once in seconds. If a zone is lost, the router would
-//! learn of it one member at a time, each at the price of a request. All attempts in flight in the zone tell
-//! much sooner. If the zone were alive, each attempt would be answered at a rate of one in its usual time, so
-//! the probability that none was falls with the sum of the times they have waited, each in units of its usual
-//! time.
+//! A router of a large fleet sends each member one request every few seconds. After the loss of a zone it would detect
+//! the failure one member at a time, each at the cost of a request. The attempts in flight in the zone, taken together,
+//! show it much sooner: if the zone were healthy, each attempt would be answered at a rate of one in its usual latency,
+//! so the probability of no answer decreases exponentially with the sum of their waits, each in units of its usual
+//! latency.
 
 use crate::api::{MemberId, Time, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A zone counts as silent from this sum of relative waits on: by chance alone, one silence in about 3,000
-/// lasts as long.
-const SILENT_FROM: f64 = 8.0;
-/// At least this many members must be silent: one or two have a fault of their own.
-const SILENT_MEMBERS_MIN: usize = 3;
-/// Bound on the zones whose last answer is remembered; beyond it the one that answered longest ago is
-/// forgotten.
+/// Sum of relative waits from which on a zone counts as unresponsive. In a healthy zone about one gap in 3,000 between
+/// answers reaches it.
+const UNRESPONSIVE_THRESHOLD: f64 = 8.0;
+/// Fewest members with an overdue attempt: one or two may have a fault of their own.
+const OVERDUE_MEMBERS_MIN: usize = 3;
+/// Bound on the zones that are tracked; beyond it the zone that answered longest ago is dropped.
 const ZONES_MAX: usize = 64;
-/// The most that one attempt adds to the sum: work that takes long by itself says little.
+/// Upper bound on the relative wait of one attempt, since a single long-running request is weak evidence.
 const RELATIVE_WAIT_MAX: f64 = 4.0;
 
-/// An attempt that was sent and not answered yet.
+/// An attempt that was sent and has no answer yet.
 pub struct InFlightAttempt {
-    /// The zone of the member.
+    /// Zone of the member.
     pub zone: ZoneId,
-    /// The member it was sent to.
+    /// Member to which it was sent.
     pub member: MemberId,
     /// When it was sent.
     pub sent: Time,
-    /// How long an answer usually takes. Microseconds.
+    /// Usual latency of an answer, in microseconds.
     pub usual: f64,
 }
 
-/// When each zone last answered.
+/// The time of the last answer from each zone.
 #[derive(Debug, Default)]
 pub struct ZoneHealth {
     last_answers: BTreeMap<ZoneId, Time>,
 }
 
-/// What the attempts in flight in one zone say against it.
+/// Evidence from the attempts in flight that a zone is unresponsive.
 #[derive(Default)]
-struct Suspicion {
-    /// The sum of the waits, each in units of its usual time.
+struct UnresponsiveEvidence {
+    /// Sum of the waits, each in units of the attempt's usual latency.
     relative_waits: f64,
-    silent_members: BTreeSet<MemberId>,
+    /// Members with an attempt that has waited for its usual latency or longer.
+    overdue_members: BTreeSet<MemberId>,
 }
 
-impl Suspicion {
+impl UnresponsiveEvidence {
     fn add(&mut self, member: MemberId, relative_wait: f64) {
         self.relative_waits += relative_wait.min(RELATIVE_WAIT_MAX);
         if relative_wait >= 1.0 {
-            self.silent_members.insert(member);
+            self.overdue_members.insert(member);
         }
     }
 
-    fn is_confirmed(&self) -> bool {
-        self.relative_waits >= SILENT_FROM && self.silent_members.len() >= SILENT_MEMBERS_MIN
+    fn is_conclusive(&self) -> bool {
+        self.relative_waits >= UNRESPONSIVE_THRESHOLD && self.overdue_members.len() >= OVERDUE_MEMBERS_MIN
     }
 }
 
 impl ZoneHealth {
-    /// A member of the zone answered.
+    /// Records an answer from a member of the zone.
     pub fn record_answer(&mut self, zone: ZoneId, now: Time) {
         let last_answer = self.last_answers.entry(zone).or_default();
         *last_answer = (*last_answer).max(now);
@@ -71,26 +70,26 @@
         }
     }
 
-    /// The zones that are silent, judged by the attempts in flight. A zone is judged only if it has ever
-    /// answered, and if another zone has answered since: where no zone answers at all, the fault lies nearer
-    /// by.
+    /// The zones that are unresponsive according to the attempts in flight. Only a zone that has answered before can be
+    /// unresponsive, and only if another zone has answered since: if no zone answers, the fault is probably on this
+    /// side.
     pub fn unresponsive_zones(
         &self, now: Time, in_flight: impl Iterator<Item = InFlightAttempt>,
     ) -> Vec<ZoneId> {
-        let mut suspicions: BTreeMap<ZoneId, Suspicion> = BTreeMap::new();
+        let mut evidence_by_zone: BTreeMap<ZoneId, UnresponsiveEvidence> = BTreeMap::new();
         for attempt in in_flight {
             let Some(last_answer) = self.last_answers.get(&attempt.zone) else { continue };
             let waited = now.saturating_since(attempt.sent.max(*last_answer)).as_f64();
-            let suspicion = suspicions.entry(attempt.zone).or_default();
-            suspicion.add(attempt.member, waited / attempt.usual.max(1.0));
+            let evidence = evidence_by_zone.entry(attempt.zone).or_default();
+            evidence.add(attempt.member, waited / attempt.usual.max(1.0));
         }
-        let is_silent = |(zone, suspicion): &(ZoneId, Suspicion)| {
-            suspicion.is_confirmed() && self.another_answered_since(*zone)
+        let is_unresponsive = |(zone, evidence): &(ZoneId, UnresponsiveEvidence)| {
+            evidence.is_conclusive() && self.another_answered_since(*zone)
         };
-        suspicions.into_iter().filter(is_silent).map(|(zone, _)| zone).collect()
+        evidence_by_zone.into_iter().filter(is_unresponsive).map(|(zone, _)| zone).collect()
     }
 
-    /// Whether any other zone has answered after the last answer of this one.
+    /// Whether another zone has answered since the last answer of this one.
     fn another_answered_since(&self, zone: ZoneId) -> bool {
         let Some(last_answer) = self.last_answers.get(&zone) else { return false };
         self.last_answers.iter().any(|(other, at)| *other != zone && at > last_answer)
