--- a/crates/decisions/src/quota/allocation.rs
+++ b/crates/decisions/src/quota/allocation.rs
@@ -1,30 +1,31 @@
-//! What one incarnation may have of one budget, as the granter counts it. Pure; times are microseconds of log time.
+//! The units of one budget that are committed to one incarnation. No I/O; times are microseconds of log time.
 //!
-//! The count must never fall below what the incarnation can have in use: absence is not release.
+//! The committed units must never be fewer than the incarnation can have in use: units of an incarnation that sends no
+//! requests stay committed until they must have expired.
 
 use super::{Budget, QuotaNeed};
 use std::collections::BTreeMap;
 
-/// Grants of one incarnation that are counted apart. Beyond that, the two oldest are merged into one that is as large as
-/// the larger and lasts as long as the longer.
+/// Grants of one incarnation that are tracked separately. Beyond that, the two oldest are merged into one with the
+/// larger amounts and the later expiries of both.
 const MAX_ACTIVE_GRANTS: usize = 8;
 
 /// A grant that its holder may still use.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct ActiveGrant {
-    /// Number of the request that it answers.
+    /// Sequence number of the answered request.
     #[prost(uint64, tag = "1")]
     pub seq: u64,
-    /// Units.
+    /// Units granted until `expires_at`.
     #[prost(uint64, tag = "2")]
     pub units: u64,
-    /// When the units stop counting.
+    /// When the units are no longer committed.
     #[prost(uint64, tag = "3")]
     pub expires_at: u64,
-    /// Units of the floor.
+    /// Units granted until `floor_expires_at`.
     #[prost(uint64, tag = "4")]
     pub floor: u64,
-    /// When the floor stops counting.
+    /// When the floor is no longer committed.
     #[prost(uint64, tag = "5")]
     pub floor_expires_at: u64,
 }
@@ -37,7 +38,7 @@
         units.max(floor)
     }
 
-    /// Whether `newer` allows at least as much, for at least as long.
+    /// Whether `newer` allows at least as many units for at least as long.
     fn is_covered_by(&self, newer: &ActiveGrant) -> bool {
         let units = self.units <= newer.units && self.expires_at <= newer.expires_at;
         let floor = self.floor <= newer.floor && self.floor_expires_at <= newer.floor_expires_at;
@@ -54,34 +55,34 @@
     }
 }
 
-/// What one incarnation has of one budget.
+/// The share of one budget that one incarnation has.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Allocation {
     /// Grants that the incarnation may still use, oldest first.
     #[prost(message, repeated, tag = "1")]
     pub grants: Vec<ActiveGrant>,
-    /// Units that it reported to be in use.
+    /// Units in use according to its last report.
     #[prost(uint64, tag = "2")]
     pub in_use: u64,
-    /// When the reported units stop counting.
+    /// When the reported units in use are no longer committed.
     #[prost(uint64, tag = "3")]
     pub in_use_expires_at: u64,
-    /// Units that it reported it could use.
+    /// Units that the incarnation could use according to its last report.
     #[prost(uint64, tag = "4")]
     pub demand: u64,
-    /// When it last reported its need.
+    /// Time of the last report.
     #[prost(uint64, tag = "5")]
     pub reported_at: u64,
-    /// Start of the current rotation turn, or of the current wait for one.
+    /// Start of the current turn in the rotation, or of the current wait for one.
     #[prost(uint64, tag = "6")]
     pub turn_changed_at: u64,
-    /// Whether it has a turn: it was last granted more than its base part.
+    /// Whether the incarnation has a turn in the rotation: its last grant exceeded its base share.
     #[prost(bool, tag = "7")]
     pub has_turn: bool,
 }
 
 impl Allocation {
-    /// An allocation of nothing, which waits for a turn from `now` on.
+    /// An empty allocation that waits for a turn from `now` on.
     pub(super) fn waiting_since(now: u64) -> Allocation {
         Allocation { turn_changed_at: now, ..Allocation::default() }
     }
@@ -93,8 +94,8 @@
         granted.max(in_use)
     }
 
-    /// Records what the incarnation reports. Grants before number `acked` are over; the reported units in use count until
-    /// `in_use_expires_at` unless it reports otherwise before.
+    /// Records the reported need. Grants with a sequence number below `acked` are dropped; the reported units in use are
+    /// committed until `in_use_expires_at` or the next report.
     pub(super) fn record_need(&mut self, need: &QuotaNeed, acked: u64, now: u64, in_use_expires_at: u64) {
         self.grants.retain(|grant| grant.seq >= acked);
         self.in_use = need.in_use;
@@ -103,7 +104,7 @@
         self.in_use_expires_at = in_use_expires_at;
     }
 
-    /// Adds a grant. Grants that it covers count no longer on their own.
+    /// Adds a grant and drops the older grants that it covers.
     pub(super) fn add_grant(&mut self, grant: ActiveGrant) {
         self.grants.retain(|older| !older.is_covered_by(&grant));
         self.grants.push(grant);
@@ -113,18 +114,18 @@
         }
     }
 
-    /// Units beyond `base` of the newest grant.
+    /// Units of the newest grant in excess of `base`.
     pub(super) fn last_granted_beyond(&self, base: u64) -> u64 {
         self.grants.last().map_or(0, |grant| grant.units.saturating_sub(base))
     }
 
-    /// Drops grants that are over at `now`.
+    /// Drops grants that have expired at `now`.
     pub(super) fn expire(&mut self, now: u64) {
         self.grants.retain(|grant| now < grant.expires_at || now < grant.floor_expires_at);
     }
 
-    /// Whether nothing of the allocation counts at `now`, once [`Allocation::expire`] was called.
-    pub(super) fn is_over(&self, now: u64) -> bool {
+    /// Whether nothing of the allocation is committed at `now`. [`Allocation::expire`] must have been called before.
+    pub(super) fn is_expired(&self, now: u64) -> bool {
         self.grants.is_empty() && now >= self.in_use_expires_at
     }
 }
@@ -132,7 +133,7 @@
 /// One budget, or one key of a budget that exists per key, with its allocations.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct BudgetEntry {
-    /// The budget; `None` once it is no longer declared, until everything of it has expired.
+    /// The budget; `None` if it is no longer declared but has unexpired allocations.
     #[prost(message, optional, tag = "1")]
     pub budget: Option<Budget>,
     /// Allocations by incarnation.
@@ -146,18 +147,18 @@
         self.allocations.values().map(|allocation| allocation.committed(now)).fold(0, u64::saturating_add)
     }
 
-    /// Drops what is over at `now`.
+    /// Drops grants and allocations that have expired at `now`.
     pub(super) fn expire(&mut self, now: u64) {
         self.allocations.values_mut().for_each(|allocation| allocation.expire(now));
-        self.allocations.retain(|_, allocation| !allocation.is_over(now));
+        self.allocations.retain(|_, allocation| !allocation.is_expired(now));
     }
 
-    /// Whether the entry is kept without allocations: it is a declared budget that does not exist per key.
+    /// Whether the entry is kept without allocations, as are declared budgets that are not per key.
     pub(super) fn is_permanent(&self) -> bool {
         self.budget.as_ref().is_some_and(|budget| !budget.per_key)
     }
 
-    /// How long a unit can outlive its lease, in microseconds; 0 once the budget is no longer declared.
+    /// Longest time in microseconds that a unit stays in use after its lease; 0 if the budget is no longer declared.
     pub(super) fn outlives_us(&self) -> u64 {
         self.budget.as_ref().map_or(0, |budget| budget.outlives_us)
     }
--- a/crates/decisions/src/quota/division.rs
+++ b/crates/decisions/src/quota/division.rs
@@ -1,8 +1,8 @@
-//! How one budget is divided among the incarnations that request it in one entry of the log. Pure; times are
-//! microseconds of log time.
+//! The division of one budget among the incarnations that request it in one log entry. No I/O; times are microseconds
+//! of log time.
 //!
-//! A grant must never raise the committed units above the budget's total. The division says what each should have; what
-//! it gets is bounded by what the others still hold.
+//! A grant must never raise the committed units above the budget's total. The division computes a target for each
+//! incarnation; its grant is the target, limited to the units that are not committed to the others.
 
 use super::allocation::{ActiveGrant, Allocation, BudgetEntry};
 use super::max_min_fair::{Claim, max_min_fair};
@@ -11,26 +11,28 @@
 use crate::membership::{LeaseTerms, Membership};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A turn lasts this many leases: then whoever has more than others of units that cannot be divided evenly passes it on.
+/// Length of a turn in leases. When units cannot be divided evenly, the incarnations with a turn get the extra units;
+/// after its turn an incarnation yields them to others.
 const TURN_LEASES: u64 = 3;
-/// What nobody needs is granted on top of a need, up to this part of it, so that a need that grows a little is met at
-/// once.
+/// Spare units are granted beyond the demand, up to the demand divided by this, so that a small growth in demand is
+/// met without a new grant.
 const HEADROOM_DIVISOR: u64 = 5;
-/// A quota that exceeds the need by no more than this part of it, and one unit, stays as it is. So steady needs get
-/// steady quotas.
-const STEADY_DIVISOR: u64 = 4;
-/// Thousandths in a unit.
-const MILLI: u128 = 1_000;
+/// A quota that exceeds the demand by at most the demand divided by this, plus one unit, is not reduced, so that a
+/// steady demand gets a steady quota.
+const STEADY_MARGIN_DIVISOR: u64 = 4;
+/// Thousandths of a unit in a unit.
+const MILLIUNITS_PER_UNIT: u128 = 1_000;
 
-/// What a division knows beside the entry of the budget.
+/// The membership and the lease terms at one log entry.
 pub(super) struct DivisionContext {
     /// Log time.
     pub(super) now: u64,
     terms: LeaseTerms,
     /// Incarnations that hold a session.
     incarnations: BTreeSet<u64>,
-    /// Length of a lease and of a turn in log time, in microseconds.
+    /// Length of a lease in microseconds of log time, with the drift margin.
     lease: u64,
+    /// Length of a turn in microseconds of log time.
     turn: u64,
 }
 
@@ -47,27 +49,27 @@
     }
 }
 
-/// What each incarnation should have of one budget.
+/// The target units of each incarnation for one budget.
 pub(super) struct Division {
-    /// Units that every incarnation has before the rest is divided.
+    /// Units that every incarnation gets before the rest is divided.
     base: u64,
-    /// Whether the needs beyond the base exceed what there is.
+    /// Whether the demand beyond the base exceeds the units to divide.
     is_scarce: bool,
-    /// Units by incarnation, the base included.
+    /// Units by incarnation, including the base.
     targets: BTreeMap<u64, u64>,
 }
 
 impl Division {
     /// Divides the budget of `entry`.
     pub(super) fn of(entry: &BudgetEntry, budget: &Budget, context: &DivisionContext) -> Division {
-        // The base of a silent incarnation stays reserved while it has a session.
+        // The base of an incarnation that sends no requests stays reserved while it has a session.
         let sessions = context.incarnations.len();
         let base = budget.floor.min(budget.total / sessions.max(1) as u64);
         let divisible = budget.total - base * sessions as u64;
         let members = entry.allocations.iter().filter(|(i, _)| context.incarnations.contains(*i));
         let members: Vec<(u64, &Allocation)> = members.map(|(i, allocation)| (*i, allocation)).collect();
         let claims: Vec<Claim> = members.iter().map(|(_, a)| claim(a, base, context)).collect();
-        let wanted = claims.iter().map(|claim| claim.demand).fold(0, u64::saturating_add);
+        let total_demand = claims.iter().map(|claim| claim.demand).fold(0, u64::saturating_add);
         let needed = max_min_fair(divisible, &claims);
         let spare = divisible - needed.iter().sum::<u64>();
         let headroom: Vec<Claim> = std::iter::zip(&members, &claims)
@@ -76,11 +78,11 @@
         let extra = max_min_fair(spare, &headroom);
         let units = std::iter::zip(needed, extra).map(|(needed, extra)| base + needed + extra);
         let targets = members.iter().map(|(incarnation, _)| *incarnation).zip(units).collect();
-        Division { base, is_scarce: wanted > divisible, targets }
+        Division { base, is_scarce: total_demand > divisible, targets }
     }
 
-    /// Grants `incarnation` its part of `entry` for request `seq`; `None` where it has no allocation. `committed` is the
-    /// sum over the entry, and is kept up to date.
+    /// Grants `incarnation` its share of `entry` for request `seq`; `None` if it has no allocation. `committed` is the
+    /// number of committed units of the entry and is updated.
     pub(super) fn grant(
         &self, entry: &mut BudgetEntry, committed: &mut u64, context: &DivisionContext, incarnation: u64,
         seq: u64,
@@ -101,8 +103,8 @@
         Some(Quota {
             units,
             floor,
-            burst: burst_part(budget, units),
-            floor_burst: burst_part(budget, floor),
+            burst: burst_share(budget, units),
+            floor_burst: burst_share(budget, floor),
             is_rate: budget.is_rate(),
         })
     }
@@ -118,13 +120,13 @@
     }
 }
 
-/// What an incarnation claims beyond the base.
+/// The claim of an incarnation beyond the base.
 fn claim(allocation: &Allocation, base: u64, context: &DivisionContext) -> Claim {
-    // An incarnation that was silent for a lease wants nothing.
+    // The demand of an incarnation expires a lease after its last request.
     let is_live = context.now < allocation.reported_at.saturating_add(context.lease);
     let demand = if is_live { allocation.demand.saturating_sub(base) } else { 0 };
     let turn_lasts = context.now < allocation.turn_changed_at.saturating_add(context.turn);
-    // First whoever has a turn that lasts, then whoever has waited longest, then those whose turn is over.
+    // First incarnations in their turn, then those waiting for one, longest wait first, then those whose turn is over.
     let priority = match (allocation.has_turn, turn_lasts) {
         (true, true) => 0,
         (false, _) => 1 + allocation.turn_changed_at,
@@ -133,16 +135,16 @@
     Claim { demand, priority }
 }
 
-/// What an incarnation claims of the units that nobody needs.
+/// The claim of an incarnation to the units left after all demands are met.
 fn headroom_claim(allocation: &Allocation, base: u64, claim: &Claim) -> Claim {
     let granted = allocation.last_granted_beyond(base);
-    let steady_most = claim.demand + claim.demand / STEADY_DIVISOR + 1;
-    let is_steady = claim.demand <= granted && granted <= steady_most;
+    let steady_max = claim.demand + claim.demand / STEADY_MARGIN_DIVISOR + 1;
+    let is_steady = claim.demand <= granted && granted <= steady_max;
     let demand = if is_steady { granted - claim.demand } else { claim.demand / HEADROOM_DIVISOR };
     Claim { demand, priority: claim.priority }
 }
 
-/// The grant as the granter counts it: longer than the holder may use it, by the bound on drift.
+/// The grant as committed by the table: for the time that the holder may use it, plus the drift margin.
 fn active_grant(budget: &Budget, seq: u64, units: u64, floor: u64, context: &DivisionContext) -> ActiveGrant {
     let outlives_us = if budget.is_rate() { 0 } else { budget.outlives_us };
     let expires_after = |span: u64| {
@@ -160,9 +162,9 @@
     }
 }
 
-/// The part of a rate's burst that goes with `units` of its total, in thousandths of a unit.
-fn burst_part(budget: &Budget, units: u64) -> u64 {
-    let burst = u128::from(budget.burst) * MILLI;
+/// The share of a rate's burst for `units` of its total, in thousandths of a unit.
+fn burst_share(budget: &Budget, units: u64) -> u64 {
+    let burst = u128::from(budget.burst) * MILLIUNITS_PER_UNIT;
     let part = burst * u128::from(units) / u128::from(budget.total.max(1));
     u64::try_from(part).unwrap_or(u64::MAX)
 }
--- a/crates/decisions/src/quota/expiry.rs
+++ b/crates/decisions/src/quota/expiry.rs
@@ -1,8 +1,8 @@
-//! When a grant ends, and what it still allows at a moment. Pure; times are microseconds on the holder's clock.
+//! The expiry of a grant, and the units it allows at a given time. No I/O; times are microseconds on the holder's clock.
 
 use super::Quota;
 
-/// When a grant ends, in microseconds on the holder's clock.
+/// When a grant expires, in microseconds on the holder's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaseExpiry {
     /// The end of the lease: quotas may be used before it.
@@ -12,7 +12,7 @@
 }
 
 impl LeaseExpiry {
-    /// What a holder may use at `now`.
+    /// The phase of the grant at `now`.
     pub(super) fn phase(self, now: u64) -> LeasePhase {
         if now < self.quotas {
             LeasePhase::Leased
@@ -24,14 +24,14 @@
     }
 }
 
-/// What a holder may use at a moment.
+/// Which part of a grant may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LeasePhase {
-    /// The whole quota.
+    /// The full quota.
     Leased,
-    /// The floor only: the lease is over, the membership is not.
+    /// The floor only: the lease has expired, the membership has not.
     FloorOnly,
-    /// Nothing.
+    /// Nothing: the membership has expired.
     Expired,
 }
 
--- a/crates/decisions/src/quota/leader_search.rs
+++ b/crates/decisions/src/quota/leader_search.rs
@@ -1,25 +1,25 @@
-//! Which keeper a proxy sends its requests to, and how long it waits for an answer. Pure; times are microseconds on the
-//! holder's clock.
+//! Selects the keeper to which a proxy sends its requests, and the timeout of an answer. No I/O; times are microseconds
+//! on the holder's clock.
 //!
-//! It must never hold up the proxy, and a fleet must not turn on the keepers all at once: without an answer the search
-//! goes on to the next keeper after a pause that doubles and is drawn by chance, until a keeper answers.
+//! The search must never block the proxy, and the proxies of a fleet must not reconnect to the keepers all at once: if
+//! a keeper does not answer, the next one is tried after a jittered pause that doubles until a keeper grants a request.
 
-/// First pause before another keeper is tried.
+/// First pause before another keeper is tried. Microseconds.
 const MIN_PAUSE_US: u64 = 20_000;
-/// Longest pause before another keeper is tried.
+/// Longest pause before another keeper is tried. Microseconds.
 const MAX_PAUSE_US: u64 = 500_000;
-/// An answer is awaited for this part of a lease, so that several keepers can be asked within one lease.
+/// The answer timeout is a lease divided by this, so that several keepers can be tried within one lease.
 const ANSWER_TIMEOUTS_PER_LEASE: u64 = 4;
-/// Shortest time for which an answer is awaited.
+/// Shortest answer timeout. Microseconds.
 const MIN_ANSWER_TIMEOUT_US: u64 = 200_000;
 
-/// The search for the keeper that leads.
+/// The search for the keeper that is the leader.
 #[derive(Clone, Debug)]
 pub struct LeaderSearch {
     keeper_count: usize,
-    /// Position of the current keeper. It may lie past the end and is then taken modulo `keeper_count`.
+    /// Position of the current keeper, taken modulo `keeper_count`.
     position: usize,
-    /// The next pause, before chance shortens it.
+    /// The next pause, before jitter shortens it.
     pause_us: u64,
     answer_timeout_us: u64,
     /// When the oldest unanswered request was sent.
@@ -27,7 +27,7 @@
 }
 
 impl LeaderSearch {
-    /// Starts at the first of `keeper_count` keepers; none is known to lead. `lease_us` is the length of a lease.
+    /// Starts at the first of `keeper_count` keepers. `lease_us` is the length of a lease.
     pub fn new(keeper_count: usize, lease_us: u64) -> LeaderSearch {
         LeaderSearch {
             keeper_count,
@@ -43,35 +43,35 @@
         self.position % self.keeper_count.max(1)
     }
 
-    /// How long an answer is awaited, in microseconds.
+    /// The answer timeout in microseconds.
     pub fn answer_timeout(&self) -> u64 {
         self.answer_timeout_us
     }
 
-    /// Notes that a request was sent at `now`.
+    /// Records that a request was sent at `now`.
     pub fn request_sent(&mut self, now: u64) {
         self.unanswered_since = self.unanswered_since.or(Some(now));
     }
 
-    /// By when the oldest unanswered request must be answered, if there is one.
+    /// When the oldest unanswered request times out; `None` if there is none.
     pub fn answer_deadline(&self) -> Option<u64> {
         self.unanswered_since.map(|since| since.saturating_add(self.answer_timeout_us))
     }
 
-    /// Notes that the current keeper granted a request: it leads.
+    /// Records that the current keeper granted a request, so it is the leader.
     pub fn request_granted(&mut self) {
         self.unanswered_since = None;
         self.pause_us = MIN_PAUSE_US;
     }
 
-    /// Moves on from a keeper that is unreachable, does not answer or closed the connection. Returns the pause before
-    /// the next keeper is tried, in microseconds; `chance` is a random number from 0 to 1.
+    /// Moves to the next keeper, because the current one is unreachable, did not answer or closed the connection.
+    /// Returns the pause before the next keeper is tried, in microseconds; `chance` is a random number from 0 to 1.
     pub fn keeper_lost(&mut self, chance: f64) -> u64 {
         self.move_to(self.current_keeper() + 1, chance)
     }
 
-    /// Moves to the keeper that leads according to the current one, or to the next keeper if that one knows of no leader.
-    /// Returns the pause as [`LeaderSearch::keeper_lost`] does.
+    /// Moves to the leader that the current keeper named, or to the next keeper if it named none. Returns the pause as
+    /// [`LeaderSearch::keeper_lost`] does.
     pub fn redirected(&mut self, leader: Option<usize>, chance: f64) -> u64 {
         let known = leader.filter(|position| *position < self.keeper_count);
         self.move_to(known.unwrap_or(self.current_keeper() + 1), chance)
--- a/crates/decisions/src/quota/lease_holder.rs
+++ b/crates/decisions/src/quota/lease_holder.rs
@@ -1,8 +1,8 @@
-//! A proxy's half of the fleet's quotas: what it may use now, checked at the moment of use, and what it requests. Pure;
-//! all times are microseconds on one clock of the caller that never stands still, not even while the machine sleeps.
+//! The proxy's side of the fleet's quotas: the units it may use, checked at the time of use, and its requests. No I/O;
+//! all times are microseconds on one clock of the caller that must keep running while the machine is suspended.
 //!
-//! No decision here may rest on the arrival of a message or on a timer. A quota ends by the clock, so that a process
-//! that was suspended finds its lease over when it resumes, before it uses anything.
+//! A quota expires by the clock alone, never by a message or a timer, so that a process that was suspended finds its
+//! lease expired when it resumes, before it uses a unit.
 
 use super::expiry::{LeaseExpiry, LeasePhase};
 use super::local_budget::LocalBudget;
@@ -10,51 +10,52 @@
 use crate::fault_injection::{Fault, is_injected};
 use std::collections::BTreeMap;
 
-/// Requests whose answers are still awaited; the oldest is forgotten beyond that.
+/// Bound on the pending requests; beyond it the oldest one is dropped, and its answer is ignored.
 const MAX_PENDING_REQUESTS: usize = 16;
-/// A lease is renewed this many times before it ends, so that two answers may be lost.
+/// Requests sent within one lease, so that two answers in a row may be lost.
 const RENEWALS_PER_LEASE: u64 = 3;
-/// A holder that lacks units, or lost some, sends its next request after this time. Microseconds.
+/// Interval between requests of a holder that lacks units or has units to release. Microseconds.
 const EAGER_INTERVAL_US: u64 = 100_000;
-/// Shortest time between two requests that demand per second is calculated from. Microseconds.
+/// Shortest interval between requests that is used to compute a demand per second. Microseconds.
 const MIN_REQUEST_INTERVAL_US: u64 = 1_000;
 
-/// Whether a unit may be used.
+/// The result of an attempt to acquire or spend a unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcquireDecision {
-    /// It may, and counts from now on.
+    /// The unit may be used and counts as in use.
     Acquired,
-    /// This proxy's quota has no room.
+    /// This proxy's quota is exhausted.
     Exhausted,
-    /// No such budget was declared, so nothing limits it here.
+    /// The budget is not enforced by this holder, so it sets no limit.
     Unlimited,
 }
 
 /// The quotas of one incarnation of a proxy.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
-    /// Number of the last request.
+    /// Sequence number of the last request.
     last_seq: u64,
-    /// Number of the last applied grant, 0 for none.
+    /// Sequence number of the last applied grant; 0 for none.
     acked_seq: u64,
-    /// When each request was sent whose answer is still awaited, by its number.
+    /// Send times of the pending requests, by sequence number.
     sent_at: BTreeMap<u64, u64>,
     last_request_at: Option<u64>,
-    /// When the last applied grant ends.
+    /// When the last applied grant expires.
     expiry: LeaseExpiry,
-    /// Length of a lease, by the last applied grant.
+    /// Length of a lease according to the last applied grant.
     lease_us: u64,
-    /// Bound on clock drift, by the last applied grant.
+    /// Bound on clock drift according to the last applied grant.
     drift_ppm: u64,
     budgets: BTreeMap<String, LocalBudget>,
-    /// The last grant took units away, which the granter should soon learn to be free.
+    /// A quota has shrunk since the last request. The next request is sent early, so that its acknowledgement frees the
+    /// units for other holders.
     has_lost_units: bool,
-    /// Another process has the name: requests yield to it until it is silent.
+    /// Another process holds the name: requests take over its session only after it has sent none for a lease.
     yields_name: bool,
 }
 
 impl LeaseHolder {
-    /// A holder without a grant. `lease_us` is the expected length of a lease, until a grant tells the true one.
+    /// A holder without a grant. `lease_us` is the length of a lease that is assumed until the first grant.
     pub fn new(lease_us: u64) -> LeaseHolder {
         LeaseHolder {
             last_seq: 0,
@@ -70,23 +71,23 @@
         }
     }
 
-    /// Enforces a budget here. Until a grant names it, nothing of it may be used.
+    /// Starts to enforce a budget. No unit of it may be used until a grant contains it.
     pub fn enforce(&mut self, budget: &str, is_rate: bool) {
         let local = self.budgets.entry(budget.to_string()).or_default();
         local.quota.is_rate = is_rate;
-        local.is_ending = false;
+        local.drop_when_unused = false;
     }
 
-    /// Stops enforcing a budget as soon as nothing of it is in use.
+    /// Stops enforcing a budget once none of its units is in use.
     pub fn stop_enforcing(&mut self, budget: &str) {
         if let Some(local) = self.budgets.get_mut(budget) {
-            local.is_ending = true;
+            local.drop_when_unused = true;
         }
-        self.drop_if_ended(budget);
+        self.drop_if_unused(budget);
     }
 
-    fn drop_if_ended(&mut self, budget: &str) {
-        if self.budgets.get(budget).is_some_and(|local| local.is_ending && local.in_use == 0) {
+    fn drop_if_unused(&mut self, budget: &str) {
+        if self.budgets.get(budget).is_some_and(|local| local.drop_when_unused && local.in_use == 0) {
             self.budgets.remove(budget);
         }
     }
@@ -98,12 +99,12 @@
             return last.saturating_add(self.lease_us);
         }
         let renewal = self.lease_us / RENEWALS_PER_LEASE;
-        let is_eager = self.has_lost_units || self.budgets.values().any(|local| local.is_short);
+        let is_eager = self.has_lost_units || self.budgets.values().any(|local| local.has_unmet_demand);
         let interval = if is_eager { EAGER_INTERVAL_US.min(renewal) } else { renewal };
         last.saturating_add(interval)
     }
 
-    /// Makes the next request due at once, because the previous one reached a keeper that cannot answer it.
+    /// Makes the next request due at once, because the previous one reached a keeper that could not grant it.
     pub fn request_at_once(&mut self) {
         if self.is_waiting_for_name() {
             return;
@@ -113,12 +114,12 @@
         }
     }
 
-    /// Whether another process has the name and no grant has come since.
+    /// Whether another process holds the name and no grant has arrived since.
     fn is_waiting_for_name(&self) -> bool {
         self.yields_name && self.acked_seq == 0
     }
 
-    /// The next request, to be sent at `now`. The lease that answers it counts from this moment.
+    /// The next request, to be sent at `now`. The lease granted for it starts at `now`.
     pub fn next_request(&mut self, now: u64) -> QuotaRequest {
         self.last_seq += 1;
         self.sent_at.insert(self.last_seq, now);
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Applies a grant that arrived at `now`. Returns false, and changes nothing, for an answer that is late, duplicated
-    /// or out of order.
+    /// Applies a grant that arrived at `now`. Returns false, without any change, if the grant is a duplicate, answers a
+    /// request that is no longer pending, or is older than the last applied one.
     pub fn apply_grant(&mut self, now: u64, grant: Grant) -> bool {
         if grant.seq <= self.acked_seq {
             return false;
@@ -156,7 +157,7 @@
         self.lease_us = grant.lease_us;
         self.drift_ppm = grant.drift_ppm;
         self.replace_quotas(grant.quotas, now);
-        // Tokens beyond a smaller bucket are lost; a larger bucket starts with the tokens that there were.
+        // A smaller bucket loses the tokens beyond its size; a larger one keeps its tokens.
         self.refill_all(now);
         true
     }
@@ -164,23 +165,23 @@
     fn replace_quotas(&mut self, quotas: BTreeMap<String, Quota>, now: u64) {
         for (name, local) in &mut self.budgets {
             if !quotas.contains_key(name) {
-                // No longer declared.
+                // The budget is no longer declared.
                 self.has_lost_units |= local.clear_quota();
             }
         }
         for (name, quota) in quotas {
-            // A late answer may still name a member that is gone here.
+            // A late answer may contain a key that is no longer enforced.
             let is_keyed = name.contains('/');
             if is_keyed && !self.budgets.contains_key(&name) {
                 continue;
             }
-            let local = self.budgets.entry(name).or_insert_with(|| LocalBudget::granted_first(now));
+            let local = self.budgets.entry(name).or_insert_with(|| LocalBudget::newly_granted(now));
             self.has_lost_units |= local.replace_quota(quota, now);
         }
     }
 
-    /// Gives up every grant, because another incarnation of the name holds the session or operators removed this one.
-    /// The holder goes on as a new incarnation whose requests yield to the one that has the name. Units in use stay in
+    /// Drops all grants, because another incarnation of the name holds the session or operators removed this one. The
+    /// holder continues as a new incarnation whose requests yield to the one that holds the name. Units in use stay in
     /// use.
     pub fn handle_superseded(&mut self, now: u64) {
         self.refill_all(now);
@@ -195,37 +196,37 @@
         self.refill_all(now);
     }
 
-    /// When the last applied grant ends.
+    /// When the last applied grant expires.
     pub fn expiry(&self) -> LeaseExpiry {
         self.expiry
     }
 
-    /// Whether the lease lasts at `now`; otherwise there are floors at most.
+    /// Whether the lease is valid at `now`; if not, at most the floors may be used.
     pub fn has_lease(&self, now: u64) -> bool {
         self.expiry.phase(now) == LeasePhase::Leased
     }
 
-    /// The units of a budget that may be in use at `now`; for a rate, thousandths of a unit a second. `None` where the
+    /// The units of a budget that may be in use at `now`; for a rate, thousandths of a unit per second. `None` if the
     /// budget is not enforced.
     pub fn limit(&self, now: u64, budget: &str) -> Option<u64> {
         self.budgets.get(budget).map(|local| local.limit(now, self.expiry))
     }
 
-    /// Units of a held budget in use beyond its limit: idle ones are to be closed. 0 for a rate.
+    /// Units of a held budget in use in excess of its limit; the caller closes idle ones. 0 for a rate.
     pub fn excess(&self, now: u64, budget: &str) -> u64 {
         let held = self.budgets.get(budget).filter(|local| !local.quota.is_rate);
         held.map_or(0, |local| local.in_use.saturating_sub(local.limit(now, self.expiry)))
     }
 
-    /// Acquires a unit of a held budget, to be used at once. The caller reads `now` just before.
+    /// Acquires a unit of a held budget for immediate use. The caller must read `now` right before the call.
     pub fn acquire(&mut self, now: u64, budget: &str) -> AcquireDecision {
         let expiry = self.expiry;
         let Some(local) = self.budgets.get_mut(budget) else { return AcquireDecision::Unlimited };
         local.acquire(local.limit(now, expiry))
     }
 
-    /// Reports that `units` of a held budget could be used from now on, without acquiring any. The next request is sent
-    /// early where no more than the floor is granted.
+    /// Raises the demand for a held budget to `units` without acquiring any. The next request is sent early if no more
+    /// than the floor is granted.
     pub fn request_units(&mut self, budget: &str, units: u64) {
         if let Some(local) = self.budgets.get_mut(budget) {
             local.raise_demand(units);
@@ -237,10 +238,10 @@
         if let Some(local) = self.budgets.get_mut(budget) {
             local.in_use = local.in_use.saturating_sub(1);
         }
-        self.drop_if_ended(budget);
+        self.drop_if_unused(budget);
     }
 
-    /// Spends a unit of a rate, at once.
+    /// Spends one unit of a rate at `now`.
     pub fn spend_token(&mut self, now: u64, budget: &str) -> AcquireDecision {
         let Some(local) = self.budgets.get_mut(budget) else { return AcquireDecision::Unlimited };
         local.refill(now, self.expiry, self.drift_ppm);
@@ -258,7 +259,7 @@
         self.budgets.get(budget).map_or(0, |local| local.in_use)
     }
 
-    /// The names of the budgets that are enforced here.
+    /// Names of the enforced budgets.
     pub fn budgets(&self) -> impl Iterator<Item = &str> {
         self.budgets.keys().map(String::as_str)
     }
--- a/crates/decisions/src/quota/local_budget.rs
+++ b/crates/decisions/src/quota/local_budget.rs
@@ -1,50 +1,49 @@
-//! One budget at one proxy: what it was granted, what is in use, and what it reports as its need. Pure; times are
-//! microseconds on the holder's clock.
+//! One budget at one proxy: the granted quota, the units in use and the need to report. No I/O; times are microseconds
+//! on the holder's clock.
 
 use super::expiry::LeaseExpiry;
 use super::lease_holder::AcquireDecision;
 use super::token_bucket::{TOKENS_PER_UNIT, TokenBucket};
 use super::{MICROS_PER_SECOND, Quota, QuotaNeed};
 
-/// The demand of this many requests is remembered: the highest of them is reported, so that a quota does not shrink
-/// between two peaks.
+/// The highest demand of this many request intervals is reported, so that a quota does not shrink between two peaks.
 const REMEMBERED_PEAKS: usize = 3;
-/// Rejected acquisitions raise the demand by at most the units in use and this many more.
+/// Rejected acquisitions raise the demand by at most the units in use plus this many.
 const MAX_REJECTED_DEMAND: u64 = 8;
 
 /// The state of one budget at one proxy.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LocalBudget {
-    /// What the last applied grant gives.
+    /// The quota of the last applied grant.
     pub(super) quota: Quota,
-    /// Units in use now.
+    /// Held units in use; 0 for a rate.
     pub(super) in_use: u64,
-    /// The most that was in use or wanted since the last request.
+    /// Peak of the units in use or demanded since the last request; for a rate, thousandths of a unit spent or demanded.
     peak: u64,
-    /// The same at the previous requests, newest first. For a rate per second.
+    /// Peaks of the last request intervals, newest first; for a rate, per second.
     recent_peaks: [u64; REMEMBERED_PEAKS],
-    /// Rejected acquisitions since the last request.
+    /// Rejected acquisitions since the last request, up to their bound.
     rejected: u64,
-    /// The tokens, for a rate.
+    /// The token bucket of a rate.
     tokens: TokenBucket,
-    /// Something was wanted since the last request that the quota had no room for.
-    pub(super) is_short: bool,
-    /// The budget no longer limits anything here and is dropped once nothing of it is in use.
-    pub(super) is_ending: bool,
+    /// Since the last request the demand exceeded the quota, or units were requested with no more than the floor granted.
+    pub(super) has_unmet_demand: bool,
+    /// The budget is no longer to be enforced and is dropped once none of its units is in use.
+    pub(super) drop_when_unused: bool,
 }
 
 impl LocalBudget {
-    /// A budget that a grant names for the first time.
-    pub(super) fn granted_first(now: u64) -> LocalBudget {
+    /// A budget that appears in a grant for the first time.
+    pub(super) fn newly_granted(now: u64) -> LocalBudget {
         LocalBudget { tokens: TokenBucket::empty(now), ..LocalBudget::default() }
     }
 
-    /// Units that may be in use at `now`; for a rate, thousandths of a unit a second.
+    /// Units that may be in use at `now`; for a rate, thousandths of a unit per second.
     pub(super) fn limit(&self, now: u64, expiry: LeaseExpiry) -> u64 {
         self.quota.units_in(expiry.phase(now))
     }
 
-    /// Takes over a newly granted quota. Returns whether it is smaller than the one before.
+    /// Applies a newly granted quota. Returns whether it is smaller than the previous one.
     pub(super) fn replace_quota(&mut self, quota: Quota, now: u64) -> bool {
         if quota.is_rate != self.quota.is_rate {
             self.tokens = TokenBucket::empty(now);
@@ -61,25 +60,25 @@
         had_units
     }
 
-    /// Brings the tokens of a rate up to date; does nothing for units that are held.
+    /// Refills the token bucket of a rate up to `now`; does nothing for held units.
     pub(super) fn refill(&mut self, now: u64, expiry: LeaseExpiry, drift_ppm: u64) {
         if self.quota.is_rate {
             self.tokens.refill(now, &self.quota, expiry, drift_ppm);
         }
     }
 
-    /// Takes a held unit, if fewer than `limit` are in use.
+    /// Acquires a held unit if fewer than `limit` are in use.
     pub(super) fn acquire(&mut self, limit: u64) -> AcquireDecision {
         if self.in_use < limit {
             self.in_use += 1;
             self.peak = self.peak.max(self.in_use);
             return AcquireDecision::Acquired;
         }
-        // A rejected acquisition is demand. Retries of the same caller must not raise it without bound, so it grows to
-        // about twice what is in use.
+        // A rejected acquisition counts as demand. Retries of one caller must not raise the demand without bound, so it
+        // is limited to about twice the units in use.
         self.rejected = (self.rejected + 1).min(self.in_use + MAX_REJECTED_DEMAND);
         self.peak = self.peak.max(self.in_use + self.rejected);
-        self.is_short = true;
+        self.has_unmet_demand = true;
         AcquireDecision::Exhausted
     }
 
@@ -89,23 +88,24 @@
         if self.tokens.take_unit() {
             return AcquireDecision::Acquired;
         }
-        self.is_short = true;
+        self.has_unmet_demand = true;
         AcquireDecision::Exhausted
     }
 
     /// Raises the reported demand to `units`.
     pub(super) fn raise_demand(&mut self, units: u64) {
         self.peak = self.peak.max(units);
-        self.is_short |= self.quota.units <= self.quota.floor;
+        self.has_unmet_demand |= self.quota.units <= self.quota.floor;
     }
 
-    /// The need to report with a request that is sent `since_last_us` after the one before. Starts a new peak.
+    /// The need to report with a request sent `since_last_us` microseconds after the previous one. Starts a new interval
+    /// for the peak.
     pub(super) fn next_need(&mut self, since_last_us: u64) -> QuotaNeed {
         self.recent_peaks.rotate_right(1);
         self.recent_peaks[0] =
             if self.quota.is_rate { self.peak_per_second(since_last_us) } else { self.peak };
         self.peak = self.in_use;
-        self.is_short = false;
+        self.has_unmet_demand = false;
         self.rejected = 0;
         let demand = self.recent_peaks.iter().copied().max().unwrap_or(0);
         QuotaNeed { in_use: self.in_use, demand }
--- a/crates/decisions/src/quota/mod.rs
+++ b/crates/decisions/src/quota/mod.rs
@@ -1,15 +1,15 @@
-//! Budgets of the whole fleet, divided among its proxies and divided anew as they come and go.
+//! Fleet-wide budgets that are divided among the proxies, and divided again when proxies join or leave.
 //!
-//! [`table`] is the granter's half, the same at every keeper; [`lease_holder`] is a proxy's half. They share nothing but
-//! messages, which may be late, lost, duplicated or out of order. The units in use over all proxies must never exceed a
-//! budget's total. That holds because
+//! [`table`] is the granter's side, replicated at every keeper; [`lease_holder`] is the proxy's side. They communicate
+//! only by messages, which may be delayed, lost, duplicated or reordered. The units in use over all proxies must never
+//! exceed a budget's total. This holds because
 //!
-//! - a holder counts its lease from when it *sent* the request, and the table from when the grant was agreed, which is
-//!   later, stretched by the bound on clock drift;
-//! - the table commits to a holder the largest of all grants that the holder may still use: an older, larger grant counts
-//!   until the holder reports that it applied a newer one, or until the older one must have expired;
-//! - units in use count beyond the lease, for as long as a unit can outlive it;
-//! - a floor is committed before the holder learns of it, and for its own, longer lease.
+//! - a holder counts its lease from when it *sent* the request; the table counts it from when the grant was agreed, which
+//!   is later, and extends it by the bound on clock drift;
+//! - the table commits to a holder the largest of all grants that the holder may still use: an older, larger grant is
+//!   committed until the holder reports that it applied a newer one, or until the older one must have expired;
+//! - units in use stay committed beyond the lease, for as long as a unit can stay in use after it;
+//! - a floor is committed before the holder receives it, and for the membership, which is longer than the lease.
 
 pub mod allocation;
 mod division;
@@ -25,11 +25,11 @@
 
 /// Most budgets that can be declared.
 pub const MAX_BUDGETS: usize = 64;
-/// Most entries of the table: budgets, and the entries of budgets that exist per key.
+/// Most entries of the table: one per budget, or one per key of a budget that is per key.
 pub const MAX_BUDGET_ENTRIES: usize = 4_096;
-/// Most allocations over all entries. It bounds the snapshot of the log.
+/// Most allocations over all entries. Bounds the size of the log's snapshot.
 pub const MAX_ALLOCATIONS: usize = 131_072;
-/// Most units that a holder can report as need or use. Larger reports are cut to it, so that sums do not overflow.
+/// Most units that a holder can report as demand or in use. Larger values are clamped, so that sums do not overflow.
 pub const MAX_UNITS: u64 = 1 << 40;
 /// Longest name of an entry, in bytes.
 pub const MAX_ENTRY_NAME_BYTES: usize = 160;
@@ -37,28 +37,28 @@
 /// Microseconds in a second.
 const MICROS_PER_SECOND: u128 = 1_000_000;
 
-/// How much of something the whole fleet may use.
+/// The units of one resource that the whole fleet may use.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Budget {
-    /// Units that may be in use at once; for a rate, thousandths of a unit a second.
+    /// Units that may be in use at once; for a rate, thousandths of a unit per second.
     #[prost(uint64, tag = "1")]
     pub total: u64,
-    /// Units of the total that each proxy keeps for the whole membership, after its lease is over.
+    /// Units of the total that each proxy may still use after its lease has expired, until the membership expires.
     #[prost(uint64, tag = "2")]
     pub floor: u64,
-    /// Rates only: units that may be spent at once, over the whole fleet. 0 for units that are held.
+    /// Rates only: units that the whole fleet may spend at once. 0 for held units.
     #[prost(uint64, tag = "3")]
     pub burst: u64,
-    /// Held units only: how long a unit can outlive the lease under which it was acquired. Microseconds.
+    /// Held units only: longest time that a unit stays in use after the lease under which it was acquired. Microseconds.
     #[prost(uint64, tag = "4")]
     pub outlives_us: u64,
-    /// The budget exists once per key. Holders name the key after a slash, as in `links/m-1`.
+    /// The budget applies to each key separately. Holders append the key after a slash, as in `links/m-1`.
     #[prost(bool, tag = "5")]
     pub per_key: bool,
 }
 
 impl Budget {
-    /// Whether units are spent at a rate; otherwise they are held and released.
+    /// Whether units are spent at a rate rather than held and released.
     pub fn is_rate(&self) -> bool {
         self.burst > 0
     }
@@ -67,47 +67,48 @@
 /// Budgets by name.
 pub type Budgets = BTreeMap<String, Budget>;
 
-/// What a holder reports of one budget.
+/// The need of a holder for one budget.
 #[derive(Clone, PartialEq, Eq, ::prost::Message)]
 pub struct QuotaNeed {
     /// Units in use now; 0 for a rate.
     #[prost(uint64, tag = "1")]
     pub in_use: u64,
-    /// Units that it could use, including those in use.
+    /// Units that the holder could use, including those in use; for a rate, thousandths of a unit per second.
     #[prost(uint64, tag = "2")]
     pub demand: u64,
 }
 
-/// A holder's request. It renews the session and the quotas, and reports what the holder needs.
+/// A holder's request: renews its session and quotas, and reports its needs.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct QuotaRequest {
-    /// Number of the request, from 1 on.
+    /// Sequence number, starting at 1.
     #[prost(uint64, tag = "1")]
     pub seq: u64,
-    /// Number of the grant that the holder applied last, 0 for none. It will never again apply an older one.
+    /// Sequence number of the last grant that the holder applied; 0 for none. The holder applies no older grant.
     #[prost(uint64, tag = "2")]
     pub acked: u64,
     /// Needs by budget.
     #[prost(btree_map = "string, message", tag = "3")]
     pub needs: BTreeMap<String, QuotaNeed>,
-    /// Another process had the name: the request takes the session over only if that one is silent.
+    /// Another process held the name: the request takes over its session only if that process has sent no request for a
+    /// lease.
     #[prost(bool, tag = "4")]
     pub yields_name: bool,
 }
 
-/// A proxy's part of one budget.
+/// A proxy's share of one budget.
 #[derive(Clone, PartialEq, Eq, ::prost::Message)]
 pub struct Quota {
-    /// Units until the lease is over; for a rate, thousandths of a unit a second.
+    /// Units until the lease expires; for a rate, thousandths of a unit per second.
     #[prost(uint64, tag = "1")]
     pub units: u64,
-    /// Units after that, until the membership is over.
+    /// Units after the lease, until the membership expires; for a rate, thousandths of a unit per second.
     #[prost(uint64, tag = "2")]
     pub floor: u64,
-    /// Rates only: the part of the burst that goes with `units`, in thousandths of a unit.
+    /// Rates only: the share of the burst for `units`, in thousandths of a unit.
     #[prost(uint64, tag = "3")]
     pub burst: u64,
-    /// Rates only: the part of the burst that goes with `floor`, in thousandths of a unit.
+    /// Rates only: the share of the burst for `floor`, in thousandths of a unit.
     #[prost(uint64, tag = "4")]
     pub floor_burst: u64,
     /// Whether the budget is a rate.
@@ -115,10 +116,10 @@
     pub is_rate: bool,
 }
 
-/// The answer to a request that was accepted.
+/// The answer to an accepted request.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Grant {
-    /// Number of the request that it answers.
+    /// Sequence number of the answered request.
     #[prost(uint64, tag = "1")]
     pub seq: u64,
     /// Length of the lease, from when the request was sent. Microseconds on the holder's clock.
@@ -130,7 +131,7 @@
     /// The bound on clock drift, in millionths.
     #[prost(uint64, tag = "4")]
     pub drift_ppm: u64,
-    /// Quotas by budget. The holder has nothing of a budget that is missing here.
+    /// Quotas by budget. The holder has no units of a budget that is absent.
     #[prost(btree_map = "string, message", tag = "5")]
     pub quotas: BTreeMap<String, Quota>,
 }
--- a/crates/decisions/src/quota/table.rs
+++ b/crates/decisions/src/quota/table.rs
@@ -1,7 +1,8 @@
-//! The granter's half of the fleet's quotas: what each proxy may use, and for how long that counts. The same at every
-//! keeper, and changed only by entries of the agreed log; see [`crate::membership`] for what time means here.
+//! The granter's side of the fleet's quotas: the units committed to each proxy, and until when. The table is replicated
+//! at every keeper and changed only by entries of the agreed log; [`crate::membership`] describes log time.
 //!
-//! It must stay deterministic: no clock, no random numbers, and no order but that of keys and commands.
+//! The table must be deterministic: it reads no clock, draws no random numbers, and depends on no order but that of keys
+//! and commands.
 
 pub use super::allocation::{ActiveGrant, Allocation, BudgetEntry};
 
@@ -14,16 +15,16 @@
 use crate::membership::{LeaseTerms, Membership, SessionRejected, SessionUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A command of the agreed log about quotas.
+/// A quota command in the agreed log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QuotaCommand {
-    /// Declares all budgets, in the place of those declared before.
+    /// Declares the budgets, replacing the previous declaration.
     Declare {
         /// How long grants and sessions last.
         terms: LeaseTerms,
-        /// The budgets.
+        /// All declared budgets, by name.
         budgets: Budgets,
-        /// Revision of the declaration. One that is not higher than the agreed one changes nothing.
+        /// Revision of the declaration. A declaration whose revision is not higher than the agreed one is ignored.
         revision: u64,
     },
     /// An instance requests its quotas.
@@ -36,10 +37,10 @@
         version: String,
         /// Its zone.
         zone: String,
-        /// The request.
+        /// The request as received.
         request: QuotaRequest,
     },
-    /// Operators declare an instance gone for good. What it holds expires by itself, and it is granted nothing more.
+    /// Operators remove an instance for good. Its allocations expire as granted, and it gets no further grant.
     Remove {
         /// Name of the instance.
         name: String,
@@ -53,31 +54,31 @@
     pub name: String,
     /// Its incarnation.
     pub incarnation: u64,
-    /// The grant, or why there is none.
+    /// The grant, or why the request was rejected.
     pub result: Result<Grant, SessionRejected>,
 }
 
-/// An entry of which more can be in use than its total.
+/// An entry whose committed units exceed its total.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overcommitment<'a> {
     /// Name of the entry.
     pub entry: &'a str,
     /// Units that can be in use.
     pub committed: u64,
-    /// Units that may be.
+    /// Units that may be in use.
     pub total: u64,
 }
 
-/// The membership of the fleet, its budgets, and what is granted of them.
+/// The membership of the fleet, its budgets and their allocations.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct QuotaTable {
-    /// Who belongs to the fleet.
+    /// Sessions of the fleet's instances, and log time.
     #[prost(message, required, tag = "1")]
     pub membership: Membership,
     /// How long grants and sessions last.
     #[prost(message, required, tag = "2")]
     pub terms: LeaseTerms,
-    /// Entries by name. The entries of a budget that exists per key are named as in `links/m-1`.
+    /// Entries by name. An entry of a budget per key is named like `links/m-1`.
     #[prost(btree_map = "string, message", tag = "3")]
     pub entries: BTreeMap<String, BudgetEntry>,
     /// The budgets as declared.
@@ -96,10 +97,10 @@
 }
 
 impl QuotaTable {
-    /// Applies an entry of the log: first `elapsed` microseconds of its leader's clock, counted from the same leader's
-    /// previous entry or from when it became leader; then the commands in their order.
+    /// Applies a log entry: advances log time by `elapsed`, then applies the commands in order. `elapsed` is measured in
+    /// microseconds on the leader's clock since its previous entry, or since it became leader.
     ///
-    /// Returns an answer to each request: the rejected ones first, then the grants, each in the order of the commands.
+    /// Returns an answer to each request: first the rejections, then the grants, each in the order of the commands.
     pub fn apply(&mut self, elapsed: u64, commands: Vec<QuotaCommand>) -> Vec<QuotaReply> {
         self.membership.advance(elapsed);
         self.expire();
@@ -123,12 +124,12 @@
         replies
     }
 
-    /// Whether a declaration of this revision would be applied: an older file at a new leader changes nothing.
+    /// Whether a declaration of this revision is applied. A new leader with an older file must not undo a newer one.
     pub fn accepts_revision(&self, revision: u64) -> bool {
         revision > self.revision || self.terms == LeaseTerms::default()
     }
 
-    /// Entries of which more can be in use than their total, since the budget was lowered.
+    /// Entries whose committed units exceed their total, after the budget was lowered or withdrawn.
     pub fn overcommitted(&self) -> Vec<Overcommitment<'_>> {
         let now = self.membership.now;
         let entries = self.entries.iter().map(|(name, entry)| {
@@ -138,7 +139,7 @@
         entries.filter(|entry| entry.committed > entry.total).collect()
     }
 
-    /// Drops what is over by log time: grants, entries without any, and sessions.
+    /// Drops expired grants and sessions, and entries left without an allocation.
     fn expire(&mut self) {
         let now = self.membership.now;
         let kept_for = self.session_span();
@@ -147,15 +148,15 @@
         self.membership.sessions.retain(|_, s| now < s.last_request_at.saturating_add(kept_for));
     }
 
-    /// How long a session is kept after its last request, in microseconds: until nothing of it can count any more.
+    /// Time in microseconds for which a session is kept after its last request: until none of its units can be in use.
     fn session_span(&self) -> u64 {
         let outlives_us = self.entries.values().map(BudgetEntry::outlives_us).max().unwrap_or(0);
         let longest = self.terms.membership_us.max(self.terms.lease_us);
         self.terms.with_drift_margin(longest.saturating_add(outlives_us))
     }
 
-    /// Replaces the declaration by one of a newer revision. Allocations stay, also those of budgets that are no longer
-    /// declared: a budget that comes back smaller starts with what is still out.
+    /// Replaces the declaration by one of a newer revision. All allocations are kept, also those of budgets that are no
+    /// longer declared: if such a budget is declared again with a smaller total, its unexpired units must still count.
     fn declare(&mut self, terms: LeaseTerms, budgets: Budgets, revision: u64) {
         if !self.accepts_revision(revision) {
             return;
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Opens or renews the session of a request and records what it reports.
+    /// Opens or renews the session of a request and records its needs.
     fn accept(
         &mut self, name: &str, incarnation: u64, request: &QuotaRequest, version: String, zone: String,
     ) -> Result<(), SessionRejected> {
@@ -205,7 +206,7 @@
         entries.for_each(|entry| entry.allocations.retain(|i, _| incarnations.contains(i)));
     }
 
-    /// Adds the entries that a request names of budgets that exist per key.
+    /// Adds the entries of per-key budgets that a request names for the first time.
     fn open_keyed_entries(&mut self, request: &QuotaRequest) {
         for name in request.needs.keys().filter(|name| name.len() <= MAX_ENTRY_NAME_BYTES) {
             if self.entries.contains_key(name) || self.entries.len() >= MAX_BUDGET_ENTRIES {
@@ -218,8 +219,8 @@
         }
     }
 
-    /// Records what an incarnation reports. Its grants before the acknowledged one are over; units in use count until it
-    /// reports otherwise or they must have ended.
+    /// Records the needs that an incarnation reports. Grants before the acknowledged one are dropped; units in use stay
+    /// committed until the next report, or until they must have been released.
     fn record_needs(&mut self, incarnation: u64, request: &QuotaRequest) {
         let now = self.membership.now;
         let terms = self.terms;
@@ -227,14 +228,14 @@
         for (name, entry) in &mut self.entries {
             let reported = request.needs.get(name);
             if !entry.allocations.contains_key(&incarnation) {
-                // It gets no allocation of a key that it does not name.
+                // An incarnation gets an allocation of a key only if its request names the key.
                 let is_wanted = entry.is_permanent() || (entry.budget.is_some() && reported.is_some());
                 if !is_wanted || allocation_count >= MAX_ALLOCATIONS {
                     continue;
                 }
                 allocation_count += 1;
             }
-            let need = reported.map(bounded_need).unwrap_or_default();
+            let need = reported.map(clamped_need).unwrap_or_default();
             let in_use_expires_at = if need.in_use == 0 || is_injected(Fault::InUseFreedEarly) {
                 0
             } else {
@@ -247,7 +248,7 @@
         }
     }
 
-    /// Divides every budget among the requests of one entry of the log.
+    /// Divides every budget among the requests of one log entry.
     fn grant_all(&mut self, accepted: Vec<AcceptedRequest>) -> Vec<QuotaReply> {
         let context = DivisionContext::new(&self.membership, self.terms);
         let mut quotas: Vec<BTreeMap<String, Quota>> = vec![BTreeMap::new(); accepted.len()];
@@ -264,7 +265,7 @@
     }
 }
 
-/// Divides one entry among the requests, and adds each quota to the map that belongs to its request.
+/// Divides one entry among the requests and adds each quota to the map of its request.
 fn grant_entry(
     name: &str, entry: &mut BudgetEntry, context: &DivisionContext, accepted: &[AcceptedRequest],
     quotas: &mut [BTreeMap<String, Quota>],
@@ -274,7 +275,8 @@
     let division = Division::of(entry, budget, context);
     let mut committed = entry.committed(context.now);
     for (AcceptedRequest { incarnation, request, .. }, quotas) in accepted.iter().zip(quotas) {
-        // A key that a holder no longer names ends by itself. Granted again, it would be named and granted for ever.
+        // The allocation of a key that a holder no longer names must expire. A new grant would make the holder name the
+        // key again, and the allocation would never expire.
         if is_per_key && !request.needs.contains_key(name) {
             continue;
         }
@@ -284,8 +286,7 @@
     }
 }
 
-/// The declared budget of an entry: the one of that name, or the one that exists per key and has the name before the
-/// slash.
+/// The declared budget of an entry: the budget of that name, or the per-key budget whose name precedes the slash.
 fn budget_of(declared: &Budgets, entry: &str) -> Option<Budget> {
     let (name, is_keyed) = match entry.split_once('/') {
         Some((name, _)) => (name, true),
@@ -294,6 +295,6 @@
     declared.get(name).filter(|budget| budget.per_key == is_keyed).cloned()
 }
 
-fn bounded_need(need: &QuotaNeed) -> QuotaNeed {
+fn clamped_need(need: &QuotaNeed) -> QuotaNeed {
     QuotaNeed { in_use: need.in_use.min(MAX_UNITS), demand: need.demand.min(MAX_UNITS) }
 }
