--- a/crates/decisions/src/disruption/liveness.rs
+++ b/crates/decisions/src/disruption/liveness.rs
@@ -1,19 +1,19 @@
-//! Which proxies are live at an entry of the log, as the membership shows it. Pure; times are microseconds of log time.
+//! The live proxies at one log entry, according to the membership. No I/O; times are microseconds of log time.
 
 use crate::membership::{LeaseTerms, Membership};
 
-/// The membership as one entry of the log sees it.
+/// A view of the membership at one log entry.
 pub struct LivenessView<'a> {
     membership: &'a Membership,
     /// A proxy is live for this long after its last request.
     lease: u64,
-    /// A proxy may serve under a grant for this long.
+    /// A grant may be used for at most this long.
     membership_span: u64,
     live_count: usize,
 }
 
 impl<'a> LivenessView<'a> {
-    /// The view of `membership` under `terms`. Proxies are live that sent a request within a lease.
+    /// A view of `membership` under `terms`. A proxy is live if it sent a request within a lease.
     pub fn new(membership: &'a Membership, terms: &LeaseTerms) -> LivenessView<'a> {
         let lease = terms.with_drift_margin(terms.lease_us);
         let membership_span = terms.with_drift_margin(terms.membership_us);
@@ -31,13 +31,13 @@
         self.membership.is_live_within(name, self.lease)
     }
 
-    /// Whether `reporters` are more than half of the live proxies.
+    /// Whether the number of `reporters` is more than half of the live proxies.
     pub(super) fn is_majority(&self, reporters: usize) -> bool {
         2 * reporters > self.live_count
     }
 
-    /// Whether `reporters` are at least half of the live proxies.
-    pub(super) fn is_half(&self, reporters: usize) -> bool {
+    /// Whether the number of `reporters` is at least half of the live proxies.
+    pub(super) fn is_at_least_half(&self, reporters: usize) -> bool {
         2 * reporters >= self.live_count
     }
 
@@ -46,8 +46,8 @@
         self.membership.incarnations().collect()
     }
 
-    /// Whether a grant from before `time` must be over for every proxy.
-    pub(super) fn has_outlived_grants_of(&self, time: u64) -> bool {
+    /// Whether all grants from before `time` must have expired at every proxy.
+    pub(super) fn have_grants_before_expired(&self, time: u64) -> bool {
         self.now() >= time.saturating_add(self.membership_span)
     }
 }
--- a/crates/decisions/src/disruption/mod.rs
+++ b/crates/decisions/src/disruption/mod.rs
@@ -1,10 +1,10 @@
-//! Voluntary disruption: who is unavailable, why, and by whose permit. Never may more subjects be unavailable by permit
-//! than operators allow, over all instances together.
+//! Voluntary disruption: which subjects are unavailable, for which cause and under which permit. Over the whole fleet,
+//! no permit may be granted beyond the limits that operators set.
 //!
-//! Everything that is unavailable counts, whatever the cause. A permit is granted by the agreed log or not at all. Its
-//! holder may die: the permit counts until the subject is back and seen in service, or until operators end it, since
-//! absence is not release. A member that is out is quarantined at all proxies: before its permit is confirmed, each
-//! proxy has reported that it sends nothing more there, or holds no session any more and so serves nobody.
+//! Every unavailable subject counts towards the limits, whatever the cause. Permits are granted only through the agreed
+//! log. A permit remains in force if its holder fails: it ends when the subject is reported in service again or when
+//! operators end it. A member with a permit is quarantined at all proxies: the permit is confirmed once each proxy has
+//! reported that it sends nothing new to the member, or has lost its session and therefore serves no clients.
 
 mod liveness;
 mod record;
@@ -13,7 +13,7 @@
 
 use std::collections::BTreeMap;
 
-/// Most subjects that are known: proxies and members.
+/// Most proxies and members in the table.
 pub const MAX_SUBJECTS: usize = 8_192;
 /// Longest key of a subject, in bytes.
 pub const MAX_TEXT_BYTES: usize = 160;
@@ -23,7 +23,7 @@
 /// Prefix of the keys of members.
 const MEMBER_PREFIX: &str = "member/";
 
-/// The most subjects of a set that may be unavailable at once: the smaller bound where both are given, no bound where
+/// The most subjects of a set that may be unavailable at once: the smaller of both bounds if both are set, unlimited if
 /// neither is.
 #[derive(Clone, Copy, PartialEq, Eq, ::prost::Message)]
 pub struct DisruptionLimit {
@@ -36,8 +36,8 @@
 }
 
 impl DisruptionLimit {
-    /// The most subjects that may be unavailable of a set of `total`.
-    pub fn max_out_of(&self, total: u64) -> u64 {
+    /// The most subjects that may be unavailable in a set of `total`.
+    pub fn max_unavailable(&self, total: u64) -> u64 {
         let by_percent =
             self.percent.map_or(u64::MAX, |percent| total.saturating_mul(percent.min(100)) / 100);
         self.count.unwrap_or(u64::MAX).min(by_percent)
@@ -47,16 +47,16 @@
 /// The limits that operators set.
 #[derive(Clone, Copy, PartialEq, Eq, ::prost::Message)]
 pub struct DisruptionPolicy {
-    /// Proxies that may be unavailable at once in the whole fleet.
+    /// Limit on unavailable proxies in the whole fleet.
     #[prost(message, required, tag = "1")]
     pub fleet: DisruptionLimit,
-    /// Proxies that may be unavailable at once in each zone.
+    /// Limit on unavailable proxies in each zone.
     #[prost(message, required, tag = "2")]
     pub zone: DisruptionLimit,
-    /// Fewest proxies that must stay in service.
+    /// Fewest proxies of the fleet that must stay in service.
     #[prost(uint64, tag = "3")]
     pub min_in_service: u64,
-    /// Members that may be unavailable at once in each group.
+    /// Limit on unavailable members in each group.
     #[prost(message, required, tag = "4")]
     pub group: DisruptionLimit,
     /// Fewest members of a group that must stay in service.
@@ -64,32 +64,32 @@
     pub group_min_in_service: u64,
 }
 
-/// Whether a subject is in service, and why not. Stored and sent as its number.
+/// Whether a subject is in service, or the cause of its unavailability. Stored and sent as its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum Availability {
-    /// It is in service.
+    /// The subject is in service.
     InService = 0,
-    /// A proxy drains or stands by.
+    /// The proxy is draining or standing by.
     Standby = 1,
-    /// A proxy is stopping.
+    /// The proxy is stopping.
     Stopping = 2,
-    /// A proxy sends no requests to the keepers.
+    /// The proxy sends no requests to the keepers.
     NoHeartbeat = 3,
-    /// Discovery lists a member as draining, or no longer.
+    /// Discovery lists the member as draining, or no longer lists it.
     Delisted = 4,
-    /// Operators took a member out.
+    /// Operators took the member out of service.
     OperatorBan = 5,
-    /// A member does not answer.
+    /// The member does not answer.
     Unresponsive = 6,
-    /// A member was started recently.
+    /// The member was started recently.
     WarmingUp = 7,
-    /// No endpoint list has named a member for so long that it no longer exists.
+    /// No endpoint list has named the member for so long that it counts as removed.
     Removed = 8,
 }
 
 impl Availability {
-    /// The text that operators read.
+    /// The text shown to operators.
     pub fn label(self) -> &'static str {
         match self {
             Availability::InService => "in service",
@@ -104,9 +104,9 @@
         }
     }
 
-    /// Whether the report of one proxy is enough. A member that few proxies find unresponsive is in service: the fault
-    /// is between them and the member.
-    fn is_fact(self) -> bool {
+    /// Whether the report of a single proxy is sufficient. It is not for [`Availability::Unresponsive`]: a member that
+    /// only a few proxies cannot reach is in service, since the fault lies between them and the member.
+    fn one_report_suffices(self) -> bool {
         matches!(
             self,
             Availability::Delisted
@@ -117,7 +117,7 @@
     }
 }
 
-/// What can be taken out of service.
+/// A proxy or member that can be taken out of service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
     /// A proxy, by its name.
@@ -127,7 +127,7 @@
 }
 
 impl Subject {
-    /// The key under which the table stores the subject: `proxy/NAME` or `member/ID`.
+    /// The subject's key in the table: `proxy/NAME` or `member/ID`.
     pub fn key(&self) -> String {
         match self {
             Subject::Proxy(name) => format!("{PROXY_PREFIX}{name}"),
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The subject that a key stands for; `None` for text that is not a key.
+    /// Parses a key; `None` if it is not of the form that [`Subject::key`] returns.
     pub fn from_key(key: &str) -> Option<Subject> {
         if let Some(name) = proxy_name(key) {
             return Some(Subject::Proxy(name.to_string()));
@@ -144,17 +144,17 @@
     }
 }
 
-/// The proxy's name in a key, if it is the key of a proxy.
+/// The name in the key of a proxy; `None` for other keys.
 fn proxy_name(key: &str) -> Option<&str> {
     key.strip_prefix(PROXY_PREFIX)
 }
 
-/// The member's id in a key, if it is the key of a member.
+/// The id in the key of a member; `None` for other keys.
 fn member_id(key: &str) -> Option<&str> {
     key.strip_prefix(MEMBER_PREFIX)
 }
 
-/// What a proxy observes of a member.
+/// A proxy's observation of a member.
 #[derive(Clone, PartialEq, Eq, ::prost::Message)]
 pub struct HealthObservation {
     /// The member's group.
@@ -163,21 +163,21 @@
     /// Number of an [`Availability`].
     #[prost(enumeration = "Availability", tag = "2")]
     pub availability: i32,
-    /// The proxy takes the member for the primary of its group.
+    /// The proxy considers the member the primary of its group.
     #[prost(bool, tag = "3")]
     pub is_primary: bool,
 }
 
-/// What a proxy reports with each request to the keepers.
+/// The report that a proxy sends with each request to the keepers.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct HealthReport {
     /// Number of the proxy's own [`Availability`].
     #[prost(enumeration = "Availability", tag = "1")]
     pub own_availability: i32,
-    /// Members whose observation changed since it was last acknowledged, by id.
+    /// Observations that differ from the last acknowledged ones, by the member's id.
     #[prost(btree_map = "string, message", tag = "2")]
     pub observations: BTreeMap<String, HealthObservation>,
-    /// Edition of the quarantine that the proxy applies.
+    /// Edition of the quarantine that the proxy has applied.
     #[prost(uint64, tag = "3")]
     pub quarantine_edition: u64,
 }
@@ -185,7 +185,7 @@
 /// The members to which no proxy may send anything new.
 #[derive(Clone, PartialEq, Eq, ::prost::Message)]
 pub struct Quarantine {
-    /// Edition: it rises with every change.
+    /// Edition, incremented by every change.
     #[prost(uint64, tag = "1")]
     pub edition: u64,
     /// Ids of the members.
--- a/crates/decisions/src/disruption/record.rs
+++ b/crates/decisions/src/disruption/record.rs
@@ -1,5 +1,4 @@
-//! What the table keeps of one subject: its permit, and what proxies report of it. Pure; times are microseconds of log
-//! time.
+//! The table's record of one subject: its permit and the reports of proxies. No I/O; times are microseconds of log time.
 
 use super::liveness::LivenessView;
 use super::{Availability, HealthObservation, proxy_name};
@@ -9,59 +8,59 @@
 /// Permission for a subject to be unavailable.
 #[derive(Clone, PartialEq, Eq, ::prost::Message)]
 pub struct Permit {
-    /// Number of the permit; no number is used twice.
+    /// Unique number of the permit.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Who requested it.
+    /// Name of the requester.
     #[prost(string, tag = "2")]
     pub requested_by: String,
-    /// Why it was requested.
+    /// Reason given by the requester.
     #[prost(string, tag = "3")]
     pub reason: String,
-    /// It was granted without regard to the limits.
+    /// The permit was granted without a check of the limits.
     #[prost(bool, tag = "4")]
     pub forced: bool,
-    /// When it was granted.
+    /// When the permit was granted, in log time.
     #[prost(uint64, tag = "5")]
     pub granted_at: u64,
-    /// The subject has been unavailable since.
+    /// The subject has been unavailable at some time since the grant.
     #[prost(bool, tag = "6")]
-    pub was_out: bool,
-    /// The subject is to return: the permit ends once it is seen in service.
+    pub was_unavailable: bool,
+    /// The return of the subject was requested: the permit ends once the subject is reported in service.
     #[prost(bool, tag = "7")]
     pub returning: bool,
-    /// Members only: edition of the quarantine that contains the member.
+    /// Members only: first edition of the quarantine that contains the member.
     #[prost(uint64, tag = "8")]
     pub quarantine_edition: u64,
-    /// Members only: incarnations of proxies that may still send requests to the member.
+    /// Members only: incarnations of proxies that may still send new requests to the member.
     #[prost(uint64, repeated, tag = "9")]
     pub unconfirmed: Vec<u64>,
 }
 
-/// Why no permit is granted.
+/// Why a permit was denied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PermitDenied {
     /// No proxy has reported this subject.
     UnknownSubject,
-    /// Somebody else has a permit for it.
+    /// Another requester holds a permit for the subject.
     HeldByOther {
-        /// Who requested that permit.
+        /// Name of that requester.
         by: String,
     },
-    /// The member is its group's primary, which must hand over first.
+    /// The member is the primary of its group, which must be handed over first.
     IsPrimary,
     /// The primary of the group is not known, so it may be this member.
     PrimaryUnknown,
-    /// As many are unavailable as the limits allow, or as few are in service.
+    /// One more unavailable subject would violate a limit.
     LimitReached {
-        /// What the limit counts, in the operators' words.
+        /// The subjects that the limit counts, as shown to operators.
         limit: &'static str,
-        /// The keys of those that are unavailable, with the cause.
+        /// Keys of the unavailable subjects, with the cause.
         unavailable: Vec<(String, Availability)>,
     },
 }
 
-/// What is known of one subject.
+/// The state of one subject.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct SubjectRecord {
     /// Proxies only: the zone.
@@ -73,24 +72,24 @@
     /// Proxies only: number of the [`Availability`] that the proxy reports of itself.
     #[prost(enumeration = "Availability", tag = "3")]
     pub own_availability: i32,
-    /// Incarnations of proxies that take the member for its group's primary. While they disagree, each member that is
-    /// named by any counts as the primary.
+    /// Members only: incarnations of proxies that report the member as its group's primary. If proxies disagree, every
+    /// member reported as primary by any of them counts as one.
     #[prost(uint64, repeated, tag = "4")]
     pub primary_reporters: Vec<u64>,
-    /// Numbers of the [`Availability`] that proxies report of the member, by their incarnation. Proxies that find it in
-    /// service are left out.
+    /// Members only: numbers of the reported [`Availability`], by the incarnation of the proxy. Reports of a member in
+    /// service are not stored.
     #[prost(btree_map = "uint64, enumeration(Availability)", tag = "5")]
     pub reports: BTreeMap<u64, i32>,
-    /// Permission to be unavailable.
+    /// The permit of the subject, if it has one.
     #[prost(message, optional, tag = "6")]
     pub permit: Option<Permit>,
-    /// When it was last reported.
+    /// When the subject was last reported, in log time.
     #[prost(uint64, tag = "7")]
     pub last_reported_at: u64,
 }
 
 impl SubjectRecord {
-    /// Records what the proxy `incarnation` observes of this member.
+    /// Records an observation of this member by the proxy `incarnation`.
     pub(super) fn record_observation(&mut self, incarnation: u64, observed: &HealthObservation, now: u64) {
         self.group = observed.group;
         self.last_reported_at = now;
@@ -99,13 +98,14 @@
             self.primary_reporters.push(incarnation);
         }
         match Availability::try_from(observed.availability) {
-            // A number of a newer version is taken for a member in service.
+            // A number that only newer versions define counts as in service.
             Ok(Availability::InService) | Err(_) => self.reports.remove(&incarnation),
             Ok(_) => self.reports.insert(incarnation, observed.availability),
         };
     }
 
-    /// The proxy `incarnation` applies the quarantine of that edition, so it sends nothing more to this member.
+    /// Records that the proxy `incarnation` has applied this edition of the quarantine. If the edition contains this
+    /// member, the proxy sends no new requests to it.
     pub(super) fn confirm(&mut self, incarnation: u64, quarantine_edition: u64) {
         let Some(permit) = &mut self.permit else { return };
         if quarantine_edition >= permit.quarantine_edition {
@@ -113,49 +113,50 @@
         }
     }
 
-    /// Forgets the reports of incarnations without a session, and waits for their confirmation no longer.
+    /// Drops the reports of incarnations without a session; their confirmation is no longer required.
     pub(super) fn drop_departed(&mut self, incarnations: &[u64], view: &LivenessView) {
         self.reports.retain(|reporter, _| incarnations.contains(reporter));
         self.primary_reporters.retain(|reporter| incarnations.contains(reporter));
         let Some(permit) = &mut self.permit else { return };
-        if view.has_outlived_grants_of(permit.granted_at) {
-            // Every grant since then carries the quarantine, and is not used before the quarantine is applied.
+        if view.have_grants_before_expired(permit.granted_at) {
+            // Proxies can use only grants made since then, which contain the quarantine and are not used before it is
+            // applied.
             permit.unconfirmed.clear();
         }
         permit.unconfirmed.retain(|waiting| incarnations.contains(waiting));
     }
 
-    /// Whether most live proxies report that the member no longer exists, and it has no permit.
+    /// Whether more than half of the live proxies report the member as removed, and it has no permit.
     pub(super) fn is_removed(&self, view: &LivenessView) -> bool {
         let removed = Availability::Removed as i32;
         let reporters = self.reports.values().filter(|reported| **reported == removed).count();
         self.permit.is_none() && view.is_majority(reporters)
     }
 
-    /// Ends the permit once the subject is back: a proxy's when it is in service after it was unavailable, a member's only
-    /// when it is in service after its return was requested.
-    pub(super) fn end_permit_if_back(&mut self, availability: Availability, is_member: bool) {
+    /// Ends the permit if the subject has returned to service: for a proxy after it was unavailable or its return was
+    /// requested, for a member only after its return was requested.
+    pub(super) fn end_permit_if_returned(&mut self, availability: Availability, is_member: bool) {
         let Some(permit) = &mut self.permit else { return };
         if availability != Availability::InService {
-            permit.was_out = true;
+            permit.was_unavailable = true;
             return;
         }
-        if permit.returning || (permit.was_out && !is_member) {
+        if permit.returning || (permit.was_unavailable && !is_member) {
             self.permit = None;
         }
     }
 
-    /// The availability of the subject stored under `key`. A permit that is not used yet does not change it.
+    /// The availability of the subject stored under `key`, regardless of its permit.
     pub(super) fn availability(&self, key: &str, view: &LivenessView) -> Availability {
         if let Some(name) = proxy_name(key) {
             return self.proxy_availability(name, view);
         }
         let reported = || self.reports.values().filter_map(|number| Availability::try_from(*number).ok());
-        if let Some(fact) = reported().find(|availability| availability.is_fact()) {
-            return fact;
+        if let Some(conclusive) = reported().find(|availability| availability.one_report_suffices()) {
+            return conclusive;
         }
         let reporters = reported().count();
-        if reporters > 0 && view.is_half(reporters) {
+        if reporters > 0 && view.is_at_least_half(reporters) {
             return Availability::Unresponsive;
         }
         Availability::InService
@@ -172,8 +173,8 @@
         }
     }
 
-    /// Why the subject counts as unavailable: its availability, or its permit although it is still in service. `None`
-    /// if it does not count.
+    /// The cause for which the subject counts as unavailable. A subject in service counts if it has a permit. `None` if
+    /// it does not count.
     pub(super) fn unavailability(&self, key: &str, view: &LivenessView) -> Option<Availability> {
         if is_injected(Fault::ForcedPermitUncounted)
             && self.permit.as_ref().is_some_and(|permit| permit.forced)
--- a/crates/decisions/src/disruption/reporter.rs
+++ b/crates/decisions/src/disruption/reporter.rs
@@ -1,19 +1,20 @@
-//! What a proxy reports of itself and of members, and the quarantine that it received in turn. Pure.
+//! A proxy's reports on itself and on members, and the quarantine that it received. No I/O.
 //!
-//! Only changes are reported. Requests are lost, so a change counts as reported once its request was answered.
+//! Only changes are reported. Since requests may be lost, a change is reported again until a request that carried it is
+//! answered.
 
 use super::{Availability, HealthObservation, HealthReport, Quarantine};
 use std::collections::BTreeMap;
 
-/// Most members that are reported.
+/// Most members that are observed.
 const MAX_OBSERVATIONS: usize = 4_096;
-/// Most members in one report, since keepers reject requests that are too long. The others go with the next requests.
+/// Most members in one report, since keepers reject longer requests. The others follow in later reports.
 const MAX_OBSERVATIONS_PER_REPORT: usize = 512;
 
-/// A report whose answer is awaited.
+/// A report that has not been acknowledged.
 #[derive(Clone, Debug)]
 struct PendingReport {
-    /// Number of the request that carried it.
+    /// Sequence number of the request that carried it.
     seq: u64,
     observations: BTreeMap<String, HealthObservation>,
 }
@@ -22,15 +23,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct HealthReporter {
     own_availability: i32,
-    /// What is observed of members now.
+    /// Current observations, by the member's id.
     observations: BTreeMap<String, HealthObservation>,
-    /// What the keepers have acknowledged.
+    /// The last acknowledged observations.
     acknowledged: BTreeMap<String, HealthObservation>,
-    /// The last report.
+    /// The last report, until it is acknowledged.
     pending: Option<PendingReport>,
-    /// The newest quarantine that was received.
+    /// The newest quarantine received.
     quarantine: Quarantine,
-    /// Edition of the newest quarantine that is applied here.
+    /// Edition of the newest quarantine applied.
     applied_edition: u64,
 }
 
@@ -42,10 +43,10 @@
         has_changed
     }
 
-    /// Replaces the observations of all members. Returns whether something is to be reported.
+    /// Replaces the observations of all members. Returns whether any of them must be reported.
     pub fn observe(&mut self, observations: BTreeMap<String, HealthObservation>) -> bool {
         self.observations = observations.into_iter().take(MAX_OBSERVATIONS).collect();
-        // A member that is no longer observed is reported as removed: the keepers would take it for healthy.
+        // A member that is no longer observed is reported as removed; the keepers would otherwise count it as healthy.
         for (member, last) in &self.acknowledged {
             if !self.observations.contains_key(member) && self.observations.len() < MAX_OBSERVATIONS {
                 let removed =
@@ -56,7 +57,7 @@
         self.observations != self.acknowledged
     }
 
-    /// The report that goes with request number `seq`.
+    /// The report to send with the request of sequence number `seq`.
     pub fn next_report(&mut self, seq: u64) -> HealthReport {
         let observations: BTreeMap<String, HealthObservation> = self
             .observations
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Handles the grant that answers request number `seq`. Returns the quarantine that came with it if it is newer than
-    /// the last one; the caller applies it and calls [`HealthReporter::quarantine_applied`].
+    /// Handles the grant for the request of sequence number `seq`. Returns its quarantine if that is newer than the last
+    /// one; the caller must apply it and then call [`HealthReporter::quarantine_applied`].
     pub fn handle_grant(&mut self, seq: u64, quarantine: Option<Quarantine>) -> Option<Quarantine> {
         if let Some(answered) = self.pending.take_if(|pending| pending.seq == seq) {
             self.acknowledged.extend(answered.observations);
@@ -85,17 +86,17 @@
         Some(newer)
     }
 
-    /// Notes that nothing new is sent to the members quarantined by that edition.
+    /// Records that no new requests are sent to the members in this edition of the quarantine.
     pub fn quarantine_applied(&mut self, edition: u64) {
         self.applied_edition = self.applied_edition.max(edition);
     }
 
-    /// Whether the newest quarantine that was received is applied.
+    /// Whether the newest received quarantine has been applied.
     pub fn is_quarantine_applied(&self) -> bool {
         self.applied_edition >= self.quarantine.edition
     }
 
-    /// Starts as another incarnation: everything is reported anew.
+    /// Restarts the reports for a new incarnation: all observations are reported again.
     pub fn reset(&mut self) {
         self.acknowledged.clear();
         self.pending = None;
--- a/crates/decisions/src/disruption/table.rs
+++ b/crates/decisions/src/disruption/table.rs
@@ -1,6 +1,6 @@
-//! The table of what is unavailable, the same at every keeper, and changed only by entries of the agreed log. Time and
-//! liveness come from the [`crate::membership::Membership`]. It must stay deterministic: no clock, no random numbers, no
-//! order but that of keys.
+//! The table of subjects and permits, replicated at every keeper and changed only by entries of the agreed log. Time and
+//! liveness come from the [`crate::membership::Membership`]. The table must be deterministic: it reads no clock, draws
+//! no random numbers, and depends on no order but that of keys.
 
 pub use super::liveness::LivenessView;
 pub use super::record::{Permit, PermitDenied, SubjectRecord};
@@ -12,48 +12,50 @@
 use crate::fault_injection::{Fault, is_injected};
 use std::collections::BTreeMap;
 
-/// Longest name and reason that a permit keeps, in characters. A character takes up to four bytes.
+/// Longest requester and reason in a permit, in characters of up to four bytes.
 const MAX_TEXT_CHARS: usize = MAX_TEXT_BYTES / 4;
 
-/// The subjects that are known, and the permits.
+/// The subjects and their permits.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct DisruptionTable {
-    /// The limits that operators set. Without them nothing is limited, and no member is quarantined.
+    /// The limits that operators set. Without them no reports are recorded and nothing is limited.
     #[prost(message, optional, tag = "1")]
     pub policy: Option<DisruptionPolicy>,
-    /// Subjects by key, see [`Subject::key`].
+    /// Subjects by [`Subject::key`].
     #[prost(btree_map = "string, message", tag = "2")]
     pub subjects: BTreeMap<String, SubjectRecord>,
-    /// Number of permits ever granted.
+    /// Total number of permits granted; the number of the last permit.
     #[prost(uint64, tag = "3")]
     pub permits_granted: u64,
-    /// Edition of the quarantine.
+    /// Current edition of the quarantine.
     #[prost(uint64, tag = "4")]
     pub quarantine_edition: u64,
 }
 
-/// How many subjects a set has, and which of them count as unavailable.
-struct Census {
+/// The size of a set of subjects, and those that count as unavailable.
+struct SubjectCount {
     total: u64,
     unavailable: Vec<(String, Availability)>,
 }
 
-impl Census {
-    /// Checks that one more, the subject of `key`, may be unavailable: at most `most` of the set, with at least `least`
-    /// left in service.
-    fn check(self, key: &str, what: &'static str, most: u64, least: u64) -> Result<(), PermitDenied> {
-        // A subject that is unavailable already takes nothing more away.
+impl SubjectCount {
+    /// Checks that the subject `key` may be unavailable as well: at most `max_unavailable` subjects of the set may be, and at least
+    /// `min_in_service` must stay in service.
+    fn check(
+        self, key: &str, limit: &'static str, max_unavailable: u64, min_in_service: u64,
+    ) -> Result<(), PermitDenied> {
+        // The subject itself may already be among the unavailable ones.
         let others = self.unavailable.iter().filter(|(other, _)| other != key).count() as u64;
         let left = self.total.saturating_sub(others + 1);
-        if others < most && left >= least {
+        if others < max_unavailable && left >= min_in_service {
             return Ok(());
         }
-        Err(PermitDenied::LimitReached { limit: what, unavailable: self.unavailable })
+        Err(PermitDenied::LimitReached { limit, unavailable: self.unavailable })
     }
 }
 
 impl DisruptionTable {
-    /// Replaces the limits. Permits that were granted stay.
+    /// Replaces the limits. Permits already granted remain in force.
     pub fn set_policy(&mut self, policy: Option<DisruptionPolicy>) {
         self.policy = policy;
     }
@@ -73,7 +75,7 @@
         }
         for (member, observed) in report.observations.iter().take(MAX_SUBJECTS) {
             let key = Subject::Member(member.clone()).key();
-            // The last proxies still report a removed member after it was forgotten.
+            // A removed member is dropped before all proxies have reported it, so later reports must not add it again.
             let is_removed = observed.availability == Availability::Removed as i32;
             if is_removed && !self.subjects.contains_key(&key) {
                 continue;
@@ -87,7 +89,7 @@
         }
     }
 
-    /// The record of a key, which is added if there is room.
+    /// The record of a key, added if it is missing. `None` if the key is too long or the table is full.
     fn record_mut(&mut self, key: String) -> Option<&mut SubjectRecord> {
         let is_full = self.subjects.len() >= MAX_SUBJECTS;
         if key.len() > MAX_TEXT_BYTES || (is_full && !self.subjects.contains_key(&key)) {
@@ -96,8 +98,8 @@
         Some(self.subjects.entry(key).or_default())
     }
 
-    /// Applies the passage of log time: permits of subjects that are back end, and incarnations without a session
-    /// neither report nor confirm anything any more.
+    /// Updates the table to the membership: drops the reports and pending confirmations of incarnations without a
+    /// session, removes members that no longer exist, and ends the permits of subjects that have returned.
     pub fn expire(&mut self, view: &LivenessView) {
         if self.policy.is_none() {
             return;
@@ -110,17 +112,17 @@
                 return false;
             }
             let availability = record.availability(key, view);
-            record.end_permit_if_back(availability, is_member);
+            record.end_permit_if_returned(availability, is_member);
             true
         });
     }
 
-    /// Requests a permit for a subject to be unavailable. A repeated request of the same `requested_by` returns the same
-    /// permit. With `force` the limits do not apply, and a permit that somebody else holds is returned.
+    /// Requests a permit for a subject to be unavailable. A repeated request by the same requester returns the same
+    /// permit. With `force` the limits do not apply, and a permit held by another requester is returned as it is.
     ///
     /// # Errors
     ///
-    /// [`PermitDenied`] says why there is none. Nothing has changed then.
+    /// [`PermitDenied`] if no permit is granted; the table is unchanged.
     pub fn request_permit(
         &mut self, view: &LivenessView, subject: &Subject, requested_by: &str, reason: &str, force: bool,
     ) -> Result<Permit, PermitDenied> {
@@ -149,7 +151,7 @@
         Ok(permit)
     }
 
-    /// A permit with the next number, for a proxy.
+    /// A permit with the next number, without the fields that only permits of members use.
     fn next_permit(&mut self, view: &LivenessView, requested_by: &str, reason: &str, forced: bool) -> Permit {
         self.permits_granted += 1;
         Permit {
@@ -175,12 +177,12 @@
     fn check_proxy_limits(
         &self, view: &LivenessView, key: &str, record: &SubjectRecord, policy: &DisruptionPolicy,
     ) -> Result<(), PermitDenied> {
-        let fleet = self.census(view, |other, _| proxy_name(other).is_some());
-        let most = policy.fleet.max_out_of(fleet.total);
-        fleet.check(key, "proxies out of the fleet", most, policy.min_in_service)?;
-        let zone = self.census(view, |other, r| proxy_name(other).is_some() && r.zone == record.zone);
-        let most = policy.zone.max_out_of(zone.total);
-        zone.check(key, "proxies out of the zone", most, 0)
+        let fleet = self.count_subjects(view, |other, _| proxy_name(other).is_some());
+        let max_unavailable = policy.fleet.max_unavailable(fleet.total);
+        fleet.check(key, "proxies out of the fleet", max_unavailable, policy.min_in_service)?;
+        let zone = self.count_subjects(view, |other, r| proxy_name(other).is_some() && r.zone == record.zone);
+        let max_unavailable = policy.zone.max_unavailable(zone.total);
+        zone.check(key, "proxies out of the zone", max_unavailable, 0)
     }
 
     fn check_member_limits(
@@ -197,25 +199,27 @@
         if !has_primary {
             return Err(PermitDenied::PrimaryUnknown);
         }
-        let group = self.census(view, is_in_group);
-        let most = policy.group.max_out_of(group.total);
-        group.check(key, "members out of the group", most, policy.group_min_in_service)
+        let group = self.count_subjects(view, is_in_group);
+        let max_unavailable = policy.group.max_unavailable(group.total);
+        group.check(key, "members out of the group", max_unavailable, policy.group_min_in_service)
     }
 
     /// Counts the subjects for which `is_counted` holds.
-    fn census(&self, view: &LivenessView, is_counted: impl Fn(&str, &SubjectRecord) -> bool) -> Census {
-        let mut census = Census { total: 0, unavailable: Vec::new() };
+    fn count_subjects(
+        &self, view: &LivenessView, is_counted: impl Fn(&str, &SubjectRecord) -> bool,
+    ) -> SubjectCount {
+        let mut count = SubjectCount { total: 0, unavailable: Vec::new() };
         for (key, record) in self.subjects.iter().filter(|(key, record)| is_counted(key, record)) {
-            census.total += 1;
+            count.total += 1;
             if let Some(cause) = record.unavailability(key, view) {
-                census.unavailable.push((key.clone(), cause));
+                count.unavailable.push((key.clone(), cause));
             }
         }
-        census
+        count
     }
 
-    /// Requests the return of a subject: its permit ends once it is seen in service, and proxies may send requests to a
-    /// member at once. Returns whether it had a permit.
+    /// Requests the return of a subject. Its permit ends once it is reported in service; a member leaves the quarantine
+    /// at once. Returns whether the subject had a permit.
     pub fn request_return(&mut self, subject: &Subject) -> bool {
         let record = self.subjects.get_mut(&subject.key());
         let Some(permit) = record.and_then(|record| record.permit.as_mut()) else { return false };
@@ -226,7 +230,8 @@
         true
     }
 
-    /// Removes a subject and its permit, whatever was reported of it. For operators. Returns whether it was known.
+    /// Removes a subject and its permit on behalf of operators, regardless of its reports. Returns whether the subject
+    /// was in the table.
     pub fn forget(&mut self, subject: &Subject) -> bool {
         let was_known = self.subjects.remove(&subject.key()).is_some();
         if was_known && matches!(subject, Subject::Member(_)) {
@@ -235,16 +240,16 @@
         was_known
     }
 
-    /// The members to which nothing new may be sent.
+    /// The members to which no new requests may be sent.
     pub fn quarantine(&self) -> Quarantine {
-        let is_out = |record: &SubjectRecord| record.permit.as_ref().is_some_and(|p| !p.returning);
-        let out = self.subjects.iter().filter(|(_, record)| is_out(record));
-        let members = out.filter_map(|(key, _)| member_id(key).map(str::to_string)).collect();
+        let is_quarantined = |record: &SubjectRecord| record.permit.as_ref().is_some_and(|p| !p.returning);
+        let quarantined = self.subjects.iter().filter(|(_, record)| is_quarantined(record));
+        let members = quarantined.filter_map(|(key, _)| member_id(key).map(str::to_string)).collect();
         Quarantine { edition: self.quarantine_edition, members }
     }
 
     /// The keys of all subjects that are unavailable or have a permit, with the cause.
     pub fn unavailable(&self, view: &LivenessView) -> Vec<(String, Availability)> {
-        self.census(view, |_, _| true).unavailable
+        self.count_subjects(view, |_, _| true).unavailable
     }
 }
--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -1,11 +1,11 @@
-//! Who belongs to the fleet: a table that is the same at every keeper and changes only by entries of the agreed log.
+//! The members of the fleet: a table that is replicated at every keeper and changed only by entries of the agreed log.
 //!
-//! It must stay deterministic: it reads no clock and draws no random number. Time arrives with each entry, as the time
-//! that the leader measured since its previous entry or since it became leader. Log time therefore never runs ahead of
-//! any clock by more than the bound on drift, and it stands still while there is no leader.
+//! The table must be deterministic: it reads no clock and draws no random numbers. Log time advances with each entry, by
+//! the time that the leader measured since its previous entry or since it became leader. It therefore never runs ahead
+//! of any clock by more than the bound on drift, and does not advance while there is no leader.
 //!
 //! A session belongs to an incarnation (one start of a process), not to a name. A restarted process is a new
-//! incarnation, and what the previous one was granted stays committed until it must have expired.
+//! incarnation, and the grants of the previous one stay committed until they must have expired.
 
 use crate::fault_injection::{Fault, is_injected};
 use std::collections::BTreeMap;
@@ -13,15 +13,15 @@
 
 /// Longest name of an instance, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Most sessions at once, and most retired incarnations that are remembered. It bounds the snapshot of the log.
+/// Most sessions at once, and most retired incarnations that are kept. Bounds the size of the log's snapshot.
 pub const MAX_SESSIONS: usize = 4_096;
 
 /// One million, the denominator of [`LeaseTerms::drift_ppm`].
 pub(crate) const PARTS_PER_MILLION: u128 = 1_000_000;
-/// Largest drift that is calculated with. Beyond it the stretched span would grow without useful limit.
+/// Upper bound on the drift used for margins: towards 100 % a stretched span grows without limit.
 const MAX_DRIFT_PPM: u64 = 500_000;
 
-/// How long grants and sessions last.
+/// The duration of grants and sessions, and the bound on clock drift.
 #[derive(Clone, Copy, PartialEq, Eq, ::prost::Message)]
 pub struct LeaseTerms {
     /// A quota may be used for this long after its holder sent the request. Microseconds on the holder's clock.
@@ -30,14 +30,14 @@
     /// A floor may be used, and a session is kept, for this long after the holder's last request. Microseconds.
     #[prost(uint64, tag = "2")]
     pub membership_us: u64,
-    /// The rate of every clock differs from true time by at most this many millionths.
+    /// Largest deviation of any clock's rate from true time, in millionths.
     #[prost(uint64, tag = "3")]
     pub drift_ppm: u64,
 }
 
 impl LeaseTerms {
-    /// The longest time that a span measured on one clock can take on another, when both keep the bound on drift.
-    /// Microseconds, rounded up.
+    /// The longest time in microseconds that another clock can measure while one clock measures `span`, if both keep the
+    /// bound on drift. Rounded up.
     pub fn with_drift_margin(&self, span: u64) -> u64 {
         if is_injected(Fault::NoDriftMargin) {
             return span;
@@ -48,7 +48,7 @@
     }
 }
 
-/// The membership of one instance.
+/// The session of one instance.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct ProxySession {
     /// The incarnation that holds the session.
@@ -57,16 +57,16 @@
     /// When this incarnation joined. Microseconds of log time.
     #[prost(uint64, tag = "2")]
     pub joined_at: u64,
-    /// When its last request was accepted. Microseconds of log time.
+    /// When the last request was accepted. Microseconds of log time.
     #[prost(uint64, tag = "3")]
     pub last_request_at: u64,
-    /// Sequence number of its last accepted request.
+    /// Sequence number of the last accepted request.
     #[prost(uint64, tag = "4")]
     pub seq: u64,
-    /// The version that it reported when it joined.
+    /// Version reported by the incarnation when it joined.
     #[prost(string, tag = "5")]
     pub version: String,
-    /// The zone that it reported when it joined.
+    /// Zone reported by the incarnation when it joined.
     #[prost(string, tag = "6")]
     pub zone: String,
 }
@@ -77,10 +77,10 @@
     }
 }
 
-/// What an accepted request did to the session.
+/// How an accepted request changed the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionUpdate {
-    /// A new incarnation joined, under a new name or in the place of the previous incarnation.
+    /// A new incarnation joined, under a new name or replacing the previous incarnation.
     Opened,
     /// The incarnation that holds the session renewed it.
     Renewed,
@@ -91,21 +91,21 @@
 pub enum SessionRejected {
     /// The name is empty or longer than [`MAX_NAME_BYTES`].
     InvalidName,
-    /// A later incarnation of the same name holds the session, or operators removed this one.
+    /// A later incarnation replaced this one, or operators removed it.
     Superseded,
-    /// Another incarnation of the same name is live, and the request yields to it.
+    /// Another incarnation of the same name is live, and the request yields the name.
     NameInUse,
     /// The incarnation already holds a session under another name.
     DuplicateIncarnation,
     /// The sequence number is not higher than that of the last accepted request.
     StaleRequest,
-    /// There are [`MAX_SESSIONS`] sessions.
+    /// All [`MAX_SESSIONS`] sessions are in use.
     TableFull,
 }
 
 impl SessionRejected {
-    /// The reason as keepers send it to proxies and log it. Proxies of other versions read these words, so they keep
-    /// their form whatever the variants are called.
+    /// The reason as keepers send it to proxies and log it. Proxies of other versions parse these texts, so they must not
+    /// change with the names of the variants.
     pub fn wire_reason(self) -> &'static str {
         match self {
             SessionRejected::InvalidName => "Name",
@@ -142,11 +142,12 @@
     /// Sessions by the name of the instance.
     #[prost(btree_map = "string, message", tag = "2")]
     pub sessions: BTreeMap<String, ProxySession>,
-    /// Incarnations that were replaced or removed, with the order in which that happened. They are rejected for good,
-    /// since a process that was suspended for hours resumes as one of them. At most [`MAX_SESSIONS`], newest kept.
+    /// Incarnations that were replaced or removed, with the number of the retirement. Their requests are rejected
+    /// permanently, since a process that was suspended for hours resumes as one of them. Only the newest
+    /// [`MAX_SESSIONS`] are kept.
     #[prost(btree_map = "uint64, uint64", tag = "3")]
     pub retired: BTreeMap<u64, u64>,
-    /// The order that the next retired incarnation gets.
+    /// Number of the next retirement.
     #[prost(uint64, tag = "4")]
     pub next_retirement: u64,
 }
@@ -157,7 +158,7 @@
         self.now = self.now.saturating_add(elapsed);
     }
 
-    /// Bars an incarnation from ever holding a session again.
+    /// Retires an incarnation, so that its requests are rejected from now on.
     pub fn retire(&mut self, incarnation: u64) {
         self.retired.insert(incarnation, self.next_retirement);
         self.next_retirement += 1;
@@ -168,15 +169,15 @@
         }
     }
 
-    /// Opens or renews the session of `name` for a request numbered `seq`.
+    /// Opens or renews the session of `name` for a request with the sequence number `seq`.
     ///
-    /// With `takeover_after` the request yields to another live incarnation of the name: it replaces that one only when
-    /// its last request is older than this many microseconds of log time. Without it, a new incarnation replaces the
-    /// previous one at once.
+    /// With `takeover_after` the request yields to another live incarnation of the name: it replaces that incarnation
+    /// only if its last request is older than this many microseconds of log time. Without it, a new incarnation replaces
+    /// the previous one at once.
     ///
     /// # Errors
     ///
-    /// [`SessionRejected`] says why the request is not accepted. Nothing has changed then.
+    /// [`SessionRejected`] if the request is not accepted; the table is unchanged.
     pub fn open_or_renew(
         &mut self, name: &str, incarnation: u64, seq: u64, takeover_after: Option<u64>,
     ) -> Result<SessionUpdate, SessionRejected> {
@@ -220,7 +221,7 @@
         self.sessions.get(name).is_some_and(|s| self.now <= s.last_request_at.saturating_add(span))
     }
 
-    /// The incarnations that hold a session, in the order of their names.
+    /// The incarnations that hold a session, ordered by the names of their instances.
     pub fn incarnations(&self) -> impl Iterator<Item = u64> {
         self.sessions.values().map(|session| session.incarnation)
     }
