--- a/crates/decisions/src/client_retry.rs
+++ b/crates/decisions/src/client_retry.rs
@@ -1,34 +1,33 @@
-//! How long a client has already been retrying when it sends a request: a pure estimate, learned from the
-//! timeouts that requests carry.
+//! Estimates from the timeouts of requests how long a client has been retrying when a request arrives.
 //!
-//! Clients retry by themselves. A request tells how long its sender will wait for it, but not that it is the
-//! second or third attempt at something begun long ago. A last attempt waits for what is left of the time
-//! after which the client gives up altogether. So where first attempts all carry the same timeout, another
-//! timeout is such a remainder, and tells how long the client has been trying. Work for an answer that comes
-//! too late takes the place of work that is still worth something; without this estimate, every rejection
-//! under overload came back as late work.
+//! Clients retry on their own. A request carries the time that its sender will wait, but not whether it is a first
+//! attempt or a retry. The timeout of a client's last attempt is the remainder of its total timeout. If all first
+//! attempts carry the same usual timeout, a different one is such a remainder, and the total timeout less the remainder
+//! is the time since the client's first attempt. Under overload this keeps work for answers that would be too late from
+//! displacing useful work; without the estimate, every rejected request returned as late work.
 //!
-//! Nothing is concluded where timeouts have no usual length, nor from a length that is usual for a part of
-//! the clients, nor from shorter timeouts alone: clients in a hurry wait for less, too, but only a remainder
-//! can exceed the usual timeout.
+//! The estimate is zero if no timeout is usual, or if the request's timeout is usual for a part of the clients. Shorter
+//! timeouts count as remainders only if longer ones occur as well: impatient clients use shorter timeouts too, but only
+//! a remainder can exceed the usual timeout.
 
-/// Timeouts that differ by less than the client's total time divided by this are the same: they arrive
-/// shortened by the time that the request travelled.
-const SAME_DIVISOR: u64 = 100;
-/// Bound on the timeouts that are tracked in each class.
+/// Timeouts that differ by at most the client's total timeout divided by this count as equal, since each arrives
+/// shortened by the transit time of its request.
+const TOLERANCE_DIVISOR: u64 = 100;
+/// Bound on the distinct timeouts tracked per class.
 const TRACKED_MAX: usize = 16;
-/// Once this many requests are counted, all counts are halved, so that old ones fade.
-const HALVE_AT: u32 = 512;
-/// A timeout is usual for a part of the clients if at least one request in this many carries it.
-const USUAL_ONE_IN: u32 = 20;
-/// There are usual timeouts at all if together they make up at least one request in this many.
-const USUAL_TOGETHER_ONE_IN: u32 = 2;
-/// An answer can come within this share of its usual time.
-const FASTEST_WORK_SHARE: f64 = 0.7;
-/// Timeouts shorter than usual count as remainders while more than one in this many unusual ones is longer
-/// than usual.
-const LONGER_ONE_IN: u32 = 16;
-/// Nothing is concluded from fewer requests than this.
+/// Counts are halved when the requests of a class, or an unusual count over all classes, reach this value, so that old
+/// requests lose weight.
+const COUNT_MAX: u32 = 512;
+/// A timeout is usual if at least one request in this many carries it.
+const USUAL_MIN_DIVISOR: u32 = 20;
+/// Usual timeouts are used only if they make up at least one request in this many together.
+const USUAL_TOTAL_MIN_DIVISOR: u32 = 2;
+/// Share of its usual latency within which an answer may arrive.
+const FASTEST_LATENCY_SHARE: f64 = 0.7;
+/// Timeouts shorter than usual count as remainders while there is more than one longer than usual for this many shorter
+/// ones.
+const LONGER_MIN_DIVISOR: u32 = 16;
+/// Fewest requests of a class for an estimate.
 const REQUESTS_MIN: u32 = 64;
 
 /// The timeouts of all classes. All times are in microseconds.
@@ -37,43 +36,41 @@
     classes: Vec<ClassTimeouts>,
     /// Unusual timeouts that were longer than the usual one, over all classes.
     longer: u32,
-    /// Unusual timeouts that were shorter.
+    /// Unusual timeouts that were shorter than the usual one, over all classes.
     shorter: u32,
 }
 
 impl ClientRetryEstimator {
-    /// `give_up` yields for each class the time after which a client gives up altogether; 0 where that is not
-    /// known.
+    /// An estimator without observations. `give_up` yields the total timeout of clients for each class, in microseconds;
+    /// 0 if it is not known.
     pub fn new(give_up: impl Iterator<Item = u64>) -> ClientRetryEstimator {
         ClientRetryEstimator { classes: give_up.map(ClassTimeouts::new).collect(), longer: 0, shorter: 0 }
     }
 
-    /// Counts a request whose sender will wait for `timeout`. Returns what is left of the latency objective,
-    /// which runs from the client's first attempt; `None` if an answer that usually takes `work` would miss
-    /// it.
+    /// Records a request with this timeout. Returns the remainder of the latency objective, which is counted from the
+    /// client's first attempt; `None` if an answer with a usual latency of `work` microseconds would miss it.
     pub fn objective_left(&mut self, class: usize, timeout: u64, objective: u64, work: f64) -> Option<u64> {
         let elapsed = self.elapsed(class, timeout);
-        let fastest_work = (work * FASTEST_WORK_SHARE) as u64;
-        let too_late = elapsed > 0 && elapsed.saturating_add(fastest_work) > objective;
+        let fastest_latency = (work * FASTEST_LATENCY_SHARE) as u64;
+        let too_late = elapsed > 0 && elapsed.saturating_add(fastest_latency) > objective;
         (!too_late).then(|| objective.saturating_sub(elapsed))
     }
 
-    /// Time since the client's first attempt, by estimate; 0 for a first attempt, or where nothing can be
-    /// concluded.
+    /// Estimated time since the client's first attempt; 0 for a first attempt or without an estimate.
     fn elapsed(&mut self, class: usize, timeout: u64) -> u64 {
         let Some(timeouts) = self.classes.get_mut(class) else { return 0 };
         let Some(usual) = timeouts.record(timeout) else { return 0 };
-        let remainder_of = timeouts.give_up;
+        let total_timeout = timeouts.give_up;
         let is_longer = timeout > usual;
         self.count_unusual(is_longer);
-        let shorter_are_remainders = self.longer.saturating_mul(LONGER_ONE_IN) > self.shorter;
-        if is_longer || shorter_are_remainders { remainder_of.saturating_sub(timeout) } else { 0 }
+        let shorter_are_remainders = self.longer.saturating_mul(LONGER_MIN_DIVISOR) > self.shorter;
+        if is_longer || shorter_are_remainders { total_timeout.saturating_sub(timeout) } else { 0 }
     }
 
     fn count_unusual(&mut self, is_longer: bool) {
         let count = if is_longer { &mut self.longer } else { &mut self.shorter };
         *count += 1;
-        if *count >= HALVE_AT {
+        if *count >= COUNT_MAX {
             self.longer /= 2;
             self.shorter /= 2;
         }
@@ -83,7 +80,7 @@
 /// The timeouts that the requests of one class carry.
 #[derive(Clone, Debug)]
 struct ClassTimeouts {
-    /// Time after which a client gives up altogether.
+    /// Total timeout of a client over all its attempts; 0 if it is not known.
     give_up: u64,
     tracked: Vec<TrackedTimeout>,
     requests: u32,
@@ -91,7 +88,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct TrackedTimeout {
-    /// As first seen. If it followed its latest value, it would drift through all remainders.
+    /// The first value seen. If it were updated to the latest value, it would drift through all remainders.
     timeout: u64,
     count: u32,
 }
@@ -101,23 +98,23 @@
         ClassTimeouts { give_up, tracked: Vec::new(), requests: 0 }
     }
 
-    /// Counts a request's timeout. If it is not a usual one, the longest usual timeout; `None` if it is
-    /// usual, or if no usual one is known.
+    /// Records the timeout of a request. Returns the longest usual timeout, or `None` if this timeout is usual or no
+    /// usual one is known.
     fn record(&mut self, timeout: u64) -> Option<u64> {
         self.requests += 1;
         let index = self.track(timeout);
         self.tracked[index].count += 1;
         let is_usual = self.is_usual(&self.tracked[index]);
         let longest_usual = self.longest_usual().filter(|_| !is_usual);
-        if self.requests >= HALVE_AT {
+        if self.requests >= COUNT_MAX {
             self.halve_counts();
         }
         longest_usual
     }
 
-    /// The index at which this timeout is tracked from now on.
+    /// The index in `tracked` for this timeout, which is added if necessary.
     fn track(&mut self, timeout: u64) -> usize {
-        let tolerance = self.give_up / SAME_DIVISOR;
+        let tolerance = self.give_up / TOLERANCE_DIVISOR;
         let same = |tracked: &TrackedTimeout| tracked.timeout.abs_diff(timeout) <= tolerance;
         if let Some(index) = self.tracked.iter().position(same) {
             return index;
@@ -126,22 +123,22 @@
             self.tracked.push(TrackedTimeout { timeout, count: 0 });
             return self.tracked.len() - 1;
         }
-        // Space-saving: the rarest makes room, and leaves its count to the new one as an upper bound.
+        // Space-saving algorithm: the new timeout replaces the rarest one and inherits its count as an upper bound.
         let rarest = (0..TRACKED_MAX).min_by_key(|index| self.tracked[*index].count).unwrap_or(0);
         self.tracked[rarest].timeout = timeout;
         rarest
     }
 
     fn is_usual(&self, tracked: &TrackedTimeout) -> bool {
-        tracked.count.saturating_mul(USUAL_ONE_IN) >= self.requests
+        tracked.count.saturating_mul(USUAL_MIN_DIVISOR) >= self.requests
     }
 
-    /// The longest usual timeout, if enough requests were counted and enough of them carried a usual one.
+    /// The longest usual timeout, if enough requests were recorded and enough of them carried a usual one.
     fn longest_usual(&self) -> Option<u64> {
         let usual = || self.tracked.iter().filter(|tracked| self.is_usual(tracked));
         let together: u32 = usual().map(|tracked| tracked.count).sum();
-        let is_known =
-            self.requests >= REQUESTS_MIN && together.saturating_mul(USUAL_TOGETHER_ONE_IN) >= self.requests;
+        let is_known = self.requests >= REQUESTS_MIN
+            && together.saturating_mul(USUAL_TOTAL_MIN_DIVISOR) >= self.requests;
         usual().map(|tracked| tracked.timeout).max().filter(|_| is_known)
     }
 
--- a/crates/decisions/src/connection_admission/mod.rs
+++ b/crates/decisions/src/connection_admission/mod.rs
@@ -1,15 +1,14 @@
-//! Admission of clients' connections: which are served, which are asked to close to make room, and which are
-//! rejected, with the time after which to retry.
+//! Admission of client connections: which are served, which are closed to free a slot, and which are rejected with a
+//! Retry-After time.
 //!
-//! A state machine without sockets and without a clock: [`ConnectionAdmission::handle`] is told what happened
-//! and when, and pushes what is to be done. It must never ask a connection to close while a request of it is
-//! open.
+//! A state machine without sockets and without a clock: [`ConnectionAdmission::handle`] receives timed events and pushes
+//! actions. It must never request the close of a connection that has an open request.
 //!
-//! Two resources run short here. The first is slots: descriptors that this process has for clients. The
-//! second is request connections: the platform lets its clients hold a third of the descriptors for requests,
-//! so clients that send one request and then hold their connection use up all of theirs long before the slots
-//! are taken, and whoever comes then can't even connect. Some of those connections are therefore kept free by
-//! closing the ones that have been idle longest (`docs/design/door.md`).
+//! Two resources are limited. The first is slots: file descriptors that this process has for clients. The second is
+//! request connections: the platform lets its clients hold a third of the descriptors for requests, so clients that send
+//! one request and then keep their connection exhaust that third long before the slots, and further clients cannot even
+//! connect. Some request connections are therefore kept free by closing those that have been idle longest
+//! (`docs/design/door.md`).
 
 mod retry_after;
 mod table;
@@ -18,81 +17,80 @@
 use retry_after::RetryAfterEstimator;
 use table::{ConnectionState, ConnectionTable};
 
-/// One connection. The driver numbers them and never uses a number again.
+/// Identifies a connection. The driver assigns the numbers and never reuses one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// How many connections there may be of each kind.
+/// Limits on the connections of each kind.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionLimits {
     /// Connections that are served.
     pub max_served: usize,
-    /// Connections beyond those, whose first request is rejected.
+    /// Additional connections whose first request is rejected.
     pub max_rejected: usize,
-    /// Connections beyond `max_served` that were asked to close and have not closed yet.
+    /// Additional served connections whose close was requested and is not complete.
     pub max_closing: usize,
-    /// Connections that clients may hold for requests, by the platform's promise.
+    /// Connections that clients may hold for requests, as guaranteed by the platform.
     pub max_request_connections: usize,
-    /// The longest time after which to retry that may be named.
+    /// Longest Retry-After time that a rejection may carry.
     pub max_retry_after: Micros,
 }
 
-/// What happened.
+/// An event of a connection, or the timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A connection was accepted.
     Accepted(ConnectionId),
-    /// It has sent its startup message, and no request of it is open.
+    /// The connection has sent its startup message and has no open request.
     Started(ConnectionId),
-    /// A request of it is open.
+    /// The connection has an open request.
     RequestOpened(ConnectionId),
-    /// No request of it is open any more.
+    /// The last open request of the connection was answered.
     RequestsFinished(ConnectionId),
-    /// It has ended.
+    /// The connection was closed.
     Closed(ConnectionId),
-    /// The moment of [`Action::SetTimer`] has come.
+    /// The time of [`Action::SetTimer`] was reached.
     TimerFired,
 }
 
-/// What is to be done.
+/// An action that the driver must carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Serve the new connection.
     Serve(ConnectionId),
-    /// Reject the first request of the new connection; its client may retry after this time.
+    /// Reject the first request of the new connection, with this Retry-After time.
     Reject(ConnectionId, Micros),
-    /// Close the new connection at once; it is not known here.
+    /// Close the new connection at once. It is not tracked, so no event of it is expected.
     CloseAtOnce(ConnectionId),
-    /// Ask a connection to close as soon as no request of it is open.
+    /// Close a connection as soon as it has no open request.
     RequestClose(ConnectionId),
-    /// Send [`Event::TimerFired`] at this time; replaces an earlier timer.
+    /// Send [`Event::TimerFired`] at this time. Replaces the previous timer.
     SetTimer(Time),
 }
 
-/// The share of clients' request connections that is kept free: at 300 requests a second of under 100 ms
-/// each, some 30 are open at once, and a quarter of 85 to 341 lets nearly as many come in the same moment.
+/// Share of the request connections that is kept free. At 300 requests per second of under 100 ms each, about 30 are
+/// open at once; a quarter of 85 to 341 connections allows nearly as many to arrive at the same moment.
 const FREE_SHARE: f64 = 0.25;
-/// A connection stays at least this long after its answer, because the client's next request may be on the
-/// way. At the busiest, 900 requests a second on new connections each, a third of 256 descriptors lasts for
-/// 70 ms.
+/// Shortest time that a connection is kept after its answer, because the client's next request may be in transit. At
+/// the peak load, 900 requests per second on a new connection each, a third of 256 descriptors lasts for 70 ms.
 const IDLE_MIN: Micros = Micros(20_000);
-/// When all slots are taken, a connection that has sent no request for this long makes room first: a client
-/// that connects in order to send a request does so with the startup message or a round trip later.
-const SUSPECT_AFTER: Micros = Micros(200_000);
-/// Next, one that has been idle for this long: nobody counts on a connection after 2 s (the platform's own
-/// figure).
+/// When all slots are taken, a connection that has sent no request for this long is closed first: a client that connects
+/// to send a request sends it with the startup message or one round trip later.
+const NO_REQUEST_MIN: Micros = Micros(200_000);
+/// Second, a connection that has been idle for this long: by the platform's rules, clients do not rely on a connection
+/// after 2 s.
 const IDLE_LONG: Micros = Micros(2_000_000);
-/// Last, one that has been idle for this long, rather than that the new connection is rejected.
+/// Last, a connection that has been idle for this long is closed, in preference to rejecting the new one.
 const IDLE_SHORT: Micros = Micros(200_000);
-/// At most this share of the slots is for connections that have not sent their startup message.
-const SILENT_SHARE: f64 = 0.25;
+/// Largest share of the slots for connections that have not sent their startup message.
+const AWAITING_STARTUP_SHARE: f64 = 0.25;
 
 /// The connections of one proxy.
 pub struct ConnectionAdmission {
     limits: AdmissionLimits,
-    /// Request connections beyond which idle ones are closed, so that clients always have some free.
+    /// Number of request connections above which idle ones are closed, so that some always remain free.
     request_connections_target: usize,
-    silent_max: usize,
+    awaiting_startup_max: usize,
     served: ConnectionTable,
     rejected: ConnectionTable,
     timer: Option<Time>,
@@ -100,13 +98,13 @@
 }
 
 impl ConnectionAdmission {
-    /// No connections yet.
+    /// An admission without connections.
     pub fn new(limits: AdmissionLimits) -> ConnectionAdmission {
         let kept_free = share_of(limits.max_request_connections, FREE_SHARE);
         ConnectionAdmission {
             limits,
             request_connections_target: limits.max_request_connections - kept_free,
-            silent_max: share_of(limits.max_served, SILENT_SHARE).max(1),
+            awaiting_startup_max: share_of(limits.max_served, AWAITING_STARTUP_SHARE).max(1),
             served: ConnectionTable::default(),
             rejected: ConnectionTable::default(),
             timer: None,
@@ -114,7 +112,7 @@
         }
     }
 
-    /// Handles an event and pushes what is to be done about it, in order.
+    /// Handles an event and pushes the resulting actions to `out`, in order.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Accepted(id) => self.on_accepted(now, id, out),
@@ -127,12 +125,12 @@
         self.keep_request_connections_free(now, out);
     }
 
-    /// Connections that hold a descriptor now.
+    /// Number of tracked connections, each of which holds a descriptor.
     pub fn open_connections(&self) -> usize {
         self.served.len() + self.rejected.len()
     }
 
-    /// Whether any connection was asked to close and has not closed.
+    /// Whether any connection is closing: its close was requested, it has no open request, and it is not closed yet.
     pub fn has_closing(&self) -> bool {
         let closing = |table: &ConnectionTable| table.count(ConnectionState::Closing);
         closing(&self.served) + closing(&self.rejected) > 0
@@ -144,8 +142,8 @@
     }
 
     fn on_accepted(&mut self, now: Time, id: ConnectionId, out: &mut Vec<Action>) {
-        if self.served.count(ConnectionState::Silent) >= self.silent_max {
-            self.close_served(ConnectionState::Silent, Micros(0), now, out);
+        if self.served.count(ConnectionState::AwaitingStartup) >= self.awaiting_startup_max {
+            self.close_served(ConnectionState::AwaitingStartup, Micros(0), now, out);
         }
         if self.make_served_slot(now, out) {
             self.served.insert(id, now);
@@ -166,7 +164,7 @@
         }
     }
 
-    /// Whether a new connection can be served; if need be, another one is asked to make room.
+    /// Whether a new connection can be served. If no slot is free, the close of another connection is requested.
     fn make_served_slot(&mut self, now: Time, out: &mut Vec<Action>) -> bool {
         if self.served.len() >= self.limits.max_served + self.limits.max_closing {
             return false;
@@ -174,30 +172,30 @@
         if self.served.len_without_closing() < self.limits.max_served {
             return true;
         }
-        let [first, second] = self.suspects_oldest_first();
+        let [first, second] = self.requestless_states_oldest_first();
         let candidates = [
-            (first, SUSPECT_AFTER),
-            (second, SUSPECT_AFTER),
+            (first, NO_REQUEST_MIN),
+            (second, NO_REQUEST_MIN),
             (ConnectionState::Idle, IDLE_LONG),
             (ConnectionState::Idle, IDLE_SHORT),
         ];
         candidates.into_iter().any(|(state, min_age)| self.close_served(state, min_age, now, out))
     }
 
-    /// The two states without a request, the one that has lasted longest for any connection first.
-    fn suspects_oldest_first(&self) -> [ConnectionState; 2] {
-        let silent = self.served.oldest(ConnectionState::Silent);
+    /// The two states before the first request, ordered by the age of the oldest connection in each, oldest first.
+    fn requestless_states_oldest_first(&self) -> [ConnectionState; 2] {
+        let awaiting_startup = self.served.oldest(ConnectionState::AwaitingStartup);
         let started = self.served.oldest(ConnectionState::Started);
-        match (silent, started) {
-            (Some(silent), Some(started)) if started < silent => {
-                [ConnectionState::Started, ConnectionState::Silent]
+        match (awaiting_startup, started) {
+            (Some(awaiting_startup), Some(started)) if started < awaiting_startup => {
+                [ConnectionState::Started, ConnectionState::AwaitingStartup]
             }
-            _ => [ConnectionState::Silent, ConnectionState::Started],
+            _ => [ConnectionState::AwaitingStartup, ConnectionState::Started],
         }
     }
 
-    /// Whether a new connection can be kept until its first request is rejected. If not, another one is asked
-    /// to make room, which the connection after this one finds free.
+    /// Whether there is room for a new connection whose first request will be rejected. If not, the close of another
+    /// one is requested, which frees its slot for a later connection.
     fn make_rejected_slot(&mut self, now: Time, out: &mut Vec<Action>) -> bool {
         if self.rejected.len() < self.limits.max_rejected {
             return true;
@@ -205,15 +203,14 @@
         if self.rejected.count(ConnectionState::Closing) > 0 {
             return false;
         }
-        let states = [ConnectionState::Silent, ConnectionState::Started, ConnectionState::Idle];
+        let states = [ConnectionState::AwaitingStartup, ConnectionState::Started, ConnectionState::Idle];
         let closed =
-            states.into_iter().find_map(|state| self.rejected.close_oldest(state, SUSPECT_AFTER, now));
+            states.into_iter().find_map(|state| self.rejected.close_oldest(state, NO_REQUEST_MIN, now));
         out.extend(closed.map(Action::RequestClose));
         false
     }
 
-    /// Asks the served connection that has been longest in this state to close, if it has been so for
-    /// `min_age`.
+    /// Requests the close of the served connection that has been in this state longest, if for at least `min_age`.
     fn close_served(
         &mut self, state: ConnectionState, min_age: Micros, now: Time, out: &mut Vec<Action>,
     ) -> bool {
@@ -222,8 +219,8 @@
         closed.is_some()
     }
 
-    /// Closes idle connections while clients hold more request connections than the target, and sets a timer
-    /// if the oldest idle one is not old enough yet.
+    /// Requests the close of idle connections while clients hold more request connections than the target, and sets a
+    /// timer if the oldest idle one has not been idle for [`IDLE_MIN`].
     fn keep_request_connections_free(&mut self, now: Time, out: &mut Vec<Action>) {
         for _ in self.request_connections_target..self.request_connections() {
             if !self.close_served(ConnectionState::Idle, IDLE_MIN, now, out) {
@@ -241,13 +238,13 @@
         }
     }
 
-    /// Served connections on which a request was sent, and which were not asked to close.
+    /// Served connections that have sent a request and whose close was not requested.
     fn request_connections(&self) -> usize {
         self.served.count(ConnectionState::Idle) + self.served.count(ConnectionState::Busy)
     }
 }
 
 /// A share (0 to 1) of a number, rounded down.
-fn share_of(whole: usize, share: f64) -> usize {
-    (whole as f64 * share) as usize
+fn share_of(total: usize, share: f64) -> usize {
+    (total as f64 * share) as usize
 }
--- a/crates/decisions/src/connection_admission/retry_after.rs
+++ b/crates/decisions/src/connection_admission/retry_after.rs
@@ -1,26 +1,27 @@
-//! After which time a rejected client finds a free slot: slots are taken to come free at the rate seen, and
-//! clients that were rejected before come before.
+//! Estimates the Retry-After time of a rejected client: slots are expected to become free at the observed rate, and
+//! clients rejected earlier are expected to take them first.
 
 use crate::api::{Micros, Time};
 
-/// The time that is named before any slot has come free.
+/// Retry-After time before the rate is known.
 const INITIAL: Micros = Micros(250_000);
-/// The shortest time that is named: less would be the same attempt once more.
+/// Shortest Retry-After time; an earlier retry would meet the same state.
 const SHORTEST: Micros = Micros(50_000);
-/// The weight of the newest gap between slots that come free.
+/// Weight of the newest gap in the mean gap between freed slots.
 const SMOOTHING: f64 = 0.125;
 
-/// The rate at which slots come free, and the clients that wait for them.
+/// The rate at which slots become free, and the clients rejected since the last one.
 pub(super) struct RetryAfterEstimator {
     longest: Micros,
-    /// The smoothed gap between slots that come free, in microseconds.
+    /// The smoothed gap between freed slots, in microseconds.
     mean_gap: Option<f64>,
     last_freed: Option<Time>,
     rejected_since: u32,
 }
 
 impl RetryAfterEstimator {
-    /// No slot has come free yet; `longest` bounds the time that is named, unless it is below the shortest.
+    /// An estimator without observations. `longest` is the upper bound on the Retry-After time, raised to [`SHORTEST`]
+    /// if it is below.
     pub(super) fn new(longest: Micros) -> RetryAfterEstimator {
         RetryAfterEstimator {
             longest: longest.max(SHORTEST),
@@ -30,7 +31,7 @@
         }
     }
 
-    /// A slot came free.
+    /// Records that a slot became free.
     pub(super) fn slot_freed(&mut self, now: Time) {
         if let Some(last_freed) = self.last_freed.replace(now) {
             let gap = now.0.saturating_sub(last_freed.0) as f64;
@@ -39,7 +40,7 @@
         self.rejected_since = 0;
     }
 
-    /// The time for one more client that is rejected.
+    /// The Retry-After time of one more rejected client.
     pub(super) fn next(&mut self) -> Micros {
         self.rejected_since = self.rejected_since.saturating_add(1);
         let Some(mean_gap) = self.mean_gap else { return INITIAL.min(self.longest) };
--- a/crates/decisions/src/connection_admission/table.rs
+++ b/crates/decisions/src/connection_admission/table.rs
@@ -1,21 +1,21 @@
-//! The connections of one kind, ordered by how long each has been in its state. Plain records, no decisions.
+//! A table of connections, ordered by the time that each has been in its state. It takes no decisions.
 
 use super::ConnectionId;
 use crate::api::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a connection is doing.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// It has not sent its startup message.
-    Silent,
-    /// It has sent its startup message, and no request yet.
+    /// The startup message has not arrived.
+    AwaitingStartup,
+    /// The startup message has arrived, and no request yet.
     Started,
-    /// Its requests are answered.
+    /// All requests are answered.
     Idle,
-    /// A request of it is open.
+    /// A request is open.
     Busy,
-    /// It was asked to close, and no request of it is open.
+    /// The close was requested, and no request is open.
     Closing,
 }
 
@@ -24,7 +24,7 @@
 struct ConnectionSlot {
     state: ConnectionState,
     since: Time,
-    /// It was asked to close. That holds also when a request arrived in the same moment.
+    /// The close was requested. Remains set if a request arrives before the connection is closed.
     close_requested: bool,
 }
 
@@ -32,20 +32,20 @@
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     slots: BTreeMap<ConnectionId, ConnectionSlot>,
-    /// For each state its connections, those that have been in it longest first.
+    /// The connections in each state, ordered by the time since when they have been in it.
     by_age: [BTreeSet<(Time, ConnectionId)>; STATE_COUNT],
 }
 
 impl ConnectionTable {
-    /// Adds a connection that has sent nothing yet.
+    /// Adds a new connection, whose startup message has not arrived.
     pub(super) fn insert(&mut self, id: ConnectionId, now: Time) {
-        let state = ConnectionState::Silent;
+        let state = ConnectionState::AwaitingStartup;
         self.by_age[state as usize].insert((now, id));
         self.slots.insert(id, ConnectionSlot { state, since: now, close_requested: false });
     }
 
-    /// Moves a connection to another state, unless it is unknown. One that was asked to close is closing as
-    /// soon as it is not busy.
+    /// Moves a connection to another state; an unknown connection is ignored. A connection whose close was requested
+    /// moves to [`ConnectionState::Closing`] instead of any state but busy.
     pub(super) fn set_state(&mut self, id: ConnectionId, state: ConnectionState, now: Time) {
         let Some(slot) = self.slots.get_mut(&id) else { return };
         let closes = slot.close_requested && state != ConnectionState::Busy;
@@ -56,13 +56,13 @@
         slot.since = now;
     }
 
-    /// Removes a connection. Returns whether it was here.
+    /// Removes a connection. Returns whether the table contained it.
     pub(super) fn remove(&mut self, id: ConnectionId) -> bool {
         let Some(slot) = self.slots.remove(&id) else { return false };
         self.by_age[slot.state as usize].remove(&(slot.since, id))
     }
 
-    /// Asks the connection that has been longest in this state to close, if it has been so for `min_age`.
+    /// Marks the connection that has been in this state longest as closing, if for at least `min_age`, and returns it.
     pub(super) fn close_oldest(
         &mut self, state: ConnectionState, min_age: Micros, now: Time,
     ) -> Option<ConnectionId> {
@@ -75,22 +75,22 @@
         Some(id)
     }
 
-    /// The connection that has been longest in this state, and since when.
+    /// The connection that has been in this state longest, and since when.
     pub(super) fn oldest(&self, state: ConnectionState) -> Option<(Time, ConnectionId)> {
         self.by_age[state as usize].first().copied()
     }
 
-    /// Connections in this state.
+    /// Number of connections in this state.
     pub(super) fn count(&self, state: ConnectionState) -> usize {
         self.by_age[state as usize].len()
     }
 
-    /// All connections.
+    /// Number of connections.
     pub(super) fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Connections that are not closing.
+    /// Number of connections that are not closing.
     pub(super) fn len_without_closing(&self) -> usize {
         self.len() - self.count(ConnectionState::Closing)
     }
--- a/crates/decisions/src/fault_injection.rs
+++ b/crates/decisions/src/fault_injection.rs
@@ -1,21 +1,21 @@
-//! Faults that tests inject into the agreed state, to show that its checkers catch them.
+//! Faults that tests inject into the replicated state machines, to verify that the tests' checkers detect them.
 //!
-//! Only builds with the cargo feature `fault-injection` contain them; a build that serves must never have it.
+//! The code is compiled only with the cargo feature `fault-injection`, which must never be enabled in production builds.
 
-/// A deliberate fault in the machines of the agreed state.
+/// A deliberate fault in the replicated state machines or in their clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The granter counts leases without the margin for clock drift.
+    /// The table computes the expiry of leases without the margin for clock drift.
     NoDriftMargin,
-    /// The holder counts its lease from the arrival of the grant, not from its request.
+    /// The holder starts its lease at the arrival of the grant instead of at the send time of its request.
     LeaseFromReceipt,
     /// Every proxy with a demand is granted at least one unit.
     RoundingUp,
-    /// A new incarnation releases what the previous one still holds.
+    /// The units committed to an incarnation are released when a new one opens the session.
     PredecessorReleased,
-    /// Units in use stop counting as soon as the quota shrinks.
+    /// Reported units in use are not committed beyond the grants.
     InUseFreedEarly,
-    /// The granter counts a floor for a lease only, and not for the membership.
+    /// A floor is committed for the lease only, not for the membership.
     FloorExpiresWithLease,
     /// A proxy that no longer sends requests does not count as unavailable.
     UnresponsiveProxyUncounted,
@@ -26,7 +26,7 @@
 }
 
 impl Fault {
-    /// The faults of quotas, with the names by which tests choose them.
+    /// Faults in the quotas, with the names by which tests select them.
     pub const QUOTA: [(Fault, &str); 6] = [
         (Fault::NoDriftMargin, "no-drift-margin"),
         (Fault::LeaseFromReceipt, "lease-from-receipt"),
@@ -36,14 +36,14 @@
         (Fault::FloorExpiresWithLease, "floor-twice"),
     ];
 
-    /// The faults of disruption permits, with the names by which tests choose them.
+    /// Faults in the disruption permits, with the names by which tests select them.
     pub const DISRUPTION: [(Fault, &str); 3] = [
         (Fault::UnresponsiveProxyUncounted, "dead-uncounted"),
         (Fault::ForcedPermitUncounted, "force-uncounted"),
         (Fault::QuarantineUnconfirmed, "fence-unconfirmed"),
     ];
 
-    /// The fault that is called `name`, if there is one.
+    /// The fault of this name; `None` if the name is unknown.
     pub fn from_name(name: &str) -> Option<Fault> {
         let all = Fault::QUOTA.iter().chain(&Fault::DISRUPTION);
         all.copied().find(|(_, known)| *known == name).map(|(fault, _)| fault)
@@ -59,7 +59,7 @@
         static INJECTED: Cell<Option<Fault>> = const { Cell::new(None) };
     }
 
-    /// Injects a fault into this thread in the place of any injected before; `None` removes it.
+    /// Injects a fault into the current thread, replacing any injected before; `None` removes it.
     pub fn inject(fault: Option<Fault>) {
         INJECTED.set(fault);
     }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,17 +1,17 @@
-//! Everything that decides. State machines that are told what happened and when, and push what is to be done:
-//! no I/O, no clock, no async, nothing of linenhill's other packages.
+//! The decision logic of linenhill: state machines that receive timed events and return actions. They use no I/O, no
+//! clock, no async code and none of linenhill's other packages.
 //!
 //! - [`policy`]: which member gets a request, when, and what happens after failures;
-//! - [`zone_health`], [`outlier_recovery`]: which zones have gone silent, and how ejected members are tried again;
-//! - [`service_objective`], [`client_retry`], [`tenant_rate_limit`]: what counts in the priority of a request;
-//! - [`connection_admission`]: which connections of clients are served, closed or rejected;
-//! - [`poll_schedule`], [`watch_schedule`], [`staleness`]: when discovery is polled or watched, how old its
-//!   news is;
-//! - [`list_lease`]: for how long the list of members may be used; [`platform_bounds`]: what waits are derived from;
-//! - [`lifecycle`], [`maintenance`]: whether this process serves, which members are out by order of operators;
-//! - [`membership`], [`quota`], [`disruption`]: what instances agree on: who belongs to the fleet, what each proxy
-//!   may use of the fleet's budgets, which proxies and members may be out of service;
-//! - [`fault_injection`]: breaks these three on purpose, in builds made for tests.
+//! - [`zone_health`], [`outlier_recovery`]: detection of unresponsive zones, trials of ejected members;
+//! - [`service_objective`], [`client_retry`], [`tenant_rate_limit`]: inputs of the priority of a request;
+//! - [`connection_admission`]: which client connections are served, closed or rejected;
+//! - [`poll_schedule`], [`watch_schedule`], [`staleness`]: when discovery is polled or watched, and the time since its
+//!   last message;
+//! - [`list_lease`]: how long the list of members may be used; [`platform_bounds`]: bounds from which waits are derived;
+//! - [`lifecycle`], [`maintenance`]: whether this process serves, and which members operators took out of service;
+//! - [`membership`], [`quota`], [`disruption`]: state that is replicated through the agreed log: the sessions of the
+//!   fleet, the shares of its budgets, and the permits for proxies and members to be out of service;
+//! - [`fault_injection`]: deliberate faults in these three, for builds made for tests.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/decisions/src/lifecycle.rs
+++ b/crates/decisions/src/lifecycle.rs
@@ -1,37 +1,38 @@
-//! Serving, draining, standing by, stopping: one state machine for operators' calls, signals and upgrades.
+//! The lifecycle of a process (serving, draining, standby, stopping): one state machine for operators' calls, signals
+//! and upgrades.
 //!
-//! It is told what happened and when, and says how clients are treated. It must never let a connection be
-//! ended while a request of it is open.
+//! It receives timed events and returns how clients are to be treated. It must never cause a connection to be closed
+//! while one of its requests is open.
 
 use crate::api::{Micros, Time};
 use crate::list_lease::READY_WITHIN;
 use std::fmt;
 
-/// After a drain or stop begins, new connections and requests still arrive for this long: the platform's
-/// front keeps sending for up to 0.4 s.
-const FRONT_SENDS_FOR: Micros = Micros(450_000);
+/// New connections and requests still arrive for this long after a drain or stop begins: the platform's front end sends
+/// clients to the process for up to 0.4 s after that.
+const FRONT_END_SEND_TIME: Micros = Micros(450_000);
 
-/// After a stop begins, requests are accepted for this long: the platform ends the process regardless of
-/// requests that arrived more than 0.7 s after it.
-const REQUESTS_ACCEPTED_FOR: Micros = Micros(600_000);
+/// Requests are accepted for this long after a stop begins: when the platform terminates the process, it does not wait
+/// for requests that arrived more than 0.7 s after the stop.
+const REQUEST_ACCEPT_TIME: Micros = Micros(600_000);
 
-/// What happened.
+/// An event in the lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The list of members is known, or it is known that nobody can tell it.
+    /// The list of members is confirmed, or it was found that discovery is unreachable.
     ListKnown,
     /// Operators drain the process.
     Standby,
-    /// Operators put it back in service.
+    /// Operators put the process back in service.
     Active,
-    /// The process was told to stop.
+    /// The process must stop.
     Stop {
-        /// A successor accepts new connections from the same socket, so that this process need not.
+        /// A successor accepts new connections on the same socket, so that this process stops accepting at once.
         handed_over: bool,
     },
 }
 
-/// The process is stopping: it neither drains nor serves again.
+/// The event was rejected because the process is stopping, which cannot be undone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stopping;
 
@@ -43,29 +44,29 @@
 
 impl std::error::Error for Stopping {}
 
-/// How clients are treated.
+/// How clients are to be treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServingState {
-    /// The empty query, by which the front asks whether to send clients, is answered with yes.
+    /// The empty query, which the front end sends as its readiness check, is answered with success.
     pub reports_ready: bool,
-    /// The process has just started and does not know yet which members there are: the answer to the empty query is
-    /// held until it does.
+    /// The process has started and its list of members is not confirmed yet: the answer to the empty query is delayed
+    /// until it is, or until [`READY_WITHIN`] has elapsed.
     pub is_starting: bool,
-    /// The process was told to stop.
+    /// The process is stopping.
     pub is_stopping: bool,
     /// New connections are accepted and served.
     pub accepts_connections: bool,
-    /// A connection is closed once no request of it is open.
+    /// Each connection is closed once it has no open request.
     pub closes_idle: bool,
-    /// New requests are rejected at once: there may be no time left to serve them.
+    /// New requests are rejected at once, since the process may be terminated before they are served.
     pub rejects_requests: bool,
 }
 
-/// The state of one process.
+/// The lifecycle state of one process.
 #[derive(Debug, Default)]
 pub struct Lifecycle {
     phase: Phase,
-    /// Until when the process counts as starting, unless the list is known before.
+    /// When the process stops counting as starting; `None` once the list is known.
     starting_until: Option<Time>,
 }
 
@@ -84,13 +85,17 @@
 }
 
 impl Lifecycle {
-    /// A process that has just started, with a list that nobody has confirmed yet.
+    /// A process that starts at `now` with an unconfirmed list of members.
     pub fn starting(now: Time) -> Lifecycle {
         let starting_until = Some(Time(now.0.saturating_add(READY_WITHIN.0)));
         Lifecycle { starting_until, ..Lifecycle::default() }
     }
 
-    /// Handles an event. A repeated one changes nothing: a second call does not prolong a drain.
+    /// Handles an event. A repeated event changes nothing; in particular it does not extend a drain.
+    ///
+    /// # Errors
+    ///
+    /// [`Stopping`] if the process is stopping and the event is `Standby` or `Active`.
     pub fn handle(&mut self, now: Time, event: Event) -> Result<(), Stopping> {
         self.phase = match (event, self.phase) {
             (Event::ListKnown, phase) => {
@@ -103,18 +108,18 @@
             (Event::Standby | Event::Active, Phase::Stopping { .. }) => return Err(Stopping),
             (Event::Stop { .. }, stopping @ Phase::Stopping { .. }) => stopping,
             (Event::Stop { handed_over }, Phase::Serving) => {
-                Phase::Stopping { since: now, close_idle_from: front_silent_at(now), handed_over }
+                Phase::Stopping { since: now, close_idle_from: front_end_stopped_at(now), handed_over }
             }
-            // A stop keeps no connection for longer than the drain before it would have.
+            // A stop during a drain must not keep idle connections longer than the drain would have.
             (Event::Stop { handed_over }, Phase::Draining { since }) => {
-                let close_idle_from = front_silent_at(since).min(front_silent_at(now));
+                let close_idle_from = front_end_stopped_at(since).min(front_end_stopped_at(now));
                 Phase::Stopping { since: now, close_idle_from, handed_over }
             }
         };
         Ok(())
     }
 
-    /// Whether the process serves: it is neither draining, nor standing by, nor stopping.
+    /// Whether the process is serving, that is, neither draining, nor on standby, nor stopping.
     pub fn is_serving(&self) -> bool {
         self.phase == Phase::Serving
     }
@@ -124,8 +129,8 @@
         matches!(self.phase, Phase::Stopping { .. })
     }
 
-    /// How clients are treated at `now`. A stop leaves the answer to the front's empty query as it was: what
-    /// the front then sends is still served, or a successor serves it at the same address.
+    /// How clients are to be treated at `now`. While the process is stopping, the empty query is answered with success:
+    /// clients that the front end then sends are served by this process, or by a successor at the same address.
     pub fn serving_state(&self, now: Time) -> ServingState {
         let is_starting = self.starting_until.is_some_and(|until| now < until);
         match self.phase {
@@ -142,38 +147,38 @@
                 is_starting: false,
                 is_stopping: false,
                 accepts_connections: true,
-                closes_idle: now >= front_silent_at(since),
+                closes_idle: now >= front_end_stopped_at(since),
                 rejects_requests: false,
             },
             Phase::Stopping { since, close_idle_from, handed_over } => ServingState {
                 reports_ready: true,
                 is_starting: false,
                 is_stopping: true,
-                accepts_connections: !handed_over && now < front_silent_at(since),
+                accepts_connections: !handed_over && now < front_end_stopped_at(since),
                 closes_idle: now >= close_idle_from,
-                rejects_requests: now >= requests_end_at(since),
+                rejects_requests: now >= requests_rejected_from(since),
             },
         }
     }
 
-    /// When [`Lifecycle::serving_state`] changes next without a further event.
+    /// When [`Lifecycle::serving_state`] changes next without another event; `None` if it does not.
     pub fn next_change(&self, now: Time) -> Option<Time> {
-        let is_ahead = |at: &Time| *at > now;
+        let is_in_future = |at: &Time| *at > now;
         match self.phase {
-            Phase::Serving => self.starting_until.filter(is_ahead),
-            Phase::Draining { since } => Some(front_silent_at(since)).filter(is_ahead),
+            Phase::Serving => self.starting_until.filter(is_in_future),
+            Phase::Draining { since } => Some(front_end_stopped_at(since)).filter(is_in_future),
             Phase::Stopping { since, close_idle_from, .. } => {
-                let changes = [front_silent_at(since), close_idle_from, requests_end_at(since)];
-                changes.into_iter().filter(is_ahead).min()
+                let changes = [front_end_stopped_at(since), close_idle_from, requests_rejected_from(since)];
+                changes.into_iter().filter(is_in_future).min()
             }
         }
     }
 }
 
-fn front_silent_at(since: Time) -> Time {
-    Time(since.0.saturating_add(FRONT_SENDS_FOR.0))
+fn front_end_stopped_at(since: Time) -> Time {
+    Time(since.0.saturating_add(FRONT_END_SEND_TIME.0))
 }
 
-fn requests_end_at(stop: Time) -> Time {
-    Time(stop.0.saturating_add(REQUESTS_ACCEPTED_FOR.0))
+fn requests_rejected_from(stop: Time) -> Time {
+    Time(stop.0.saturating_add(REQUEST_ACCEPT_TIME.0))
 }
--- a/crates/decisions/src/maintenance.rs
+++ b/crates/decisions/src/maintenance.rs
@@ -1,102 +1,102 @@
-//! Members that operators take out of service: the orders of operators, and how a listed member is presented
-//! to the policy because of them.
+//! Members that operators take out of service: the maintenance orders, and the state in which a listed member is passed
+//! to the policy as a result.
 //!
-//! Pure records. The newest order on a member counts, so that two processes that exchange their orders agree.
-//! A list must never lift an order.
+//! No I/O. The newest order for a member applies, so that two processes that exchange their orders reach the same state.
+//! An endpoint list must never override an order.
 
 use crate::api::{GroupId, MemberState, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Bound on the members that are remembered; far more than any list holds.
+/// Bound on the known members; well above the size of any list.
 const KNOWN_MAX: usize = 4_096;
-/// Bound on the orders that are kept. With the longest ids that a call may name, they fit into the file that
+/// Bound on the orders. With the longest ids that a call may contain, they fit into the file that processes of different
 /// versions share.
 const ORDERS_MAX: usize = 1_024;
-/// A member stays known for this long after a list last named it, because it vanishes while it restarts.
+/// A member stays known for this long after a list last named it, because lists omit a member while it restarts.
 /// Microseconds.
-const KNOWN_FOR: u64 = 600_000_000;
+const KNOWN_FOR_US: u64 = 600_000_000;
 
-/// The last order of operators on a member. Orders compare by age first.
+/// The last order of operators for a member. Orders compare by their time first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MaintenanceOrder {
-    /// When it was given, in Unix microseconds.
+    /// When the order was given, in microseconds since the Unix epoch.
     pub at: Time,
-    /// The member is out of service; otherwise it may serve again.
+    /// The member is out of service; if false, it was put back in service.
     pub out_of_service: bool,
 }
 
-/// Why an order is not accepted.
+/// Why an order was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderRejected {
     /// No recent list has named this member.
     UnknownMember,
-    /// Too many orders are kept.
+    /// The table of orders is full of members that are out of service.
     TooManyOrders,
 }
 
 impl fmt::Display for OrderRejected {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            OrderRejected::UnknownMember => "no recent list has named the member",
-            OrderRejected::TooManyOrders => "too many members are out",
+            OrderRejected::UnknownMember => "no recent endpoint list has named the member",
+            OrderRejected::TooManyOrders => "too many members are out of service",
         })
     }
 }
 
 impl std::error::Error for OrderRejected {}
 
-/// How a listed member is presented to the policy.
+/// The state in which a listed member is passed to the policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EffectiveState {
-    /// As the list has it, but for its start.
+    /// The state in the list, with an adjusted start time.
     AsListed {
-        /// When it started, or was put back in service if that was later.
+        /// When the member started, or was put back in service if that was later.
         started: Option<Time>,
     },
-    /// As drained and gone.
+    /// Drained and removed.
     OutOfService,
 }
 
-/// What a list says of a member.
+/// The entry of a member in a list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedMember<'a> {
-    /// Its id.
+    /// Id of the member.
     pub id: &'a str,
-    /// The group it belongs to.
+    /// Group of the member.
     pub group: GroupId,
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
-    /// When it started, if the list tells.
+    /// When the member started, if the list contains it.
     pub started: Option<Time>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct KnownMember {
-    /// When a list last named it.
+    /// When a list last named the member.
     named_at: Time,
-    /// The list in use names it.
+    /// The list in use names the member.
     is_listed: bool,
     group: GroupId,
 }
 
 impl KnownMember {
     fn is_current(&self, now: Time) -> bool {
-        self.named_at.0 + KNOWN_FOR > now.0
+        self.named_at.0 + KNOWN_FOR_US > now.0
     }
 }
 
-/// The orders of operators, and the members that lists have named.
+/// The orders of operators, and the members named by recent lists.
 #[derive(Debug, Default)]
 pub struct Maintenance {
     orders: BTreeMap<String, MaintenanceOrder>,
     known: BTreeMap<String, KnownMember>,
-    /// Members that are out by permission of the whole fleet.
+    /// Members that the fleet has taken out of service, under a disruption permit.
     out_by_fleet: BTreeSet<String>,
 }
 
 impl Maintenance {
-    /// A list names a member. Returns how it is presented.
+    /// Records a member named by a list. Returns the state to pass to the policy.
     pub fn record_listed(&mut self, now: Time, member: ListedMember<'_>) -> EffectiveState {
         let is_listed = member.state != MemberState::Gone;
         let known = KnownMember { named_at: now, is_listed, group: member.group };
@@ -109,7 +109,7 @@
         self.effective_state(member.id, member.started)
     }
 
-    /// Drops the member that was named longest ago, if there is no room for one more; unlisted ones go first.
+    /// If the known members are at their bound, drops the one that was named longest ago, unlisted members first.
     fn make_room_for_known(&mut self) {
         if self.known.len() < KNOWN_MAX {
             return;
@@ -119,7 +119,7 @@
         oldest.and_then(|id| self.known.remove(&id));
     }
 
-    /// A full list begins: a member that it does not name is not listed any more.
+    /// Begins a full list: all members count as unlisted until [`Self::record_listed`] is called for them.
     pub fn begin_full_list(&mut self, now: Time) {
         for known in self.known.values_mut().filter(|known| known.is_listed) {
             known.named_at = now;
@@ -134,13 +134,18 @@
         if self.is_out(id) {
             return EffectiveState::OutOfService;
         }
-        // It was restarted while it was out, whatever the list says and however late.
+        // A member counts as started when it was put back in service: it may have been restarted before that, and the
+        // list may show the restart late or never.
         let returned = self.orders.get(id).map(|order| order.at);
         EffectiveState::AsListed { started: started.max(returned) }
     }
 
-    /// Operators take a member out of service, or put it back. Returns whether that changes anything; an
-    /// order that is repeated does not.
+    /// Records an order of operators to take a member out of service or put it back. Returns false for an order that
+    /// repeats the current state.
+    ///
+    /// # Errors
+    ///
+    /// [`OrderRejected`] if the order cannot be recorded; nothing is changed.
     pub fn order(&mut self, now: Time, id: &str, out_of_service: bool) -> Result<bool, OrderRejected> {
         let before = self.orders.get(id).copied();
         let was_out = before.is_some_and(|order| order.out_of_service);
@@ -154,14 +159,14 @@
         if before.is_none() && !self.make_room_for_order() {
             return Err(OrderRejected::TooManyOrders);
         }
-        // A clock that was set back must not let an older order win.
+        // Even if the clock was set back, the new order must be newer than the one it replaces.
         let at = before.map_or(now, |order| now.max(Time(order.at.0 + 1)));
         self.orders.insert(id.to_string(), MaintenanceOrder { at, out_of_service });
         Ok(true)
     }
 
-    /// Whether there is room for one more order, made if need be by dropping the oldest that put a member
-    /// back.
+    /// Makes room for one more order, if necessary by dropping the oldest one that put a member back in service. Returns
+    /// whether there is room.
     fn make_room_for_order(&mut self) -> bool {
         if self.orders.len() >= ORDERS_MAX {
             let returned = self.orders.iter().filter(|(_, order)| !order.out_of_service);
@@ -171,7 +176,7 @@
         self.orders.len() < ORDERS_MAX
     }
 
-    /// Merges an order that was given to another process of this proxy. Returns whether it is new here.
+    /// Merges an order that another process of this proxy received. Returns whether the order was recorded.
     pub fn merge(&mut self, id: &str, order: MaintenanceOrder) -> bool {
         let before = self.orders.get(id).copied();
         if before.is_some_and(|before| before >= order) {
@@ -184,18 +189,18 @@
         true
     }
 
-    /// All orders, each with its member's id.
+    /// All orders, each with the id of its member.
     pub fn orders(&self) -> impl Iterator<Item = (&str, MaintenanceOrder)> {
         self.orders.iter().map(|(id, order)| (id.as_str(), *order))
     }
 
-    /// Whether a member is out of service, by an order of operators or by the fleet.
+    /// Whether a member is out of service by an order of operators or by the fleet.
     pub fn is_out(&self, id: &str) -> bool {
         self.orders.get(id).is_some_and(|order| order.out_of_service) || self.out_by_fleet.contains(id)
     }
 
-    /// The fleet tells which members are out, in place of all that it told before. Returns the members for
-    /// which that changes. A member that comes back counts as started now, as after an order of operators.
+    /// Replaces the set of members that the fleet has taken out of service. Returns the members that were added or
+    /// removed. A removed member counts as started at `now`, as after an order of operators.
     pub fn set_out_by_fleet(&mut self, now: Time, members: BTreeSet<String>) -> Vec<String> {
         let returned: Vec<String> = self.out_by_fleet.difference(&members).cloned().collect();
         for id in &returned {
@@ -209,13 +214,13 @@
         changed
     }
 
-    /// The members that recent lists have named, each with its group and whether the list in use names it.
+    /// The members named by recent lists, each with its group and whether the list in use names it.
     pub fn known(&self) -> impl Iterator<Item = (&str, GroupId, bool)> {
         self.known.iter().map(|(id, known)| (id.as_str(), known.group, known.is_listed))
     }
 
-    /// Whether all listed members of a group are out of service, so that no request can be served there
-    /// before operators put one back.
+    /// Whether all listed members of a group are out of service, so that the group can serve no request until one is put
+    /// back in service.
     pub fn is_group_out(&self, group: GroupId) -> bool {
         if !self.orders.values().any(|order| order.out_of_service) {
             return false;
--- a/crates/decisions/src/service_objective.rs
+++ b/crates/decisions/src/service_objective.rs
@@ -1,21 +1,20 @@
-//! How much a request counts for the site's service objective, which weighs the class that is served worst by
-//! itself. Pure: told which requests arrive and which are served.
+//! The weight of a request in the site's service objective, which has an extra weight for the worst-served class. No
+//! I/O; it is driven by the requests that arrive and those that are served.
 //!
-//! Under overload, the class with the least weight for its work would be rejected as a whole. Where the
-//! objective weighs the worst-served class, its requests gain rank the worse it is served, until other
-//! classes are served as badly.
+//! Under overload, all requests of the class with the least weight for its work would be rejected. If the objective
+//! weighs the worst-served class, the priority of its requests rises until other classes are served as badly.
 
 use crate::api::{ClassId, ObjectiveWeights, Time};
 
-/// Requested and served weights decay with this time constant. Microseconds. The objective looks at whole
-/// days, but members change within seconds.
-const DECAY: f64 = 30_000_000.0;
-/// Classes whose served shares differ by less than this share the place of the worst.
-const NEAR_WORST: f64 = 0.05;
-/// A class is judged once this many requests' weight arrived.
-const JUDGED_FROM: f64 = 20.0;
+/// Time constant with which requested and served weights decay. Microseconds. The objective covers whole days, but the
+/// state of members changes within seconds.
+const DECAY_TIME: f64 = 30_000_000.0;
+/// Scale of the served share within which classes share the extra weight of the worst-served class.
+const NEARNESS_SCALE: f64 = 0.05;
+/// Fewest recent requests of a class for which its served share is used.
+const REQUESTS_MIN: f64 = 20.0;
 
-/// What recently arrived and was served of one class, in units of weight.
+/// The recently requested and served weight of one class.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassTotals {
     /// Weight of one request.
@@ -25,9 +24,9 @@
 }
 
 impl ClassTotals {
-    /// Whether enough has arrived to judge how the class is served.
-    fn is_judged(&self) -> bool {
-        self.requested >= JUDGED_FROM * self.weight && self.weight > 0.0
+    /// Whether enough requests have arrived for a meaningful served share.
+    fn has_enough_requests(&self) -> bool {
+        self.requested >= REQUESTS_MIN * self.weight && self.weight > 0.0
     }
 
     fn served_share(&self) -> f64 {
@@ -35,7 +34,7 @@
     }
 }
 
-/// How the classes of one router are served.
+/// The service of each class by one router.
 #[derive(Clone, Debug)]
 pub struct ServiceObjective {
     weights: ObjectiveWeights,
@@ -45,14 +44,13 @@
 }
 
 impl ServiceObjective {
-    /// Nothing has arrived yet; `class_weights` are those of one request of each class.
+    /// A record without requests. `class_weights` yields the weight of one request of each class.
     pub fn new(weights: ObjectiveWeights, class_weights: impl Iterator<Item = f64>) -> ServiceObjective {
         let classes = class_weights.map(|weight| ClassTotals { weight, ..ClassTotals::default() }).collect();
         ServiceObjective { weights, classes, decayed_at: Time::default() }
     }
 
-    /// Counts a request of a class that arrived at `now`, and returns its priority weight; 0 for
-    /// an unknown class.
+    /// Records a request of a class that arrived at `now`, and returns its priority weight; 0 for an unknown class.
     pub fn request_arrived(&mut self, now: Time, class: ClassId) -> f64 {
         self.decay(now);
         let Some(totals) = self.classes.get_mut(class.0) else { return 0.0 };
@@ -60,7 +58,7 @@
         totals.weight * self.priority_factor(class)
     }
 
-    /// Counts a request of a class that was served with this share (0 to 1) of its weight.
+    /// Records that a request of a class was served with this share (0 to 1) of its weight.
     pub fn request_served(&mut self, class: ClassId, share: f64) {
         if let Some(totals) = self.classes.get_mut(class.0) {
             totals.served += totals.weight * share;
@@ -68,7 +66,7 @@
     }
 
     fn decay(&mut self, now: Time) {
-        let kept = (-now.saturating_since(self.decayed_at).as_f64() / DECAY).exp();
+        let kept = (-now.saturating_since(self.decayed_at).as_f64() / DECAY_TIME).exp();
         self.decayed_at = now;
         for totals in &mut self.classes {
             totals.requested *= kept;
@@ -76,15 +74,15 @@
         }
     }
 
-    /// How many times its own weight a request of a class counts.
+    /// The factor by which the weight of a request of this class is multiplied.
     fn priority_factor(&self, class: ClassId) -> f64 {
-        let weighs_worst = self.weights.total > 0.0;
-        let totals = self.classes.get(class.0).filter(|totals| weighs_worst && totals.is_judged());
+        let has_weights = self.weights.total > 0.0;
+        let totals = self.classes.get(class.0).filter(|totals| has_weights && totals.has_enough_requests());
         let Some(totals) = totals else { return 1.0 };
-        let judged = || self.classes.iter().filter(|totals| totals.is_judged());
-        let worst_share = judged().map(ClassTotals::served_share).fold(f64::INFINITY, f64::min);
-        let nearness = |totals: &ClassTotals| (-(totals.served_share() - worst_share) / NEAR_WORST).exp();
-        let all_nearness: f64 = judged().map(nearness).sum();
+        let rated_classes = || self.classes.iter().filter(|totals| totals.has_enough_requests());
+        let worst_share = rated_classes().map(ClassTotals::served_share).fold(f64::INFINITY, f64::min);
+        let nearness = |totals: &ClassTotals| (-(totals.served_share() - worst_share) / NEARNESS_SCALE).exp();
+        let all_nearness: f64 = rated_classes().map(nearness).sum();
         let all_requested: f64 = self.classes.iter().map(|totals| totals.requested).sum();
         let worst_weight = self.weights.worst_class / self.weights.total;
         1.0 + worst_weight * all_requested / totals.requested * nearness(totals) / all_nearness
