--- a/crates/decisions/src/disruption/mod.rs
+++ b/crates/decisions/src/disruption/mod.rs
@@ -182,7 +182,7 @@
     pub quarantine_edition: u64,
 }
 
-/// The members to which no proxy may send anything new.
+/// The members to which no proxy may send new requests.
 #[derive(Clone, PartialEq, Eq, ::prost::Message)]
 pub struct Quarantine {
     /// Edition, incremented by every change.
--- a/crates/decisions/src/list_lease.rs
+++ b/crates/decisions/src/list_lease.rs
@@ -1,7 +1,7 @@
 //! The lease under which the list of members may be used.
 //!
 //! A change that discovery could not deliver counts as notified [`NOTIFIED_AFTER`] later, and once the drain grace has
-//! elapsed as well, nothing may be sent to the drained member. Each message from discovery therefore renews the lease
+//! elapsed as well, nothing new may be sent to the drained member. Each message from discovery therefore renews the lease
 //! for that long. An outage of discovery must not end it: a failed call extends the lease by the call's duration, and
 //! from the second failed call in a row on, discovery counts as unreachable and every failed call renews the lease. It
 //! expires when no call is made, or when the process did not run: a resumed process finds its lease expired before it
--- a/crates/decisions/src/quota/allocation.rs
+++ b/crates/decisions/src/quota/allocation.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// One budget, or one key of a budget that exists per key, with its allocations.
+/// A budget, or one key of a per-key budget, with its allocations.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct BudgetEntry {
     /// The budget; `None` if it is no longer declared but has unexpired allocations.
--- a/crates/decisions/src/quota/expiry.rs
+++ b/crates/decisions/src/quota/expiry.rs
@@ -36,7 +36,7 @@
 }
 
 impl Quota {
-    /// Units that may be in use in a phase; for a rate, thousandths of a unit a second.
+    /// Units that may be in use in a phase; for a rate, thousandths of a unit per second.
     pub(super) fn units_in(&self, phase: LeasePhase) -> u64 {
         match phase {
             LeasePhase::Leased => self.units,
--- a/crates/decisions/src/quota/table.rs
+++ b/crates/decisions/src/quota/table.rs
@@ -20,7 +20,7 @@
 pub enum QuotaCommand {
     /// Declares the budgets, replacing the previous declaration.
     Declare {
-        /// How long grants and sessions last.
+        /// Durations of grants and sessions, and the bound on clock drift.
         terms: LeaseTerms,
         /// All declared budgets, by name.
         budgets: Budgets,
@@ -31,11 +31,11 @@
     Request {
         /// Name of the instance.
         name: String,
-        /// Its incarnation.
+        /// Incarnation of the instance.
         incarnation: u64,
-        /// Its version.
+        /// Software version of the instance.
         version: String,
-        /// Its zone.
+        /// Zone of the instance.
         zone: String,
         /// The request as received.
         request: QuotaRequest,
@@ -52,7 +52,7 @@
 pub struct QuotaReply {
     /// Name of the instance that sent the request.
     pub name: String,
-    /// Its incarnation.
+    /// Incarnation of the instance.
     pub incarnation: u64,
     /// The grant, or why the request was rejected.
     pub result: Result<Grant, SessionRejected>,
@@ -75,7 +75,7 @@
     /// Sessions of the fleet's instances, and log time.
     #[prost(message, required, tag = "1")]
     pub membership: Membership,
-    /// How long grants and sessions last.
+    /// Durations of grants and sessions, and the bound on clock drift.
     #[prost(message, required, tag = "2")]
     pub terms: LeaseTerms,
     /// Entries by name. An entry of a budget per key is named like `links/m-1`.
--- a/crates/decisions/src/staleness.rs
+++ b/crates/decisions/src/staleness.rs
@@ -9,7 +9,7 @@
 /// every 2 s, possibly without changes; this is three times that.
 const FIRST_NOTICE_AFTER: Micros = Micros(6_000_000);
 
-/// A silence to be logged.
+/// A change of discovery's silence that is to be logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// No message has arrived for this long.
