--- a/crates/decisions/src/disruption/mod.rs
+++ b/crates/decisions/src/disruption/mod.rs
@@ -1,5 +1,5 @@
-//! Voluntary disruption: which subjects are unavailable, for which cause and under which permit. Over the whole fleet,
-//! no permit may be granted beyond the limits that operators set.
+//! Voluntary disruption: which subjects are unavailable, for which cause and under which permit. Over all instances, no
+//! permit may exceed the limits that operators set, unless it is forced.
 //!
 //! Every unavailable subject counts towards the limits, whatever the cause. Permits are granted only through the agreed
 //! log. A permit remains in force if its holder fails: it ends when the subject is reported in service again or when
--- a/crates/decisions/src/disruption/table.rs
+++ b/crates/decisions/src/disruption/table.rs
@@ -39,8 +39,8 @@
 }
 
 impl SubjectCount {
-    /// Checks that the subject `key` may be unavailable as well: at most `max_unavailable` subjects of the set may be, and at least
-    /// `min_in_service` must stay in service.
+    /// Checks that the subject `key` may be unavailable as well: at most `max_unavailable` subjects of the set may be,
+    /// and at least `min_in_service` must stay in service.
     fn check(
         self, key: &str, limit: &'static str, max_unavailable: u64, min_in_service: u64,
     ) -> Result<(), PermitDenied> {
--- a/crates/decisions/src/lifecycle.rs
+++ b/crates/decisions/src/lifecycle.rs
@@ -8,9 +8,9 @@
 use crate::list_lease::READY_WITHIN;
 use std::fmt;
 
-/// New connections and requests still arrive for this long after a drain or stop begins: the platform's front end sends
-/// clients to the process for up to 0.4 s after that.
-const FRONT_END_SEND_TIME: Micros = Micros(450_000);
+/// New connections and requests still arrive for this long after a drain or stop begins: the platform's load balancer
+/// sends clients to the process for up to 0.4 s after that.
+const LOAD_BALANCER_SEND_TIME: Micros = Micros(450_000);
 
 /// Requests are accepted for this long after a stop begins: when the platform terminates the process, it does not wait
 /// for requests that arrived more than 0.7 s after the stop.
@@ -47,7 +47,7 @@
 /// How clients are to be treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServingState {
-    /// The empty query, which the front end sends as its readiness check, is answered with success.
+    /// The empty query, which the load balancer sends as its readiness check, is answered with success.
     pub reports_ready: bool,
     /// The process has started and its list of members is not confirmed yet: the answer to the empty query is delayed
     /// until it is, or until [`READY_WITHIN`] has elapsed.
@@ -108,11 +108,11 @@
             (Event::Standby | Event::Active, Phase::Stopping { .. }) => return Err(Stopping),
             (Event::Stop { .. }, stopping @ Phase::Stopping { .. }) => stopping,
             (Event::Stop { handed_over }, Phase::Serving) => {
-                Phase::Stopping { since: now, close_idle_from: front_end_stopped_at(now), handed_over }
+                Phase::Stopping { since: now, close_idle_from: load_balancer_stopped_at(now), handed_over }
             }
             // A stop during a drain must not keep idle connections longer than the drain would have.
             (Event::Stop { handed_over }, Phase::Draining { since }) => {
-                let close_idle_from = front_end_stopped_at(since).min(front_end_stopped_at(now));
+                let close_idle_from = load_balancer_stopped_at(since).min(load_balancer_stopped_at(now));
                 Phase::Stopping { since: now, close_idle_from, handed_over }
             }
         };
@@ -130,7 +130,7 @@
     }
 
     /// How clients are to be treated at `now`. While the process is stopping, the empty query is answered with success:
-    /// clients that the front end then sends are served by this process, or by a successor at the same address.
+    /// clients that the load balancer then sends are served by this process, or by a successor at the same address.
     pub fn serving_state(&self, now: Time) -> ServingState {
         let is_starting = self.starting_until.is_some_and(|until| now < until);
         match self.phase {
@@ -147,14 +147,14 @@
                 is_starting: false,
                 is_stopping: false,
                 accepts_connections: true,
-                closes_idle: now >= front_end_stopped_at(since),
+                closes_idle: now >= load_balancer_stopped_at(since),
                 rejects_requests: false,
             },
             Phase::Stopping { since, close_idle_from, handed_over } => ServingState {
                 reports_ready: true,
                 is_starting: false,
                 is_stopping: true,
-                accepts_connections: !handed_over && now < front_end_stopped_at(since),
+                accepts_connections: !handed_over && now < load_balancer_stopped_at(since),
                 closes_idle: now >= close_idle_from,
                 rejects_requests: now >= requests_rejected_from(since),
             },
@@ -166,17 +166,18 @@
         let is_in_future = |at: &Time| *at > now;
         match self.phase {
             Phase::Serving => self.starting_until.filter(is_in_future),
-            Phase::Draining { since } => Some(front_end_stopped_at(since)).filter(is_in_future),
+            Phase::Draining { since } => Some(load_balancer_stopped_at(since)).filter(is_in_future),
             Phase::Stopping { since, close_idle_from, .. } => {
-                let changes = [front_end_stopped_at(since), close_idle_from, requests_rejected_from(since)];
+                let changes =
+                    [load_balancer_stopped_at(since), close_idle_from, requests_rejected_from(since)];
                 changes.into_iter().filter(is_in_future).min()
             }
         }
     }
 }
 
-fn front_end_stopped_at(since: Time) -> Time {
-    Time(since.0.saturating_add(FRONT_END_SEND_TIME.0))
+fn load_balancer_stopped_at(since: Time) -> Time {
+    Time(since.0.saturating_add(LOAD_BALANCER_SEND_TIME.0))
 }
 
 fn requests_rejected_from(stop: Time) -> Time {
--- a/crates/decisions/src/list_lease.rs
+++ b/crates/decisions/src/list_lease.rs
@@ -60,7 +60,7 @@
     Saved,
     /// Discovery sent a message.
     Confirmed,
-    /// Calls of discovery fail in a row before they return anything.
+    /// Calls to discovery fail in a row before they return anything.
     Unreachable,
 }
 
