--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -1,4 +1,5 @@
-//! The members of the fleet: a table that is replicated at every keeper and changed only by entries of the agreed log.
+//! The sessions of the fleet's instances: a table that is replicated at every keeper and changed only by entries of the
+//! agreed log.
 //!
 //! The table must be deterministic: it reads no clock and draws no random numbers. Log time advances with each entry, by
 //! the time that the leader measured since its previous entry or since it became leader. It therefore never runs ahead
--- a/crates/decisions/src/quota/division.rs
+++ b/crates/decisions/src/quota/division.rs
@@ -144,7 +144,8 @@
     Claim { demand, priority: claim.priority }
 }
 
-/// The grant as committed by the table: for the time that the holder may use it, plus the drift margin.
+/// The grant as committed by the table: for the time that the holder may use it and that a held unit can stay in use
+/// after that, with the drift margin.
 fn active_grant(budget: &Budget, seq: u64, units: u64, floor: u64, context: &DivisionContext) -> ActiveGrant {
     let outlives_us = if budget.is_rate() { 0 } else { budget.outlives_us };
     let expires_after = |span: u64| {
--- a/crates/decisions/src/quota/table.rs
+++ b/crates/decisions/src/quota/table.rs
@@ -69,7 +69,7 @@
     pub total: u64,
 }
 
-/// The membership of the fleet, its budgets and their allocations.
+/// The sessions of the fleet, its budgets and their allocations.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct QuotaTable {
     /// Sessions of the fleet's instances, and log time.
