--- a/crates/decisions/tests/disruption/fixtures.rs
+++ b/crates/decisions/tests/disruption/fixtures.rs
@@ -1,4 +1,4 @@
-//! A fleet whose proxies send reports when the test says so.
+//! A fleet whose proxies report when the test makes them.
 
 use linenhill_decisions::disruption::table::{DisruptionTable, LivenessView, Permit, PermitDenied};
 use linenhill_decisions::disruption::{
@@ -13,7 +13,8 @@
 pub const ALL_IN_SERVICE: [(&str, Availability); 3] =
     [("m0", Availability::InService), ("m1", Availability::InService), ("m2", Availability::InService)];
 
-/// At most so many proxies of the fleet, and so many members of a group, of which one stays.
+/// Permits up to `max_proxies` unavailable proxies in the fleet and `max_members` unavailable members in a group, of which
+/// at least one stays in service.
 pub fn policy(max_proxies: u64, max_members: u64) -> DisruptionPolicy {
     let at_most = |count| DisruptionLimit { count: Some(count), percent: None };
     DisruptionPolicy {
@@ -25,7 +26,7 @@
     }
 }
 
-/// The keepers' tables, with what identifies the proxies.
+/// The state that keepers agree on, and the current incarnation of each proxy by name.
 #[derive(Clone)]
 pub struct Fleet {
     pub membership: Membership,
@@ -45,12 +46,13 @@
         fleet
     }
 
-    /// A proxy reports itself and members of group 1, of which `m0` is the primary. It applies no quarantine.
+    /// Records a proxy's report on itself and on members of group 1, with `m0` as the primary. The proxy applies no
+    /// quarantine.
     pub fn report(&mut self, proxy: usize, own: Availability, members: &[(&str, Availability)]) {
         self.report_quarantined(proxy, own, members, 0);
     }
 
-    /// The same, with the edition of the quarantine that the proxy applies.
+    /// Like [`Fleet::report`], with the edition of the quarantine that the proxy applies.
     pub fn report_quarantined(
         &mut self, proxy: usize, own: Availability, members: &[(&str, Availability)], quarantine_edition: u64,
     ) {
@@ -72,19 +74,19 @@
         self.table.expire(&view);
     }
 
-    /// Log time goes on by so many microseconds.
+    /// Advances log time by `span` microseconds.
     pub fn advance(&mut self, span: u64) {
         self.membership.advance(span);
         self.table.expire(&LivenessView::new(&self.membership, &TERMS));
     }
 
     pub fn request_permit(&mut self, key: &str, by: &str, force: bool) -> Result<Permit, PermitDenied> {
-        let subject = Subject::from_key(key).expect("a key");
+        let subject = Subject::from_key(key).expect("a valid key");
         let view = LivenessView::new(&self.membership, &TERMS);
         self.table.request_permit(&view, &subject, by, "a test", force)
     }
 
-    /// How many proxies have not confirmed the permit of `m1`, which `p0` holds.
+    /// The number of proxies that have not confirmed the permit for `m1`, which `p0` requested.
     pub fn unconfirmed_of_m1(&mut self) -> usize {
         self.request_permit("member/m1", "p0", false).expect("the permit").unconfirmed.len()
     }
--- a/crates/decisions/tests/disruption/main.rs
+++ b/crates/decisions/tests/disruption/main.rs
@@ -1,5 +1,6 @@
-//! Permits to be unavailable: never more at once than the limits allow, whatever dies, is lost or requested twice. The
-//! checkers know who is unavailable and the limits, and nothing of permits.
+//! Tests of disruption permits: they never make more proxies or members unavailable than the limits allow, after crashes,
+//! lost messages and repeated requests. The checkers compare the actual availability with the limits, independently of
+//! the permits.
 
 mod fixtures;
 mod histories;
--- a/crates/decisions/tests/disruption/permits.rs
+++ b/crates/decisions/tests/disruption/permits.rs
@@ -1,10 +1,11 @@
-//! When a permit is granted, confirmed and over.
+//! Tests of when a permit is granted, is confirmed and ends.
 
 use crate::fixtures::{ALL_IN_SERVICE, Fleet, LEASE_US, policy};
 use linenhill_decisions::disruption::table::PermitDenied;
 use linenhill_decisions::disruption::{Availability, Subject};
 
-/// Guards against two that are let out where one may be, a permit that is lost with its holder, and one that never ends.
+/// Guards against two permits where one proxy may be unavailable, a permit that is lost when its proxy crashes, and one
+/// that never ends.
 #[test]
 fn permit_counts_until_the_proxy_is_back() {
     let mut fleet = Fleet::new(3, policy(1, 1));
@@ -12,36 +13,38 @@
     assert_eq!(fleet.request_permit("proxy/p0", "p0", false).expect("the same").number, first.number);
     let second = fleet.request_permit("proxy/p1", "p1", false);
     assert!(matches!(second, Err(PermitDenied::LimitReached { .. })));
-    // It has a permit and is still in service: its reports until then end nothing.
+    // A report of being in service before the proxy has become unavailable does not end its permit.
     fleet.report(0, Availability::InService, &[]);
     assert!(fleet.request_permit("proxy/p1", "p1", false).is_err());
     fleet.report(0, Availability::Standby, &[]);
-    // Its holder dies meanwhile: it still counts, once.
+    // The proxy crashes while unavailable: it still counts, once.
     fleet.advance(2 * LEASE_US);
     (1..3).for_each(|proxy| fleet.report(proxy, Availability::InService, &[]));
     assert_eq!(fleet.unavailable(), [("proxy/p0".to_string(), Availability::NoHeartbeat)]);
     assert!(fleet.request_permit("proxy/p1", "p1", false).is_err());
-    // Back as another incarnation, and in service.
+    // It returns to service as another incarnation.
     fleet.incarnations.insert("p0".into(), 77);
     fleet.report(0, Availability::InService, &[]);
     assert!(fleet.unavailable().is_empty());
     assert!(fleet.request_permit("proxy/p1", "p1", false).is_ok());
 }
 
-/// Guards against a proxy that is unavailable without a permit, or by force, and does not count.
+/// Guards against not counting a proxy that is unavailable without a permit or by a forced one.
 #[test]
 fn every_unavailable_proxy_counts() {
     let mut fleet = Fleet::new(4, policy(2, 1));
     fleet.report(0, Availability::Stopping, &[]);
     assert!(fleet.request_permit("proxy/p1", "p1", false).is_ok());
     let third = fleet.request_permit("proxy/p2", "p2", false);
-    let Err(PermitDenied::LimitReached { unavailable, .. }) = third else { panic!("a third is let out") };
+    let Err(PermitDenied::LimitReached { unavailable, .. }) = third else {
+        panic!("a third proxy got a permit")
+    };
     assert_eq!(unavailable.len(), 2);
     assert!(fleet.request_permit("proxy/p2", "p2", true).expect("force").forced);
     fleet.report(0, Availability::InService, &[]);
     let fourth = fleet.request_permit("proxy/p3", "p3", false);
-    assert!(fourth.is_err(), "two are out, one of them by force");
-    // A cut that hides a part of the fleet: the hidden proxies count as unavailable.
+    assert!(fourth.is_err(), "two proxies are unavailable, one of them by force");
+    // Proxies that a network partition hides from the keepers count as unavailable.
     let mut fleet = Fleet::new(6, policy(2, 1));
     fleet.advance(2 * LEASE_US);
     (0..4).for_each(|proxy| fleet.report(proxy, Availability::InService, &[]));
@@ -49,8 +52,8 @@
     assert!(matches!(with_two_hidden, Err(PermitDenied::LimitReached { .. })));
 }
 
-/// Guards against a primary that is taken out before it has handed over, and against a permit that is confirmed before
-/// every proxy has stopped sending to the member.
+/// Guards against a permit for a primary before its role has moved to another member, and against a permit that is
+/// confirmed before every proxy has stopped sending to the member.
 #[test]
 fn member_permit_waits_for_every_proxy() {
     let mut fleet = Fleet::new(3, policy(1, 2));
@@ -60,20 +63,20 @@
     let permit = fleet.request_permit("member/m1", "p0", false).expect("a permit");
     assert_eq!(permit.unconfirmed.len(), 3);
     assert_eq!(fleet.table.quarantine().members, vec!["m1".to_string()]);
-    assert!(fleet.request_permit("member/m1", "p1", false).is_err(), "somebody else has a permit for it");
+    assert!(fleet.request_permit("member/m1", "p1", false).is_err(), "another proxy holds the permit for it");
     for proxy in 0..2 {
         let banned = [("m1", Availability::OperatorBan)];
         fleet.report_quarantined(proxy, Availability::InService, &banned, permit.quarantine_edition);
     }
     assert_eq!(fleet.unconfirmed_of_m1(), 1);
-    // The third is cut off: it may still send there for as long as it has a session, and no longer.
+    // The third proxy is disconnected. It may still send to the member until its session ends.
     fleet.membership.sessions.remove("p2");
     fleet.advance(0);
     assert_eq!(fleet.unconfirmed_of_m1(), 0);
 }
 
-/// Guards against a proxy that sends requests and receives no answers and blocks a member's permit for ever, and against
-/// a permit that is confirmed while that proxy may still serve under an earlier grant.
+/// Guards against a member's permit that is never confirmed because a proxy sends requests but receives no answers, and
+/// against one that is confirmed while that proxy may still serve under an earlier grant.
 #[test]
 fn member_permit_outlasts_grants_of_a_deaf_proxy() {
     let mut fleet = Fleet::new(2, policy(1, 1));
@@ -88,8 +91,8 @@
     assert_eq!(fleet.unconfirmed_of_m1(), 0);
 }
 
-/// Guards against the last healthy member of a group taken out through two proxies, and against a return that ends the
-/// permit before the member is in service.
+/// Guards against a permit for the last healthy member of a group when another proxy requests it, and against a return
+/// that ends the permit before the member is in service.
 #[test]
 fn last_member_stays_and_a_return_is_observed() {
     let mut fleet = Fleet::new(2, policy(1, 2));
@@ -100,7 +103,7 @@
         let edition = permit.quarantine_edition;
         fleet.report_quarantined(proxy, Availability::InService, &unresponsive_primary, edition);
     }
-    // Two of three may be out, but one stays: the primary does not answer, so m2 does not go.
+    // Two of three members may be unavailable, and one must stay in service. The primary is unresponsive, so m2 must stay.
     let last = fleet.request_permit("member/m2", "p1", false);
     assert!(matches!(last, Err(PermitDenied::LimitReached { .. })));
     assert!(fleet.table.request_return(&Subject::Member("m1".into())));
@@ -111,7 +114,7 @@
     assert!(!fleet.is_unavailable("member/m1"));
 }
 
-/// Guards against a member that counts as unavailable because one proxy is cut off from it.
+/// Guards against counting a member as unavailable because a minority of the proxies is disconnected from it.
 #[test]
 fn unresponsive_for_a_minority_does_not_count() {
     let mut fleet = Fleet::new(5, policy(1, 1));
@@ -124,7 +127,7 @@
     assert!(fleet.request_permit("member/m2", "p0", false).is_err());
 }
 
-/// Guards against a member that is removed for good and counts for ever.
+/// Guards against a permanently removed member that never stops counting.
 #[test]
 fn removed_and_forgotten_members_leave_the_table() {
     let mut fleet = Fleet::new(5, policy(1, 1));
--- a/crates/decisions/tests/disruption/reporter.rs
+++ b/crates/decisions/tests/disruption/reporter.rs
@@ -1,4 +1,4 @@
-//! A proxy's reports, over requests that may be lost.
+//! Tests of a proxy's health reports, in requests that may be lost.
 
 use linenhill_decisions::disruption::reporter::HealthReporter;
 use linenhill_decisions::disruption::{Availability, HealthObservation, Quarantine};
@@ -8,20 +8,19 @@
     HealthObservation { group: 1, availability: availability as i32, is_primary: false }
 }
 
-/// Guards against a report that is lost and never sent again, and against a quarantine that goes back to an older
-/// edition.
+/// Guards against a lost report that is never sent again, and against a quarantine that reverts to an older edition.
 #[test]
 fn observations_are_reported_until_answered() {
     let mut reporter = HealthReporter::default();
     assert!(reporter.observe([("m1".to_string(), observed(Availability::Unresponsive))].into()));
     assert_eq!(reporter.next_report(1).observations.len(), 1);
-    assert_eq!(reporter.next_report(2).observations.len(), 1, "the first one may be lost");
-    assert_eq!(reporter.handle_grant(1, None), None, "an answer to the first acknowledges nothing");
+    assert_eq!(reporter.next_report(2).observations.len(), 1, "the first report may be lost");
+    assert_eq!(reporter.handle_grant(1, None), None, "only an answer to the latest report acknowledges it");
     let quarantine = Quarantine { edition: 3, members: vec!["m1".into()] };
     assert_eq!(reporter.handle_grant(2, Some(quarantine.clone())), Some(quarantine));
     assert!(reporter.next_report(3).observations.is_empty());
     assert_eq!(reporter.handle_grant(3, Some(Quarantine { edition: 2, members: Vec::new() })), None);
-    assert_eq!(reporter.next_report(4).quarantine_edition, 0, "it is not applied yet");
+    assert_eq!(reporter.next_report(4).quarantine_edition, 0, "the quarantine is not applied yet");
     reporter.quarantine_applied(3);
     assert_eq!(reporter.next_report(5).quarantine_edition, 3);
     assert!(reporter.observe(BTreeMap::new()), "a member that is not observed is reported as removed");
@@ -31,7 +30,7 @@
     assert!(!reporter.set_own_availability(Availability::Standby));
 }
 
-/// Guards against a first report of thousands of members that is too long for the keepers, so that its proxy never joins.
+/// Guards against a first report on thousands of members that is too long for the keepers, so that its proxy never joins.
 #[test]
 fn long_report_is_sent_in_parts() {
     let mut reporter = HealthReporter::default();
--- a/crates/decisions/tests/poll_schedule/backoff.rs
+++ b/crates/decisions/tests/poll_schedule/backoff.rs
@@ -1,16 +1,16 @@
-//! The gaps between calls after failures.
+//! Tests of the gaps between calls after failures.
 
 use crate::fixtures::*;
 use linenhill_decisions::poll_schedule::PollSchedule;
 
-/// Guards against a fleet that never lets a service recover, and against one that is notified too late once it has: all calls
-/// are rejected, and the gaps outgrow one turn for each proxy at what services were seen to bear, yet each ends in time
-/// for a drain that is announced at the moment of the recovery, also after a call that timed out after 3 s. Extreme
-/// values cause no panic.
+/// Guards against a fleet whose calls keep a service overloaded, and against one that is notified too late once the
+/// service has recovered. While all calls are rejected, the gaps grow until the fleet calls no faster than services were
+/// seen to serve it. Yet each gap ends in time for a drain announced at the moment of recovery, also after a call that
+/// timed out after 3 s. Extreme values cause no panic.
 #[test]
 fn backoff_is_spread_and_ends_in_time() {
-    // Calls a second that services of fleets of this size were seen to bear.
-    for (fleet, borne) in [(1, 20.0), (3, 20.0), (FLEET, 38.0), (300, 120.0), (u32::MAX, f64::INFINITY)] {
+    // The calls a second that services were seen to serve for fleets of this size.
+    for (fleet, max_rate) in [(1, 20.0), (3, 20.0), (FLEET, 38.0), (300, 120.0), (u32::MAX, f64::INFINITY)] {
         let mut gaps = Vec::new();
         let mut rng = fastrand::Rng::with_seed(3);
         for index in (0..fleet.min(300)).chain([u32::MAX]) {
@@ -25,11 +25,11 @@
                 now = next;
             }
         }
-        let drain_binds = 6_000 * MS + GRACE;
-        assert!(gaps.iter().all(|gap| 3_000 * MS + gap + 1_000 * MS < drain_binds), "{gaps:?}");
+        let drain_effective_at = 6_000 * MS + GRACE;
+        assert!(gaps.iter().all(|gap| 3_000 * MS + gap + 1_000 * MS < drain_effective_at), "{gaps:?}");
         let mean_gap = gaps.iter().sum::<u64>() as f64 / gaps.len() as f64;
         let rate = 1e6 * f64::from(fleet.min(300)) / mean_gap;
-        assert!(rate <= borne, "{fleet} proxies call {rate} times a second");
+        assert!(rate <= max_rate, "{fleet} proxies call {rate} times a second");
     }
     let mut pushed = PollSchedule::new(None, 0, 0, None);
     pushed.list_loaded(0, 0.5, 60);
--- a/crates/decisions/tests/poll_schedule/fixtures.rs
+++ b/crates/decisions/tests/poll_schedule/fixtures.rs
@@ -1,4 +1,4 @@
-//! The sizes and times of the fleet, and schedules of its proxies.
+//! Sizes and times of the fleet, and the schedules of its proxies.
 
 use linenhill_decisions::poll_schedule::PollSchedule;
 
@@ -6,11 +6,11 @@
 pub const MS: u64 = 1_000;
 /// The number of proxies in a large fleet.
 pub const FLEET: u32 = 100;
-/// A proxy that has not polled for so long counts as notified. Microseconds.
+/// A proxy that has not polled for this long counts as notified. Microseconds.
 pub const WITHIN: u64 = 10_000 * MS;
-/// The grace of a drain at a site whose service answers all proxies. Microseconds.
+/// The grace of a drain at a site where one service answers all proxies. Microseconds.
 pub const GRACE: u64 = 2_000 * MS;
-/// When a watch that fell silent at the start is noticed. Microseconds.
+/// When a watch that is silent from the start is detected. Microseconds.
 pub const NOTICED: u64 = 3_000 * MS;
 
 /// The schedule of the proxy with this index, in a fleet of this size.
@@ -18,7 +18,7 @@
     PollSchedule::new(index, fleet, WITHIN, Some(0)).with_drain_grace(GRACE)
 }
 
-/// When the next poll is due, looking once in each millisecond from `from` on. Microseconds.
+/// When the next poll is due, checked every millisecond from `from` on. Microseconds.
 pub fn next_due(schedule: &mut PollSchedule, from: u64) -> u64 {
-    (from..).step_by(MS as usize).find(|at| schedule.take_due(*at)).expect("due")
+    (from..).step_by(MS as usize).find(|at| schedule.take_due(*at)).expect("a poll is due")
 }
--- a/crates/decisions/tests/poll_schedule/main.rs
+++ b/crates/decisions/tests/poll_schedule/main.rs
@@ -1,5 +1,5 @@
-//! When proxies poll one discovery service that serves a whole fleet, one call at a time, and how soon all of them have
-//! the list.
+//! Tests of when proxies poll the one discovery service of a whole fleet, which serves one call at a time, and of how
+//! soon all of them have the list.
 
 mod backoff;
 mod fixtures;
--- a/crates/decisions/tests/poll_schedule/start.rs
+++ b/crates/decisions/tests/poll_schedule/start.rs
@@ -1,20 +1,19 @@
-//! How a fleet that starts together spreads its first calls.
+//! Tests of how a fleet that starts at once spreads its first calls.
 
 use crate::fixtures::*;
 use linenhill_decisions::poll_schedule::PollSchedule;
 
-/// How a fleet that started together was notified.
+/// How a fleet that started at once was notified.
 struct StartResult {
-    /// When the last proxy had its list. Microseconds.
+    /// When the last proxy got its list. Microseconds.
     last_notified: u64,
     calls: usize,
     busiest_second: usize,
 }
 
-/// Plays 20 s with proxies at these places of the fleet, all starting at once, each with a saved list. The
-/// service needs 50 ms for a call, rejects at once what would wait for over a second, and spends its turn on
-/// that all the same.
-fn play_start(starters: &[Option<u32>]) -> StartResult {
+/// Simulates 20 s with the proxies at these indices of the fleet, all starting at once with a saved list. The service
+/// takes 50 ms for a call, and rejects a call at once if it would wait for over a second, but still spends 50 ms on it.
+fn simulate_start(starters: &[Option<u32>]) -> StartResult {
     let mut rng = fastrand::Rng::with_seed(7);
     let mut fleet: Vec<PollSchedule> = starters.iter().map(|index| schedule_of(*index, FLEET)).collect();
     fleet.iter_mut().for_each(|schedule| schedule.list_loaded(0, rng.f64(), 60));
@@ -42,8 +41,8 @@
     }
 }
 
-/// Guards against a queue of abandoned calls: when all proxies called at once, with equal gaps, two thirds of
-/// the fleet never had a list. After a release only most of them call, and the others keep their watch.
+/// Guards against a queue of abandoned calls: when all proxies called at once, with equal gaps, two thirds of the fleet
+/// never got a list. After a release only seven in ten start anew; the others keep their watches.
 #[test]
 fn fleet_that_starts_together_is_notified_with_few_calls() {
     for (part, indexed, calls_most, last_most) in
@@ -53,14 +52,18 @@
             .filter(|index| index % 10 < part)
             .map(|index| Some(index).filter(|_| indexed))
             .collect();
-        let StartResult { last_notified, calls, busiest_second } = play_start(&starters);
-        assert!(last_notified <= last_most * MS, "the last at {last_notified}");
-        assert!(calls <= calls_most && busiest_second <= 30, "{calls} calls, {busiest_second} in a second");
+        let StartResult { last_notified, calls, busiest_second } = simulate_start(&starters);
+        assert!(last_notified <= last_most * MS, "the last proxy was notified at {last_notified} us");
+        assert!(
+            calls <= calls_most && busiest_second <= 30,
+            "{calls} calls, {busiest_second} in the busiest second"
+        );
     }
 }
 
-/// Guards against a first call that comes after what a process missed while it did not run: the incident of a fleet of
-/// 300, whose last proxies called 8 s after their start. All come within 3.4 s, spread evenly, and share no slot.
+/// Guards against a first call too late for changes that were missed while the process did not run, as in the incident
+/// of a fleet of 300 whose last proxies called 8 s after their start. All first calls are made within 3.4 s, evenly
+/// spread over slots that no two proxies share.
 #[test]
 fn first_calls_of_any_fleet_are_spread_and_in_time() {
     for fleet in [1, 2, 30, FLEET, 300, 900, 3_000] {
--- a/crates/decisions/tests/quota/histories.rs
+++ b/crates/decisions/tests/quota/histories.rs
@@ -1,4 +1,5 @@
-//! Seeded histories over a network that loses, duplicates, delays and reorders, with clocks at the edge of the bound.
+//! Seeded histories over a network that loses, duplicates, delays and reorders messages, with clocks at the limits of the
+//! drift bound.
 
 use crate::fixtures::{MS, OUTLIVES_US, TERMS, declare, links_and_probes, request_command};
 use linenhill_decisions::fault_injection::Fault;
@@ -8,33 +9,33 @@
 use linenhill_decisions::quota::table::{QuotaCommand, QuotaReply, QuotaTable};
 use linenhill_decisions::quota::{Grant, QuotaRequest};
 
-/// Clock rates at the edges of the bound on drift and between, in millionths of true time.
+/// Clock rates at both limits of the drift bound and without drift, in millionths of true time.
 const CLOCK_RATES: [u64; 3] = [950_000, 1_000_000, 1_050_000];
-/// The burst of `probes`, in billionths of a unit: the unit in which the observer counts.
+/// The burst of `probes`, in billionths of a unit, as the observer counts.
 const OBSERVED_BURST: u128 = 8_000_000_000;
 /// The rate of `probes`, in billionths of a unit a microsecond.
 const OBSERVED_RATE: u128 = 40_000;
-/// One unit for the observer.
+/// One unit, in billionths.
 const OBSERVED_UNIT: u128 = 1_000_000_000;
-/// Stands for tokens below zero.
+/// The token count of an observer that has seen more units spent than were available.
 const OVERSPENT: u128 = u128::MAX;
 
 #[derive(Clone, Copy)]
 struct Clock {
-    /// What it shows at true time 0.
+    /// The reading at true time 0, in microseconds.
     offset: u64,
-    /// In millionths of true time.
+    /// Clock time per true time, in millionths.
     rate: u64,
 }
 
 impl Clock {
-    fn shows(&self, true_time: u64) -> u64 {
+    fn reading(&self, true_time: u64) -> u64 {
         self.offset + (u128::from(true_time) * u128::from(self.rate) / 1_000_000) as u64
     }
 
-    /// The true time at which it shows `at`.
-    fn true_time(&self, at: u64) -> u64 {
-        (u128::from(at.saturating_sub(self.offset)) * 1_000_000).div_ceil(u128::from(self.rate)) as u64
+    /// The true time of a reading.
+    fn true_time(&self, reading: u64) -> u64 {
+        (u128::from(reading.saturating_sub(self.offset)) * 1_000_000).div_ceil(u128::from(self.rate)) as u64
     }
 }
 
@@ -43,9 +44,9 @@
     incarnation: u64,
     holder: LeaseHolder,
     clock: Clock,
-    is_alive: bool,
+    is_running: bool,
     is_suspended: bool,
-    /// Units in use, each with the true time by which the outside ends it.
+    /// Units in use, each with the true time at which it ends by itself; `u64::MAX` while the process runs.
     units: Vec<u64>,
     wanted_units: u64,
 }
@@ -66,9 +67,9 @@
         self.holder.release("links");
     }
 
-    /// The most units that the outside leaves it at `true_time`: those beyond a limit end at most so long after the lease
-    /// under which they were acquired.
-    fn units_left_at(&self, true_time: u64) -> u64 {
+    /// The most units that can still be in use at `true_time`: units beyond a limit end within [`OUTLIVES_US`] after the
+    /// lease under which they were acquired.
+    fn max_units_at(&self, true_time: u64) -> u64 {
         let LeaseExpiry { quotas, floors } = self.holder.expiry();
         let floor = self.holder.limit(quotas, "links").unwrap_or(0);
         if true_time >= self.clock.true_time(floors).saturating_add(OUTLIVES_US) {
@@ -89,13 +90,13 @@
 
 struct Leader {
     clock_rate: u64,
-    /// The true time up to which it has counted.
+    /// The true time up to which its elapsed clock time is committed.
     counted_to: u64,
 }
 
-/// What an outside observer of `probes` counts.
+/// The tokens of `probes`, counted independently of the code under test.
 struct ObservedRate {
-    /// Tokens left, in billionths of a unit; [`OVERSPENT`] once more was spent than there was.
+    /// Tokens left, in billionths of a unit; [`OVERSPENT`] once more was spent than was available.
     tokens: u128,
     counted_to: u64,
     spent: u64,
@@ -120,7 +121,7 @@
     }
 }
 
-/// A fleet under faults.
+/// A fleet with faults of its processes, network, leader and clocks.
 struct FaultyFleet {
     rng: fastrand::Rng,
     true_time: u64,
@@ -130,7 +131,7 @@
     network: Vec<Message>,
     total: u64,
     probes: ObservedRate,
-    /// The most units that were in use at once.
+    /// The most units in use at once so far.
     peak_use: u64,
 }
 
@@ -157,7 +158,7 @@
         CLOCK_RATES[self.rng.usize(0..CLOCK_RATES.len())]
     }
 
-    /// A new leader. What the one before had counted and not agreed on is lost.
+    /// Elects a new leader. Time that the previous leader counted but did not commit is lost.
     fn elect_leader(&mut self) {
         let clock_rate = self.draw_clock_rate();
         self.leader = Some(Leader { clock_rate, counted_to: self.true_time });
@@ -171,7 +172,7 @@
             incarnation: self.rng.u64(1..),
             holder: LeaseHolder::new(TERMS.lease_us),
             clock: Clock { offset, rate },
-            is_alive: true,
+            is_running: true,
             is_suspended: false,
             units: Vec::new(),
             wanted_units: self.rng.u64(0..12),
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Delivers any message; one in six stays in the network to be delivered again.
+    /// Delivers a random message; one in six stays in the network and can be delivered again.
     fn deliver(&mut self) {
         if self.network.is_empty() {
             return;
@@ -207,9 +208,9 @@
 
     fn deliver_answer(&mut self, incarnation: u64, result: Result<Grant, SessionRejected>) {
         let next_incarnation = self.rng.u64(1..u64::MAX);
-        let is_receiver = |p: &&mut Process| p.incarnation == incarnation && p.is_alive && !p.is_suspended;
+        let is_receiver = |p: &&mut Process| p.incarnation == incarnation && p.is_running && !p.is_suspended;
         let Some(process) = self.processes.iter_mut().find(is_receiver) else { return };
-        let now = process.clock.shows(self.true_time);
+        let now = process.clock.reading(self.true_time);
         match result {
             Ok(grant) => _ = process.holder.apply_grant(now, grant),
             Err(SessionRejected::Superseded) => {
@@ -220,15 +221,15 @@
         }
     }
 
-    /// One process acts as its driver would.
+    /// Runs one step of a random process, as its driver would.
     fn step_process(&mut self) {
         let index = self.rng.usize(0..self.processes.len());
         let action = self.rng.u8(0..8);
         let process = &mut self.processes[index];
-        if !process.is_alive || process.is_suspended {
+        if !process.is_running || process.is_suspended {
             return;
         }
-        let now = process.clock.shows(self.true_time);
+        let now = process.clock.reading(self.true_time);
         let in_use = process.units_in_use();
         let wanted = process.wanted_units;
         match action {
@@ -250,24 +251,25 @@
         }
     }
 
-    /// True time goes on, and the outside ends what must have ended.
+    /// Advances true time, and ends the units whose time is over.
     fn advance_time(&mut self) {
         let longest = [1, 20, 150, 700][self.rng.usize(0..4)] * MS;
         self.true_time += self.rng.u64(1..=longest);
         let true_time = self.true_time;
         for process in &mut self.processes {
-            let left = process.units_left_at(true_time);
+            let left = process.max_units_at(true_time);
             while process.units_in_use() > left {
                 process.release_one();
             }
-            if !process.is_alive {
+            if !process.is_running {
                 process.units.retain(|ends_at| true_time < *ends_at);
             }
         }
         self.probes.refill(true_time);
     }
 
-    fn disturb(&mut self) {
+    /// Applies a random fault, or ends one.
+    fn apply_fault(&mut self) {
         let index = self.rng.usize(0..self.processes.len());
         match self.rng.u8(0..12) {
             0 => self.leader = None,
@@ -275,9 +277,9 @@
             4 => self.elect_leader(),
             5 => self.processes[index].is_suspended = true,
             6 | 7 => self.processes[index].is_suspended = false,
-            8 if self.processes[index].is_alive => self.restart(index),
-            9 if self.processes.iter().filter(|p| p.is_alive).count() < 6 => {
-                // The name may be that of a live process.
+            8 if self.processes[index].is_running => self.restart(index),
+            9 if self.processes.iter().filter(|p| p.is_running).count() < 6 => {
+                // A running process may have the same name.
                 let name = format!("p{}", self.rng.u8(0..5));
                 self.start_process(&name);
             }
@@ -293,32 +295,34 @@
         }
     }
 
-    /// A process dies and is started again under its name.
+    /// Ends a process and starts another one under its name.
     fn restart(&mut self, index: usize) {
         let true_time = self.true_time;
         let process = &mut self.processes[index];
-        process.is_alive = false;
+        process.is_running = false;
         process.units.iter_mut().for_each(|ends_at| *ends_at = true_time + OUTLIVES_US);
         let name = process.name.clone();
         self.start_process(&name);
     }
 
-    /// Checks the sums from outside: the units in use, and those that may be acquired next.
+    /// Checks the units in use, those that may be acquired next, and the observed tokens against the budgets.
     fn check(&mut self) -> Result<(), String> {
         let true_time = self.true_time;
         let possible_use = |process: &Process| {
             let in_use = process.units_in_use();
-            let limit = process.holder.limit(process.clock.shows(true_time), "links").unwrap_or(0);
-            if process.is_alive { in_use.max(limit) } else { in_use }
+            let limit = process.holder.limit(process.clock.reading(true_time), "links").unwrap_or(0);
+            if process.is_running { in_use.max(limit) } else { in_use }
         };
         let possible: u64 = self.processes.iter().map(possible_use).sum();
         let in_use: u64 = self.processes.iter().map(Process::units_in_use).sum();
         self.peak_use = self.peak_use.max(in_use);
         if possible > self.total {
-            return Err(format!("links: {possible} of {} at {true_time} us", self.total));
+            return Err(format!("links: {possible} of {} units may be in use at {true_time} us", self.total));
         }
         if self.probes.tokens == OVERSPENT {
-            return Err(format!("probes: more than the rate and its burst at {true_time} us"));
+            return Err(format!(
+                "probes: more units spent than the rate and its burst allow at {true_time} us"
+            ));
         }
         Ok(())
     }
@@ -326,7 +330,7 @@
     fn run(&mut self, steps: usize) -> Result<(), String> {
         for _ in 0..steps {
             match self.rng.u8(0..20) {
-                0 => self.disturb(),
+                0 => self.apply_fault(),
                 1..=3 => self.advance_time(),
                 4..=9 => self.deliver(),
                 _ => self.step_process(),
@@ -337,36 +341,37 @@
     }
 }
 
-/// What all histories together reached.
-struct Reached {
+/// Totals over all histories, which show that the budgets were used.
+struct HistoryTotals {
     /// The most units in use at once, in percent of the total.
     peak_percent: u64,
-    /// Units of `probes` that were spent.
+    /// Units of `probes` spent.
     spent: u64,
 }
 
-fn run_histories(seeds: std::ops::Range<u64>, steps: usize) -> Result<Reached, String> {
-    let mut reached = Reached { peak_percent: 0, spent: 0 };
+fn run_histories(seeds: std::ops::Range<u64>, steps: usize) -> Result<HistoryTotals, String> {
+    let mut totals = HistoryTotals { peak_percent: 0, spent: 0 };
     for seed in seeds {
         let (total, floor) = [(10, 0), (10, 1), (24, 3), (2, 1), (1, 0)][(seed % 5) as usize];
         let mut fleet = FaultyFleet::new(seed, total, floor);
         fleet.run(steps).map_err(|e| format!("seed {seed}: {e}"))?;
-        reached.peak_percent = reached.peak_percent.max(fleet.peak_use * 100 / total);
-        reached.spent += fleet.probes.spent;
+        totals.peak_percent = totals.peak_percent.max(fleet.peak_use * 100 / total);
+        totals.spent += fleet.probes.spent;
     }
-    Ok(reached)
+    Ok(totals)
 }
 
-/// Guards against any sum over the total, whatever is lost, duplicated, late, suspended, killed or replaced; and against
-/// a checker that never sees a budget used up.
+/// Guards against units in use beyond the total when messages are lost, duplicated or late, and processes or leaders are
+/// suspended, killed or replaced; and against histories that never use up a budget.
 #[test]
 fn sum_never_exceeds_total() {
-    let Reached { peak_percent, spent } = run_histories(0..400, 1_500).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!(peak_percent, 100, "some history has a whole budget in use");
-    assert!(spent > 1_000, "{spent} units were spent");
+    let HistoryTotals { peak_percent, spent } =
+        run_histories(0..400, 1_500).unwrap_or_else(|e| panic!("{e}"));
+    assert_eq!(peak_percent, 100, "at least one history uses up a budget");
+    assert!(spent > 1_000, "{spent} units of probes were spent");
 }
 
-/// Guards against a checker that cannot fail: each injected fault is found.
+/// Guards against a checker that cannot fail: it must detect each injected fault.
 #[cfg(feature = "fault-injection")]
 #[test]
 fn every_injected_fault_is_found() {
@@ -375,12 +380,12 @@
         inject(Some(fault));
         let found = run_histories(0..400, 1_500);
         inject(None);
-        assert!(found.is_err(), "{name} was not found");
+        assert!(found.is_err(), "the injected fault {name} was not detected");
     }
     assert!(run_histories(0..20, 500).is_ok());
 }
 
-/// Guards against a fault that tests with processes cannot choose.
+/// Guards against a fault without the name by which tests of whole processes select it.
 #[test]
 fn faults_have_names() {
     assert!(Fault::QUOTA.iter().all(|(_, name)| !name.is_empty()));
--- a/crates/decisions/tests/quota/main.rs
+++ b/crates/decisions/tests/quota/main.rs
@@ -1,6 +1,5 @@
-//! Quotas of the fleet's budgets under everything that can go wrong between a granter that is replaced and proxies that
-//! join, are suspended, resume and die. The checkers know the totals and look at the units in use; they know nothing of
-//! quotas.
+//! Tests of the quotas of fleet-wide budgets under faults: the granter is replaced, and proxies join, are suspended,
+//! resume and crash. The checkers compare the units in use with the totals, independently of the quotas.
 
 mod bounds;
 mod fixtures;
--- a/crates/decisions/tests/quota/max_min_fair.rs
+++ b/crates/decisions/tests/quota/max_min_fair.rs
@@ -1,8 +1,8 @@
-//! Max-min fair division by itself.
+//! Tests of max-min fair division.
 
 use linenhill_decisions::quota::max_min_fair::{Claim, max_min_fair};
 
-/// Guards against units lost to rounding, more than was demanded, and a division that favours anybody.
+/// Guards against units lost to rounding, more units than a claim demands, and a division that favours a claim.
 #[test]
 fn division_is_fair_and_loses_nothing() {
     let mut rng = fastrand::Rng::with_seed(1);
@@ -15,7 +15,7 @@
         let demanded: u64 = claims.iter().map(|claim| claim.demand).sum();
         assert_eq!(units.iter().sum::<u64>(), total.min(demanded), "{claims:?}");
         assert!(units.iter().zip(&claims).all(|(got, claim)| *got <= claim.demand));
-        // A claim with less than its demand has no less than any other, but for one unit left over by rounding.
+        // A claim below its demand has at most one unit less than any other claim, from the remainder of the division.
         for (got, claim) in units.iter().zip(&claims).filter(|(got, claim)| **got < claim.demand) {
             assert!(units.iter().all(|other| *other <= got + 1), "{claims:?} {units:?} {claim:?}");
         }
--- a/crates/decisions/tests/quota/search.rs
+++ b/crates/decisions/tests/quota/search.rs
@@ -1,4 +1,4 @@
-//! An exhaustive search of a small fleet: every order of events for two proxies and a few requests.
+//! An exhaustive search of a small fleet: every order of events for two proxies and two or three requests.
 
 use crate::fixtures::{declare, request_command};
 use linenhill_decisions::membership::LeaseTerms;
@@ -8,34 +8,34 @@
 use std::collections::BTreeSet;
 
 const TERMS: LeaseTerms = LeaseTerms { lease_us: 3, membership_us: 5, drift_ppm: 333_334 };
-/// What a slow and a fast clock show in a tick, which takes three units of true time.
+/// How far a slow and a fast clock advance in one tick, which takes three units of true time.
 const CLOCK_RATES: [u64; 2] = [2, 4];
 const MAX_TICKS: usize = 3;
 const MAX_ELECTIONS: usize = 1;
 
-/// One state: two proxies, one granter that may be replaced, and every message that was ever sent. Each message may be
-/// delivered at any time and any number of times.
+/// One state: two proxies, one granter that may be replaced, and all messages sent so far. Each message may be delivered
+/// at any time and any number of times.
 #[derive(Clone)]
 struct SearchState {
     table: QuotaTable,
     holders: [LeaseHolder; 2],
     clocks: [u64; 2],
-    /// What the leader's clock showed since it last counted.
+    /// Time on the leader's clock since its last entry in the log.
     uncounted: u64,
-    /// Requests that were sent, with the index of the holder.
+    /// All requests sent, with the index of the holder.
     requests: Vec<(usize, QuotaRequest)>,
-    /// Grants that were sent, with the index of the holder.
+    /// All grants sent, with the index of the holder.
     grants: Vec<(usize, Grant)>,
     request_count: usize,
     max_requests: usize,
     ticks: usize,
     elections: usize,
-    /// What each clock shows in a tick: the holders' and the leader's.
+    /// How far each clock advances in a tick: those of the holders, then the leader's.
     clock_rates: [u64; 3],
 }
 
 impl SearchState {
-    /// Identifies the state; the order of messages makes no difference.
+    /// Identifies the state, regardless of the order in which messages were sent.
     fn key(&self) -> Vec<u8> {
         let mut requests: Vec<String> = self.requests.iter().map(|sent| format!("{sent:?}")).collect();
         let mut grants: Vec<String> = self.grants.iter().map(|sent| format!("{sent:?}")).collect();
@@ -47,7 +47,7 @@
         format!("{machines}{messages}{counts:?}").into_bytes()
     }
 
-    /// Every state that one event leads to.
+    /// All states that one event can lead to.
     fn successors(&self) -> Vec<SearchState> {
         let mut next = Vec::new();
         if self.ticks < MAX_TICKS {
@@ -89,7 +89,7 @@
         let elapsed = std::mem::take(&mut next.uncounted);
         let replies = next.table.apply(elapsed, vec![command]);
         let grants: Vec<Grant> = replies.into_iter().filter_map(|reply| reply.result.ok()).collect();
-        // A request that is delivered again is rejected, and changes nothing but log time.
+        // A repeated request is rejected and changes only log time.
         let is_new_state = !grants.is_empty() || (elapsed > 0 && next.elections == 0);
         next.grants.extend(grants.into_iter().map(|grant| (holder, grant)));
         is_new_state.then_some(next)
@@ -102,7 +102,7 @@
         next.holders[holder].apply_grant(now, grant).then_some(next)
     }
 
-    /// Another leader: what this one had not counted is lost.
+    /// Elects another leader. Time that the current leader has not yet committed is lost.
     fn after_election(&self) -> SearchState {
         let mut next = self.clone();
         next.elections += 1;
@@ -110,21 +110,21 @@
         next
     }
 
-    /// Units that both holders may use now.
+    /// The sum of the units that the holders may use now.
     fn possible_use(&self) -> u64 {
         (0..2).map(|holder| self.holders[holder].limit(self.clocks[holder], "b").unwrap_or(0)).sum()
     }
 }
 
-/// What a search found.
-struct Found {
+/// The result of a search.
+struct SearchResult {
     states: usize,
-    /// The most units that both holders may use in any state.
-    most_used: u64,
+    /// The largest sum of units that the holders may use, over all states.
+    max_possible_use: u64,
 }
 
-/// Visits every state that can be reached with a budget of `total` units.
-fn search(total: u64) -> Found {
+/// Visits all reachable states with a budget of `total` units.
+fn search(total: u64) -> SearchResult {
     let mut first = SearchState {
         table: QuotaTable::default(),
         holders: [LeaseHolder::new(TERMS.lease_us), LeaseHolder::new(TERMS.lease_us)],
@@ -133,7 +133,7 @@
         requests: vec![],
         grants: vec![],
         request_count: 0,
-        // The long proof has three, over some millions of states.
+        // Three requests take some millions of states, which only long runs search.
         max_requests: if std::env::var_os("LINENHILL_LONG").is_some() { 3 } else { 2 },
         ticks: 0,
         elections: 0,
@@ -142,21 +142,22 @@
     let budget = Budget { total, floor: 0, burst: 0, outlives_us: 0, per_key: false };
     first.table.apply(0, vec![declare(TERMS, [("b".to_string(), budget)].into())]);
     first.holders.iter_mut().for_each(|holder| holder.enforce("b", false));
-    // The holders' clocks at both edges, before a leader's that is fast: the edge that ends things too early.
+    // Each holder's clock at either limit of the drift bound, and a fast clock of the leader: with that the granter
+    // expires grants earliest.
     let rates = (0..4).map(|n: usize| [CLOCK_RATES[n & 1], CLOCK_RATES[n >> 1], CLOCK_RATES[1]]);
-    let mut open: Vec<SearchState> =
+    let mut unvisited: Vec<SearchState> =
         rates.map(|clock_rates| SearchState { clock_rates, ..first.clone() }).collect();
     let mut visited = BTreeSet::new();
-    let mut most_used = 0;
-    while let Some(state) = open.pop() {
-        most_used = most_used.max(state.possible_use());
+    let mut max_possible_use = 0;
+    while let Some(state) = unvisited.pop() {
+        max_possible_use = max_possible_use.max(state.possible_use());
         for next in state.successors() {
             if visited.insert(hash(&next.key())) {
-                open.push(next);
+                unvisited.push(next);
             }
         }
     }
-    Found { states: visited.len(), most_used }
+    SearchResult { states: visited.len(), max_possible_use }
 }
 
 /// FNV-1a over 128 bits. A collision would only leave a state unvisited.
@@ -166,25 +167,26 @@
     })
 }
 
-/// "At no moment may the proxies together use more than the whole": every order of requests, grants, losses, duplicates,
-/// delays, elections, and of clocks at either edge of the bound, for two proxies, two or three requests and three ticks.
+/// Guards against proxies that together may use more than the total at any moment, in every order of requests, grants,
+/// losses, duplicates, delays and elections, with clocks at either limit of the drift bound: for two proxies, two or
+/// three requests and three ticks.
 #[test]
 fn no_order_of_events_exceeds_the_total() {
-    let Found { states, most_used } = search(1);
-    println!("{states} states, at most {most_used} of 1 in use");
-    assert_eq!(most_used, 1, "reached, and never exceeded, in {states} states");
-    assert!(states > 10_000, "{states}");
+    let SearchResult { states, max_possible_use } = search(1);
+    println!("{states} states, at most {max_possible_use} of 1 unit in use");
+    assert_eq!(max_possible_use, 1, "the total is reached and never exceeded in {states} states");
+    assert!(states > 10_000, "only {states} states were searched");
 }
 
-/// Guards against a search that cannot fail.
+/// Guards against a search that cannot fail: it must detect injected faults.
 #[cfg(feature = "fault-injection")]
 #[test]
 fn search_finds_injected_faults() {
     use linenhill_decisions::fault_injection::{Fault, inject};
     for fault in [Fault::NoDriftMargin, Fault::LeaseFromReceipt] {
         inject(Some(fault));
-        let Found { states, most_used } = search(1);
+        let SearchResult { states, max_possible_use } = search(1);
         inject(None);
-        assert!(most_used > 1, "{fault:?} was not found in {states} states");
+        assert!(max_possible_use > 1, "the injected fault {fault:?} was not detected in {states} states");
     }
 }
