--- a/crates/decisions/tests/client_retry.rs
+++ b/crates/decisions/tests/client_retry.rs
@@ -1,5 +1,4 @@
-//! How long clients have been retrying, by the timeouts of their requests; and the work that is dropped
-//! because of it.
+//! Tests of the estimate of how long a client has been retrying, and of the requests that are rejected because of it.
 
 mod common;
 
@@ -11,17 +10,18 @@
 const OBJECTIVE: u64 = 500 * MS;
 const WORK: f64 = 100_000.0;
 
-/// One class with this client timeout.
+/// An estimator for one class with this client timeout, in microseconds.
 fn estimator(client_timeout: u64) -> ClientRetryEstimator {
     ClientRetryEstimator::new([client_timeout].into_iter())
 }
 
-/// What is left of the latency objective for a request with this timeout.
+/// The remainder of the latency objective for a request with this timeout; `None` if it can't be met.
 fn objective_left(estimator: &mut ClientRetryEstimator, timeout: u64) -> Option<u64> {
     estimator.objective_left(0, timeout, OBJECTIVE, WORK)
 }
 
-/// Guards against capacity spent on last attempts that can't be in time under overload, instead of on requests that can.
+/// Guards against capacity spent, under overload, on a client's last attempt that can no longer meet the objective.
+/// The timeout of a last attempt is the remainder of the client's total timeout, so it differs from the usual one.
 #[test]
 fn unusual_timeout_is_what_remains_to_the_client() {
     let mut estimator = estimator(CLIENT_TIMEOUT);
@@ -35,23 +35,26 @@
             first_attempts +=
                 u32::from(objective_left(&mut estimator, 800 * MS - travelled) == Some(OBJECTIVE));
         } else if n % 8 == 3 {
-            // Begun 460 to 1,200 ms ago: nothing can be in time.
+            // First attempt 460 to 1,200 ms ago: no answer can meet the objective.
             let timeout = [rng.u64(300..780), rng.u64(820..1_040)][n / 8 % 2] * MS;
             too_late += u32::from(objective_left(&mut estimator, timeout).is_none());
         } else {
-            // Begun 100 to 300 ms ago: the rest of the objective is there.
+            // First attempt 100 to 300 ms ago: part of the objective is left.
             let timeout = rng.u64(1_200..1_400) * MS;
             in_time += u32::from(
                 objective_left(&mut estimator, timeout) == Some(OBJECTIVE + timeout - CLIENT_TIMEOUT),
             );
         }
     }
-    assert!(first_attempts >= 2_990, "{first_attempts} of 3000 first attempts keep their time");
-    assert!(too_late >= 450 && in_time >= 450, "{too_late} and {in_time} of 500 last attempts are known");
+    assert!(first_attempts >= 2_990, "{first_attempts} of 3000 first attempts keep the full objective");
+    assert!(
+        too_late >= 450 && in_time >= 450,
+        "{too_late} of 500 late and {in_time} of 500 timely last attempts are recognised"
+    );
 }
 
-/// Guards against starving clients that are of another kind or each have a timeout of their own, and against extreme
-/// timeouts.
+/// Guards against a shortened objective for first attempts: for a minority of clients with another timeout, for clients
+/// whose timeouts all differ, and for extreme timeouts.
 #[test]
 fn nothing_is_concluded_without_a_usual_timeout() {
     let mut rng = fastrand::Rng::with_seed(12);
@@ -59,27 +62,28 @@
     let mut all_different = estimator(CLIENT_TIMEOUT);
     let mut unknown_client_timeout = estimator(0);
     let mut some_shorter = estimator(CLIENT_TIMEOUT);
-    // Requests of each that lose a part of the objective.
-    let mut harmed = [0; 4];
+    // The number of requests for each estimator whose objective was shortened.
+    let mut shortened = [0; 4];
     for n in 0..5_000u64 {
         let is_tenth = n % 10 == 0;
-        // One in ten is of a kind that waits for 300 ms only.
+        // One request in ten comes from clients with a timeout of 300 ms.
         let timeout = (if is_tenth { 300 } else { 900 }) * MS - rng.u64(0..3) * MS;
-        let is_harmed = objective_left(&mut two_kinds, timeout) != Some(OBJECTIVE);
-        harmed[0] += u32::from(n >= 200 && is_harmed);
+        let is_shortened = objective_left(&mut two_kinds, timeout) != Some(OBJECTIVE);
+        shortened[0] += u32::from(n >= 200 && is_shortened);
         let timeout = rng.u64(1..1_500) * MS;
-        harmed[1] += u32::from(objective_left(&mut all_different, timeout) != Some(OBJECTIVE));
-        // One in ten has a shorter timeout, each its own, and no client waits for longer than usual.
+        shortened[1] += u32::from(objective_left(&mut all_different, timeout) != Some(OBJECTIVE));
+        // One request in ten has a random shorter timeout. No timeout is longer than the usual one, which would show that
+        // the shorter ones are remainders.
         let timeout = if is_tenth { rng.u64(100..850) } else { 900 } * MS;
-        harmed[2] += u32::from(objective_left(&mut some_shorter, timeout) != Some(OBJECTIVE));
+        shortened[2] += u32::from(objective_left(&mut some_shorter, timeout) != Some(OBJECTIVE));
         let timeout = rng.u64(0..2) * u64::MAX;
-        harmed[3] += u32::from(objective_left(&mut unknown_client_timeout, timeout) != Some(OBJECTIVE));
+        shortened[3] += u32::from(objective_left(&mut unknown_client_timeout, timeout) != Some(OBJECTIVE));
     }
-    assert_eq!(harmed, [0; 4]);
+    assert_eq!(shortened, [0; 4]);
 }
 
-/// Guards against last attempts that take a busy member's capacity, and against rejecting them where there is
-/// enough.
+/// Guards against last attempts that use capacity of busy members, and against rejecting them while members have spare
+/// capacity.
 #[test]
 fn last_attempt_needs_spare_capacity() {
     let mut settings = default_settings();
@@ -88,19 +92,19 @@
     let mut harness = RouterHarness::new(settings);
     for _ in 0..100 {
         let id = harness.send_request(ANY, 800, None);
-        let member = *harness.attempted_members(id).last().expect("sent");
+        let member = *harness.attempted_members(id).last().expect("the request was sent");
         harness.end_attempt(id, 0, member, AttemptResult::without_position(Outcome::Ok, 20, Role::Replica));
         harness.actions.clear();
     }
     let idle = harness.send_request(ANY, 400, None);
-    assert_eq!(harness.attempted_members(idle).len(), 1, "members are idle: it is served");
-    // Some that wait for longer than usual show that the unusual timeouts are remainders.
+    assert_eq!(harness.attempted_members(idle).len(), 1, "members are idle, so the last attempt is sent");
+    // Timeouts longer than the usual one show that unusual timeouts are remainders.
     for n in 0..4 {
         let id = harness.send_request(ANY, 900 + 100 * n, None);
-        let member = *harness.attempted_members(id).last().expect("sent");
+        let member = *harness.attempted_members(id).last().expect("the request was sent");
         harness.end_attempt(id, 0, member, AttemptResult::without_position(Outcome::Ok, 20, Role::Replica));
     }
-    // Ordinary requests still find capacity, and a last attempt doesn't.
+    // First attempts still get capacity; a last attempt is rejected.
     let busy: Vec<RequestId> = (0..6).map(|_| harness.send_request(ANY, 800, None)).collect();
     assert!(busy.iter().all(|id| harness.attempted_members(*id).len() == 1));
     let late = harness.send_request(ANY, 400, None);
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The router alone in virtual time: settings to start from, and a harness that sends it events and keeps its actions.
-#![allow(dead_code, unused_imports)] // Each test file uses a part of it.
+//! A harness that drives one router in virtual time, without I/O, and the default settings of its tests.
+#![allow(dead_code, unused_imports)] // Each test binary uses only a part of it.
 
 mod router_harness;
 mod settings;
--- a/crates/decisions/tests/common/router_harness.rs
+++ b/crates/decisions/tests/common/router_harness.rs
@@ -1,4 +1,4 @@
-//! A driver for one router: delivers events and timers, and keeps the actions.
+//! Drives one router: delivers events and due timers, and records the actions.
 
 use super::settings::*;
 use linenhill_decisions::api::*;
@@ -16,7 +16,7 @@
     })
 }
 
-/// A member of [`GROUP`] as lists name it: in service, without a start or a primary hint.
+/// A listed member of [`GROUP`]: in service, without a start time or a primary hint.
 pub fn list_entry(member: u32) -> ListEntry {
     ListEntry {
         member: MemberId(member),
@@ -30,7 +30,7 @@
     }
 }
 
-/// How an attempt ends, with what its member reported about itself.
+/// How an attempt ends, with the position and role that its member reports.
 pub struct AttemptResult {
     pub outcome: Outcome,
     pub latency_ms: u64,
@@ -50,40 +50,40 @@
         AttemptResult { outcome: Outcome::Ok, latency_ms, position: Some(position), role: None }
     }
 
-    /// Ended at a member that reports its role and no position.
+    /// Ended at a member that reports its role but no position.
     pub fn without_position(outcome: Outcome, latency_ms: u64, role: Role) -> AttemptResult {
         AttemptResult { outcome, latency_ms, position: None, role: Some(role) }
     }
 
-    /// Ended without a position or a role of the member.
+    /// Ended without a reported position or role.
     pub fn without_report(outcome: Outcome, latency_ms: u64) -> AttemptResult {
         AttemptResult { outcome, latency_ms, position: None, role: None }
     }
 }
 
-/// How a replica that is up to date ends an attempt.
+/// How an up-to-date replica ends an attempt.
 pub struct MemberAnswer {
     pub outcome: Outcome,
     pub latency_ms: u64,
-    /// The utilisation that the member reports: 1 is all of its processors.
+    /// The reported utilisation of the member's processors; 1 if all are busy.
     pub utilisation: f64,
 }
 
-/// One router and its virtual time.
+/// One router, and its clock in virtual time.
 pub struct RouterHarness {
     pub router: Router,
     /// The virtual time, in microseconds.
     pub now: u64,
-    /// The actions of the router so far, except its timers.
+    /// The actions of the router so far, without [`Action::SetTimer`].
     pub actions: Vec<Action>,
     /// When each timer is due, and its token.
     timers: Vec<(u64, u64)>,
-    /// The number of requests so far, of which their ids are made.
+    /// The number of requests so far, from which request ids are derived.
     request_count: u8,
 }
 
 impl RouterHarness {
-    /// A router with member 1 as its confirmed primary and members 2 and 3 as replicas, all with positions of now.
+    /// A router with member 1 as its confirmed primary and members 2 and 3 as replicas, all at the current position.
     pub fn new(settings: Settings) -> RouterHarness {
         let mut harness = RouterHarness::empty(settings);
         harness.update_list((1..=3).map(list_entry).collect());
@@ -109,7 +109,7 @@
         RouterHarness { router, now, actions: vec![], timers: vec![], request_count: 0 }
     }
 
-    /// Delivers an event at the current time and keeps the actions.
+    /// Delivers an event at the current time and records the actions.
     pub fn handle(&mut self, event: Event) {
         let mut actions = vec![];
         self.router.handle(Time(self.now), event, &mut actions);
@@ -126,20 +126,20 @@
         self.handle(Event::ListUpdated(ListUpdate::Full(Arc::new(entries))));
     }
 
-    /// A health check of the member is answered with this position, in microseconds, and this role.
+    /// Answers a health check of the member with this position, in microseconds, and this role.
     pub fn report_health(&mut self, member: u32, position: u64, role: Role) {
         let position = Some(LogPosition(position));
         let report = LoadReport { position, role: Some(role), ..LoadReport::default() };
         self.handle(Event::HealthCheckEnded { member: MemberId(member), outcome: Outcome::Ok, report });
     }
 
-    /// A health check of the member fails with this outcome.
+    /// Fails a health check of the member with this outcome.
     pub fn fail_health_check(&mut self, member: u32, outcome: Outcome) {
         let report = LoadReport::default();
         self.handle(Event::HealthCheckEnded { member: MemberId(member), outcome, report });
     }
 
-    /// A request arrives, with so many milliseconds until its deadline. Returns its id.
+    /// Delivers a request with `time_left_ms` milliseconds until its deadline. Returns its id.
     pub fn send_request(&mut self, class: ClassId, time_left_ms: u64, session: Option<u64>) -> RequestId {
         self.request_count += 1;
         let id = RequestId([self.request_count; 36]);
@@ -155,7 +155,7 @@
         id
     }
 
-    /// An attempt of a request at this member ends. Only `Outcome::Ok` ends the request, too.
+    /// Ends an attempt at this member. Only `Outcome::Ok` ends the request as well.
     pub fn end_attempt(&mut self, id: RequestId, attempt: u32, member: u32, result: AttemptResult) {
         self.handle(Event::AttemptEnded(AttemptEnd {
             id,
@@ -170,8 +170,7 @@
         }));
     }
 
-    /// Ends the latest attempt of a request if it was sent to a member for which `answers` is true. Returns that
-    /// member.
+    /// Ends the latest attempt of a request if `answers` holds for its member. Returns that member.
     pub fn end_latest_attempt(
         &mut self, id: RequestId, answer: MemberAnswer, answers: impl Fn(u32) -> bool,
     ) -> Option<u32> {
@@ -192,15 +191,15 @@
         Some(member)
     }
 
-    /// A replica that is up to date serves the latest attempt of a request. Panics if there is no attempt.
+    /// Ends the latest attempt of a request as served by an up-to-date replica. Panics if there is no attempt.
     pub fn answer_latest_attempt(&mut self, id: RequestId, latency_ms: u64) {
         let attempted = self.attempted_members(id);
-        let member = *attempted.last().expect("sent");
+        let member = *attempted.last().expect("the request was sent");
         let result = AttemptResult::answered(latency_ms, self.now, Role::Replica);
         self.end_attempt(id, attempted.len() as u32 - 1, member, result);
     }
 
-    /// Sends so many reads, one after the other, and asserts that each is attempted at this member alone.
+    /// Sends `reads` reads one after the other, and asserts that each is attempted at this member alone.
     pub fn assert_reads_go_to(&mut self, class: ClassId, reads: usize, member: u32) {
         for _ in 0..reads {
             let read = self.send_request(class, 1_000, None);
@@ -209,7 +208,8 @@
         }
     }
 
-    /// A write of the session, served by member 1 after `ms`. Returns its commit position, in microseconds.
+    /// Sends a write of the session, which member 1 serves after `ms` milliseconds. Returns its commit position, in
+    /// microseconds.
     pub fn complete_write(&mut self, session: u64, ms: u64) -> u64 {
         let id = self.send_request(WRITE, 2_000, Some(session));
         assert_eq!(self.attempted_members(id), [1]);
@@ -218,7 +218,7 @@
         self.now
     }
 
-    /// Lets so many milliseconds pass and delivers the timers that come due.
+    /// Advances the clock by `ms` milliseconds and delivers the timers that become due.
     pub fn advance(&mut self, ms: u64) {
         let end = self.now + ms * MS;
         while let Some(index) = self.next_timer_due_by(end) {
@@ -236,7 +236,7 @@
             .min_by_key(|index| self.timers[*index])
     }
 
-    /// The members that a request was sent to, one an attempt, in order.
+    /// The member of each attempt of a request, in order.
     pub fn attempted_members(&self, id: RequestId) -> Vec<u32> {
         let member_of = |action: &Action| match action {
             Action::Send { id: sent, member, .. } if *sent == id => Some(member.0),
@@ -245,7 +245,7 @@
         self.actions.iter().filter_map(member_of).collect()
     }
 
-    /// The number of final answers that the router itself gave a request: rejected or failed.
+    /// The number of final answers, rejected or failed, that the router itself gave to a request.
     pub fn final_answers(&self, id: RequestId) -> usize {
         let is_final = |action: &&Action| match action {
             Action::Reject { id: answered, .. } | Action::Fail { id: answered } => *answered == id,
--- a/crates/decisions/tests/common/settings.rs
+++ b/crates/decisions/tests/common/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that tests begin with, and the names of their classes.
+//! The default settings of the tests, and their classes.
 
 use linenhill_decisions::api::*;
 
@@ -13,7 +13,8 @@
 /// The only group of these tests.
 pub const GROUP: GroupId = GroupId(7);
 
-/// A site with a class for each read level, remembered session positions and nothing optional but health checks.
+/// Settings with a class for each read level and remembered session positions. Of the optional mechanisms, attempts may
+/// be cancelled, health checks and Retry-After are on, gossip and hedging are off.
 pub fn default_settings() -> Settings {
     let class = |objective: u64, idempotency, read_level| Class {
         latency_objective: Micros(objective * MS),
@@ -66,7 +67,7 @@
     }
 }
 
-/// Settings of a site whose replicas reject reads whose position they have not applied.
+/// Default settings, but replicas reject reads whose position they have not applied.
 pub fn settings_with_replica_check() -> Settings {
     Settings { position_check: PositionCheck::Reject, ..default_settings() }
 }
--- a/crates/decisions/tests/connection_admission.rs
+++ b/crates/decisions/tests/connection_admission.rs
@@ -1,4 +1,4 @@
-//! Connection admission alone: the load of a recorded incident in virtual time, and events in random orders.
+//! Tests of connection admission: the load of a recorded incident in virtual time, and random sequences of events.
 
 use linenhill_decisions::api::{Micros, Time};
 use linenhill_decisions::connection_admission::{
@@ -16,17 +16,18 @@
     max_retry_after: Micros(2_000 * MS),
 };
 
-/// Clients that send one request on each connection and hold it until they are asked to close it: 300
-/// requests a second over at most 128 connections, of 30 to 100 ms each. Beside them 46 connections a second
-/// that send nothing, and once 300 at once that only start.
+/// Clients that send one request on each connection and keep it open until it is asked to close: 300 requests a second
+/// of 30 to 100 ms each, over at most 128 connections. In addition 46 connections a second that send nothing, and one
+/// burst of 300 connections that send only their startup message.
 struct ClientLoad {
     admission: ConnectionAdmission,
     rng: fastrand::Rng,
     now: u64,
     next: u64,
-    /// The events to come by their time in microseconds; the second number keeps equal events apart.
-    due: BTreeSet<(u64, u64, LoadEvent)>,
-    holding: BTreeSet<ConnectionId>,
+    /// Scheduled events by their time in microseconds; the second number distinguishes equal events.
+    scheduled: BTreeSet<(u64, u64, LoadEvent)>,
+    /// Connections that clients opened for a request and that are still open.
+    held: BTreeSet<ConnectionId>,
     closed_while_busy: usize,
     busy: BTreeSet<ConnectionId>,
     requests: usize,
@@ -37,15 +38,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum LoadEvent {
     Request,
-    Silent,
-    Starter,
-    Answer(ConnectionId),
+    ConnectOnly,
+    StartupOnly,
+    RequestAnswered(ConnectionId),
     Closed(ConnectionId),
     Timer,
 }
 
 impl ClientLoad {
-    /// Delivers an event. Returns whether a new connection is served, if the event is one.
+    /// Delivers an event and schedules what follows. Returns whether a new connection is served; `None` for other events.
     fn handle(&mut self, event: Event) -> Option<bool> {
         let mut actions = Vec::new();
         self.admission.handle(Time(self.now), event, &mut actions);
@@ -56,10 +57,10 @@
                 Action::Reject(..) | Action::CloseAtOnce(_) => served = Some(false),
                 Action::RequestClose(id) => {
                     self.closed_while_busy += usize::from(self.busy.contains(&id));
-                    self.due.insert((self.now + MS, 0, LoadEvent::Closed(id)));
+                    self.scheduled.insert((self.now + MS, 0, LoadEvent::Closed(id)));
                 }
                 Action::SetTimer(at) => {
-                    self.due.insert((at.0, 0, LoadEvent::Timer));
+                    self.scheduled.insert((at.0, 0, LoadEvent::Timer));
                 }
             }
         }
@@ -78,8 +79,8 @@
             rng: fastrand::Rng::with_seed(7),
             now: 0,
             next: 0,
-            due: BTreeSet::new(),
-            holding: BTreeSet::new(),
+            scheduled: BTreeSet::new(),
+            held: BTreeSet::new(),
             busy: BTreeSet::new(),
             closed_while_busy: 0,
             requests: 0,
@@ -88,12 +89,13 @@
         }
     }
 
-    fn play(seconds: u64) -> ClientLoad {
+    /// Runs the load for this many seconds, with the burst at 1.5 s.
+    fn run(seconds: u64) -> ClientLoad {
         let mut load = ClientLoad::new();
-        load.plan(seconds, 300, LoadEvent::Request);
-        load.plan(seconds, 46, LoadEvent::Silent);
-        load.due.extend((0..300).map(|n| (1_500_000, n, LoadEvent::Starter)));
-        while let Some((at, _, kind)) = load.due.pop_first() {
+        load.schedule(seconds, 300, LoadEvent::Request);
+        load.schedule(seconds, 46, LoadEvent::ConnectOnly);
+        load.scheduled.extend((0..300).map(|n| (1_500_000, n, LoadEvent::StartupOnly)));
+        while let Some((at, _, kind)) = load.scheduled.pop_first() {
             load.now = at;
             load.step(kind);
             let open_max = LIMITS.max_served + LIMITS.max_rejected + LIMITS.max_closing;
@@ -102,25 +104,25 @@
         load
     }
 
-    /// Plans this many events a second.
-    fn plan(&mut self, seconds: u64, rate: u64, kind: LoadEvent) {
-        self.due.extend((0..rate * seconds).map(|n| (n * 1_000_000 / rate, n, kind)));
+    /// Schedules `rate` events a second.
+    fn schedule(&mut self, seconds: u64, rate: u64, kind: LoadEvent) {
+        self.scheduled.extend((0..rate * seconds).map(|n| (n * 1_000_000 / rate, n, kind)));
     }
 
     fn step(&mut self, event: LoadEvent) {
         match event {
-            LoadEvent::Silent => drop(self.connect()),
-            LoadEvent::Starter => {
+            LoadEvent::ConnectOnly => drop(self.connect()),
+            LoadEvent::StartupOnly => {
                 let (id, _) = self.connect();
                 self.handle(Event::Started(id));
             }
             LoadEvent::Request => self.request(),
-            LoadEvent::Answer(id) => {
+            LoadEvent::RequestAnswered(id) => {
                 self.busy.remove(&id);
                 self.handle(Event::RequestsFinished(id));
             }
             LoadEvent::Closed(id) => {
-                self.holding.remove(&id);
+                self.held.remove(&id);
                 self.handle(Event::Closed(id));
             }
             LoadEvent::Timer => drop(self.handle(Event::TimerFired)),
@@ -129,7 +131,7 @@
 
     fn request(&mut self) {
         self.requests += 1;
-        if self.holding.len() >= LIMITS.max_request_connections {
+        if self.held.len() >= LIMITS.max_request_connections {
             self.without_connection += 1;
             return;
         }
@@ -138,27 +140,31 @@
             self.rejected += 1;
             return;
         }
-        self.holding.insert(id);
+        self.held.insert(id);
         self.busy.insert(id);
         self.handle(Event::Started(id));
         self.handle(Event::RequestOpened(id));
         let answered_at = self.now + self.rng.u64(30 * MS..100 * MS);
-        self.due.insert((answered_at, 0, LoadEvent::Answer(id)));
+        self.scheduled.insert((answered_at, 0, LoadEvent::RequestAnswered(id)));
     }
 }
 
-/// Guards against clients that keep their connections forever and so can't connect any more: without the reserve of
-/// free connections, nine requests in ten find no connection.
+/// Guards against clients that run out of connections because they keep each one open after its request: without the
+/// reserve of free connections, nine requests in ten found no connection.
 #[test]
 fn idle_connections_close_before_clients_run_out_of_them() {
-    let load = ClientLoad::play(10);
+    let load = ClientLoad::run(10);
     assert_eq!(load.requests, 3_000);
     assert_eq!(load.without_connection, 0, "requests without a connection");
-    assert!(load.rejected <= 60, "{} requests rejected, in the 0.2 s of the burst at most", load.rejected);
-    assert_eq!(load.closed_while_busy, 0, "none is asked to close while a request of it is open");
+    assert!(
+        load.rejected <= 60,
+        "{} requests rejected; the burst takes 0.2 s, so 60 are allowed",
+        load.rejected
+    );
+    assert_eq!(load.closed_while_busy, 0, "connections asked to close while a request was open");
 }
 
-/// Guards against closing connections of clients that use few and use them again.
+/// Guards against closing idle connections of clients that reuse a small number of them.
 #[test]
 fn small_client_pool_is_not_closed() {
     let mut admission = ConnectionAdmission::new(LIMITS);
@@ -172,8 +178,8 @@
     assert!(out.iter().all(|a| matches!(a, Action::Serve(_))), "{out:?}");
 }
 
-/// Guards against one Retry-After for all rejected clients: slots become free at a rate, and one client after the other
-/// gets them.
+/// Guards against the same Retry-After for all rejected clients: slots become free one at a time, so each further
+/// rejected client must wait for one more of them.
 #[test]
 fn retry_after_follows_the_rate_of_free_slots() {
     let limits = AdmissionLimits {
@@ -184,37 +190,37 @@
         max_retry_after: Micros(2_000 * MS),
     };
     let mut admission = ConnectionAdmission::new(limits);
-    let mut play = |at: u64, event| {
+    let mut handle = |at: u64, event| {
         let mut out = Vec::new();
         admission.handle(Time(at * MS), event, &mut out);
         out
     };
     for n in 0..2 {
-        play(0, Event::Accepted(ConnectionId(n)));
-        play(0, Event::RequestOpened(ConnectionId(n)));
+        handle(0, Event::Accepted(ConnectionId(n)));
+        handle(0, Event::RequestOpened(ConnectionId(n)));
     }
     assert_eq!(
-        play(0, Event::Accepted(ConnectionId(8))),
+        handle(0, Event::Accepted(ConnectionId(8))),
         [Action::Reject(ConnectionId(8), Micros(250 * MS))]
     );
     for n in 0..3 {
-        play(100 * n, Event::Closed(ConnectionId(n)));
-        play(100 * n, Event::Accepted(ConnectionId(n + 2)));
-        play(100 * n, Event::RequestOpened(ConnectionId(n + 2)));
+        handle(100 * n, Event::Closed(ConnectionId(n)));
+        handle(100 * n, Event::Accepted(ConnectionId(n + 2)));
+        handle(100 * n, Event::RequestOpened(ConnectionId(n + 2)));
     }
     let rejected = |id, ms| [Action::Reject(ConnectionId(id), Micros(ms * MS))];
-    assert_eq!(play(210, Event::Accepted(ConnectionId(20))), rejected(20, 100));
-    assert_eq!(play(210, Event::Accepted(ConnectionId(21))), rejected(21, 200));
+    assert_eq!(handle(210, Event::Accepted(ConnectionId(20))), rejected(20, 100));
+    assert_eq!(handle(210, Event::Accepted(ConnectionId(21))), rejected(21, 200));
 }
 
-/// What is known of a connection from the events and actions about it.
+/// The state of a connection according to its events and actions.
 #[derive(Clone, Copy, Debug, Default)]
 struct ModelConnection {
     is_busy: bool,
-    is_asked_to_close: bool,
+    close_requested: bool,
 }
 
-/// The connections according to events and actions, to compare with those of the admission.
+/// The open connections according to events and actions, to compare with the admission's own count.
 #[derive(Default)]
 struct Model {
     next: u64,
@@ -222,7 +228,7 @@
 }
 
 impl Model {
-    /// An event of a new connection, or of one of those that are open.
+    /// An event for a new connection, or for one of the open connections.
     fn event(&mut self, kind: u8, selector: u8) -> Event {
         let index = usize::from(selector) % self.connections.len().max(1);
         let chosen = self.connections.keys().nth(index).copied();
@@ -238,7 +244,7 @@
         }
     }
 
-    fn note(&mut self, event: Event) {
+    fn record(&mut self, event: Event) {
         match event {
             Event::Started(id) | Event::RequestOpened(id) | Event::RequestsFinished(id) => {
                 let is_busy = matches!(event, Event::RequestOpened(_));
@@ -249,19 +255,19 @@
         }
     }
 
-    /// Only a connection without an open request is asked to close, once.
+    /// Fails if a connection is asked to close while a request is open, or a second time.
     fn request_close(&mut self, id: ConnectionId) -> Result<(), String> {
         match self.connections.get_mut(&id) {
-            Some(connection) if !connection.is_busy && !connection.is_asked_to_close => {
-                connection.is_asked_to_close = true;
+            Some(connection) if !connection.is_busy && !connection.close_requested => {
+                connection.close_requested = true;
                 Ok(())
             }
             other => Err(format!("{id:?} is asked to close: {other:?}")),
         }
     }
 
-    /// Carries out the actions that follow from an event: a new connection is answered once.
-    fn carry_out(&mut self, now: u64, event: Event, actions: Vec<Action>) -> Result<(), String> {
+    /// Applies the actions that follow from an event. Fails unless each new connection is answered exactly once.
+    fn apply_actions(&mut self, now: u64, event: Event, actions: Vec<Action>) -> Result<(), String> {
         let mut answers = 0;
         for action in actions {
             match action {
@@ -271,17 +277,17 @@
                 }
                 Action::CloseAtOnce(_) => answers += 1,
                 Action::RequestClose(id) => self.request_close(id)?,
-                Action::SetTimer(at) => assert!(at.0 > now, "a timer in the past"),
+                Action::SetTimer(at) => assert!(at.0 > now, "the timer is set to the past"),
             }
         }
         if answers != usize::from(matches!(event, Event::Accepted(_))) {
-            return Err(format!("{answers} answers on {event:?}"));
+            return Err(format!("{answers} answers to {event:?}"));
         }
         Ok(())
     }
 }
 
-/// Plays events that each come up to 3.3 s after the one before.
+/// Runs a sequence of events, each up to 3.3 s after the previous one.
 fn check_any_order(steps: Vec<(u8, u8, u16)>) -> Result<(), String> {
     let limits = AdmissionLimits {
         max_served: 5,
@@ -296,21 +302,21 @@
     for (kind, selector, pause) in steps {
         now += u64::from(pause) * 50;
         let event = model.event(kind, selector);
-        model.note(event);
+        model.record(event);
         let mut actions = Vec::new();
         admission.handle(Time(now), event, &mut actions);
-        model.carry_out(now, event, actions)?;
+        model.apply_actions(now, event, actions)?;
         let counted = admission.open_connections();
         let expected = model.connections.len();
         if counted != expected || expected > 9 {
-            return Err(format!("{counted} open, {expected} expected"));
+            return Err(format!("{counted} connections open, {expected} expected, 9 allowed"));
         }
     }
     Ok(())
 }
 
-/// Guards against any order of events in which a busy connection is asked to close, a new one is not answered exactly
-/// once, or more descriptors are used than there are.
+/// Guards against any sequence of events in which a busy connection is asked to close, a new connection is not answered
+/// exactly once, or more connections are open than the limits allow.
 #[test]
 fn any_order_keeps_busy_connections_and_the_limits() {
     fn holds(steps: Vec<(u8, u8, u16)>) -> TestResult {
--- a/crates/decisions/tests/maintenance.rs
+++ b/crates/decisions/tests/maintenance.rs
@@ -1,4 +1,4 @@
-//! Maintenance orders and lists in random orders, given to two processes that exchange their orders.
+//! Tests of maintenance orders: random sequences of orders and lists at two processes that merge_orders their orders.
 
 use linenhill_decisions::api::{GroupId, MemberState, Time};
 use linenhill_decisions::maintenance::{EffectiveState, ListedMember, Maintenance, OrderRejected};
@@ -8,37 +8,39 @@
 const GROUP: GroupId = GroupId(1);
 const MEMBER_IDS: [&str; 4] = ["a", "b", "c", "unlisted"];
 
-/// A member of [`GROUP`] as lists name it, without a start.
+/// A listed member of [`GROUP`] in service, without a start time.
 fn in_service(id: &str) -> ListedMember<'_> {
     ListedMember { id, group: GROUP, state: MemberState::InService, started: None }
 }
 
-fn exchange(from: &Maintenance, to: &mut Maintenance) {
+/// Merges all orders of one process into another.
+fn merge_orders(from: &Maintenance, to: &mut Maintenance) {
     from.orders().for_each(|(id, order)| _ = to.merge(id, order));
 }
 
-/// Guards against an order that a list cancels, that binds only the process it was given to, or that two calls make and
-/// only two calls cancel; and against a member that returns without a slow start.
+/// Guards against an order that a list update cancels, that takes effect only in the process that received it, or that
+/// must be revoked as often as it was repeated; and against a member that returns without a new start time, which its
+/// slow start needs.
 #[test]
 fn last_order_counts_in_both_processes() {
     let started = Some(Time(5));
     let mut generator = Gen::from_size_and_seed(40, 12);
     for _ in 0..500 {
-        let mut both = [Maintenance::default(), Maintenance::default()];
+        let mut processes = [Maintenance::default(), Maintenance::default()];
         let mut expected: BTreeMap<&str, (bool, u64)> = BTreeMap::new();
         let mut now = 1_000_000;
-        for maintenance in &mut both {
+        for maintenance in &mut processes {
             MEMBER_IDS[..3].iter().for_each(|id| _ = maintenance.record_listed(Time(now), in_service(id)));
         }
         for _ in 0..30 {
             now += 1 + u64::from(u16::arbitrary(&mut generator));
-            let id = *generator.choose(&MEMBER_IDS).expect("one");
-            let one = usize::from(bool::arbitrary(&mut generator));
-            match *generator.choose(&[0, 1, 2, 3]).expect("one") {
+            let id = *generator.choose(&MEMBER_IDS).expect("choices are not empty");
+            let receiver = usize::from(bool::arbitrary(&mut generator));
+            match *generator.choose(&[0, 1, 2, 3]).expect("choices are not empty") {
                 0 | 1 => {
                     let out = bool::arbitrary(&mut generator);
                     let before = expected.get(id).is_some_and(|e| e.0);
-                    let result = both[one].order(Time(now), id, out);
+                    let result = processes[receiver].order(Time(now), id, out);
                     if id == "unlisted" {
                         assert_eq!(result, Err(OrderRejected::UnknownMember));
                     } else {
@@ -48,31 +50,34 @@
                         }
                     }
                 }
-                2 => both[one].begin_full_list(Time(now)),
+                2 => processes[receiver].begin_full_list(Time(now)),
                 _ => {
-                    let state = *generator.choose(&[MemberState::InService, MemberState::Gone]).expect("one");
+                    let state = *generator
+                        .choose(&[MemberState::InService, MemberState::Gone])
+                        .expect("choices are not empty");
                     if id != "unlisted" {
-                        both[one].record_listed(Time(now), ListedMember { state, started, ..in_service(id) });
+                        processes[receiver]
+                            .record_listed(Time(now), ListedMember { state, started, ..in_service(id) });
                     }
                 }
             }
-            let [a, b] = &mut both;
-            exchange(a, b);
-            exchange(b, a);
-            for (id, process) in MEMBER_IDS[..3].iter().flat_map(|id| [(id, one), (id, 1 - one)]) {
+            let [a, b] = &mut processes;
+            merge_orders(a, b);
+            merge_orders(b, a);
+            for (id, index) in MEMBER_IDS[..3].iter().flat_map(|id| [(id, receiver), (id, 1 - receiver)]) {
                 let wanted = match expected.get(id) {
                     None => EffectiveState::AsListed { started },
                     Some((true, _)) => EffectiveState::OutOfService,
                     Some((false, at)) => EffectiveState::AsListed { started: Some(Time(*at)) },
                 };
                 let listed = ListedMember { started, ..in_service(id) };
-                assert_eq!(both[process].record_listed(Time(now), listed), wanted);
+                assert_eq!(processes[index].record_listed(Time(now), listed), wanted);
             }
         }
     }
 }
 
-/// Guards against orders and ids without a bound, and against a member that is forgotten while it is out.
+/// Guards against an unbounded number of orders or known members, and against forgetting a member that is out of service.
 #[test]
 fn orders_are_bounded_and_members_out_stay_known() {
     let mut maintenance = Maintenance::default();
@@ -85,15 +90,19 @@
     }
     let listed = maintenance.known().filter(|(_, _, is_listed)| *is_listed).count();
     assert!(maintenance.orders().count() <= 1_024 && maintenance.known().count() <= 4_096 && listed > 0);
-    assert!(rejected > 0, "at the bound an order is rejected, and none that holds is dropped");
-    let hours = Time(10_000_000_000);
-    maintenance.begin_full_list(hours);
-    assert_eq!(maintenance.order(hours, "m0", false), Ok(true), "its way back is open");
-    assert_eq!(maintenance.order(hours, "m1", true), Err(OrderRejected::UnknownMember));
+    assert!(rejected > 0, "at the limit new orders are rejected, and orders in force are kept");
+    let hours_later = Time(10_000_000_000);
+    maintenance.begin_full_list(hours_later);
+    assert_eq!(
+        maintenance.order(hours_later, "m0", false),
+        Ok(true),
+        "a member out of service can be put back"
+    );
+    assert_eq!(maintenance.order(hours_later, "m1", true), Err(OrderRejected::UnknownMember));
 }
 
-/// Guards against requests that wait for a group of which operators have taken out every member, and against
-/// rejecting those of a group with one member left, or with none listed.
+/// Guards against requests that are queued for a group whose members operators have all taken out of service, and against
+/// rejecting the requests of a group with one member in service, or with none listed.
 #[test]
 fn group_is_out_once_all_its_listed_members_are() {
     let mut maintenance = Maintenance::default();
--- a/crates/decisions/tests/member_load.rs
+++ b/crates/decisions/tests/member_load.rs
@@ -1,12 +1,12 @@
-//! How much work members are given, by their known load.
+//! Tests of how much work members get, by their latencies and the load that they report.
 
 mod common;
 
 use common::*;
 use linenhill_decisions::api::*;
 
-/// Guards against treating a latency that all members share as a fault of each: with concurrency limits below the
-/// capacity of their cores they were idle while requests were rejected.
+/// Guards against a lower concurrency limit at each member for a latency that all members share: with limits below the
+/// capacity of their cores, members were idle while requests were rejected.
 #[test]
 fn slow_members_are_kept_as_busy_as_their_cores() {
     let mut harness = RouterHarness::new(Settings { fleet_size: 3, ..default_settings() });
@@ -31,10 +31,10 @@
         round(&mut harness);
     }
     let sent = round(&mut harness);
-    assert!(sent.iter().all(|to| !to.is_empty()), "both replicas are given one at once: {sent:?}");
+    assert!(sent.iter().all(|to| !to.is_empty()), "two requests at once are both sent: {sent:?}");
 }
 
-/// Guards against health checks as new work at a member that drains.
+/// Guards against health checks of a draining member, which are new work for it.
 #[test]
 fn draining_member_gets_no_health_checks() {
     let mut harness = RouterHarness::new(default_settings());
@@ -48,18 +48,18 @@
     assert_eq!(harness.health_checks(), 0);
 }
 
-/// Guards against a low concurrency limit for latencies that the member also has when idle, though it reports idle
-/// processors; and against a limit that grows for a member that reports busy ones.
+/// Guards against a low concurrency limit at a member whose latency is as high when idle and that reports idle
+/// processors; and against a limit that grows at a member that reports busy ones.
 #[test]
 fn member_with_idle_processors_is_not_limited() {
-    let most_at_once = |utilisation: f64| {
+    let sent_in_last_round = |utilisation: f64| {
         let mut harness = RouterHarness::new(Settings { fleet_size: 3, ..default_settings() });
-        let mut most = 0;
+        let mut sent_in_round = 0;
         for _ in 0..50 {
             // Four at once, each with a latency of nearly half the latency objective.
             let ids: Vec<RequestId> = (0..4).map(|_| harness.send_request(SESSION, 2_000, None)).collect();
             let sent: Vec<usize> = ids.iter().map(|id| harness.attempted_members(*id).len()).collect();
-            most = sent.iter().sum();
+            sent_in_round = sent.iter().sum();
             harness.advance(220);
             for id in &ids {
                 harness.end_latest_attempt(
@@ -71,8 +71,8 @@
             harness.advance(300);
             harness.actions.clear();
         }
-        most
+        sent_in_round
     };
-    assert_eq!(most_at_once(0.3), 4, "two replicas, two each");
-    assert!(most_at_once(0.97) < 4, "strained, and busy by its own report");
+    assert_eq!(sent_in_last_round(0.3), 4, "two attempts at each of the two replicas");
+    assert!(sent_in_last_round(0.97) < 4, "high latency, and busy processors by its own report");
 }
--- a/crates/decisions/tests/outlier_recovery.rs
+++ b/crates/decisions/tests/outlier_recovery.rs
@@ -1,16 +1,15 @@
-//! Ejected members: those that accept work and answer nothing, or errors only, and the trials that bring them back.
+//! Tests of ejected members, which do not answer or answer only errors, and of the trials that restore them.
 
 mod common;
 use common::*;
 use linenhill_decisions::api::*;
 use linenhill_decisions::outlier_recovery::EjectedMember;
 
-/// Guards against trials that add up over the fleet: at one in 2 s from each router they were 50 requests a second at
-/// each member that accepts work and answers nothing. Health checks of an unreachable member stay frequent: they cost
-/// it no work.
+/// Guards against trials that add up over the fleet: with one in 2 s from each of 100 routers, each unresponsive member
+/// got 50 requests a second. Health checks of an unreachable member stay frequent, since they cost it no work.
 #[test]
 fn trials_stay_few_over_the_fleet() {
-    for (fleet, unreachable, most) in [(2, false, 1.1), (FLEET, false, 12.0), (FLEET, true, 70.0)] {
+    for (fleet, unreachable, max_rate) in [(2, false, 1.1), (FLEET, false, 12.0), (FLEET, true, 70.0)] {
         let mut trials = 0;
         let mut ejected = EjectedMember::new(Time(0), fleet);
         ejected.failed(Time(0), unreachable, false, 1.0);
@@ -21,14 +20,17 @@
             }
         }
         let rate = f64::from(trials * fleet) / 60.0;
-        assert!(rate > 0.5 && rate <= most, "{rate} trials a second by {fleet}, unreachable {unreachable}");
+        assert!(
+            rate > 0.5 && rate <= max_rate,
+            "{rate} trials a second from {fleet} routers, unreachable: {unreachable}"
+        );
     }
 }
 
-/// Sends reads for 24 s. Member 2 ends each with this outcome at once, member 3 serves each.
-/// Returns how many went to member 2.
+/// Sends reads for 24 s. Member 2 ends each of its attempts with `outcome` after 5 ms, member 3 serves each of its own.
+/// Returns the number of attempts at member 2.
 fn attempts_at_member_2(outcome: Outcome) -> usize {
-    let mut harness = fleet_of_routers(settings_with_replica_check()).next().expect("one");
+    let mut harness = fleet_of_routers(settings_with_replica_check()).next().expect("a router");
     harness.update_list((1..=3).map(list_entry).collect());
     harness.report_health(1, harness.now, Role::Primary);
     let mut attempts = 0;
@@ -57,8 +59,8 @@
     attempts
 }
 
-/// Guards against a member that fails every request at once and so looks idle: it got a third of the fleet's attempts.
-/// It answers its health checks, and each answer admitted the next trial without a gap.
+/// Guards against frequent trials of a member that fails every request at once, and so looks idle, but answers health
+/// checks. Each answered check permitted the next trial without a gap, and the member got a third of the attempts.
 #[test]
 fn failing_member_is_ejected_after_two_attempts() {
     let failing = attempts_at_member_2(Outcome::Failed);
@@ -69,8 +71,8 @@
     );
 }
 
-/// Guards against counting a silent member as healthy for an answer that costs it no work: a member that is no primary
-/// rejects a write at once, even while it answers no read.
+/// Guards against restoring an unresponsive member because of an answer that costs it no work: a member that is not the
+/// primary rejects a write at once, even while it answers no reads.
 #[test]
 fn rejected_write_does_not_restore_a_silent_member() {
     let mut harness = RouterHarness::empty(settings_with_replica_check());
@@ -79,7 +81,10 @@
     let read = harness.send_request(SESSION, 3_000, None);
     assert_eq!((harness.attempted_members(write), harness.attempted_members(read)), (vec![2], vec![2]));
     harness.advance(1_000);
-    assert!(harness.actions.contains(&Action::CheckHealth { member: MemberId(2) }), "counts as silent");
+    assert!(
+        harness.actions.contains(&Action::CheckHealth { member: MemberId(2) }),
+        "the member is ejected as unresponsive"
+    );
     harness.end_latest_attempt(
         write,
         MemberAnswer { outcome: Outcome::NotApplicable, latency_ms: 1_000, utilisation: 0.5 },
@@ -87,5 +92,5 @@
     );
     let reads: Vec<RequestId> = (0..4).map(|_| harness.send_request(SESSION, 900, None)).collect();
     let trials: usize = reads.iter().map(|read| harness.attempted_members(*read).len()).sum();
-    assert!(trials <= 1, "one trial at most, not {trials}");
+    assert!(trials <= 1, "at max_rate one trial expected, got {trials}");
 }
--- a/crates/decisions/tests/staleness.rs
+++ b/crates/decisions/tests/staleness.rs
@@ -1,4 +1,4 @@
-//! When a silence of discovery is logged, and how old its last list is.
+//! Tests of when missing messages from discovery are logged, and of the age of its last list.
 
 use linenhill_decisions::api::{Micros, Time};
 use linenhill_decisions::staleness::{Notice, StalenessMonitor};
@@ -9,15 +9,15 @@
     Time(count * SECOND)
 }
 
-/// Checks once in each of these seconds. Returns the notices, each with its second.
+/// Checks once a second during these seconds. Returns each notice with its second.
 fn notices(monitor: &mut StalenessMonitor, during: std::ops::Range<u64>) -> Vec<(u64, Notice)> {
     during
         .filter_map(|second| monitor.check_silence(seconds(second)).map(|notice| (second, notice)))
         .collect()
 }
 
-/// Guards against an age that a heartbeat hides or a list resets wrongly, and against a log flooded by one
-/// silence.
+/// Guards against a list age that a heartbeat resets or that is wrong after a new list, and against a log flooded during
+/// one period without messages.
 #[test]
 fn silence_is_logged_once_in_each_doubling() {
     let mut monitor = StalenessMonitor::new(Time(0));
--- a/crates/decisions/tests/watch_schedule.rs
+++ b/crates/decisions/tests/watch_schedule.rs
@@ -1,5 +1,4 @@
-//! The watch at an agent on the proxy's own machine: always opened again, soon enough for a drain, never in a
-//! loop.
+//! Tests of the watch at an agent on the proxy's own machine: always reopened, in time for a drain, never in a busy loop.
 
 use linenhill_decisions::api::{Micros, Time};
 use linenhill_decisions::watch_schedule::WatchSchedule;
@@ -11,14 +10,14 @@
     Time(time.0 + by)
 }
 
-/// The longest gap that a drain's grace allows.
+/// The longest gap that a drain's grace allows, in microseconds.
 fn longest_gap(grace: Micros) -> u64 {
     (grace.0 / 4).clamp(10 * MS, 250 * MS)
 }
 
-/// Guards against the slots and windows made for a service that a whole fleet polls. The agent's list
-/// counts as notified, so each gap must leave most of the grace, whatever the grace is; and a new agent
-/// starts without the old one's backoff.
+/// Guards against gaps as long as those for a service that a whole fleet polls: the agent's list counts as notified, so
+/// each gap must leave most of the grace. Also guards against a busy loop, and against the old agent's backoff at a new
+/// address.
 #[test]
 fn absent_agent_is_retried_within_the_grace_and_never_in_a_loop() {
     let mut rng = fastrand::Rng::with_seed(5);
@@ -32,7 +31,7 @@
             schedule.watch_opening(now);
             assert_eq!(schedule.next_watch(), None, "one watch at a time");
             schedule.watch_ended(now, rng.f64());
-            let next = schedule.next_watch().expect("another");
+            let next = schedule.next_watch().expect("the next watch is due");
             gaps.push(next.0 - now.0);
             now = next;
         }
@@ -48,7 +47,7 @@
     }
 }
 
-/// Guards against a pause after a watch that simply ended, during which the announcement of a drain would be missed.
+/// Guards against a pause after a watch that was open for a second or more: a drain announced meanwhile would be missed.
 #[test]
 fn stable_watch_is_opened_again_at_once() {
     let mut schedule = WatchSchedule::new(Time(0), GRACE);
@@ -61,8 +60,8 @@
     }
 }
 
-/// Guards against a second watch beside one that is open, and against a pause of over a quarter of a drain's grace, in
-/// any order of watches that end at once or later and of agents that move.
+/// Guards against a second watch beside an open one, and against a pause of more than a quarter of a drain's grace, for
+/// any sequence of watches that end at once or later and of new agent addresses.
 #[test]
 fn any_order_keeps_one_watch_open() {
     for seed in 0..500 {
@@ -72,14 +71,14 @@
         let mut now = Time(0);
         for _ in 0..80 {
             let due = schedule.next_watch().expect("a watch is due where none is open");
-            assert!(due <= later(now, longest_gap(grace)), "{seed}: {due:?} at {now:?}");
+            assert!(due <= later(now, longest_gap(grace)), "seed {seed}: {due:?} at {now:?}");
             now = now.max(due);
             schedule.watch_opening(now);
-            assert_eq!(schedule.next_watch(), None, "{seed}: one at a time");
-            now = later(now, *rng.choice(&[0, 1, 900, 1_000, 5_000]).expect("one") * MS);
+            assert_eq!(schedule.next_watch(), None, "seed {seed}: one watch at a time");
+            now = later(now, *rng.choice(&[0, 1, 900, 1_000, 5_000]).expect("choices are not empty") * MS);
             if rng.u32(..4) == 0 {
                 schedule.agent_address_changed(now);
-                assert_eq!(schedule.next_watch(), Some(now), "{seed}: at once where it moved to");
+                assert_eq!(schedule.next_watch(), Some(now), "seed {seed}: due at once at the new address");
             } else {
                 schedule.watch_ended(now, rng.f64());
             }
