--- a/crates/decisions/src/policy/wait_queue.rs
+++ b/crates/decisions/src/policy/wait_queue.rs
@@ -1,24 +1,25 @@
-//! Requests that wait: for a log position, for capacity, or for a primary; and the order in which they are tried again.
+//! Requests that wait for a log position, for capacity or for a primary, and the order in which they are retried.
 //!
-//! The work for one event is bounded, however many requests wait.
+//! The work per event is bounded, however many requests wait.
 
 use super::POSITION_WAIT_MAX;
-use super::primary_tracking::SEARCH_GAP_MIN;
+use super::primary_tracking::SEARCH_INTERVAL_MIN;
 use super::read_position::ANY_POSITION;
 use super::request::QueuedRequest;
 use super::router::Router;
 use crate::api::{Action, GroupId, MemberId, Micros, PositionCheck, RequestId, Time};
 
-/// Requests that a group may queue: a bound on memory and on the work for one event.
+/// Maximum number of queued requests per group, to bound memory and the work per event.
 const QUEUED_MAX: usize = 400;
-/// After so many that found no member, the rest is only looked at for whether it can still succeed.
-const FRUITLESS_TRIES_MAX: usize = 24;
-/// Weights per microsecond are compared as whole numbers of this fraction.
+/// After this many requests of one round that no member could take, the rest are only dispatched if they must be
+/// decided now.
+const FAILED_DISPATCHES_MAX: usize = 24;
+/// Factor that converts weights per microsecond to integers for comparison.
 const RANK_SCALE: f64 = 1e9;
-/// A member is asked for its position again after this part of the time that it is behind.
+/// A lagging member is checked again after its lag divided by this.
 const LAG_CHECK_DIVISOR: u64 = 8;
 
-/// The place of a request in the queue: the largest weight for its work first, then the earliest objective.
+/// Order of the queue: highest weight per unit of work first, then earliest objective.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QueueRank {
     negative_weight_rate: i64,
@@ -27,7 +28,7 @@
 }
 
 impl Router {
-    /// Sends a request to a member if one can take it now; otherwise it is queued, or given up if it can't succeed.
+    /// Sends a request if a member can take it now; otherwise queues it, or gives it up if it can't succeed.
     pub(super) fn dispatch_or_queue(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if !self.can_still_succeed(request) {
@@ -42,28 +43,29 @@
         self.groups.entry(request.group).or_default().queued.insert(id);
     }
 
-    /// Tries the queued requests of a group again, the most valuable first.
+    /// Dispatches the queued requests of a group again, in the order of their rank.
     pub(super) fn dispatch_queued(&mut self, group: GroupId, out: &mut Vec<Action>) {
         let Some(queue) = self.groups.get_mut(&group) else { return };
         queue.queued_for_primary = 0;
         let ranked = self.ranked_queue(group);
         let for_primary = ranked.iter().filter(|rank| self.is_queued_for_primary(&rank.id)).count();
         self.groups.entry(group).or_default().queued_for_primary = for_primary;
-        let mut fruitless = 0;
-        for (place, rank) in ranked.into_iter().enumerate() {
-            if place >= QUEUED_MAX {
+        let mut failed_dispatches = 0;
+        for (index, rank) in ranked.into_iter().enumerate() {
+            if index >= QUEUED_MAX {
                 self.reject_or_fail(rank.id, out);
-            } else if fruitless < FRUITLESS_TRIES_MAX || self.is_due_for_decision(&rank.id) {
+            } else if failed_dispatches < FAILED_DISPATCHES_MAX || self.is_due_for_decision(&rank.id) {
                 self.dispatch_or_queue(rank.id, out);
                 let is_still_queued =
                     self.groups.get(&group).is_some_and(|group| group.queued.contains(&rank.id));
-                fruitless += usize::from(is_still_queued);
+                failed_dispatches += usize::from(is_still_queued);
             }
         }
         if self.settings.position_check == PositionCheck::None {
             self.check_lagging_members(group, out);
         }
     }
+
     fn ranked_queue(&self, group: GroupId) -> Vec<QueueRank> {
         let Some(group) = self.groups.get(&group) else { return Vec::new() };
         let mut ranked = Vec::with_capacity(group.queued.len());
@@ -75,7 +77,8 @@
         ranked
     }
 
-    /// An answer's chance to come in time falls with what is left of the objective: what has waited too long goes last.
+    /// Ranks a request by its expected weight per unit of work. The chance of an answer in time falls with the
+    /// remaining time, so requests that have waited too long come last.
     fn queue_rank(&self, id: RequestId, request: &QueuedRequest) -> QueueRank {
         let work = self.latencies.mean(request.class).max(1.0);
         let late_weight = self.class(request.class).late_weight;
@@ -90,17 +93,17 @@
     }
 
     fn is_queued_for_primary(&self, id: &RequestId) -> bool {
-        self.requests.get(id).is_some_and(|request| self.is_primary_first(request.class))
+        self.requests.get(id).is_some_and(|request| self.prefers_primary(request.class))
     }
 
-    /// Whether waiting longer can't help a request: it can't succeed, or it must go now.
+    /// Whether further waiting can't help a request: it can't succeed, or must be sent now.
     fn is_due_for_decision(&self, id: &RequestId) -> bool {
         let request = self.requests.get(id);
         request.is_some_and(|request| !self.can_still_succeed(request) || self.is_short_of_time(request))
     }
 
-    /// Where members don't check positions, reads wait here for them: asks a few members that are behind, unless half
-    /// of them are known to be fresh, since the reads then wait for capacity.
+    /// Where members don't check positions, reads wait for replicas to reach theirs: checks some of the lagging
+    /// members. None if no more than half of the group lags, since the reads then wait for capacity.
     fn check_lagging_members(&mut self, group: GroupId, out: &mut Vec<Action>) {
         let Some(group) = self.groups.get(&group) else { return };
         let waiting = group.queued.iter().filter_map(|id| self.requests.get(id));
@@ -109,13 +112,13 @@
         let is_due = |id: &&MemberId| {
             let Some(member) = self.members.get(id) else { return false };
             let position = member.replication.position;
-            let behind = target.as_time().saturating_since(position.as_time());
-            let gap = Micros(behind.0 / LAG_CHECK_DIVISOR).max(SEARCH_GAP_MIN).min(POSITION_WAIT_MAX);
+            let lag = target.as_time().saturating_since(position.as_time());
+            let gap = Micros(lag.0 / LAG_CHECK_DIVISOR).max(SEARCH_INTERVAL_MIN).min(POSITION_WAIT_MAX);
             position < target && member.ejected.is_none() && self.now >= member.health_check.last_sent + gap
         };
         let lagging: Vec<MemberId> = group.members.iter().filter(is_due).copied().collect();
         if lagging.len() * 2 > group.members.len() {
-            self.check_health_of_some(lagging, out);
+            self.check_health_of_sample(lagging, out);
         }
     }
 }
