--- a/crates/decisions/tests/client_retry.rs
+++ b/crates/decisions/tests/client_retry.rs
@@ -72,8 +72,8 @@
         shortened[0] += u32::from(n >= 200 && is_shortened);
         let timeout = rng.u64(1..1_500) * MS;
         shortened[1] += u32::from(objective_left(&mut all_different, timeout) != Some(OBJECTIVE));
-        // One request in ten has a random shorter timeout. No timeout is longer than the usual one, which would show that
-        // the shorter ones are remainders.
+        // One request in ten has a random shorter timeout. No timeout is longer than the usual one, which would show
+        // that the shorter ones are remainders.
         let timeout = if is_tenth { rng.u64(100..850) } else { 900 } * MS;
         shortened[2] += u32::from(objective_left(&mut some_shorter, timeout) != Some(OBJECTIVE));
         let timeout = rng.u64(0..2) * u64::MAX;
--- a/crates/decisions/tests/connection_admission.rs
+++ b/crates/decisions/tests/connection_admission.rs
@@ -46,7 +46,8 @@
 }
 
 impl ClientLoad {
-    /// Delivers an event and schedules what follows. Returns whether a new connection is served; `None` for other events.
+    /// Delivers an event and schedules what follows. Returns whether a new connection is served; `None` for other
+    /// events.
     fn handle(&mut self, event: Event) -> Option<bool> {
         let mut actions = Vec::new();
         self.admission.handle(Time(self.now), event, &mut actions);
--- a/crates/decisions/tests/disruption/fixtures.rs
+++ b/crates/decisions/tests/disruption/fixtures.rs
@@ -13,8 +13,8 @@
 pub const ALL_IN_SERVICE: [(&str, Availability); 3] =
     [("m0", Availability::InService), ("m1", Availability::InService), ("m2", Availability::InService)];
 
-/// Permits up to `max_proxies` unavailable proxies in the fleet and `max_members` unavailable members in a group, of which
-/// at least one stays in service.
+/// Permits up to `max_proxies` unavailable proxies in the fleet and `max_members` unavailable members in a group, of
+/// which at least one stays in service.
 pub fn policy(max_proxies: u64, max_members: u64) -> DisruptionPolicy {
     let at_most = |count| DisruptionLimit { count: Some(count), percent: None };
     DisruptionPolicy {
--- a/crates/decisions/tests/disruption/histories.rs
+++ b/crates/decisions/tests/disruption/histories.rs
@@ -21,8 +21,8 @@
         }
     }
 
-    /// A proxy in service requests a permit and, if granted, becomes unavailable. Returns the number of other unavailable
-    /// proxies, or `None` without a permit.
+    /// A proxy in service requests a permit and, if granted, becomes unavailable. Returns the number of other
+    /// unavailable proxies, or `None` without a permit.
     fn become_unavailable_by_permit(&mut self, proxy: usize, requested_by: &str) -> Option<usize> {
         if self.actual[proxy] != Availability::InService {
             return None;
@@ -44,8 +44,8 @@
     }
 }
 
-/// Runs a seeded history: proxies request permits, take forced ones, return, crash and restart. Fails if a permit without
-/// force exceeds the limit.
+/// Runs a seeded history: proxies request permits, take forced ones, return, crash and restart. Fails if a permit
+/// without force exceeds the limit.
 fn run_history(seed: u64) -> Result<(), String> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut history = History::new(PROXIES, MAX_UNAVAILABLE);
--- a/crates/decisions/tests/disruption/permits.rs
+++ b/crates/decisions/tests/disruption/permits.rs
@@ -103,7 +103,8 @@
         let edition = permit.quarantine_edition;
         fleet.report_quarantined(proxy, Availability::InService, &unresponsive_primary, edition);
     }
-    // Two of three members may be unavailable, and one must stay in service. The primary is unresponsive, so m2 must stay.
+    // Two of three members may be unavailable, and one must stay in service. The primary is unresponsive, so m2 must
+    // stay.
     let last = fleet.request_permit("member/m2", "p1", false);
     assert!(matches!(last, Err(PermitDenied::LimitReached { .. })));
     assert!(fleet.table.request_return(&Subject::Member("m1".into())));
--- a/crates/decisions/tests/disruption/reporter.rs
+++ b/crates/decisions/tests/disruption/reporter.rs
@@ -30,7 +30,8 @@
     assert!(!reporter.set_own_availability(Availability::Standby));
 }
 
-/// Guards against a first report on thousands of members that is too long for the keepers, so that its proxy never joins.
+/// Guards against a first report on thousands of members that is too long for the keepers, so that its proxy never
+/// joins.
 #[test]
 fn long_report_is_sent_in_parts() {
     let mut reporter = HealthReporter::default();
--- a/crates/decisions/tests/lifecycle.rs
+++ b/crates/decisions/tests/lifecycle.rs
@@ -1,4 +1,5 @@
-//! Random sequences of operators' calls, signals and waits, checked against the guarantees on the state that clients see.
+//! Random sequences of operators' calls, signals and waits, checked against the guarantees on the state that clients
+//! see.
 
 use linenhill_decisions::api::Time;
 use linenhill_decisions::lifecycle::{Event, Lifecycle, ServingState, Stopping};
--- a/crates/decisions/tests/list_lease.rs
+++ b/crates/decisions/tests/list_lease.rs
@@ -54,8 +54,8 @@
     assert_eq!(lease.check(at(8_860)), Ok(()));
 }
 
-/// Guards against a proxy that stops serving because discovery is unreachable: consecutive failed calls, with the longest
-/// gaps and waits, keep the list usable for any length of time. Without further calls the lease expires.
+/// Guards against a proxy that stops serving because discovery is unreachable: consecutive failed calls, with the
+/// longest gaps and waits, keep the list usable for any length of time. Without further calls the lease expires.
 #[test]
 fn list_stays_in_use_while_calls_fail() {
     let (gap, wait) = (3_850, 2_750);
@@ -104,7 +104,8 @@
     assert_eq!(saved.check(at(2_900)), Err(ListUnusable::Expired));
     saved.call_failed(at(2_900), at(2_800));
     assert_eq!(saved.basis(), Basis::Unreachable);
-    // Even then the saved list stays unusable until 12 s: it may lack changes that counted as notified before the start.
+    // Even then the saved list stays unusable until 12 s: it may lack changes that counted as notified before the
+    // start.
     saved.call_failed(at(6_000), at(5_000));
     run_to(&mut saved, 2_900, 11_999);
     assert_eq!(saved.check(at(11_999)), Err(ListUnusable::Expired));
@@ -140,8 +141,8 @@
     assert_eq!(unreachable_agent.check(at(50)), Ok(()), "an unreachable agent receives no new lists");
 }
 
-/// Guards against sends by a process that resumes after a suspension and has not yet read what arrived meanwhile. Neither
-/// the last turn before the suspension nor the first one after it permits a send.
+/// Guards against sends by a process that resumes after a suspension and has not yet read what arrived meanwhile.
+/// Neither the last turn before the suspension nor the first one after it permits a send.
 #[test]
 fn nothing_is_sent_after_a_hold_up_until_what_arrived_was_read() {
     let mut lease = lease(Discovery::OnRequest, GRACE);
--- a/crates/decisions/tests/maintenance.rs
+++ b/crates/decisions/tests/maintenance.rs
@@ -77,7 +77,8 @@
     }
 }
 
-/// Guards against an unbounded number of orders or known members, and against forgetting a member that is out of service.
+/// Guards against an unbounded number of orders or known members, and against forgetting a member that is out of
+/// service.
 #[test]
 fn orders_are_bounded_and_members_out_stay_known() {
     let mut maintenance = Maintenance::default();
@@ -101,8 +102,8 @@
     assert_eq!(maintenance.order(hours_later, "m1", true), Err(OrderRejected::UnknownMember));
 }
 
-/// Guards against requests that are queued for a group whose members operators have all taken out of service, and against
-/// rejecting the requests of a group with one member in service, or with none listed.
+/// Guards against requests that are queued for a group whose members operators have all taken out of service, and
+/// against rejecting the requests of a group with one member in service, or with none listed.
 #[test]
 fn group_is_out_once_all_its_listed_members_are() {
     let mut maintenance = Maintenance::default();
--- a/crates/decisions/tests/policy/histories.rs
+++ b/crates/decisions/tests/policy/histories.rs
@@ -27,9 +27,9 @@
     model.counts
 }
 
-/// Guards against sequences of events that break a rule on attempts and answers: no final answer or two, a retry that the
-/// idempotency, the window or the limits forbid, two attempts in flight without hedging, an attempt for a client that has
-/// disconnected or at a member announced as draining or gone, a cancel or a health check that is not allowed.
+/// Guards against sequences of events that break a rule on attempts and answers: no final answer or two, a retry that
+/// the idempotency, the window or the limits forbid, two attempts in flight without hedging, an attempt for a client
+/// that has disconnected or at a member announced as draining or gone, a cancel or a health check that is not allowed.
 #[test]
 fn any_order_of_events_keeps_the_rules() {
     let mut total = ActionCounts::default();
--- a/crates/decisions/tests/policy/history_model/mod.rs
+++ b/crates/decisions/tests/policy/history_model/mod.rs
@@ -281,8 +281,8 @@
         self.handle(Event::HealthCheckEnded { member, outcome, report });
     }
 
-    /// Advances the clock by `ms` milliseconds. Delivers due timers, and times out attempts in flight at the deadline of
-    /// their request.
+    /// Advances the clock by `ms` milliseconds. Delivers due timers, and times out attempts in flight at the deadline
+    /// of their request.
     pub fn advance(&mut self, ms: u64) {
         let end = self.now + ms * MS;
         loop {
--- a/crates/decisions/tests/policy/member_list.rs
+++ b/crates/decisions/tests/policy/member_list.rs
@@ -17,8 +17,8 @@
     }
 }
 
-/// Guards against an empty list that stops all requests at a site where removed members stay usable, and against requests
-/// to removed members at other sites.
+/// Guards against an empty list that stops all requests at a site where removed members stay usable, and against
+/// requests to removed members at other sites.
 #[test]
 fn empty_list_binds_only_where_removal_does() {
     for is_usable in [true, false] {
--- a/crates/decisions/tests/policy/primary_tracking.rs
+++ b/crates/decisions/tests/policy/primary_tracking.rs
@@ -37,8 +37,8 @@
     assert_eq!(harness.attempted_members(write), [1, 2]);
 }
 
-/// Guards against a search that floods members with health checks and attempts while no member is primary, and against a
-/// write without a final answer or with several.
+/// Guards against a search that floods members with health checks and attempts while no member is primary, and against
+/// a write without a final answer or with several.
 #[test]
 fn search_without_a_primary_is_bounded() {
     let mut harness = RouterHarness::empty(default_settings());
@@ -124,8 +124,8 @@
 
 /// Guards against a new primary that no router finds. After a release all members of the group are in slow start, and a
 /// write that has to wait for its router's turn at each member before it is tried there waits for seconds: 23 of these
-/// writes were served that way, 86 without the wait. Also guards against too many writes at the members: 0.2 of two cores
-/// for 3 s, times the overload multiple of 3, and half as much again for the ramp up to then.
+/// writes were served that way, 86 without the wait. Also guards against too many writes at the members: 0.2 of two
+/// cores for 3 s, times the overload multiple of 3, and half as much again for the ramp up to then.
 #[test]
 fn writes_find_an_unnamed_primary_in_slow_start() {
     let mut served = 0;
--- a/crates/decisions/tests/policy/rejection.rs
+++ b/crates/decisions/tests/policy/rejection.rs
@@ -16,8 +16,8 @@
     );
 }
 
-/// Guards against a write that is queued until its deadline while its primary is unreachable. If it is rejected earlier,
-/// its client can retry in time.
+/// Guards against a write that is queued until its deadline while its primary is unreachable. If it is rejected
+/// earlier, its client can retry in time.
 #[test]
 fn unreachable_write_is_rejected_by_half_its_time() {
     let mut harness = RouterHarness::new(default_settings());
--- a/crates/decisions/tests/policy/retry.rs
+++ b/crates/decisions/tests/policy/retry.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// Guards against a retry that is written after the deduplication window of its key, because it was queued until a member
-/// was available, or because its connection was established only then.
+/// Guards against a retry that is written after the deduplication window of its key, because it was queued until a
+/// member was available, or because its connection was established only then.
 #[test]
 fn queued_keyed_retry_expires_with_its_window() {
     for (queued_ms, is_retried) in [(400, true), (800, false), (1_200, false)] {
@@ -96,8 +96,8 @@
     assert!(harness.attempted_members(read).len() <= 3, "{:?}", harness.attempted_members(read));
 }
 
-/// Guards against ejecting a member for malformed replies, and against a retry of a non-idempotent write after one, since
-/// the write may have run.
+/// Guards against ejecting a member for malformed replies, and against a retry of a non-idempotent write after one,
+/// since the write may have run.
 #[test]
 fn malformed_reply_may_have_run_and_ejects_no_member() {
     let mut harness = RouterHarness::new(default_settings());
--- a/crates/decisions/tests/policy/slow_start.rs
+++ b/crates/decisions/tests/policy/slow_start.rs
@@ -51,8 +51,8 @@
     assert!(sent < 10, "{sent} of 50 reads were sent at once to a recovered member");
 }
 
-/// Guards against a slow start of a member that was only disconnected: for 16 s after a zone had recovered, a primary there
-/// got 17% of the writes that it could serve.
+/// Guards against a slow start of a member that was only disconnected: for 16 s after a zone had recovered, a primary
+/// there got 17% of the writes that it could serve.
 #[test]
 fn disconnected_member_returns_without_slow_start() {
     for (latency_ms, was_disconnected) in [(250, true), (1, false)] {
@@ -136,11 +136,11 @@
     sent
 }
 
-/// Guards against members in slow start that stay mostly idle. Each router sends to each of them only once in seconds, so
-/// the gaps between sends leave most of the capacity unused unless low reported utilisation shortens them; the reports of
-/// one member count for all. Also guards against overload: whatever is reported, in every window of 3 s all routers
-/// together stay below the overload multiple of what four cores of each member serve on the slowest ramp, and later
-/// members do not start at the pace of earlier ones.
+/// Guards against members in slow start that stay mostly idle. Each router sends to each of them only once in seconds,
+/// so the gaps between sends leave most of the capacity unused unless low reported utilisation shortens them; the
+/// reports of one member count for all. Also guards against overload: whatever is reported, in every window of 3 s all
+/// routers together stay below the overload multiple of what four cores of each member serve on the slowest ramp, and
+/// later members do not start at the pace of earlier ones.
 #[test]
 fn slow_start_follows_utilisation_within_its_bound() {
     let (idle, busy) = (slow_start_sends(0.2, None), slow_start_sends(1.0, None));
--- a/crates/decisions/tests/poll_schedule/backoff.rs
+++ b/crates/decisions/tests/poll_schedule/backoff.rs
@@ -4,9 +4,9 @@
 use linenhill_decisions::poll_schedule::PollSchedule;
 
 /// Guards against a fleet whose calls keep a service overloaded, and against one that is notified too late once the
-/// service has recovered. While all calls are rejected, the gaps grow until the fleet calls no faster than services were
-/// seen to serve it. Yet each gap ends in time for a drain announced at the moment of recovery, also after a call that
-/// timed out after 3 s. Extreme values cause no panic.
+/// service has recovered. While all calls are rejected, the gaps grow until the fleet calls no faster than services
+/// were seen to serve it. Yet each gap ends in time for a drain announced at the moment of recovery, also after a call
+/// that timed out after 3 s. Extreme values cause no panic.
 #[test]
 fn backoff_is_spread_and_ends_in_time() {
     // The calls a second that services were seen to serve for fleets of this size.
--- a/crates/decisions/tests/quota/histories.rs
+++ b/crates/decisions/tests/quota/histories.rs
@@ -1,5 +1,5 @@
-//! Seeded histories over a network that loses, duplicates, delays and reorders messages, with clocks at the limits of the
-//! drift bound.
+//! Seeded histories over a network that loses, duplicates, delays and reorders messages, with clocks at the limits of
+//! the drift bound.
 
 use crate::fixtures::{MS, OUTLIVES_US, TERMS, declare, links_and_probes, request_command};
 use linenhill_decisions::fault_injection::Fault;
@@ -67,8 +67,8 @@
         self.holder.release("links");
     }
 
-    /// The most units that can still be in use at `true_time`: units beyond a limit end within [`OUTLIVES_US`] after the
-    /// lease under which they were acquired.
+    /// The most units that can still be in use at `true_time`: units beyond a limit end within [`OUTLIVES_US`] after
+    /// the lease under which they were acquired.
     fn max_units_at(&self, true_time: u64) -> u64 {
         let LeaseExpiry { quotas, floors } = self.holder.expiry();
         let floor = self.holder.limit(quotas, "links").unwrap_or(0);
--- a/crates/decisions/tests/quota/search.rs
+++ b/crates/decisions/tests/quota/search.rs
@@ -13,8 +13,8 @@
 const MAX_TICKS: usize = 3;
 const MAX_ELECTIONS: usize = 1;
 
-/// One state: two proxies, one granter that may be replaced, and all messages sent so far. Each message may be delivered
-/// at any time and any number of times.
+/// One state: two proxies, one granter that may be replaced, and all messages sent so far. Each message may be
+/// delivered at any time and any number of times.
 #[derive(Clone)]
 struct SearchState {
     table: QuotaTable,
--- a/crates/decisions/tests/quota/steady.rs
+++ b/crates/decisions/tests/quota/steady.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// Guards against quotas that stay with proxies which do not need them, that change under constant needs, or that starve
-/// a proxy where units cannot be divided evenly.
+/// Guards against quotas that stay with proxies which do not need them, that change under constant needs, or that
+/// starve a proxy where units cannot be divided evenly.
 #[test]
 fn quotas_follow_needs_and_rotate_when_scarce() {
     let mut one_busy = SteadyFleet::new(held_budget(100, 0), 8);
@@ -105,8 +105,8 @@
     assert_eq!(crashed.limit(floor_end, "b"), Some(0), "without renewal the floor ends with the membership");
 }
 
-/// Guards against granting units of a lowered budget while units of the larger one are still in use, and against granting
-/// a new incarnation units that its predecessor may still use.
+/// Guards against granting units of a lowered budget while units of the larger one are still in use, and against
+/// granting a new incarnation units that its predecessor may still use.
 #[test]
 fn what_is_still_out_counts_after_redeclaration_and_restart() {
     let mut fleet = SteadyFleet::new(held_budget(10, 0), 2);
@@ -134,8 +134,8 @@
     assert_eq!(apply(0, restarted(2)), Err(SessionRejected::StaleRequest));
 }
 
-/// Guards against granting a hundred new proxies more than the total, or nothing for many rounds; and against losing the
-/// quotas of ninety proxies that crash at once.
+/// Guards against granting a hundred new proxies more than the total, or nothing for many rounds; and against losing
+/// the quotas of ninety proxies that crash at once.
 #[test]
 fn hundred_join_at_once_and_ninety_die() {
     let mut fleet = SteadyFleet::new(held_budget(300, 1), 100);
--- a/crates/decisions/tests/service_objective.rs
+++ b/crates/decisions/tests/service_objective.rs
@@ -5,8 +5,8 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// Simulates a minute of requests of three classes with weights 1, 2 and 3, of which `served[class]` percent are served.
-/// Returns the priority weight of the next request of each class.
+/// Simulates a minute of requests of three classes with weights 1, 2 and 3, of which `served[class]` percent are
+/// served. Returns the priority weight of the next request of each class.
 fn priority_weights(weights: ObjectiveWeights, served: [u64; 3]) -> [f64; 3] {
     let mut objective = ServiceObjective::new(weights, [1.0, 2.0, 3.0].into_iter());
     for n in 0..6_000u64 {
--- a/crates/decisions/tests/staleness.rs
+++ b/crates/decisions/tests/staleness.rs
@@ -16,8 +16,8 @@
         .collect()
 }
 
-/// Guards against a list age that a heartbeat resets or that is wrong after a new list, and against a log flooded during
-/// one period without messages.
+/// Guards against a list age that a heartbeat resets or that is wrong after a new list, and against a log flooded
+/// during one period without messages.
 #[test]
 fn silence_is_logged_once_in_each_doubling() {
     let mut monitor = StalenessMonitor::new(Time(0));
--- a/crates/decisions/tests/watch_schedule.rs
+++ b/crates/decisions/tests/watch_schedule.rs
@@ -1,4 +1,5 @@
-//! Tests of the watch at an agent on the proxy's own machine: always reopened, in time for a drain, never in a busy loop.
+//! Tests of the watch at an agent on the proxy's own machine: always reopened, in time for a drain, never in a busy
+//! loop.
 
 use linenhill_decisions::api::{Micros, Time};
 use linenhill_decisions::watch_schedule::WatchSchedule;
@@ -47,7 +48,8 @@
     }
 }
 
-/// Guards against a pause after a watch that was open for a second or more: a drain announced meanwhile would be missed.
+/// Guards against a pause after a watch that was open for a second or more: a drain announced meanwhile would be
+/// missed.
 #[test]
 fn stable_watch_is_opened_again_at_once() {
     let mut schedule = WatchSchedule::new(Time(0), GRACE);
--- a/crates/decisions/tests/zone_health.rs
+++ b/crates/decisions/tests/zone_health.rs
@@ -36,8 +36,8 @@
     assert!(!is_unresponsive(&zones, four(4, 1_000)), "the last answer of the zone is no longer stored");
 }
 
-/// Simulates a router with two zones of `zone_size` replicas. After two seconds the second zone stops answering for four
-/// seconds. Returns the number of attempts sent to it in these four seconds.
+/// Simulates a router with two zones of `zone_size` replicas. After two seconds the second zone stops answering for
+/// four seconds. Returns the number of attempts sent to it in these four seconds.
 fn lose_a_zone(harness: &mut RouterHarness, zone_size: u32) -> usize {
     let zone = |member: u32| ZoneId(usize::from(member > zone_size));
     harness.update_list(
