--- a/crates/decisions/tests/maintenance.rs
+++ b/crates/decisions/tests/maintenance.rs
@@ -35,12 +35,12 @@
         for _ in 0..30 {
             now += 1 + u64::from(u16::arbitrary(&mut generator));
             let id = *generator.choose(&MEMBER_IDS).expect("choices are not empty");
-            let receiver = usize::from(bool::arbitrary(&mut generator));
+            let target = usize::from(bool::arbitrary(&mut generator));
             match *generator.choose(&[0, 1, 2, 3]).expect("choices are not empty") {
                 0 | 1 => {
                     let out = bool::arbitrary(&mut generator);
                     let before = expected.get(id).is_some_and(|e| e.0);
-                    let result = processes[receiver].order(Time(now), id, out);
+                    let result = processes[target].order(Time(now), id, out);
                     if id == "unlisted" {
                         assert_eq!(result, Err(OrderRejected::UnknownMember));
                     } else {
@@ -50,13 +50,12 @@
                         }
                     }
                 }
-                2 => processes[receiver].begin_full_list(Time(now)),
+                2 => processes[target].begin_full_list(Time(now)),
                 _ => {
-                    let state = *generator
-                        .choose(&[MemberState::InService, MemberState::Gone])
-                        .expect("choices are not empty");
+                    let state =
+                        *generator.choose(&[MemberState::InService, MemberState::Gone]).expect("state");
                     if id != "unlisted" {
-                        processes[receiver]
+                        processes[target]
                             .record_listed(Time(now), ListedMember { state, started, ..in_service(id) });
                     }
                 }
@@ -64,7 +63,7 @@
             let [a, b] = &mut processes;
             merge_orders(a, b);
             merge_orders(b, a);
-            for (id, index) in MEMBER_IDS[..3].iter().flat_map(|id| [(id, receiver), (id, 1 - receiver)]) {
+            for (id, index) in MEMBER_IDS[..3].iter().flat_map(|id| [(id, target), (id, 1 - target)]) {
                 let wanted = match expected.get(id) {
                     None => EffectiveState::AsListed { started },
                     Some((true, _)) => EffectiveState::OutOfService,
