--- a/crates/decisions/tests/maintenance.rs
+++ b/crates/decisions/tests/maintenance.rs
@@ -26,21 +26,21 @@
     let started = Some(Time(5));
     let mut generator = Gen::from_size_and_seed(40, 12);
     for _ in 0..500 {
-        let mut processes = [Maintenance::default(), Maintenance::default()];
+        let mut both = [Maintenance::default(), Maintenance::default()];
         let mut expected: BTreeMap<&str, (bool, u64)> = BTreeMap::new();
         let mut now = 1_000_000;
-        for maintenance in &mut processes {
+        for maintenance in &mut both {
             MEMBER_IDS[..3].iter().for_each(|id| _ = maintenance.record_listed(Time(now), in_service(id)));
         }
         for _ in 0..30 {
             now += 1 + u64::from(u16::arbitrary(&mut generator));
             let id = *generator.choose(&MEMBER_IDS).expect("choices are not empty");
-            let target = usize::from(bool::arbitrary(&mut generator));
+            let nth = usize::from(bool::arbitrary(&mut generator));
             match *generator.choose(&[0, 1, 2, 3]).expect("choices are not empty") {
                 0 | 1 => {
                     let out = bool::arbitrary(&mut generator);
                     let before = expected.get(id).is_some_and(|e| e.0);
-                    let result = processes[target].order(Time(now), id, out);
+                    let result = both[nth].order(Time(now), id, out);
                     if id == "unlisted" {
                         assert_eq!(result, Err(OrderRejected::UnknownMember));
                     } else {
@@ -50,27 +50,25 @@
                         }
                     }
                 }
-                2 => processes[target].begin_full_list(Time(now)),
+                2 => both[nth].begin_full_list(Time(now)),
                 _ => {
-                    let state =
-                        *generator.choose(&[MemberState::InService, MemberState::Gone]).expect("state");
+                    let state = *generator.choose(&[MemberState::InService, MemberState::Gone]).expect("any");
                     if id != "unlisted" {
-                        processes[target]
-                            .record_listed(Time(now), ListedMember { state, started, ..in_service(id) });
+                        both[nth].record_listed(Time(now), ListedMember { state, started, ..in_service(id) });
                     }
                 }
             }
-            let [a, b] = &mut processes;
+            let [a, b] = &mut both;
             merge_orders(a, b);
             merge_orders(b, a);
-            for (id, index) in MEMBER_IDS[..3].iter().flat_map(|id| [(id, target), (id, 1 - target)]) {
+            for (id, index) in MEMBER_IDS[..3].iter().flat_map(|id| [(id, nth), (id, 1 - nth)]) {
                 let wanted = match expected.get(id) {
                     None => EffectiveState::AsListed { started },
                     Some((true, _)) => EffectiveState::OutOfService,
                     Some((false, at)) => EffectiveState::AsListed { started: Some(Time(*at)) },
                 };
                 let listed = ListedMember { started, ..in_service(id) };
-                assert_eq!(processes[index].record_listed(Time(now), listed), wanted);
+                assert_eq!(both[index].record_listed(Time(now), listed), wanted);
             }
         }
     }
