--- a/crates/decisions/tests/outlier_recovery.rs
+++ b/crates/decisions/tests/outlier_recovery.rs
@@ -94,5 +94,5 @@
     );
     let reads: Vec<RequestId> = (0..4).map(|_| harness.send_request(SESSION, 900, None)).collect();
     let trials: usize = reads.iter().map(|read| harness.attempted_members(*read).len()).sum();
-    assert!(trials <= 1, "at max_rate one trial expected, got {trials}");
+    assert!(trials <= 1, "at most one trial expected, got {trials}");
 }
--- a/crates/decisions/tests/policy/histories.rs
+++ b/crates/decisions/tests/policy/histories.rs
@@ -39,5 +39,5 @@
         };
         total.add(counts);
     }
-    assert!(total.smallest() > 1_000, "each type of action occurred over 1,000 times: {total:?}");
+    assert!(total.smallest() > 1_000, "each type of action must occur over 1,000 times: {total:?}");
 }
--- a/crates/decisions/tests/policy/slow_start.rs
+++ b/crates/decisions/tests/policy/slow_start.rs
@@ -140,7 +140,7 @@
 /// so the gaps between sends leave most of the capacity unused unless low reported utilisation shortens them; the
 /// reports of one member count for all. Also guards against overload: whatever is reported, in every window of 3 s all
 /// routers together stay below the overload multiple of what four cores of each member serve on the slowest ramp, and
-/// later members do not start at the pace of earlier ones.
+/// later members do not start at the raised rate of earlier ones.
 #[test]
 fn slow_start_follows_utilisation_within_its_bound() {
     let (idle, busy) = (slow_start_sends(0.2, None), slow_start_sends(1.0, None));
