--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,7 @@
-//! The command line as clap reads it. Bare `linenhill` serves, as the platform starts it.
+//! The definition of the command line. Without a command the program serves, since the platform starts it that way.
 //!
-//! The comments on commands and arguments are the program's help text. Commands and flags are used in scripts and never change
-//! their names; nothing is carried out here.
+//! The comments on commands and arguments are the program's help text. The names of commands and flags are used in scripts
+//! and must not change.
 
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
@@ -19,21 +19,21 @@
 /// A command of the program.
 #[derive(Clone, Debug, PartialEq, Eq, Subcommand)]
 pub enum Command {
-    /// Serve by the configuration that LB_CONFIG names, until SIGTERM; the same as no command at all.
+    /// Serve with the configuration file named by LB_CONFIG until SIGTERM; the default command.
     Serve {
-        /// The operators' file: the proxy joins its fleet and is bound by its budgets.
+        /// The operators' file; the proxy joins its fleet and observes its budgets.
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
     },
-    /// Run a keeper, one of three or five processes that keep a fleet's agreed log on their disks.
+    /// Run a keeper, one of the three or five processes that store a fleet's agreed log.
     Keep {
         /// The operators' file.
         #[arg(long, value_name = "FILE")]
         operator: PathBuf,
-        /// This keeper's name in that file.
+        /// The name of this keeper in that file.
         #[arg(long)]
         name: String,
-        /// Found a new fleet, with this as its first keeper.
+        /// Found a new fleet with this process as its first keeper.
         #[arg(long)]
         found: bool,
     },
@@ -63,17 +63,17 @@
 pub enum FleetCommand {
     /// Print the fleet's instances, its leader, and how much of each budget is in use.
     Status {
-        /// The operators' file; its keepers are asked in turn.
+        /// The operators' file; its keepers are queried in turn.
         #[arg(long, value_name = "FILE")]
         operator: PathBuf,
-        /// Ask the instance at this address instead.
+        /// Query the instance at this address instead.
         #[arg(long, value_name = "ADDRESS")]
         at: Option<std::net::SocketAddr>,
         /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Remove a proxy that will not come back; its quotas expire.
+    /// Remove a proxy that will not return; its quotas expire.
     Remove {
         /// The proxy's name.
         name: String,
@@ -92,11 +92,11 @@
         /// The reason, shown in the fleet's status.
         #[arg(long, default_value = "by hand")]
         reason: String,
-        /// Grant it even beyond the limits; it counts towards them.
+        /// Grant the permit even if it exceeds the limits; it counts towards them.
         #[arg(long)]
         force: bool,
     },
-    /// Return a proxy or member to service: its permit ends once it is seen in service.
+    /// Return a proxy or member to service; its permit ends once it is observed in service.
     Back {
         /// `proxy/NAME` or `member/ID`.
         #[arg(value_name = "THING")]
@@ -105,7 +105,7 @@
         #[arg(long, value_name = "FILE")]
         operator: PathBuf,
     },
-    /// Forget a proxy or member that no longer exists: it is not counted any more, and its permit ends.
+    /// Forget a proxy or member that no longer exists; it is no longer counted and its permit ends.
     Forget {
         /// `proxy/NAME` or `member/ID`.
         #[arg(value_name = "THING")]
@@ -114,13 +114,13 @@
         #[arg(long, value_name = "FILE")]
         operator: PathBuf,
     },
-    /// Replace the agreed terms and budgets by those of a file with a higher revision.
+    /// Replace the agreed terms and budgets with those of a file that has a higher revision.
     Declare {
         /// The operators' file.
         #[arg(long, value_name = "FILE")]
         operator: PathBuf,
     },
-    /// Accept a new store of a keeper whose disk is lost.
+    /// Accept the new store of a keeper that has lost its disk.
     Replace {
         /// The keeper's name.
         name: String,
@@ -131,13 +131,13 @@
 }
 
 impl Cli {
-    /// The command; to serve if none is given.
+    /// The given command, or [`Command::Serve`] by default.
     pub fn selected_command(self) -> Command {
         self.command.unwrap_or(Command::Serve { operator: None })
     }
 }
 
-/// Writes the completion script of a shell.
+/// Writes the completion script for a shell.
 pub fn write_completions(shell: Shell, out: &mut impl io::Write) {
     clap_complete::generate(shell, &mut <Cli as CommandFactory>::command(), "linenhill", out);
 }
--- a/src/close_reason.rs
+++ b/src/close_reason.rs
@@ -1,17 +1,17 @@
-//! Why a connection closed: one log line for each, with a code. The codes are read by operators' scripts and must keep
-//! their form.
+//! The reasons for which connections close, and the log line written for each. Operators' scripts parse the codes, so they
+//! must not change.
 
 use log::info;
 use std::fmt;
 
-/// The kind of peer at the other end of a connection, printed as in the log line.
+/// The kind of peer of a connection, displayed as in the log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// A client.
     Client,
     /// A member.
     Member,
-    /// The discovery service or agent.
+    /// The discovery service or its local agent.
     Discovery,
     /// An operator.
     Operator,
@@ -30,14 +30,14 @@
 
 macro_rules! reasons {
     ($($(#[$doc:meta])* $name:ident = $code:literal),* $(,)?) => {
-        /// Why a connection closed, printed as its code.
+        /// The reason for which a connection closed, displayed as its code.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum CloseReason {
             $($(#[$doc])* $name,)*
         }
 
         impl CloseReason {
-            /// All of them, in the order of their declaration.
+            /// All reasons in the order of their declaration; [`CloseCounts`](crate::counters::CloseCounts) is indexed by it.
             pub const ALL: &[CloseReason] = &[$(CloseReason::$name),*];
         }
 
@@ -50,60 +50,62 @@
 }
 
 reasons! {
-    /// The peer closed between requests.
+    /// The peer closed the connection between requests.
     PeerClosed = "peer-closed",
     /// The peer sent its terminate message.
     Terminated = "terminated",
-    /// The client left while a request of it was open.
+    /// The client disconnected while one of its requests was open.
     ClientGone = "client-gone",
-    /// The peer broke the protocol.
+    /// The peer violated the protocol.
     Protocol = "protocol",
-    /// No startup message came in time.
+    /// No startup message arrived within the time limit.
     StartupTimeout = "startup-timeout",
-    /// A cancel request, which this proxy does not support.
+    /// The client sent a cancel request, which this proxy does not support.
     CancelRequest = "cancel-request",
-    /// It had no open request, and a new connection needed its slot.
+    /// The connection had no open request and was closed because a new connection needed its slot.
     Evicted = "made-room",
-    /// All connection slots are taken.
+    /// All connection slots are in use.
     NoConnectionSlot = "edge-full",
-    /// The connection failed.
+    /// The connection failed with an I/O error.
     Io = "io",
-    /// The peer did not read its answer.
+    /// The peer did not read its response within the time limit.
     WriteTimeout = "write-timeout",
     /// The proxy is stopping.
     Stopping = "stopping",
-    /// An idle connection was retired before the member would close it.
+    /// An idle connection was closed before the member's own idle limit.
     Retired = "retired",
-    /// An idle connection was closed because its descriptor or its part of the quota is needed, or its member left.
+    /// The connection is not needed for further attempts: its descriptor or its share of the quota is needed elsewhere, or
+    /// the member left or moved.
     Released = "given-back",
     /// The attempt was cancelled by this proxy.
     Cancelled = "cancelled",
-    /// The attempt was not answered in time.
+    /// The attempt, or the operator's call, was not complete within the time limit.
     TimedOut = "timed-out",
-    /// The connection did not come up in time.
+    /// The connection was not established within the time limit.
     ConnectTimeout = "connect-timeout",
     /// The connection was refused.
     Refused = "refused",
     /// The connection broke while an attempt was in flight.
     Reset = "reset",
-    /// The member turned the connection away.
+    /// The member rejected the connection during its startup.
     ConnectionRejected = "turned-away",
-    /// The discovery address has changed.
+    /// Discovery has another address.
     DiscoveryAddressChanged = "moved",
-    /// Discovery answered with an error.
+    /// Discovery responded with an error status.
     ErrorStatus = "status",
-    /// The watch sent nothing within its time limit.
+    /// No message arrived on the watch within its time limit.
     WatchTimeout = "silent",
-    /// The watch ended.
+    /// Discovery ended the watch.
     WatchEnded = "watch-ended",
-    /// A streamed response broke off.
+    /// A streamed response could not be completed.
     ResponseTruncated = "cut-off",
-    /// The operator's call was answered, and one call is all that a connection carries.
+    /// The operator's call was answered; a connection carries one call.
     Answered = "answered",
 }
 
 impl CloseReason {
-    /// Whether a client's connection closed because its client closed it, broke it, or does not read.
+    /// Whether a client's connection may close for this reason with requests still open: the client left or does not read,
+    /// the connection failed, or a streamed response could not be completed.
     pub fn is_by_peer(self) -> bool {
         use CloseReason as Reason;
         matches!(
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,42 +1,42 @@
-//! Counters of what the proxy accepts, sends and answers, printed in its log. Their names are read by operators' scripts
-//! and must keep their form.
+//! Counters of requests, attempts and connections, printed in the log. Operators' scripts parse their names, so they must
+//! not change.
 
 use crate::close_reason::CloseReason;
 use std::cell::Cell;
 use std::fmt;
 
-/// One counter, from 0 at the start of the process.
+/// A counter that is 0 at the start of the process.
 #[derive(Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Counts one more.
+    /// Increments the counter.
     pub fn add(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// The count.
+    /// The current count.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// Closed connections by reason; printed as `ended_CODE=count` pairs of those that occurred.
+/// Closed connections by reason, displayed as `ended_CODE=count` pairs for the reasons that occurred.
 #[derive(Default)]
 pub struct CloseCounts([Counter; CloseReason::ALL.len()]);
 
 impl CloseCounts {
-    /// Counts one more for this reason.
+    /// Counts a connection that closed for this reason.
     pub fn add(&self, reason: CloseReason) {
         self.0[reason as usize].add();
     }
 
-    /// How many closed for this reason.
+    /// The number of connections that closed for this reason.
     pub fn get(&self, reason: CloseReason) -> u64 {
         self.0[reason as usize].get()
     }
 
-    /// How many closed, for any reason.
+    /// The number of connections that closed for any reason.
     pub fn total(&self) -> u64 {
         self.0.iter().map(Counter::get).sum()
     }
@@ -56,11 +56,11 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
-        /// All counters of one process; printed as `name=count` pairs in the order of their declaration.
+        /// All counters of one process, displayed as `name=count` pairs in the order of their declaration.
         #[derive(Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: Counter,)*
-            /// Closed connections of clients by reason.
+            /// Closed client connections by reason.
             pub ended: CloseCounts,
         }
 
@@ -75,54 +75,54 @@
 }
 
 counters! {
-    /// Requests accepted.
+    /// Requests received, including those rejected on arrival.
     taken,
-    /// Statements that could not be parsed.
+    /// Requests that could not be parsed.
     malformed,
     /// Attempts sent to members.
     sent,
     /// Health checks sent to members.
     probes,
-    /// Final answers: served.
+    /// Requests with the final answer served.
     served,
-    /// Final answers: rejected.
+    /// Requests with the final answer rejected.
     refused,
-    /// Final answers: failed.
+    /// Requests with the final answer failed.
     failed,
-    /// Clients that left before their answer.
+    /// Requests whose client left before the final answer.
     lapsed,
     /// Attempts that were served.
     ok,
-    /// Attempts that a member turned away by its role or position, without an effect.
+    /// Attempts that a member rejected, without an effect, because of its role or position.
     miss,
     /// Attempts that a member answered with an error.
     error,
-    /// Attempts that a member turned away because its queue was full.
+    /// Attempts that a member rejected because its queue was full.
     turned_away,
-    /// Attempts for which no connection came up.
+    /// Attempts for which no connection was established.
     not_connected,
-    /// Attempts whose connection broke.
+    /// Attempts whose connection failed.
     reset,
     /// Attempts whose reply was malformed.
     garbled,
-    /// Attempts that were not answered in time.
+    /// Attempts without a complete reply within the time limit.
     timed_out,
     /// Attempts cancelled by this proxy.
     cancelled,
-    /// Attempts that were decided on and never sent.
+    /// Attempts that were decided on but not sent.
     ignored,
-    /// Rejected requests: no connection slot was left.
+    /// Requests rejected because no connection slot was free.
     refused_door,
-    /// Rejected requests: too many were open.
+    /// Requests rejected because too many were open.
     refused_held,
-    /// Rejected requests: no memory was left for the message.
+    /// Requests rejected because no memory was left for their message.
     refused_memory,
-    /// Rejected requests: the process was stopping.
+    /// Requests rejected because the process was stopping.
     refused_stopping,
     /// Client connections accepted.
     clients,
     /// Member connections opened.
     links,
-    /// Calls to discovery.
+    /// Calls of discovery, each of which may become a watch.
     calls,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! linenhill is a proxy for groups of one primary and its replicas: it decides which member of a group gets
-//! a request, when, and what happens after failures.
+//! linenhill is a proxy for database groups of one primary and its replicas. It decides which member of a group
+//! receives a request, when it is sent, and how failures are handled.
 //!
-//! The decisions do no I/O: a driver feeds [`api::Event`]s to [`policy::Router::handle`] with the current
-//! time, and carries out the [`api::Action`]s it pushes. [`proxy`] puts that driver together on real sockets, and
-//! [`process`] starts it; the adapter `linenhill-simulator-adapter` is a driver on a simulator's wire.
+//! The decisions do no I/O: a driver passes [`api::Event`]s and the current time to [`policy::Router::handle`], and
+//! performs the [`api::Action`]s that it returns. [`proxy`] assembles the driver for real sockets and [`process`] starts
+//! it; the program `linenhill-simulator-adapter` is a driver for a simulator's wire protocol.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -35,7 +35,7 @@
 pub mod timeouts;
 pub mod upstream;
 
-/// The example of docs/ARCHITECTURE.md is compiled with the tests.
+/// Compiles the example in docs/ARCHITECTURE.md as a doc test.
 #[cfg(doctest)]
 #[doc = include_str!("../docs/ARCHITECTURE.md")]
 struct Architecture;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `linenhill`: carries out the command of its command line. Everything else is in the library.
+//! The program `linenhill`: runs the command given on the command line. All functionality is in the library.
 #![forbid(unsafe_code)]
 
 use clap::Parser;
@@ -23,7 +23,7 @@
     }
 }
 
-/// Runs a process until it ends; what it reports goes to the log.
+/// Runs a long-running process until it ends; errors are logged line by line.
 fn run_process(run: impl FnOnce() -> Result<(), ProcessError>) -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
     match run() {
@@ -35,14 +35,14 @@
     }
 }
 
-/// Prints what is wrong with an operators' file.
+/// Validates an operators' file and prints the report.
 fn check(file: &Path, json: bool) -> ExitCode {
     let check = command_line::check_operator_file(file, json);
     println!("{}", check.report);
     if check.is_valid { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Prints what a fleet answers; an error goes to standard error.
+/// Runs a fleet command; the answer is printed to standard output, an error to standard error.
 fn fleet(command: FleetCommand) -> ExitCode {
     match run_fleet_command(command) {
         Ok(answer) => {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,6 +1,6 @@
-//! The metrics that operators' collectors fetch, in Prometheus' text form. They stand beside the counters of the log
-//! and are kept by class; every class is there from the start. Metric names, labels and help texts are read by others
-//! and must keep their form, whatever the fields here are called.
+//! The metrics that operators' collectors fetch, in the OpenMetrics text format; they are independent of the counters in
+//! the log. Request counters exist for every class from the start. Collectors depend on metric names, labels and help
+//! texts, so these must not change.
 
 use crate::close_reason::CloseReason;
 use crate::invariants::InvariantMonitor;
@@ -16,19 +16,19 @@
 
 type Labels = Vec<(String, String)>;
 
-/// How a request ended for its client.
+/// The final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// It was served.
+    /// The request was served.
     Completed,
-    /// It was rejected.
+    /// The request was rejected.
     Rejected,
-    /// It failed.
+    /// The request failed.
     Failed,
 }
 
 impl RequestEnd {
-    /// All of them, in the order of their declaration: [`Metrics`] indexes its counters by it.
+    /// All values in the order of their declaration, by which [`Metrics`] indexes its counters.
     const ALL: [RequestEnd; 3] = [RequestEnd::Completed, RequestEnd::Rejected, RequestEnd::Failed];
 
     /// The value of the label `result`.
@@ -44,15 +44,15 @@
 /// The metrics of one process.
 pub struct Metrics {
     registry: Registry,
-    /// By class, then by [`RequestEnd`].
+    /// Indexed by class id, then by [`RequestEnd`].
     ended_requests: Vec<[Counter; RequestEnd::ALL.len()]>,
     written_attempts: Counter,
     pending_requests: Gauge,
     listed_members: Gauge,
     avoided_members: Gauge,
-    /// In seconds.
+    /// Seconds since the last message of discovery, or since the start.
     discovery_silence: Gauge<f64, AtomicU64>,
-    /// In seconds.
+    /// Seconds since a list was last applied, or since the start.
     list_age: Gauge<f64, AtomicU64>,
     list_version: Gauge,
     discovery_calls: Family<Labels, Counter>,
@@ -61,10 +61,10 @@
 }
 
 impl Metrics {
-    /// All at 0, for classes with these names, in the order of their ids.
+    /// Creates all metrics at 0. `classes` are the class names in the order of their ids.
     pub fn new<'a>(classes: impl IntoIterator<Item = &'a str>) -> Metrics {
         let requests = Family::default();
-        let ended_requests = classes.into_iter().map(|class| counters_of(&requests, class)).collect();
+        let ended_requests = classes.into_iter().map(|class| class_counters(&requests, class)).collect();
         let mut metrics = Metrics {
             registry: Registry::with_prefix("proxy"),
             ended_requests,
@@ -83,7 +83,7 @@
         metrics
     }
 
-    /// Registers the metrics under their names, in the order in which they are printed.
+    /// Registers the metrics under their names; they are encoded in this order.
     fn register_all(&mut self, requests: Family<Labels, Counter>) {
         let registry = &mut self.registry;
         registry.register("downstream_requests", "Requests ended, by class and result", requests);
@@ -114,8 +114,8 @@
         self.pending_requests.inc();
     }
 
-    /// Records that an accepted request of the class with this id has ended; `end` is `None` if its client left before
-    /// its answer.
+    /// Records the end of an accepted request of the class with this id; `end` is `None` if its client left before the
+    /// final answer.
     pub fn record_ended(&self, class: usize, end: Option<RequestEnd>) {
         self.pending_requests.dec();
         if let (Some(counters), Some(end)) = (self.ended_requests.get(class), end) {
@@ -123,31 +123,31 @@
         }
     }
 
-    /// Records that an attempt was written completely.
+    /// Records that an attempt was completely written to its member.
     pub fn record_written_attempt(&self) {
         self.written_attempts.inc();
     }
 
-    /// Records how many members are listed, and how many of them are avoided.
+    /// Records the number of listed members, and how many of them are avoided.
     pub fn record_members(&self, listed: usize, avoided: usize) {
-        self.listed_members.set(saturated(listed));
-        self.avoided_members.set(saturated(avoided));
+        self.listed_members.set(saturating_i64(listed));
+        self.avoided_members.set(saturating_i64(avoided));
     }
 
-    /// Records for how many seconds discovery has been silent, and the age in seconds and version of the list in use.
-    /// Without a list its age counts from the start of the process.
+    /// Records the seconds since the last message of discovery, and the age in seconds and version of the list in use.
+    /// Without a list, the age is that of the process.
     pub fn record_discovery(&self, silence: f64, list_age: Option<f64>, list_version: u64) {
         self.discovery_silence.set(silence);
         self.list_age.set(list_age.unwrap_or_else(|| self.started.elapsed().as_secs_f64()));
-        self.list_version.set(saturated(list_version));
+        self.list_version.set(saturating_i64(list_version));
     }
 
-    /// Records that a call of discovery, or the watch that it became, ended for this reason.
+    /// Records that a call of discovery, or the watch that it opened, ended for this reason.
     pub fn record_discovery_call_end(&self, reason: CloseReason) {
         self.discovery_calls.get_or_create_owned(&vec![label("code", &reason.to_string())]).inc();
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics.
     ///
     /// # Errors
     /// A metric can't be encoded.
@@ -158,8 +158,8 @@
     }
 }
 
-/// The counters of one class, by [`RequestEnd`]. The label of the class keeps the name that collectors know.
-fn counters_of(requests: &Family<Labels, Counter>, class: &str) -> [Counter; RequestEnd::ALL.len()] {
+/// The counters of one class, indexed by [`RequestEnd`]. Collectors depend on the label `lane` for the class.
+fn class_counters(requests: &Family<Labels, Counter>, class: &str) -> [Counter; RequestEnd::ALL.len()] {
     RequestEnd::ALL.map(|end| {
         let labels = vec![label("lane", class), label("result", end.label())];
         requests.get_or_create_owned(&labels)
@@ -170,7 +170,7 @@
     (name.to_string(), value.to_string())
 }
 
-/// A gauge's value for a number; what a gauge can't hold is its largest value.
-fn saturated(number: impl TryInto<i64>) -> i64 {
+/// Converts a number to a gauge's type, saturating at the largest value.
+fn saturating_i64(number: impl TryInto<i64>) -> i64 {
     number.try_into().unwrap_or(i64::MAX)
 }
--- a/src/resource_limit.rs
+++ b/src/resource_limit.rs
@@ -1,18 +1,17 @@
-//! A limit on something that this process has little of: descriptors, bytes, requests in flight. What was acquired
-//! is given back when its [`ResourcePermit`] is dropped. Nothing here waits: a caller that must wait uses a semaphore.
+//! A limit on a scarce resource of this process: descriptors, bytes, requests in flight. Acquired units are released when
+//! their [`ResourcePermit`] is dropped. Acquiring never waits; callers that need to wait use a semaphore.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A limit in units that its owner chooses (descriptors, bytes, requests). Clones share the limit and what is in use
-/// of it.
+/// A limit in units that its owner chooses (descriptors, bytes, requests). Clones share the limit and the units in use.
 #[derive(Clone, Debug)]
 pub struct ResourceLimit {
     in_use: Rc<Cell<usize>>,
     limit: usize,
 }
 
-/// A part of a [`ResourceLimit`], in use until it is dropped. It must live as long as the resource it stands for.
+/// Units of a [`ResourceLimit`], in use until the permit is dropped. Keep it as long as the resource that it accounts for.
 #[derive(Debug)]
 pub struct ResourcePermit {
     in_use: Rc<Cell<usize>>,
@@ -26,24 +25,24 @@
 }
 
 impl ResourceLimit {
-    /// A limit of `limit` units, none of them in use.
+    /// Creates a limit of `limit` units, none of them in use.
     pub fn new(limit: usize) -> ResourceLimit {
         ResourceLimit { in_use: Rc::default(), limit }
     }
 
-    /// A permit for one unit; `None` if all are in use.
+    /// Acquires one unit; `None` if all are in use.
     pub fn acquire(&self) -> Option<ResourcePermit> {
         self.acquire_weighted(1)
     }
 
-    /// A permit for `weight` units at once; `None` if fewer are left.
+    /// Acquires `weight` units; `None`, without any effect, if fewer are free.
     pub fn acquire_weighted(&self, weight: usize) -> Option<ResourcePermit> {
         let in_use = self.in_use.get().checked_add(weight).filter(|in_use| *in_use <= self.limit)?;
         self.in_use.set(in_use);
         Some(ResourcePermit { in_use: self.in_use.clone(), weight })
     }
 
-    /// How many units are in use now.
+    /// The number of units in use.
     pub fn in_use(&self) -> usize {
         self.in_use.get()
     }
--- a/src/socket_state.rs
+++ b/src/socket_state.rs
@@ -1,19 +1,19 @@
-//! What the kernel holds of a connection and nobody has read yet. The runtime knows only what it learned when it last
-//! polled; between two polls a peer may have closed its connection or sent something. Nothing here consumes input.
+//! The unread input of a connection, queried from the kernel. The runtime's readiness is as old as its last poll; the peer
+//! may have closed the connection or sent data since then. No input is consumed.
 
 use socket2::SockRef;
 use std::io::ErrorKind;
 use std::mem::MaybeUninit;
 use tokio::net::TcpStream;
 
-/// What a read would give now.
+/// The result that a read would have now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PendingInput {
-    /// Nothing: a read would wait.
+    /// No input; a read would block.
     Empty,
-    /// At least one byte.
+    /// At least one byte can be read.
     Bytes,
-    /// The end of the stream, or the connection's failure.
+    /// The stream has ended, or the connection has failed.
     Closed,
 }
 
--- a/src/timeouts.rs
+++ b/src/timeouts.rs
@@ -1,5 +1,5 @@
-//! Time limits that survive a hold-up of the process. After one, timers fire before the runtime has asked the kernel what
-//! arrived meanwhile, so an expired timer does not show that the peer was late.
+//! Timeouts that tolerate a hold-up of the process. After a hold-up, timers fire before the runtime has polled the kernel
+//! for input that arrived meanwhile, so an expired timer does not prove that the peer was late.
 
 use std::future::Future;
 use std::pin::pin;
@@ -7,17 +7,17 @@
 use tokio::time::error::Elapsed;
 use tokio::time::timeout;
 
-/// How long the final poll may take: enough for the runtime to ask the kernel once what has arrived.
-const FINAL_POLL: Duration = Duration::from_millis(20);
+/// Time limit of the final poll: enough for the runtime to poll the kernel once for input.
+const FINAL_POLL_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Like [`timeout`], but polls the future once more, with what has arrived meanwhile, before it gives up.
+/// Like [`timeout`], but polls the future again after the timer fires, so that input that has arrived meanwhile counts.
 ///
 /// # Errors
-/// The future is ready neither within the limit nor at the final poll.
+/// The future is not ready within the limit, nor within the final poll.
 pub async fn timeout_with_final_poll<F: Future>(limit: Duration, future: F) -> Result<F::Output, Elapsed> {
     let mut future = pin!(future);
     match timeout(limit, &mut future).await {
         Ok(output) => Ok(output),
-        Err(_) => timeout(FINAL_POLL, future).await,
+        Err(_) => timeout(FINAL_POLL_TIMEOUT, future).await,
     }
 }
