--- a/src/admin/call.rs
+++ b/src/admin/call.rs
@@ -1,5 +1,5 @@
-//! One operator's call, decoded from HTTP/1.1 and checked: what it asks for, or what is wrong with it. Whatever is beyond
-//! its bound must be an error, so that memory stays bounded; nothing is carried out here.
+//! Decoding and validation of operators' calls in HTTP/1.1. Input beyond a limit must be an error, so that memory stays
+//! bounded. Calls are carried out by [`super::operator_api`].
 
 use bytes::{Buf, BytesMut};
 use httparse::Status;
@@ -10,57 +10,57 @@
 
 /// The longest head of a call, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The longest body, in bytes: no call needs one, but some clients send one.
+/// The longest body, in bytes: no call needs a body, but some clients send one.
 const MAX_BODY_BYTES: usize = 16 * 1024;
 /// The most header fields of a call.
 const MAX_HEADERS: usize = 48;
-/// The longest id of a member that a call may name, in bytes.
-const MAX_MEMBER_BYTES: usize = 256;
-/// The query field that asks for something against the fleet's limits.
-const FORCE_FIELD: &str = "force=";
+/// The longest member id in a call, in bytes.
+const MAX_MEMBER_ID_BYTES: usize = 256;
+/// The query field that forces a permit beyond the fleet's limits.
+const FORCE_PREFIX: &str = "force=";
 
-/// What operators may ask for.
+/// A valid call of the operators' API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process serves clients.
+    /// Get whether this process serves clients.
     Status,
-    /// The metrics.
+    /// Get the metrics.
     Metrics,
     /// Take a member out of service.
     EnterMaintenance {
-        /// Id of the member.
+        /// The member's id.
         member: String,
-        /// Against the fleet's limits.
+        /// Whether the fleet's limits on disruptions are overridden.
         is_forced: bool,
     },
     /// Put a member back in service.
     ExitMaintenance {
-        /// Id of the member.
+        /// The member's id.
         member: String,
     },
-    /// Drain this process, and stand by.
+    /// Drain this process and leave it on standby.
     Standby {
-        /// Against the fleet's limits.
+        /// Whether the fleet's limits on disruptions are overridden.
         is_forced: bool,
     },
-    /// Serve again.
+    /// Put this process back in service.
     Active,
 }
 
-/// What is wrong with a call.
+/// Why a call is invalid.
 #[derive(Debug)]
 pub enum CallError {
     /// The head is malformed.
     Head(httparse::Error),
-    /// This part, the head or the body, is longer than so many bytes.
+    /// The named part, head or body, exceeds this number of bytes.
     TooLong(&'static str, usize),
     /// The body's length is missing, malformed, or stated in more than one way.
     Length,
-    /// There is nothing at this path.
+    /// The API has no such path.
     Path(String),
-    /// The path has only this method.
+    /// The path allows only this method.
     Method(&'static str),
-    /// The query is malformed: what is wrong with it.
+    /// The query is invalid, for this reason.
     Query(&'static str),
     /// The connection failed.
     Io(io::Error),
@@ -89,9 +89,9 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             CallError::Head(error) => write!(f, "malformed call: {error}"),
-            CallError::TooLong(part, limit) => write!(f, "the {part} is over {limit} bytes"),
-            CallError::Length => write!(f, "the body's length must be told, once, by Content-Length"),
-            CallError::Path(path) => write!(f, "nothing is found at {path}"),
+            CallError::TooLong(part, limit) => write!(f, "the {part} is longer than {limit} bytes"),
+            CallError::Length => write!(f, "the body's length must be given by exactly one Content-Length"),
+            CallError::Path(path) => write!(f, "no such path: {path}"),
             CallError::Method(allowed) => write!(f, "only {allowed} is allowed here"),
             CallError::Query(problem) => write!(f, "{problem}"),
             CallError::Io(error) => write!(f, "{error}"),
@@ -109,7 +109,7 @@
     }
 }
 
-/// Decodes complete calls. A call's body is consumed and ignored.
+/// Decodes complete calls; their bodies are discarded.
 #[derive(Debug, Default)]
 pub struct CallCodec;
 
@@ -136,7 +136,7 @@
         call.map(Some)
     }
 
-    /// A caller that closes in the middle of a call has left, which is no error.
+    /// An incomplete call at the end of the input is not an error: the caller has left.
     fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Call>, CallError> {
         let item = self.decode(src)?;
         if item.is_none() {
@@ -146,7 +146,7 @@
     }
 }
 
-/// The length of the body in bytes: 0 unless the headers state another one.
+/// The length of the body in bytes; 0 if the headers do not give one.
 fn body_length(headers: &[httparse::Header]) -> Result<usize, CallError> {
     let mut stated = None;
     for header in headers {
@@ -166,7 +166,7 @@
     }
 }
 
-/// A value of `Content-Length`, which is digits alone. One beyond all numbers counts as the largest.
+/// Parses a `Content-Length` value of digits; it saturates at the largest number.
 fn content_length(value: &[u8]) -> Result<usize, CallError> {
     let digits = std::str::from_utf8(value).map_err(|_| CallError::Length)?.trim();
     if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
@@ -175,10 +175,10 @@
     Ok(digits.parse().unwrap_or(usize::MAX))
 }
 
-/// The call that the method and target of a request line ask for.
+/// Parses the method and target of a request line.
 ///
 /// # Errors
-/// There is nothing at the path, it has another method, or the query is malformed; checked in this order.
+/// In the order of the checks: the path does not exist, does not allow the method, or the query is invalid.
 pub fn parse_call(method: &str, target: &str) -> Result<Call, CallError> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let require = |allowed| if method == allowed { Ok(()) } else { Err(CallError::Method(allowed)) };
@@ -193,8 +193,8 @@
         }
         "/standby" => {
             require("POST")?;
-            // What else the query has was always ignored here.
-            let (_, is_forced) = take_force(query)?;
+            // Other query fields are ignored, as in earlier versions.
+            let (_, is_forced) = split_force(query)?;
             Ok(Call::Standby { is_forced })
         }
         "/active" => {
@@ -203,7 +203,7 @@
         }
         "/maintenance/enter" => {
             require("POST")?;
-            let (query, is_forced) = take_force(query)?;
+            let (query, is_forced) = split_force(query)?;
             Ok(Call::EnterMaintenance { member: member(&query)?, is_forced })
         }
         "/maintenance/exit" => {
@@ -212,45 +212,45 @@
         }
         _ => {
             let printable = |character: &char| !character.is_control();
-            Err(CallError::Path(path.chars().take(MAX_MEMBER_BYTES).filter(printable).collect()))
+            Err(CallError::Path(path.chars().take(MAX_MEMBER_ID_BYTES).filter(printable).collect()))
         }
     }
 }
 
-/// The query without its field `force=1`, and whether it had one.
-fn take_force(query: &str) -> Result<(String, bool), CallError> {
+/// Splits a query into its other fields and whether it has `force=1`.
+fn split_force(query: &str) -> Result<(String, bool), CallError> {
     let (force, rest): (Vec<&str>, Vec<&str>) =
-        query.split('&').partition(|field| field.starts_with(FORCE_FIELD));
+        query.split('&').partition(|field| field.starts_with(FORCE_PREFIX));
     match force[..] {
         [] => Ok((rest.join("&"), false)),
         ["force=1"] => Ok((rest.join("&"), true)),
-        _ => Err(CallError::Query("force=1 is all that may be said of force, once")),
+        _ => Err(CallError::Query("force must be given at most once, as force=1")),
     }
 }
 
-/// The id of the one member that a query names, as in `name=ID`.
+/// The member id in a query of the form `name=ID`.
 fn member(query: &str) -> Result<String, CallError> {
     let mut found = None;
     for field in query.split('&').filter(|field| !field.is_empty()) {
         let (key, value) = field.split_once('=').unwrap_or((field, ""));
         if percent_decoded(key)? != "name" {
-            return Err(CallError::Query("the query holds more than name=ID"));
+            return Err(CallError::Query("the query must hold only name=ID"));
         }
         if found.replace(percent_decoded(value)?).is_some() {
             return Err(CallError::Query("the query names more than one member"));
         }
     }
     let member =
-        found.filter(|member| !member.is_empty()).ok_or(CallError::Query("the query lacks name=ID"))?;
-    if member.len() > MAX_MEMBER_BYTES || member.chars().any(char::is_control) {
-        return Err(CallError::Query("the name is no member's id"));
+        found.filter(|member| !member.is_empty()).ok_or(CallError::Query("the query must hold name=ID"))?;
+    if member.len() > MAX_MEMBER_ID_BYTES || member.chars().any(char::is_control) {
+        return Err(CallError::Query("the member id must have at most 256 bytes and no control characters"));
     }
     Ok(member)
 }
 
-/// Text without its percent-encoding, where `+` stands for a space.
+/// Decodes percent-encoding, with `+` for a space.
 fn percent_decoded(text: &str) -> Result<String, CallError> {
-    let malformed = || CallError::Query("the query's percent-encoding is broken");
+    let malformed = || CallError::Query("the query's percent-encoding is malformed");
     let mut decoded = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((&byte, after)) = rest.split_first() {
@@ -268,9 +268,9 @@
     String::from_utf8(decoded).map_err(|_| malformed())
 }
 
-/// The byte that two hexadecimal digits stand for.
+/// Parses two hexadecimal digits.
 fn hex_byte(digits: &[u8]) -> Option<u8> {
-    // A sign, which the number's parser would take, is no digit.
+    // `from_str_radix` would also accept a sign.
     let are_digits = digits.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(digits).ok().filter(|_| are_digits)?;
     u8::from_str_radix(text, 16).ok()
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,8 +1,8 @@
-//! The operators' API: an address of its own, HTTP/1.1, one call a connection. It reads metrics and passes operators'
-//! orders on; it decides nothing, and must hold no state of members.
+//! The operators' API: HTTP/1.1 on an address of its own, one call per connection. It serves metrics and forwards
+//! operators' orders; it must hold no state of members.
 //!
-//! Operators are answered whatever clients do: their descriptors are set aside, and connections whose call does not
-//! become complete are bounded in time and number, the oldest of them making room for a new one.
+//! Operators are answered regardless of the load by clients: descriptors are reserved for them, and connections with an
+//! incomplete call are limited in time and number; the oldest of them is closed for a new connection.
 
 pub mod call;
 pub mod operator_api;
@@ -29,23 +29,23 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::FramedRead;
 
-/// The most connections of operators at a time.
+/// The most simultaneous connections of operators.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 8;
-/// The time in which a call must be complete; the platform's own slow callers keep a connection for 4 s.
+/// Time limit for a complete call; longer than the 4 s for which the platform's slow callers keep a connection.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// The time in which a caller must read its response.
+/// Time limit for writing a response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// For how long input behind the call is read and discarded: a connection closed with unread input may take the
-/// response along.
+/// How long input after the call is discarded: closing a connection with unread input may reset it before the caller has
+/// read the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// The pause after an accept that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Size of a read, in bytes.
-const READ_SIZE: usize = 1024;
-/// Size of a read of input that is discarded, in bytes.
-const DISCARD_SIZE: usize = 256;
+/// Delay before the next accept after one that failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Initial capacity of a connection's read buffer.
+const READ_BUFFER_BYTES: usize = 1024;
+/// Size of the buffer for discarded input.
+const DISCARD_BUFFER_BYTES: usize = 256;
 
-/// Serves operators for as long as the program runs.
+/// Serves operators; does not return while the process runs.
 pub async fn run(listener: TcpListener, api: Rc<OperatorApi>) {
     let slots = Arc::new(Semaphore::new(MAX_OPERATOR_CONNECTIONS));
     let incomplete_calls = Rc::new(IncompleteCalls::default());
@@ -65,20 +65,20 @@
     }
 }
 
-/// The next connection. An accept that fails, as for want of descriptors, is tried again.
+/// Accepts the next connection; retries after errors such as a lack of descriptors.
 async fn accept(listener: &TcpListener) -> (TcpStream, SocketAddr) {
     loop {
         match listener.accept().await {
             Ok(accepted) => return accepted,
             Err(error) => {
-                warn!("accept of operators: {error}");
-                sleep(ACCEPT_PAUSE).await;
+                warn!("operators' connection not accepted: {error}");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// The connections whose call is not complete yet, by the order of their accept, each with the signal to close.
+/// The close signals of connections whose call is incomplete, keyed by connection number and so ordered by age.
 #[derive(Default)]
 struct IncompleteCalls(RefCell<BTreeMap<u64, Rc<Notify>>>);
 
@@ -97,8 +97,7 @@
     }
 }
 
-/// A connection whose call is not complete yet, and which may have to make room. It must be dropped once the call is
-/// complete.
+/// A connection whose call is incomplete and which may be closed for a new one. Must be dropped when the call is complete.
 struct IncompleteCall {
     calls: Rc<IncompleteCalls>,
     connection_number: u64,
@@ -111,9 +110,9 @@
     }
 }
 
-/// Serves one call. Returns why the connection closes.
+/// Serves one call. Returns the reason for which the connection closes.
 async fn serve(mut stream: TcpStream, api: &OperatorApi, incomplete_call: IncompleteCall) -> CloseReason {
-    let mut calls = FramedRead::with_capacity(&mut stream, CallCodec, READ_SIZE);
+    let mut calls = FramedRead::with_capacity(&mut stream, CallCodec, READ_BUFFER_BYTES);
     let received = tokio::select! {
         biased;
         received = timeout(CALL_TIMEOUT, calls.next()) => received,
@@ -125,7 +124,13 @@
         Ok(Some(Err(CallError::Io(_)))) => return CloseReason::Io,
         Ok(Some(Err(error))) => (Response::from(error), CloseReason::Protocol),
         Ok(None) => return CloseReason::PeerClosed,
-        Err(_) => (Response::text(408, "the call did not come whole"), CloseReason::TimedOut),
+        Err(_) => {
+            let limit = CALL_TIMEOUT.as_secs();
+            (
+                Response::text(408, format!("the call was not complete within {limit} s")),
+                CloseReason::TimedOut,
+            )
+        }
     };
     match write_response(&mut stream, &response).await {
         Ok(Ok(())) => {}
@@ -138,7 +143,7 @@
 
 async fn write_response(stream: &mut TcpStream, response: &Response) -> Result<io::Result<()>, Elapsed> {
     let bytes = response.encode();
-    // Without it the response would only be slower.
+    // A failure is ignored, since it only delays the response.
     let _ = stream.set_nodelay(true);
     let written = async {
         stream.write_all(bytes.as_bytes()).await?;
@@ -148,7 +153,7 @@
 }
 
 async fn discard_input(stream: &mut TcpStream) {
-    let mut discarded = [0; DISCARD_SIZE];
+    let mut discarded = [0; DISCARD_BUFFER_BYTES];
     let until_end = async { while stream.read(&mut discarded).await.is_ok_and(|length| length > 0) {} };
     let _ = timeout(LINGER_TIMEOUT, until_end).await;
 }
--- a/src/admin/operator_api.rs
+++ b/src/admin/operator_api.rs
@@ -1,5 +1,5 @@
-//! What operators' calls do: each is passed to the part of the program that it concerns. Where the fleet limits
-//! disruptions, nothing may go out of service before the fleet has given its permit.
+//! Carries out operators' calls by forwarding them to the responsible components. If the fleet limits disruptions, a proxy
+//! or member must not be taken out of service before the fleet has granted a permit.
 
 use super::call::Call;
 use super::response::Response;
@@ -20,22 +20,22 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// For how long a call waits for the driver of the decisions.
+/// How long a call waits for the driver of the decisions.
 const DRIVER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The parts of the program that operators' calls concern.
+/// The components that operators' calls need.
 pub struct OperatorApi {
-    /// The lifecycle of this process.
+    /// Drains this process and puts it back in service.
     pub lifecycle: Rc<LifecycleDriver>,
-    /// The maintenance orders on members.
+    /// Records maintenance orders on members.
     pub maintenance_log: Rc<MaintenanceLog>,
-    /// The metrics.
+    /// The metrics that are served.
     pub metrics: Rc<Metrics>,
     /// The state of discovery, for the metrics.
     pub discovery_status: Rc<DiscoveryStatus>,
-    /// The inbox of the driver of the decisions, which knows the members.
+    /// The inbox of the driver of the decisions, which counts the members.
     pub inbox: mpsc::UnboundedSender<DriverInput>,
-    /// The fleet, if this process is part of one.
+    /// The client of the fleet, if this process is part of one.
     pub fleet: Option<Rc<FleetClient>>,
 }
 
@@ -55,7 +55,7 @@
     async fn metrics(&self) -> Response {
         let (reply, counts) = oneshot::channel();
         let _ = self.inbox.send(DriverInput::MemberCountsRequested(reply));
-        // If the driver is late, counts that are a moment old are better than none.
+        // If the driver does not reply in time, the previous counts are served.
         if let Ok(Ok(counts)) = timeout(DRIVER_TIMEOUT, counts).await {
             self.metrics.record_members(counts.listed, counts.avoided);
         }
@@ -64,7 +64,7 @@
         self.metrics.record_discovery(silence, list_age, self.discovery_status.list_version());
         match self.metrics.text() {
             Ok(text) => Response::metrics(text),
-            Err(_) => Response::text(500, "the figures can't be written"),
+            Err(_) => Response::text(500, "the metrics can't be encoded"),
         }
     }
 
@@ -78,7 +78,8 @@
 
     fn activate(&self) -> Response {
         let response = self.lifecycle_event(Event::Active, "serving");
-        // A proxy may be back before the fleet saw it out, which would never end its permit.
+        // The fleet ends a permit once it has seen the proxy out and then back. A proxy that is back before it was seen out
+        // must return the permit itself.
         if let Some(fleet) = self.limiting_fleet().cloned() {
             spawn_local(async move { disruption::return_own_permit(&fleet).await });
         }
@@ -88,7 +89,7 @@
     async fn enter_maintenance(&self, member: String, is_forced: bool) -> Response {
         let subject = |_: &FleetClient| Subject::Member(member.clone());
         match self.request_permit(subject, is_forced).await {
-            // The fleet's quarantine takes the member out, here as at every proxy.
+            // The fleet's quarantine takes the member out of service at all proxies, including this one.
             Ok(()) if self.limiting_fleet().is_some() => Response::text(200, format!("{member} is out")),
             Ok(()) => self.set_out_of_service(&member, true),
             Err(rejection) => rejection,
@@ -109,7 +110,7 @@
         self.fleet.as_ref().filter(|fleet| fleet.limits_disruptions())
     }
 
-    /// Requests the fleet's permit for a subject to be out, where the fleet limits disruptions.
+    /// Requests a permit to take a subject out of service, if the fleet limits disruptions.
     async fn request_permit(
         &self, subject: impl FnOnce(&FleetClient) -> Subject, is_forced: bool,
     ) -> Result<(), Response> {
@@ -122,13 +123,13 @@
                 Ok(())
             }
             Err(error) => {
-                info!("operators: {} may not be out: {error}", subject.key());
+                info!("operators: no permit to take {} out: {error}", subject.key());
                 Err(Response::from(error))
             }
         }
     }
 
-    /// Gives the order that a member is out of service, or in use again.
+    /// Records the order that a member is out of service, or back in use.
     fn set_out_of_service(&self, member: &str, is_out: bool) -> Response {
         let state = if is_out { "out" } else { "in use" };
         match self.maintenance_log.order(member, is_out) {
@@ -138,13 +139,13 @@
                 Response::text(200, format!("{member} is {state}{unchanged}"))
             }
             Err(OrderRejected::UnknownMember) => {
-                Response::text(404, format!("no list of late has named {member}"))
+                Response::text(404, format!("no recent list has named {member}"))
             }
             Err(OrderRejected::TooManyOrders) => Response::text(409, "too many members are out"),
         }
     }
 
-    /// Passes an event to the lifecycle; `state` is what the process is after it, for operators.
+    /// Passes an event to the lifecycle; `state` is the resulting state in the response.
     fn lifecycle_event(&self, event: Event, state: &str) -> Response {
         match self.lifecycle.handle(event) {
             Ok(()) => {
--- a/src/admin/response.rs
+++ b/src/admin/response.rs
@@ -1,4 +1,4 @@
-//! A response to an operator's call, in HTTP/1.1. Status codes and texts are read by operators' scripts.
+//! Responses to operators' calls in HTTP/1.1. Operators' scripts parse the status codes and texts.
 
 use super::call::CallError;
 use crate::fleet::disruption::DisruptionError;
@@ -6,28 +6,28 @@
 const PLAIN_TEXT: &str = "text/plain; charset=utf-8";
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// A response, after which the connection closes.
+/// A response; the connection closes after it.
 #[derive(Debug)]
 pub(super) struct Response {
     status: u16,
     content_type: &'static str,
-    /// The only method that is allowed, if the call had another one.
+    /// The only allowed method, if the call used another one.
     allowed_method: Option<&'static str>,
     body: String,
 }
 
 impl Response {
-    /// A response of one line.
+    /// A plain-text response of one line.
     pub(super) fn text(status: u16, line: impl Into<String>) -> Response {
         Response { status, content_type: PLAIN_TEXT, allowed_method: None, body: line.into() + "\n" }
     }
 
-    /// A response that holds the metrics.
+    /// A response with the encoded metrics.
     pub(super) fn metrics(body: String) -> Response {
         Response { status: 200, content_type: OPEN_METRICS, allowed_method: None, body }
     }
 
-    /// The bytes of the response.
+    /// Encodes status line, headers and body.
     pub(super) fn encode(&self) -> String {
         let Response { status, content_type, allowed_method, body } = self;
         let reason = reason_phrase(*status);
@@ -51,13 +51,13 @@
 }
 
 impl From<DisruptionError> for Response {
-    /// The text says when to ask again: a permit ends when its subject is back.
+    /// The text says when to retry, since a permit that is in the way ends when its subject is back in service.
     fn from(error: DisruptionError) -> Response {
         let status = match error {
             DisruptionError::Denied(_) => 409,
             DisruptionError::Unconfirmed(_) | DisruptionError::NoLeader(_) => 503,
         };
-        Response::text(status, format!("{error}; ask again in 1 s"))
+        Response::text(status, format!("{error}; retry in 1 s"))
     }
 }
 
--- a/src/admin/response/tests.rs
+++ b/src/admin/response/tests.rs
@@ -1,5 +1,5 @@
-//! Responses to operators' calls, byte for byte. Guards against another status, header or text, which scripts of operators
-//! read.
+//! Responses to operators' calls, byte for byte. Guards against a changed status, header or text, which operators' scripts
+//! parse.
 
 use super::*;
 use linenhill_cluster::transport::OperatorCallError;
@@ -28,18 +28,18 @@
 }
 
 #[test]
-fn responses_to_what_the_fleet_did_not_allow_keep_their_bytes() {
+fn responses_to_denied_disruptions_keep_their_bytes() {
     for (error, status, line) in [
-        (DisruptionError::Denied("p0 is out".into()), "409 Conflict", "p0 is out; ask again in 1 s"),
+        (DisruptionError::Denied("p0 is out".into()), "409 Conflict", "p0 is out; retry in 1 s"),
         (
             DisruptionError::Unconfirmed(vec!["p1".into(), "p2".into()]),
             "503 Service Unavailable",
-            "not confirmed yet by p1, p2; ask again in 1 s",
+            "not confirmed yet by p1, p2; retry in 1 s",
         ),
         (
             DisruptionError::NoLeader(OperatorCallError::NoKeepers),
             "503 Service Unavailable",
-            "no keeper answers: there is no keeper; ask again in 1 s",
+            "no keeper answers: there is no keeper; retry in 1 s",
         ),
     ] {
         assert_eq!(Response::from(error).encode(), plain(status, "", line));
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,6 +1,6 @@
-//! What a proxy is configured with at its start: a JSON file, and environment variables that take precedence over it.
+//! The configuration of a proxy: a JSON file, and environment variables that take precedence over it.
 //!
-//! Reading changes nothing: no socket is bound, no descriptor is taken and no directory is made here.
+//! Loading has no side effects: it binds no socket, takes over no descriptor and creates no directory.
 
 use crate::discovery::list::{EndpointList, IdentifierTable, ListDoc};
 use crate::settings::{self, JsonError, Profile, Site, required};
@@ -11,14 +11,15 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Descriptors assumed where the configuration names no limit.
+/// Limit on descriptors if the configuration has none.
 const DEFAULT_SOCKETS: u64 = 1_024;
-/// Memory assumed where the configuration names no limit. MiB.
+/// Limit on memory in MiB if the configuration has none.
 const DEFAULT_MEMORY_MB: u64 = 192;
-/// Of a proxy's name, the characters that its directory's name has.
-const MAX_DIRECTORY_NAME: usize = 64;
-/// Descriptors up to this one are the standard ones, never a listening socket.
+/// Limit on the characters of a proxy's name that are used in the name of its shared directory.
+const MAX_DIRECTORY_NAME_CHARS: usize = 64;
+/// The highest descriptor of the standard streams; a listening socket has a higher one.
 const LAST_STANDARD_DESCRIPTOR: i32 = 2;
+const EXPECTED_ADDRESS: &str = "an address such as 127.0.0.1:6543";
 
 #[derive(Deserialize)]
 struct ConfigDoc {
@@ -38,47 +39,48 @@
     sockets: Option<u64>,
 }
 
-/// The configuration, checked.
+/// A valid configuration.
 pub struct Config {
-    /// The proxy's name; empty where none is given.
+    /// The proxy's name; empty if none is given.
     pub name: String,
-    /// The address at which clients connect.
+    /// The address to which clients connect.
     pub listen: SocketAddr,
-    /// The address of discovery.
+    /// The address of the discovery service or its local agent.
     pub discovery: SocketAddr,
-    /// The address of the operators' calls; `None` turns them off.
+    /// The address of the operators' API; `None` disables it.
     pub admin: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket, where the platform holds it.
+    /// The descriptor of the clients' listening socket, if it is inherited from the platform.
     pub inherited_descriptor: Option<i32>,
-    /// The directory that two versions share in an upgrade: a part of `TMPDIR`, where upgrades or operators are.
+    /// The directory in `TMPDIR` that two versions share during an upgrade. `None` without `TMPDIR`, or with neither an
+    /// inherited socket nor an operators' API.
     pub shared_directory: Option<PathBuf>,
     /// The seed of random numbers.
     pub seed: u64,
-    /// Descriptors that this process may hold.
+    /// The most descriptors that this process may have open.
     pub sockets: usize,
-    /// Memory that this process may use, in bytes.
+    /// The most memory that this process may use, in bytes.
     pub memory: usize,
-    /// The endpoint list as it was last known.
+    /// The last known endpoint list, used until discovery sends one.
     pub known: Option<EndpointList>,
-    /// The settings.
+    /// The site's settings.
     pub site: Site,
-    /// The numbers of names; those of the settings' zones are among them.
+    /// The interned names, including the zone of the settings.
     pub names: IdentifierTable,
 }
 
-/// Why there is no configuration; prints as one line.
+/// Why the configuration can't be loaded. Displayed as one line.
 #[derive(Debug)]
 pub enum ConfigError {
     /// `LB_CONFIG` is not set.
     NoFile,
     /// The file can't be read.
     Unreadable(PathBuf, io::Error),
-    /// The file's text can't be used.
+    /// The file's text is malformed, or a field of it is invalid.
     Malformed(PathBuf, JsonError),
-    /// This variable holds no address.
-    Variable(&'static str),
-    /// This variable names no descriptor beyond the standard ones.
-    Descriptor(&'static str),
+    /// The named variable has this value, which is not a socket address.
+    Variable(&'static str, String),
+    /// The named variable has this value, which is not a descriptor above the standard ones.
+    Descriptor(&'static str, String),
 }
 
 impl fmt::Display for ConfigError {
@@ -87,8 +89,13 @@
             ConfigError::NoFile => write!(f, "LB_CONFIG names no file"),
             ConfigError::Unreadable(path, error) => write!(f, "{}: {error}", path.display()),
             ConfigError::Malformed(path, error) => write!(f, "{}: {error}", path.display()),
-            ConfigError::Variable(name) => write!(f, "{name} is not an address"),
-            ConfigError::Descriptor(name) => write!(f, "{name} is not the number of a descriptor over 2"),
+            ConfigError::Variable(name, value) => {
+                write!(f, "{name} must be {EXPECTED_ADDRESS}, got {value:?}")
+            }
+            ConfigError::Descriptor(name, value) => write!(
+                f,
+                "{name} must be the number of a descriptor above {LAST_STANDARD_DESCRIPTOR}, got {value:?}"
+            ),
         }
     }
 }
@@ -98,36 +105,36 @@
         match self {
             ConfigError::Unreadable(_, error) => Some(error),
             ConfigError::Malformed(_, error) => Some(error),
-            ConfigError::NoFile | ConfigError::Variable(_) | ConfigError::Descriptor(_) => None,
+            ConfigError::NoFile | ConfigError::Variable(..) | ConfigError::Descriptor(..) => None,
         }
     }
 }
 
-/// What is wrong with a value, before it is known which file it came from.
+/// An invalid value, before the path of its file is added.
 enum ValueError {
-    Form(JsonError),
-    Variable(&'static str),
-    Descriptor(&'static str),
+    Json(JsonError),
+    Variable(&'static str, String),
+    Descriptor(&'static str, String),
 }
 
 impl From<JsonError> for ValueError {
     fn from(error: JsonError) -> ValueError {
-        ValueError::Form(error)
+        ValueError::Json(error)
     }
 }
 
 impl ValueError {
-    /// The error of a configuration whose file is at `path`.
+    /// Adds the path of the configuration file.
     fn in_file(self, path: &Path) -> ConfigError {
         match self {
-            ValueError::Form(error) => ConfigError::Malformed(path.to_path_buf(), error),
-            ValueError::Variable(name) => ConfigError::Variable(name),
-            ValueError::Descriptor(name) => ConfigError::Descriptor(name),
+            ValueError::Json(error) => ConfigError::Malformed(path.to_path_buf(), error),
+            ValueError::Variable(name, value) => ConfigError::Variable(name, value),
+            ValueError::Descriptor(name, value) => ConfigError::Descriptor(name, value),
         }
     }
 }
 
-/// The variables that take precedence over the file.
+/// Environment variables that take precedence over the file, and `TMPDIR`.
 #[derive(Clone, Default)]
 pub struct Variables {
     /// `LB_NAME`.
@@ -145,7 +152,7 @@
 }
 
 impl Variables {
-    /// Those of this process.
+    /// Reads the variables of this process.
     fn from_environment() -> Variables {
         Variables {
             name: variable("LB_NAME"),
@@ -158,21 +165,22 @@
     }
 }
 
-/// Why the configuration is read, which decides what takes precedence.
+/// The occasion of loading the configuration; it determines whether file or variable takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReason {
-    /// At the start: the variables take precedence over the file.
+    /// Start of the process: variables take precedence over the file.
     Start,
-    /// Once more, on SIGHUP: the file's `discovery` is newer than its variable and takes precedence over it.
+    /// Reload on SIGHUP: `discovery` in the file takes precedence over its variable, which can't have changed since the
+    /// start.
     Reload,
 }
 
 impl Config {
-    /// Reads the file that `LB_CONFIG` names, and the other variables.
+    /// Loads the file that `LB_CONFIG` names, and the other variables.
     ///
     /// # Errors
     ///
-    /// See [`ConfigError`]: the first thing that is wrong.
+    /// The first problem found; see [`ConfigError`].
     pub fn from_environment(reason: LoadReason) -> Result<Config, ConfigError> {
         let path = PathBuf::from(variable("LB_CONFIG").ok_or(ConfigError::NoFile)?);
         let text =
@@ -180,11 +188,11 @@
         Config::parse(&text, &path, Variables::from_environment(), reason)
     }
 
-    /// Checks the text of the file at `path`, which is used in errors alone.
+    /// Parses and validates the text of a configuration file; `path` is used only in errors.
     ///
     /// # Errors
     ///
-    /// See [`ConfigError`]: the first thing that is wrong.
+    /// The first problem found; see [`ConfigError`].
     pub fn parse(
         text: &str, path: &Path, variables: Variables, reason: LoadReason,
     ) -> Result<Config, ConfigError> {
@@ -211,7 +219,7 @@
         let site = site(required("settings", document.settings)?, &mut names)?;
         let limits = document.limits.unwrap_or_default();
         let name = variables.name.or(document.name).unwrap_or_default();
-        // Without operators and upgrades nothing is written anywhere.
+        // Maintenance orders need the directory only if operators can give them or an upgrade can hand them over.
         let is_shared = admin.is_some() || inherited_descriptor.is_some();
         let temporary_directory = variables.temporary_directory.filter(|_| is_shared);
         Ok(Config {
@@ -231,36 +239,41 @@
     }
 }
 
-/// The value of a variable; one that is empty counts as not set.
+/// The value of a variable; an empty one counts as not set.
 fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-/// The address that a variable holds; else the one in a field of the file.
+/// Parses the address in a variable or, if that is not set, in a field of the file.
 fn address(
     variable: &'static str, variable_value: Option<String>, field: &str, field_value: Option<String>,
 ) -> Result<SocketAddr, ValueError> {
     if let Some(text) = variable_value {
-        return text.parse().map_err(|_| ValueError::Variable(variable));
+        return text.parse().map_err(|_| ValueError::Variable(variable, text));
     }
     let text = required(field, field_value)?;
-    text.parse().map_err(|_| JsonError::Invalid(field.to_string()).into())
+    text.parse().map_err(|_| unexpected(field, EXPECTED_ADDRESS, &text).into())
 }
 
 fn descriptor(text: &str) -> Result<i32, ValueError> {
     let number = text.parse().ok().filter(|number| *number > LAST_STANDARD_DESCRIPTOR);
-    number.ok_or(ValueError::Descriptor("LB_INHERITED_FD"))
+    number.ok_or_else(|| ValueError::Descriptor("LB_INHERITED_FD", text.to_string()))
 }
 
-/// A seed in hexadecimal digits, as the platform gives it.
+/// Parses a seed, which the platform writes in hexadecimal digits.
 fn seed(text: &str) -> Result<u64, JsonError> {
-    u64::from_str_radix(text, 16).map_err(|_| JsonError::Invalid("seed".to_string()))
+    u64::from_str_radix(text, 16).map_err(|_| unexpected("seed", "1 to 16 hexadecimal digits", text))
 }
 
-/// Checks the settings, also for what a proxy on real sockets needs beyond the adapter.
+/// The error of a field whose text is not of the expected form.
+fn unexpected(field: &str, expected: &'static str, received: &str) -> JsonError {
+    JsonError::Unexpected { field: field.to_string(), expected, received: format!("{received:?}") }
+}
+
+/// Validates the settings, including what only a proxy on real sockets requires.
 fn site(profile: Profile, names: &mut IdentifierTable) -> Result<Site, JsonError> {
     let site = profile.site(&mut names.zones).map_err(|error| error.within("settings"))?;
-    // Without time no connection would come up; the adapter has none to open.
+    // With 0 no connection could be established; the adapter, which opens none, accepts it.
     if site.settings.limits.connect_timeout.0 == 0 {
         return Err(JsonError::Unexpected {
             field: "settings.limits.connectTimeout".to_string(),
@@ -271,10 +284,10 @@
     Ok(site)
 }
 
-/// The name of a proxy's shared directory: what is no letter, digit or hyphen in the proxy's name is an underscore here.
+/// The name of a proxy's shared directory. Characters other than ASCII letters, digits and hyphens become underscores.
 fn directory_name(name: &str) -> String {
     let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
-    format!("linenhill-{}", name.chars().take(MAX_DIRECTORY_NAME).map(plain).collect::<String>())
+    format!("linenhill-{}", name.chars().take(MAX_DIRECTORY_NAME_CHARS).map(plain).collect::<String>())
 }
 
 fn saturating_usize(number: u64) -> usize {
--- a/src/hot_restart/inherit.rs
+++ b/src/hot_restart/inherit.rs
@@ -1,5 +1,5 @@
-//! The clients' listening socket, inherited from the platform by the number of its descriptor. Without
-//! `unsafe`, and never taking a descriptor that is something else.
+//! Takes over the clients' listening socket, inherited from the platform by its descriptor number. Uses no `unsafe` code,
+//! and must not take ownership of a descriptor of another kind.
 
 use service_binding::{Binding, Listener};
 use socket2::{Domain, Socket, Type};
@@ -12,11 +12,11 @@
 /// Why a descriptor can't be used as the listening socket.
 #[derive(Debug)]
 pub enum InheritError {
-    /// No descriptor is open under the number.
+    /// No descriptor with this number is open.
     Closed(i32),
-    /// The descriptor is no listening TCP socket.
+    /// The descriptor is not a listening TCP socket, for this reason.
     NotListening(i32, &'static str),
-    /// The system does not let it be used.
+    /// A system call on the descriptor failed.
     Io(i32, io::Error),
 }
 
@@ -24,8 +24,8 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             InheritError::Closed(fd) => write!(f, "descriptor {fd} is not open"),
-            InheritError::NotListening(fd, what) => {
-                write!(f, "descriptor {fd} is no listening socket: {what}")
+            InheritError::NotListening(fd, problem) => {
+                write!(f, "descriptor {fd} is not a listening TCP socket: {problem}")
             }
             InheritError::Io(fd, error) => write!(f, "descriptor {fd}: {error}"),
         }
@@ -41,28 +41,28 @@
     }
 }
 
-/// Takes over the listening socket with this descriptor. Nothing else in the process may use the number, so
-/// this is called once, at the start, before anything else is opened.
+/// Takes over the listening socket with this descriptor. Call it once, before the process opens other descriptors, so that
+/// no other owner can use the same number.
 ///
 /// # Errors
-/// The descriptor is not open or is no listening TCP socket, or the system does not let it be used.
+/// The descriptor is not open, is not a listening TCP socket, or a system call on it failed.
 pub fn listener(fd: i32) -> Result<TcpListener, InheritError> {
     let io_error = |error| InheritError::Io(fd, error);
-    let not_listening = |what| InheritError::NotListening(fd, what);
-    // A descriptor that is not open, or is something else, must not be taken: it would be closed at the end.
+    let not_listening = |problem| InheritError::NotListening(fd, problem);
+    // A descriptor that is not open, or not a socket, must not be taken over: it would be closed when it is dropped.
     let link = std::fs::read_link(format!("/proc/self/fd/{fd}")).map_err(|_| InheritError::Closed(fd))?;
     if !link.to_string_lossy().starts_with("socket:") {
-        return Err(not_listening("it is no socket"));
+        return Err(not_listening("it is not a socket"));
     }
-    let Listener::Unix(taken) = Listener::try_from(Binding::FileDescriptor(fd)).map_err(io_error)? else {
-        return Err(not_listening("it can't be taken"));
+    let Listener::Unix(listener) = Listener::try_from(Binding::FileDescriptor(fd)).map_err(io_error)? else {
+        return Err(not_listening("it can't be taken over"));
     };
-    let socket = Socket::from(OwnedFd::from(taken));
+    let socket = Socket::from(OwnedFd::from(listener));
     if !is_tcp(&socket) {
-        return Err(not_listening("it is not of TCP"));
+        return Err(not_listening("it is not a TCP socket"));
     }
     if !socket.is_listener().map_err(io_error)? {
-        return Err(not_listening("it does not listen"));
+        return Err(not_listening("it is not listening"));
     }
     socket.set_cloexec(true).map_err(io_error)?;
     socket.set_nonblocking(true).map_err(io_error)?;
--- a/src/hot_restart/maintenance_log.rs
+++ b/src/hot_restart/maintenance_log.rs
@@ -1,8 +1,8 @@
-//! Orders of operators on members, in this process and in a file that both versions of an upgrade share: an
-//! order given to either process binds both, and those that come after them.
+//! Operators' maintenance orders on members, in this process and in a file that both versions of an upgrade share. An order
+//! given to either process applies to both, and to later versions.
 //!
-//! [`Maintenance`] decides which order counts. This module must never drop an order that it could not write:
-//! it stays in force here, and is written with the next change.
+//! [`Maintenance`] decides which order is in force. An order that could not be written must not be dropped: it stays in
+//! force in this process and is written with the next change.
 
 use super::saved::{self, SavedError};
 use crate::api::Time;
@@ -22,20 +22,20 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// The file's name in the directory that versions share. Earlier versions wrote it under this name, so it must stay.
+/// The file's name in the shared directory. Earlier versions use the same name, so it must not change.
 pub const FILE_NAME: &str = "words";
 
-/// How often the file is checked: an order given to the other process binds this one well within any grace.
-const CHECK_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which the file is checked; an order given to the other process applies well within any drain grace.
+const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// An order as the file has it.
+/// An order in the form of the file.
 #[derive(Serialize, Deserialize)]
 struct OrderRecord {
-    /// The member.
+    /// The member's id.
     id: String,
-    /// It is out of service.
+    /// Whether the member is out of service.
     out: bool,
-    /// When the order was given, in Unix microseconds.
+    /// The time of the order in Unix microseconds.
     at_us: u64,
 }
 
@@ -49,18 +49,18 @@
     }
 }
 
-/// Why the file's orders are not used.
+/// Why the file's orders can't be read.
 #[derive(Debug)]
 enum ReadError {
     Saved(SavedError),
-    Form(JsonError),
+    Json(JsonError),
 }
 
 impl fmt::Display for ReadError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ReadError::Saved(problem) => problem.fmt(f),
-            ReadError::Form(problem) => problem.fmt(f),
+            ReadError::Json(problem) => problem.fmt(f),
         }
     }
 }
@@ -69,12 +69,12 @@
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
             ReadError::Saved(problem) => Some(problem),
-            ReadError::Form(problem) => Some(problem),
+            ReadError::Json(problem) => Some(problem),
         }
     }
 }
 
-/// What distinguishes one state of the file from another; each write makes a new file.
+/// Identifies one version of the file: each write creates a new file, with a new inode.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileStamp {
     inode: u64,
@@ -90,19 +90,18 @@
     }
 }
 
-/// The orders of operators with the file that keeps them.
+/// The maintenance orders, and the file that stores them.
 pub struct MaintenanceLog {
     maintenance: Rc<RefCell<Maintenance>>,
     file: Option<PathBuf>,
-    /// The file as it was last read.
+    /// The version of the file that was last read.
     last_read: Cell<Option<FileStamp>>,
     clock: Clock,
     inbox: mpsc::UnboundedSender<DriverInput>,
 }
 
 impl MaintenanceLog {
-    /// Orders that are also kept in `file`, if there is one. What changes the state of a member is sent to
-    /// `inbox`.
+    /// Loads the orders of `file`, if any, and stores new ones in it. Changed members are reported to `inbox`.
     pub fn new(
         maintenance: Rc<RefCell<Maintenance>>, file: Option<PathBuf>, clock: Clock,
         inbox: mpsc::UnboundedSender<DriverInput>,
@@ -112,10 +111,10 @@
         Rc::new(log)
     }
 
-    /// Records the order that a member is out of service, or back in it. Returns whether that changes anything.
+    /// Records the order that a member is out of service, or back in service. Returns whether the member's state changed.
     ///
     /// # Errors
-    /// No list has named the member recently, or there are too many orders.
+    /// No recent list has named the member, or there are too many orders.
     pub fn order(&self, id: &str, out_of_service: bool) -> Result<bool, OrderRejected> {
         self.sync();
         let changed = self.maintenance.borrow_mut().order(self.clock.now(), id, out_of_service)?;
@@ -126,15 +125,15 @@
         Ok(changed)
     }
 
-    /// Reads the file whenever it changes, for as long as the program runs.
+    /// Reads the file after each change; returns only if there is no file.
     pub async fn follow_file(self: Rc<MaintenanceLog>) {
         while self.file.is_some() {
-            sleep(CHECK_EVERY).await;
+            sleep(FILE_CHECK_INTERVAL).await;
             self.sync();
         }
     }
 
-    /// Merges what another process has written since the last call, and writes again what it did not know.
+    /// Merges orders that another process has written since the last call, and rewrites the file if it lacks any of ours.
     pub fn sync(&self) {
         let Some(file) = &self.file else { return };
         let stamp = FileStamp::of(file);
@@ -144,14 +143,14 @@
         self.last_read.set(stamp);
         let records = match read_records(file) {
             Ok(records) => records,
-            Err(problem) => return warn!("{}: not taken: {problem}", file.display()),
+            Err(problem) => return warn!("{}: maintenance orders not read: {problem}", file.display()),
         };
         let mut written = BTreeMap::new();
         for record in records {
             written.insert(record.id.clone(), record.order());
             self.merge(record);
         }
-        // Two processes that write at once overwrite each other's orders: the one whose order is missing writes it again.
+        // Concurrent writes by two processes overwrite each other: the process whose order is missing writes it again.
         let is_missing =
             |(id, order): (&str, MaintenanceOrder)| written.get(id).is_none_or(|written| *written < order);
         let any_missing = self.maintenance.borrow().orders().any(is_missing);
@@ -174,19 +173,18 @@
         let records: Vec<OrderRecord> =
             maintenance.orders().map(|(id, order)| OrderRecord::new(id, order)).collect();
         if let Err(problem) = saved::write(file, &miniserde::json::to_string(&records)) {
-            warn!("{}: not written: {problem}", file.display());
+            warn!("{}: maintenance orders not written: {problem}", file.display());
         }
     }
 }
 
-/// The file's records; none if it does not exist. A torn file counts as empty, so that what is known here
-/// replaces it.
+/// Reads the file's records. A file that is missing or torn counts as empty; the caller replaces a torn one by its orders.
 fn read_records(file: &Path) -> Result<Vec<OrderRecord>, ReadError> {
     match saved::read(file) {
-        Ok(Some(text)) => settings::parse(&text).map_err(ReadError::Form),
+        Ok(Some(text)) => settings::parse(&text).map_err(ReadError::Json),
         Ok(None) => Ok(Vec::new()),
         Err(problem @ SavedError::Torn) => {
-            warn!("{}: not taken: {problem}", file.display());
+            warn!("{}: maintenance orders not read: {problem}", file.display());
             Ok(Vec::new())
         }
         Err(problem) => Err(ReadError::Saved(problem)),
--- a/src/hot_restart/mod.rs
+++ b/src/hot_restart/mod.rs
@@ -1,6 +1,5 @@
-//! Hot restart: what an old version of the program leaves to the new one that takes over. That is the clients' listening
-//! socket, which the platform holds for both, and the maintenance orders on members, in a file. Nothing may depend on
-//! either being there.
+//! Hot restart: the state that an old version of the program hands over to a new one. It consists of the clients' listening
+//! socket, which the platform holds for both, and a file with the maintenance orders on members. Both are optional.
 
 pub mod inherit;
 pub mod maintenance_log;
--- a/src/hot_restart/saved.rs
+++ b/src/hot_restart/saved.rs
@@ -1,6 +1,6 @@
-//! A small file that two versions of the proxy share. It is replaced as a whole, bounded, and carries a
-//! version and a checksum. A file that is torn, foreign, of another version or too long must be rejected
-//! completely; a file that does not exist is no error.
+//! A small file that two versions of the proxy share. It is bounded in size, has a header with version and checksum, and is
+//! replaced atomically. A file that is torn, foreign, of another version or too long must be rejected as a whole; a missing
+//! file is not an error.
 
 use std::error::Error;
 use std::fmt;
@@ -8,21 +8,21 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// The version of the format. A file of another one is not read.
+/// Name and version of the format; a file with another one is rejected.
 const VERSION: &str = "linenhill-saved-1";
-/// The longest file that is read or written, in bytes.
-const FILE_MAX: u64 = 1 << 20;
+/// The longest file that is read or written.
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// Why a file can't be read or written.
 #[derive(Debug)]
 pub enum SavedError {
-    /// It is longer than any that is written here.
+    /// The file exceeds the maximum length.
     TooLong,
-    /// Its first line is not one of this version.
+    /// The header is not of this version.
     WrongVersion,
-    /// Its text is not what was written.
+    /// The text does not match the header's checksum or length, or the header is malformed.
     Torn,
-    /// The system can't read or write it.
+    /// A system call on the file failed.
     Io(io::Error),
 }
 
@@ -35,9 +35,11 @@
 impl fmt::Display for SavedError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            SavedError::TooLong => write!(f, "over {FILE_MAX} bytes"),
-            SavedError::WrongVersion => write!(f, "not of the form {VERSION}"),
-            SavedError::Torn => write!(f, "torn: the checksum does not fit"),
+            SavedError::TooLong => write!(f, "longer than {MAX_FILE_BYTES} bytes"),
+            SavedError::WrongVersion => write!(f, "the header is not of version {VERSION}"),
+            SavedError::Torn => {
+                write!(f, "torn: the text does not match the checksum and length in the header")
+            }
             SavedError::Io(error) => write!(f, "{error}"),
         }
     }
@@ -52,17 +54,17 @@
     }
 }
 
-/// The bytes of the file for a text: a line with version, CRC-32 and length, then the text.
+/// Encodes a text as the file's content: a header line with version, CRC-32 and length, then the text.
 pub fn seal(text: &str) -> String {
     format!("{VERSION} {:08x} {}\n{text}", crc32fast::hash(text.as_bytes()), text.len())
 }
 
-/// The text in the bytes of a file.
+/// Decodes a file's content.
 ///
 /// # Errors
-/// The bytes are too long, of another version, or not as they were written.
+/// The content is too long, of another version, or torn.
 pub fn unseal(bytes: &[u8]) -> Result<&str, SavedError> {
-    if bytes.len() as u64 > FILE_MAX {
+    if bytes.len() as u64 > MAX_FILE_BYTES {
         return Err(SavedError::TooLong);
     }
     let line_end = bytes.iter().position(|byte| *byte == b'\n').ok_or(SavedError::WrongVersion)?;
@@ -84,7 +86,7 @@
 /// Reads a file's text; `None` if the file does not exist.
 ///
 /// # Errors
-/// The system can't read the file, or its bytes are rejected by [`unseal`].
+/// The file can't be read, or its content is rejected by [`unseal`].
 pub fn read(path: &Path) -> Result<Option<String>, SavedError> {
     let file = match File::open(path) {
         Ok(file) => file,
@@ -92,23 +94,23 @@
         Err(error) => return Err(error.into()),
     };
     let mut bytes = Vec::new();
-    file.take(FILE_MAX + 1).read_to_end(&mut bytes)?;
+    file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes)?;
     unseal(&bytes).map(|text| Some(text.to_string()))
 }
 
-/// Replaces a file in one step: a reader sees the old text or the new one.
+/// Replaces a file atomically: a reader sees either the old text or the new one.
 ///
 /// # Errors
-/// The text is too long, or the system can't write the file.
+/// The text is too long, or the file can't be written.
 pub fn write(path: &Path, text: &str) -> Result<(), SavedError> {
     let bytes = seal(text);
-    if bytes.len() as u64 > FILE_MAX {
+    if bytes.len() as u64 > MAX_FILE_BYTES {
         return Err(SavedError::TooLong);
     }
     let temporary = temporary_path(path);
     let written = replace(path, &temporary, bytes.as_bytes());
     if written.is_err() {
-        // A leftover does no harm, so a failure to remove it is ignored.
+        // A remaining temporary file is harmless, so a failure to remove it is ignored.
         let _ = std::fs::remove_file(&temporary);
     }
     Ok(written?)
@@ -119,7 +121,7 @@
     std::fs::rename(temporary, path)
 }
 
-/// Beside the file, so that it can be renamed; two processes that write at once don't share it.
+/// A path in the same directory, so that a rename is atomic, and with the process id, so that no two processes share it.
 fn temporary_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(format!(".{}", std::process::id()));
--- a/src/process/error.rs
+++ b/src/process/error.rs
@@ -1,4 +1,4 @@
-//! Why a process does not start, or ends.
+//! Errors that prevent a process from starting, or end it.
 
 use crate::config::ConfigError;
 use crate::fleet::command_line::OperatorFileError;
@@ -12,56 +12,60 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a process does not start, or ends. Prints as one line, but for the mistakes of an operators' file: a line each.
+/// Why a process did not start, or has ended. Displayed as one line, except that each mistake in an operators' file has its
+/// own.
 #[derive(Debug)]
 pub enum ProcessError {
     /// The runtime can't be built.
     Runtime(io::Error),
-    /// A signal can't be received.
+    /// A signal handler can't be installed.
     Signals(io::Error),
-    /// There is no configuration.
+    /// The configuration can't be loaded.
     Config(ConfigError),
     /// The operators' file can't be used.
     OperatorFile(OperatorFileError),
-    /// The proxy's name is empty or too long for a fleet.
-    ProxyName,
-    /// A budget of the fleet is for a class that the settings lack.
+    /// The proxy's name, of this length in bytes, is empty or too long for a fleet.
+    ProxyName(usize),
+    /// A budget of the operators' file is for a class that the settings lack.
     UnknownClass(UnknownClass),
     /// A socket can't be bound.
     Listen {
-        /// What the socket is for, as the error names it.
+        /// The socket's users or its setting, for the error's text.
         purpose: &'static str,
-        /// The address that was asked for.
+        /// The requested address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the system call.
         source: io::Error,
     },
     /// The descriptor of `LB_INHERITED_FD` can't be used.
     Inherit(InheritError),
-    /// The keeper does not start, or has ended.
+    /// The keeper did not start, or has failed.
     Keeper(KeeperError),
     /// The driver of the decisions has ended.
     Driver(DriverEnded),
-    /// No fault has the name that is to be injected.
+    /// `LINENHILL_PLANTED` does not name a fault.
     UnknownFault,
 }
 
 impl fmt::Display for ProcessError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ProcessError::Runtime(error) => write!(f, "the runtime does not start: {error}"),
-            ProcessError::Signals(_) => write!(f, "signals can't be received"),
+            ProcessError::Runtime(error) => write!(f, "the runtime can't be started: {error}"),
+            ProcessError::Signals(error) => write!(f, "a signal handler can't be installed: {error}"),
             ProcessError::Config(error) => error.fmt(f),
             ProcessError::OperatorFile(error) => error.fmt(f),
             ProcessError::UnknownClass(error) => error.fmt(f),
-            ProcessError::ProxyName => {
-                write!(f, "a proxy of a fleet needs a name of 1 to {MAX_NAME_BYTES} bytes: 'name' or LB_NAME")
+            ProcessError::ProxyName(length) => write!(
+                f,
+                "a proxy of a fleet needs a name of 1 to {MAX_NAME_BYTES} bytes ('name' or LB_NAME), got {length}"
+            ),
+            ProcessError::Listen { purpose, address, source } => {
+                write!(f, "can't listen on {address} ({purpose}): {source}")
             }
-            ProcessError::Listen { purpose, address, source } => write!(f, "{purpose} {address}: {source}"),
             ProcessError::Inherit(error) => write!(f, "LB_INHERITED_FD: {error}"),
             ProcessError::Keeper(error) => error.fmt(f),
             ProcessError::Driver(error) => error.fmt(f),
-            ProcessError::UnknownFault => write!(f, "no such fault"),
+            ProcessError::UnknownFault => write!(f, "LINENHILL_PLANTED does not name a fault"),
         }
     }
 }
@@ -77,7 +81,7 @@
             ProcessError::Inherit(error) => Some(error),
             ProcessError::Keeper(error) => Some(error),
             ProcessError::Driver(error) => Some(error),
-            ProcessError::ProxyName | ProcessError::UnknownFault => None,
+            ProcessError::ProxyName(_) | ProcessError::UnknownFault => None,
         }
     }
 }
--- a/src/process/keep.rs
+++ b/src/process/keep.rs
@@ -1,4 +1,4 @@
-//! A keeper's process: it keeps the fleet's agreed log on its disk.
+//! The process of a keeper, which stores the fleet's agreed log on its disk.
 
 use super::signals::stream;
 use super::{ProcessError, bind, bound_address, inject_fault, runtime};
@@ -9,21 +9,21 @@
 use tokio::signal::unix::SignalKind;
 use tokio::task::LocalSet;
 
-const LISTEN: &str = "listen on";
+const LISTEN: &str = "instance.listen";
 
-/// Runs the keeper of this name until SIGTERM. `founds_fleet` makes it the first keeper of a new fleet.
+/// Runs the keeper with this name until SIGTERM. `founds_fleet` makes it the first keeper of a new fleet.
 ///
 /// # Errors
 ///
-/// The operators' file or the store can't be used, the socket can't be bound, or the disk fails while it runs.
+/// The operators' file or the store can't be used, the socket can't be bound, or the keeper fails while it runs.
 pub fn keep(operator_file: &Path, name: &str, founds_fleet: bool) -> Result<(), ProcessError> {
     let operator = read_operator_file(operator_file)?;
     inject_fault()?;
     let store = keeper::open_store(&operator, name, founds_fleet)?;
-    let asked = operator.listen.ok_or(KeeperError::MissingSetting("instance.listen"))?;
+    let requested = operator.listen.ok_or(KeeperError::MissingSetting("instance.listen"))?;
     runtime()?.block_on(LocalSet::new().run_until(async move {
-        let listener = bind(LISTEN, asked).await?;
-        let address = bound_address(LISTEN, asked, &listener)?;
+        let listener = bind(LISTEN, requested).await?;
+        let address = bound_address(LISTEN, requested, &listener)?;
         info!("keeper {name} listens on {address}");
         let mut terminate = stream(SignalKind::terminate())?;
         tokio::select! {
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -1,8 +1,6 @@
-//! The program's long-running processes, a proxy and a keeper. Each reads its configuration, binds
-//! its sockets and runs.
+//! The long-running processes: a proxy and a keeper. Each loads its configuration, binds its sockets and runs.
 //!
-//! Nothing here decides anything or knows a protocol. What fails before the process serves ends it with one error, which the
-//! caller prints.
+//! An error before the process serves ends it; the caller logs the error.
 
 mod error;
 mod keep;
@@ -18,32 +16,32 @@
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Runtime};
 
-/// The runtime of the program: one thread, with I/O and time.
+/// Builds a single-threaded runtime with I/O and timers.
 ///
 /// # Errors
 ///
-/// [`ProcessError::Runtime`] if the system gives no descriptors for it.
+/// [`ProcessError::Runtime`] if the runtime can't be built, for example for lack of descriptors.
 pub fn runtime() -> Result<Runtime, ProcessError> {
     Builder::new_current_thread().enable_all().build().map_err(ProcessError::Runtime)
 }
 
-/// Binds a listening socket. `purpose` is what an error names beside the address.
+/// Binds a listening socket. `purpose` is part of the error's text.
 async fn bind(purpose: &'static str, address: SocketAddr) -> Result<TcpListener, ProcessError> {
     TcpListener::bind(address).await.map_err(|error| listen_error(purpose, address, error))
 }
 
-/// The address that a socket is bound to; it differs from the one asked for where that had port 0.
+/// The address to which a socket is bound; its port differs from a requested port of 0.
 fn bound_address(
-    purpose: &'static str, asked: SocketAddr, listener: &TcpListener,
+    purpose: &'static str, requested: SocketAddr, listener: &TcpListener,
 ) -> Result<SocketAddr, ProcessError> {
-    listener.local_addr().map_err(|error| listen_error(purpose, asked, error))
+    listener.local_addr().map_err(|error| listen_error(purpose, requested, error))
 }
 
 fn listen_error(purpose: &'static str, address: SocketAddr, source: io::Error) -> ProcessError {
     ProcessError::Listen { purpose, address, source }
 }
 
-/// Injects the fault that a test names in `LINENHILL_PLANTED`, in a build made for it.
+/// Injects the fault that a test names in `LINENHILL_PLANTED`.
 #[cfg(feature = "fault-injection")]
 fn inject_fault() -> Result<(), ProcessError> {
     use linenhill_decisions::fault_injection::{Fault, inject};
@@ -53,7 +51,7 @@
     Ok(())
 }
 
-/// A build that serves has no faults to inject.
+/// Does nothing: production builds can't inject faults.
 #[cfg(not(feature = "fault-injection"))]
 fn inject_fault() -> Result<(), ProcessError> {
     Ok(())
--- a/src/process/serve.rs
+++ b/src/process/serve.rs
@@ -1,4 +1,4 @@
-//! A proxy's process: configuration, sockets and signals around [`crate::proxy`].
+//! The process of a proxy: sets up configuration, sockets and signals for [`crate::proxy`].
 
 use super::signals::{ControlRequest, ControlSignals, Signals};
 use super::{ProcessError, bind, bound_address, inject_fault, runtime};
@@ -19,19 +19,19 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-const LISTEN_CLIENTS: &str = "listen on";
-const LISTEN_OPERATORS: &str = "operators at";
+const LISTEN_CLIENTS: &str = "clients";
+const LISTEN_OPERATORS: &str = "operators";
 const LISTEN_FLEET: &str = "instance.listen";
 
-/// Serves by the configuration that `LB_CONFIG` names, until a signal to stop comes and all that was accepted is answered.
-/// With an operators' file the proxy is one of a fleet.
+/// Serves with the configuration that `LB_CONFIG` names. After a stop signal, returns once all accepted requests are answered
+/// or the time limit for stopping expires. With an operators' file the proxy joins a fleet.
 ///
 /// # Errors
 ///
-/// The configuration or the operators' file can't be used, a socket can't be bound, or the driver of the decisions ended.
+/// The configuration or the operators' file can't be used, a socket can't be bound, or the driver of the decisions has ended.
 pub fn serve(operator_file: Option<&Path>) -> Result<(), ProcessError> {
     runtime()?.block_on(async {
-        // First of all: a reload that comes while the configuration is read must neither end the process nor get lost.
+        // Installed first, so that a SIGHUP while the configuration is loaded neither ends the process nor is lost.
         let signals = Signals::receive()?;
         let config = Config::from_environment(LoadReason::Start)?;
         let operator = operator_file.map(read_operator_file).transpose()?;
@@ -41,7 +41,7 @@
     })
 }
 
-/// Binds all sockets, and makes the directory that versions share.
+/// Binds all sockets and creates the shared directory.
 async fn open_listeners(config: &Config, operator: Option<Operator>) -> Result<Listeners, ProcessError> {
     let fleet = match operator {
         None => None,
@@ -58,8 +58,9 @@
     }
     info!("{} listens on {clients_address}", config.name);
     if let Some(directory) = &config.shared_directory {
-        // It serves without the directory as well; an upgrade then starts without the old version's maintenance orders.
-        std::fs::create_dir_all(directory).unwrap_or_else(|error| warn!("{}: {error}", directory.display()));
+        // Not fatal: without the directory, a new version starts without the old version's maintenance orders.
+        std::fs::create_dir_all(directory)
+            .unwrap_or_else(|error| warn!("{}: shared directory not created: {error}", directory.display()));
     }
     Ok(Listeners { clients, operators, fleet })
 }
@@ -73,10 +74,10 @@
     }
 }
 
-/// Makes this process one of the fleet of the operators' file.
+/// Makes this process a member of the fleet that the operators' file describes.
 async fn join_fleet(operator: Operator, config: &Config) -> Result<FleetMember, ProcessError> {
     if !(1..=MAX_NAME_BYTES).contains(&config.name.len()) {
-        return Err(ProcessError::ProxyName);
+        return Err(ProcessError::ProxyName(config.name.len()));
     }
     let client = FleetClient::new(operator, &config.name, env!("CARGO_PKG_VERSION"));
     let listener = bind_if_given(LISTEN_FLEET, client.operator().listen).await?;
@@ -88,7 +89,7 @@
     let Signals { mut stop, control } = signals;
     let counters = Rc::new(Counters::default());
     let (discovery_address, discovery) = watch::channel(config.discovery);
-    // Control signals are followed while a stop is under way as well: accepted requests are still being sent to members.
+    // Control signals are handled during a stop as well, since accepted requests are still sent to members.
     let served = tokio::select! {
         served = proxy::run(config, listeners, counters.clone(), discovery, stop.received()) => served,
         never = follow_control_signals(control, &counters, &discovery_address) => match never {},
@@ -108,7 +109,7 @@
     }
 }
 
-/// Reads the configuration once more and moves to the discovery that it names; a wrong file changes nothing.
+/// Reloads the configuration and switches to its discovery address; an invalid file changes nothing.
 fn reload(discovery_address: &watch::Sender<SocketAddr>) {
     match Config::from_environment(LoadReason::Reload) {
         Ok(config) => {
--- a/src/process/signals.rs
+++ b/src/process/signals.rs
@@ -1,15 +1,14 @@
-//! The signals of a proxy's process.
-//!
-//! From the moment they are received here, none of them ends the process by itself.
+//! The signals that a proxy handles. Once the handlers are installed, none of these signals terminates the process by its
+//! default action.
 
 use super::ProcessError;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// All signals, received from [`Signals::receive`] on.
+/// All handled signals; none is lost after [`Signals::receive`].
 pub struct Signals {
-    /// Those that end the process in good order.
+    /// Signals that stop the process gracefully.
     pub stop: StopSignals,
-    /// Those that it goes on after.
+    /// Signals that do not end the process.
     pub control: ControlSignals,
 }
 
@@ -25,21 +24,21 @@
     reload: Signal,
 }
 
-/// What a control signal asks for.
+/// The action that a control signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlRequest {
     /// SIGUSR1: log the counters.
     PrintCounters,
-    /// SIGHUP: read the configuration once more.
+    /// SIGHUP: reload the configuration.
     Reload,
 }
 
 impl Signals {
-    /// Receives the signals from now on.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// [`ProcessError::Signals`] if the system refuses one of them.
+    /// [`ProcessError::Signals`] if a handler can't be installed.
     pub fn receive() -> Result<Signals, ProcessError> {
         Ok(Signals {
             stop: StopSignals {
@@ -55,7 +54,7 @@
 }
 
 impl StopSignals {
-    /// Returns when one of them has come.
+    /// Waits for one of the signals.
     pub async fn received(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -65,7 +64,7 @@
 }
 
 impl ControlSignals {
-    /// What the next one asks for.
+    /// Waits for the next signal.
     pub async fn next(&mut self) -> ControlRequest {
         tokio::select! {
             _ = self.print_counters.recv() => ControlRequest::PrintCounters,
@@ -74,7 +73,7 @@
     }
 }
 
-/// Receives one kind of signal from now on.
+/// Installs a handler for one kind of signal.
 pub fn stream(kind: SignalKind) -> Result<Signal, ProcessError> {
     signal(kind).map_err(ProcessError::Signals)
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -82,22 +82,27 @@
     let nameless = ("LB_CONFIG", nameless.to_str().expect("a path"));
     let operator = operator.to_str().expect("a path");
     let (serve, listen) = (&["serve", "--operator", operator][..], ("LB_LISTEN", "127.0.0.1:0"));
-    let in_use = |purpose: &str| format!("{purpose} {taken}: Address already in use (os error 98)");
+    let in_use =
+        |purpose: &str| format!("can't listen on {taken} ({purpose}): Address already in use (os error 98)");
     assert_fails_to_start(
         &["serve"],
         &[("LB_CONFIG", "none.json")],
         "none.json: No such file or directory (os error 2)",
     );
-    assert_fails_to_start(&["serve"], &[config, ("LB_LISTEN", "x")], "LB_LISTEN is not an address");
-    assert_fails_to_start(&["serve"], &[config, ("LB_LISTEN", &taken)], &in_use("listen on"));
-    assert_fails_to_start(&["serve"], &[config, listen, ("LB_ADMIN", &taken)], &in_use("operators at"));
+    assert_fails_to_start(
+        &["serve"],
+        &[config, ("LB_LISTEN", "x")],
+        "LB_LISTEN must be an address such as 127.0.0.1:6543, got \"x\"",
+    );
+    assert_fails_to_start(&["serve"], &[config, ("LB_LISTEN", &taken)], &in_use("clients"));
+    assert_fails_to_start(&["serve"], &[config, listen, ("LB_ADMIN", &taken)], &in_use("operators"));
     assert_fails_to_start(
         &["serve"],
         &[config, listen, ("LB_INHERITED_FD", "99")],
         "LB_INHERITED_FD: descriptor 99 is not open",
     );
     assert_fails_to_start(serve, &[config, listen], &in_use("instance.listen"));
-    let name_expected = "a proxy of a fleet needs a name of 1 to 64 bytes: 'name' or LB_NAME";
+    let name_expected = "a proxy of a fleet needs a name of 1 to 64 bytes ('name' or LB_NAME), got 0";
     assert_fails_to_start(serve, &[nameless, listen], name_expected);
     assert_fails_to_start(
         &["serve", "--operator", "none.textproto"],
@@ -139,7 +144,10 @@
     };
     keep(&with_listen("cli-silent.textproto", ""), "the operator's file lacks instance.listen");
     let operator = with_listen("cli-taken.textproto", &format!("listen: \"{taken}\""));
-    keep(&operator, &format!("listen on {taken}: Address already in use (os error 98)"));
+    keep(
+        &operator,
+        &format!("can't listen on {taken} (instance.listen): Address already in use (os error 98)"),
+    );
     let wrong = OPERATOR_FILE.replace("lease_ms: 3000", "lease_ms: 1").replace("burst: 100", "burst: 0");
     let wrong = file("cli-wrong.textproto", &wrong).to_str().expect("a path").to_string();
     keep(&wrong, &format!("{wrong}: line 24: terms.lease_ms: must be between 100 and 60000, got 1"));
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -279,8 +279,8 @@
         (&socket, "five", "LB_INHERITED_FD"),
         (&socket, "-1", "LB_INHERITED_FD"),
         (&socket, "77", "descriptor 77 is not open"),
-        (&as_listener(plain.into()), "5", "it does not listen"),
-        (&as_listener(datagrams.into()), "5", "it is not of TCP"),
+        (&as_listener(plain.into()), "5", "is not a listening TCP socket: it is not listening"),
+        (&as_listener(datagrams.into()), "5", "is not a listening TCP socket: it is not a TCP socket"),
     ] {
         let output = inheriting_command(&config, socket, number).output().expect("the program");
         let log = String::from_utf8_lossy(&output.stderr).into_owned();
