--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -1,7 +1,8 @@
 //! Parsing of JSON texts with errors that name the invalid field.
 //!
-//! A document is parsed into a struct whose fields are all optional; mandatory fields are then unwrapped by [`required`],
-//! so that the error for a missing field names it as well. This module is independent of any particular document.
+//! A document is parsed into a struct whose fields are all optional; mandatory fields are then unwrapped by
+//! [`required`], so that the error for a missing field names it as well. This module is independent of any particular
+//! document.
 
 use miniserde::Deserialize;
 use miniserde::json::{self, Array, Object, Value};
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -21,6 +21,6 @@
 /// Size of a gossip message: the member, then its position in milliseconds x 2, plus 1 if it is primary.
 pub const GOSSIP_MESSAGE_BYTES: usize = 10;
 
-/// Drain grace if `rules.drainGrace` is missing: the shortest one of the supported sites, since stopping sends too early
-/// is harmless.
+/// Drain grace if `rules.drainGrace` is missing: the shortest one of the supported sites, since stopping sends too
+/// early is harmless.
 pub const DEFAULT_DRAIN_GRACE: Micros = Micros(250_000);
--- a/crates/settings/src/operator/check.rs
+++ b/crates/settings/src/operator/check.rs
@@ -1,7 +1,7 @@
 //! Validates the operators' file table by table and converts it to an [`Operator`].
 //!
-//! A failed check adds a mistake and validation continues, so that operators see all mistakes at once. The result may be
-//! used only if no mistake was added.
+//! A failed check adds a mistake and validation continues, so that operators see all mistakes at once. The result may
+//! be used only if no mistake was added.
 
 use super::budgets::check_budgets;
 use super::document::{CapDoc, FileDoc, InstanceDoc, KeeperDoc, OutagesDoc, TermsDoc};
--- a/crates/settings/src/operator/mod.rs
+++ b/crates/settings/src/operator/mod.rs
@@ -1,7 +1,7 @@
 //! The operators' file, in protobuf's text format with the schema `proto/operator.proto`.
 //!
-//! All mistakes are reported, each with its line and field; a file with any mistake is rejected completely. Parsing does
-//! not depend on the state that the fleet has agreed on.
+//! All mistakes are reported, each with its line and field; a file with any mistake is rejected completely. Parsing
+//! does not depend on the state that the fleet has agreed on.
 
 mod budgets;
 mod check;
@@ -111,7 +111,8 @@
     pub budgets: Budgets,
     /// The uses of the budgets.
     pub bindings: Vec<Binding>,
-    /// Revision of terms, budgets and limits on outages. The fleet adopts them only if it is higher than the agreed one.
+    /// Revision of terms, budgets and limits on outages. The fleet adopts them only if it is higher than the agreed
+    /// one.
     pub revision: u64,
     /// Limits on simultaneous outages, if any.
     pub outages: Option<DisruptionPolicy>,
@@ -139,8 +140,8 @@
         .ok_or_else(|| Mistake::of_whole_file("the schema lacks linenhill.Operator"))
 }
 
-/// Parses the text, skipping fields with syntax errors; returns the message and these errors. Fails with the errors if the
-/// field at an error can't be skipped, or after [`MAX_SYNTAX_MISTAKES`].
+/// Parses the text, skipping fields with syntax errors; returns the message and these errors. Fails with the errors if
+/// the field at an error can't be skipped, or after [`MAX_SYNTAX_MISTAKES`].
 fn parse(schema: &MessageDescriptor, text: &str) -> Result<(DynamicMessage, Vec<Mistake>), Vec<Mistake>> {
     let mut mistakes = Vec::new();
     let mut remaining = text.to_string();
--- a/crates/settings/src/profile/document.rs
+++ b/crates/settings/src/profile/document.rs
@@ -1,7 +1,7 @@
 //! The settings in the platform's JSON form, before validation.
 //!
-//! Field names are defined by the platform and must not change; [`super::tables`] and [`super::classes`] map them to the
-//! names used in the rest of the program. Durations are in microseconds.
+//! Field names are defined by the platform and must not change; [`super::tables`] and [`super::classes`] map them to
+//! the names used in the rest of the program. Durations are in microseconds.
 
 use miniserde::Deserialize;
 
--- a/crates/settings/tests/operator_file.rs
+++ b/crates/settings/tests/operator_file.rs
@@ -1,4 +1,5 @@
-//! The operators' file: the values parsed from the annotated example, and the exact line, field and text of each mistake.
+//! The operators' file: the values parsed from the annotated example, and the exact line, field and text of each
+//! mistake.
 
 use linenhill_settings::operator;
 
--- a/crates/settings/tests/profile.rs
+++ b/crates/settings/tests/profile.rs
@@ -1,5 +1,5 @@
-//! The platform's settings: the value converted from each field, the exact text of each error, and which error is reported
-//! if there are several.
+//! The platform's settings: the value converted from each field, the exact text of each error, and which error is
+//! reported if there are several.
 
 use linenhill_decisions::api::{
     ClassId, DeduplicationScope, Discovery, Idempotency, Micros, PositionCheck, ReadLevel, SessionPositions,
@@ -162,8 +162,8 @@
     assert_eq!((site.max_open_requests, site.position_origin), (usize::MAX, 0));
 }
 
-// Guards against an invalid field that is accepted, or reported with another text than operators' scripts expect. The next
-// two tests cover the other tables.
+// Guards against an invalid field that is accepted, or reported with another text than operators' scripts expect. The
+// next two tests cover the other tables.
 #[test]
 fn mistakes_in_classes_and_tenants_are_reported() {
     let level =
--- a/src/admin/call.rs
+++ b/src/admin/call.rs
@@ -54,7 +54,7 @@
     Head(httparse::Error),
     /// The named part, head or body, exceeds this number of bytes.
     TooLong(&'static str, usize),
-    /// The body's length is missing, malformed, or stated in more than one way.
+    /// The body's length is not given by `Content-Length`, is malformed, or is given with different values.
     Length,
     /// The API has no such path.
     Path(String),
@@ -90,7 +90,7 @@
         match self {
             CallError::Head(error) => write!(f, "malformed call: {error}"),
             CallError::TooLong(part, limit) => write!(f, "the {part} is longer than {limit} bytes"),
-            CallError::Length => write!(f, "the body's length must be given by exactly one Content-Length"),
+            CallError::Length => write!(f, "the body's length must be given by one valid Content-Length"),
             CallError::Path(path) => write!(f, "no such path: {path}"),
             CallError::Method(allowed) => write!(f, "only {allowed} is allowed here"),
             CallError::Query(problem) => write!(f, "{problem}"),
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -35,8 +35,8 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time limit for writing a response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long input after the call is discarded: closing a connection with unread input may reset it before the caller has
-/// read the response.
+/// How long input after the call is discarded: closing a connection with unread input may reset it before the caller
+/// has read the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Delay before the next accept after one that failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -97,7 +97,8 @@
     }
 }
 
-/// A connection whose call is incomplete and which may be closed for a new one. Must be dropped when the call is complete.
+/// A connection whose call is incomplete and which may be closed for a new one. Must be dropped when the call is
+/// complete.
 struct IncompleteCall {
     calls: Rc<IncompleteCalls>,
     connection_number: u64,
--- a/src/admin/operator_api.rs
+++ b/src/admin/operator_api.rs
@@ -1,5 +1,5 @@
-//! Carries out operators' calls by forwarding them to the responsible components. If the fleet limits disruptions, a proxy
-//! or member must not be taken out of service before the fleet has granted a permit.
+//! Carries out operators' calls by forwarding them to the responsible components. If the fleet limits disruptions, a
+//! proxy or member must not be taken out of service before the fleet has granted a permit.
 
 use super::call::Call;
 use super::response::Response;
@@ -78,8 +78,8 @@
 
     fn activate(&self) -> Response {
         let response = self.lifecycle_event(Event::Active, "serving");
-        // The fleet ends a permit once it has seen the proxy out and then back. A proxy that is back before it was seen out
-        // must return the permit itself.
+        // The fleet ends a permit once it has seen the proxy out and then back. A proxy that is back before it was seen
+        // out must return the permit itself.
         if let Some(fleet) = self.limiting_fleet().cloned() {
             spawn_local(async move { disruption::return_own_permit(&fleet).await });
         }
--- a/src/admin/response/tests.rs
+++ b/src/admin/response/tests.rs
@@ -1,5 +1,5 @@
-//! Responses to operators' calls, byte for byte. Guards against a changed status, header or text, which operators' scripts
-//! parse.
+//! Responses to operators' calls, byte for byte. Guards against a changed status, header or text, which operators'
+//! scripts parse.
 
 use super::*;
 use linenhill_cluster::transport::OperatorCallError;
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,7 @@
 //! The definition of the command line. Without a command the program serves, since the platform starts it that way.
 //!
-//! The comments on commands and arguments are the program's help text. The names of commands and flags are used in scripts
-//! and must not change.
+//! The comments on commands and arguments are the program's help text. The names of commands and flags are used in
+//! scripts and must not change.
 
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
@@ -39,7 +39,7 @@
     },
     /// Check an operators' file and print all its mistakes.
     Check {
-        /// The file.
+        /// The operators' file.
         file: PathBuf,
         /// Print JSON.
         #[arg(long)]
@@ -47,7 +47,7 @@
     },
     /// Show the state of a fleet, or change it.
     Fleet {
-        /// The request.
+        /// The fleet command.
         #[command(subcommand)]
         command: FleetCommand,
     },
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,5 +1,5 @@
-//! The clock of all decisions: Unix time in microseconds, read once at the start and advanced by the monotonic clock, so
-//! that it never goes backwards. The decisions must not read it: each event carries its time.
+//! The clock of all decisions: Unix time in microseconds, read once at the start and advanced by the monotonic clock,
+//! so that it never goes backwards. The decisions must not read it: each event carries its time.
 
 use crate::api::Time;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/src/close_reason.rs
+++ b/src/close_reason.rs
@@ -1,5 +1,5 @@
-//! The reasons for which connections close, and the log line written for each. Operators' scripts parse the codes, so they
-//! must not change.
+//! The reasons for which connections close, and the log line written for each. Operators' scripts parse the codes, so
+//! they must not change.
 
 use log::info;
 use std::fmt;
@@ -37,7 +37,8 @@
         }
 
         impl CloseReason {
-            /// All reasons in the order of their declaration; [`CloseCounts`](crate::counters::CloseCounts) is indexed by it.
+            /// All reasons in the order of their declaration; [`CloseCounts`](crate::counters::CloseCounts) is indexed
+            /// by it.
             pub const ALL: &[CloseReason] = &[$(CloseReason::$name),*];
         }
 
@@ -74,8 +75,8 @@
     Stopping = "stopping",
     /// An idle connection was closed before the member's own idle limit.
     Retired = "retired",
-    /// The connection is not needed for further attempts: its descriptor or its share of the quota is needed elsewhere, or
-    /// the member left or moved.
+    /// The connection is not needed for further attempts: its descriptor or its share of the quota is needed elsewhere,
+    /// or the member left or moved.
     Released = "given-back",
     /// The attempt was cancelled by this proxy.
     Cancelled = "cancelled",
@@ -104,8 +105,8 @@
 }
 
 impl CloseReason {
-    /// Whether a client's connection may close for this reason with requests still open: the client left or does not read,
-    /// the connection failed, or a streamed response could not be completed.
+    /// Whether a client's connection may close for this reason with requests still open: the client left or does not
+    /// read, the connection failed, or a streamed response could not be completed.
     pub fn is_by_peer(self) -> bool {
         use CloseReason as Reason;
         matches!(
--- a/src/config.rs
+++ b/src/config.rs
@@ -219,7 +219,8 @@
         let site = site(required("settings", document.settings)?, &mut names)?;
         let limits = document.limits.unwrap_or_default();
         let name = variables.name.or(document.name).unwrap_or_default();
-        // Maintenance orders need the directory only if operators can give them or an upgrade can hand them over.
+        // The directory holds maintenance orders, so it is only needed if operators can give them or an upgrade can
+        // hand them over. Otherwise nothing is written to disk.
         let is_shared = admin.is_some() || inherited_descriptor.is_some();
         let temporary_directory = variables.temporary_directory.filter(|_| is_shared);
         Ok(Config {
@@ -262,7 +263,8 @@
 
 /// Parses a seed, which the platform writes in hexadecimal digits.
 fn seed(text: &str) -> Result<u64, JsonError> {
-    u64::from_str_radix(text, 16).map_err(|_| unexpected("seed", "1 to 16 hexadecimal digits", text))
+    u64::from_str_radix(text, 16)
+        .map_err(|_| unexpected("seed", "a hexadecimal number of at most 64 bits", text))
 }
 
 /// The error of a field whose text is not of the expected form.
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,5 +1,5 @@
-//! Counters of requests, attempts and connections, printed in the log. Operators' scripts parse their names, so they must
-//! not change.
+//! Counters of requests, attempts and connections, printed in the log. Operators' scripts parse their names, so they
+//! must not change.
 
 use crate::close_reason::CloseReason;
 use std::cell::Cell;
@@ -75,9 +75,9 @@
 }
 
 counters! {
-    /// Requests received, including those rejected on arrival.
+    /// Requests received, including those rejected on arrival; malformed ones only if their class is known.
     taken,
-    /// Requests that could not be parsed.
+    /// Statements that could not be parsed, or that failed before they became requests.
     malformed,
     /// Attempts sent to members.
     sent,
--- a/src/hot_restart/inherit.rs
+++ b/src/hot_restart/inherit.rs
@@ -1,5 +1,5 @@
-//! Takes over the clients' listening socket, inherited from the platform by its descriptor number. Uses no `unsafe` code,
-//! and must not take ownership of a descriptor of another kind.
+//! Takes over the clients' listening socket, inherited from the platform by its descriptor number. Uses no `unsafe`
+//! code, and must not take ownership of a descriptor that is not a socket.
 
 use service_binding::{Binding, Listener};
 use socket2::{Domain, Socket, Type};
@@ -41,8 +41,8 @@
     }
 }
 
-/// Takes over the listening socket with this descriptor. Call it once, before the process opens other descriptors, so that
-/// no other owner can use the same number.
+/// Takes over the listening socket with this descriptor. Call it once, before the process opens other descriptors, so
+/// that no other owner can use the same number.
 ///
 /// # Errors
 /// The descriptor is not open, is not a listening TCP socket, or a system call on it failed.
--- a/src/hot_restart/maintenance_log.rs
+++ b/src/hot_restart/maintenance_log.rs
@@ -1,5 +1,5 @@
-//! Operators' maintenance orders on members, in this process and in a file that both versions of an upgrade share. An order
-//! given to either process applies to both, and to later versions.
+//! Operators' maintenance orders on members, in this process and in a file that both versions of an upgrade share. An
+//! order given to either process applies to both, and to later versions.
 //!
 //! [`Maintenance`] decides which order is in force. An order that could not be written must not be dropped: it stays in
 //! force in this process and is written with the next change.
@@ -111,7 +111,8 @@
         Rc::new(log)
     }
 
-    /// Records the order that a member is out of service, or back in service. Returns whether the member's state changed.
+    /// Records the order that a member is out of service, or back in service. Returns whether the member's state
+    /// changed.
     ///
     /// # Errors
     /// No recent list has named the member, or there are too many orders.
@@ -133,7 +134,8 @@
         }
     }
 
-    /// Merges orders that another process has written since the last call, and rewrites the file if it lacks any of ours.
+    /// Merges orders that another process has written since the last call, and rewrites the file if it lacks any of
+    /// ours.
     pub fn sync(&self) {
         let Some(file) = &self.file else { return };
         let stamp = FileStamp::of(file);
@@ -178,7 +180,8 @@
     }
 }
 
-/// Reads the file's records. A file that is missing or torn counts as empty; the caller replaces a torn one by its orders.
+/// Reads the file's records. A file that is missing or torn counts as empty; the caller replaces a torn one by its
+/// orders.
 fn read_records(file: &Path) -> Result<Vec<OrderRecord>, ReadError> {
     match saved::read(file) {
         Ok(Some(text)) => settings::parse(&text).map_err(ReadError::Json),
--- a/src/hot_restart/saved.rs
+++ b/src/hot_restart/saved.rs
@@ -1,6 +1,6 @@
-//! A small file that two versions of the proxy share. It is bounded in size, has a header with version and checksum, and is
-//! replaced atomically. A file that is torn, foreign, of another version or too long must be rejected as a whole; a missing
-//! file is not an error.
+//! A small file that two versions of the proxy share. It is bounded in size, has a header with version and checksum,
+//! and is replaced atomically. A file that is torn, foreign, of another version or too long must be rejected as a
+//! whole; a missing file is not an error.
 
 use std::error::Error;
 use std::fmt;
@@ -121,7 +121,8 @@
     std::fs::rename(temporary, path)
 }
 
-/// A path in the same directory, so that a rename is atomic, and with the process id, so that no two processes share it.
+/// A path in the same directory, so that a rename is atomic, and with the process id, so that no two processes share
+/// it.
 fn temporary_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(format!(".{}", std::process::id()));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,8 @@
 //! receives a request, when it is sent, and how failures are handled.
 //!
 //! The decisions do no I/O: a driver passes [`api::Event`]s and the current time to [`policy::Router::handle`], and
-//! performs the [`api::Action`]s that it returns. [`proxy`] assembles the driver for real sockets and [`process`] starts
-//! it; the program `linenhill-simulator-adapter` is a driver for a simulator's wire protocol.
+//! performs the [`api::Action`]s that it emits. [`proxy`] assembles the driver for real sockets and [`process`]
+//! starts it; the program `linenhill-simulator-adapter` is a driver for a simulator's wire protocol.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,6 +1,6 @@
-//! The metrics that operators' collectors fetch, in the OpenMetrics text format; they are independent of the counters in
-//! the log. Request counters exist for every class from the start. Collectors depend on metric names, labels and help
-//! texts, so these must not change.
+//! The metrics that operators' collectors fetch, in the OpenMetrics text format; they are independent of the counters
+//! in the log. Request counters exist for every class from the start. Collectors depend on metric names, labels and
+//! help texts, so these must not change.
 
 use crate::close_reason::CloseReason;
 use crate::invariants::InvariantMonitor;
--- a/src/process/error.rs
+++ b/src/process/error.rs
@@ -12,8 +12,8 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a process did not start, or has ended. Displayed as one line, except that each mistake in an operators' file has its
-/// own.
+/// Why a process did not start, or has ended. Displayed as one line, except that each mistake in an operators' file has
+/// its own.
 #[derive(Debug)]
 pub enum ProcessError {
     /// The runtime can't be built.
--- a/src/process/serve.rs
+++ b/src/process/serve.rs
@@ -23,12 +23,13 @@
 const LISTEN_OPERATORS: &str = "operators";
 const LISTEN_FLEET: &str = "instance.listen";
 
-/// Serves with the configuration that `LB_CONFIG` names. After a stop signal, returns once all accepted requests are answered
-/// or the time limit for stopping expires. With an operators' file the proxy joins a fleet.
+/// Serves with the configuration that `LB_CONFIG` names. After a stop signal, returns once all accepted requests are
+/// answered or the time limit for stopping expires. With an operators' file the proxy joins a fleet.
 ///
 /// # Errors
 ///
-/// The configuration or the operators' file can't be used, a socket can't be bound, or the driver of the decisions has ended.
+/// The configuration or the operators' file can't be used, a socket can't be bound, or the driver of the decisions has
+/// ended.
 pub fn serve(operator_file: Option<&Path>) -> Result<(), ProcessError> {
     runtime()?.block_on(async {
         // Installed first, so that a SIGHUP while the configuration is loaded neither ends the process nor is lost.
--- a/src/process/signals.rs
+++ b/src/process/signals.rs
@@ -1,5 +1,5 @@
-//! The signals that a proxy handles. Once the handlers are installed, none of these signals terminates the process by its
-//! default action.
+//! The signals that a proxy handles. Once the handlers are installed, none of these signals terminates the process by
+//! its default action.
 
 use super::ProcessError;
 use tokio::signal::unix::{Signal, SignalKind, signal};
--- a/src/resource_limit.rs
+++ b/src/resource_limit.rs
@@ -1,5 +1,5 @@
-//! A limit on a scarce resource of this process: descriptors, bytes, requests in flight. Acquired units are released when
-//! their [`ResourcePermit`] is dropped. Acquiring never waits; callers that need to wait use a semaphore.
+//! A limit on a scarce resource of this process: descriptors, bytes, requests in flight. Acquired units are released
+//! when their [`ResourcePermit`] is dropped. Acquiring never waits; callers that need to wait use a semaphore.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,7 +11,8 @@
     limit: usize,
 }
 
-/// Units of a [`ResourceLimit`], in use until the permit is dropped. Keep it as long as the resource that it accounts for.
+/// Units of a [`ResourceLimit`], in use until the permit is dropped. Keep it as long as the resource that it accounts
+/// for.
 #[derive(Debug)]
 pub struct ResourcePermit {
     in_use: Rc<Cell<usize>>,
--- a/src/socket_state.rs
+++ b/src/socket_state.rs
@@ -1,5 +1,5 @@
-//! The unread input of a connection, queried from the kernel. The runtime's readiness is as old as its last poll; the peer
-//! may have closed the connection or sent data since then. No input is consumed.
+//! The unread input of a connection, queried from the kernel. The runtime's readiness is as old as its last poll; the
+//! peer may have closed the connection or sent data since then. No input is consumed.
 
 use socket2::SockRef;
 use std::io::ErrorKind;
--- a/src/timeouts.rs
+++ b/src/timeouts.rs
@@ -1,5 +1,5 @@
-//! Timeouts that tolerate a hold-up of the process. After a hold-up, timers fire before the runtime has polled the kernel
-//! for input that arrived meanwhile, so an expired timer does not prove that the peer was late.
+//! Timeouts that tolerate a hold-up of the process. After a hold-up, timers fire before the runtime has polled the
+//! kernel for input that arrived meanwhile, so an expired timer does not prove that the peer was late.
 
 use std::future::Future;
 use std::pin::pin;
