--- a/crates/settings/src/operator/mod.rs
+++ b/crates/settings/src/operator/mod.rs
@@ -1,7 +1,7 @@
 //! The operators' file, in protobuf's text format with the schema `proto/operator.proto`.
 //!
 //! All mistakes are reported, each with its line and field; a file with any mistake is rejected completely. Parsing
-//! does not depend on the state that the fleet has agreed on.
+//! does not depend on the state that the fleet has agreed on, and has no side effects.
 
 mod budgets;
 mod check;
--- a/crates/settings/tests/profile.rs
+++ b/crates/settings/tests/profile.rs
@@ -7,7 +7,7 @@
 };
 use linenhill_settings::{DEFAULT_DRAIN_GRACE, NameInterner, Profile, Site, parse};
 
-/// Settings that have every field.
+/// Settings that have every field, for a site of the platform's first kind.
 const PROFILE: &str = r#"{
     "tick": 5000, "fleetSize": 100, "me": 7, "zone": "a", "overShareWorth": 0.25, "discovery": "on_request",
     "classes": [
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,5 +1,5 @@
 //! The operators' API: HTTP/1.1 on an address of its own, one call per connection. It serves metrics and forwards
-//! operators' orders; it must hold no state of members.
+//! operators' orders; it makes no decisions and must hold no state of members.
 //!
 //! Operators are answered regardless of the load by clients: descriptors are reserved for them, and connections with an
 //! incomplete call are limited in time and number; the oldest of them is closed for a new connection.
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,7 @@
 //! The definition of the command line. Without a command the program serves, since the platform starts it that way.
 //!
 //! The comments on commands and arguments are the program's help text. The names of commands and flags are used in
-//! scripts and must not change.
+//! scripts and must not change. This module only parses; `main` runs the commands.
 
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -1,6 +1,7 @@
 //! The long-running processes: a proxy and a keeper. Each loads its configuration, binds its sockets and runs.
 //!
-//! An error before the process serves ends it; the caller logs the error.
+//! This module makes no decisions and implements no protocol. An error before the process serves ends it; the caller
+//! logs the error.
 
 mod error;
 mod keep;
