--- a/crates/settings/src/operator/source_text.rs
+++ b/crates/settings/src/operator/source_text.rs
@@ -1,6 +1,6 @@
 //! Positions in the text of the operators' file: the line of a mistake, and the extent of an invalid field that is
-//! blanked so that the text after it can be parsed. This module does not depend on
-//! the schema and does not decide what is a mistake.
+//! blanked so that the text after it can be parsed. This module does not depend on the schema and
+//! does not decide what is a mistake.
 
 /// The line of a byte offset, counted from 1.
 pub fn line_at(text: &str, offset: usize) -> usize {
