--- a/tests/components/client_input.rs
+++ b/tests/components/client_input.rs
@@ -1,21 +1,22 @@
-//! Clients that send malformed input, stop in the middle of a message, or send nothing. Such a client must get an error,
-//! lose its connection in time and give back what it held.
+//! Clients that send malformed input, stall in the middle of a message, or send nothing. Each must get an error or be
+//! disconnected within its time limit, and its slot and memory must be released.
 
 use crate::session_fixture::{
-    MESSAGE_MEMORY, STARTUP, SessionFixture, TERMINATE, connection_gate, new_gateway, next_accepted, query,
-    read_to_end, serve, write,
+    MESSAGE_MEMORY_BYTES, STARTUP, SessionFixture, TERMINATE, connection_gate, new_gateway, next_accepted,
+    query, read_to_end, serve, write,
 };
 use linenhill::close_reason::CloseReason;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, sleep};
 
-/// The platform's bound for a client that stops in the middle of a message, less the hold-up that it allows.
-const STOPPED_CLIENT_WITHIN: Duration = Duration::from_millis(2_850);
-/// A client may take so long for a message; its connection isn't ended before.
-const SLOW_CLIENT_SERVED_FOR: Duration = Duration::from_millis(2_100);
+/// The platform's time limit for a client that stalls in the middle of a message, less the longest hold-up.
+const STALLED_CLIENT_TIMEOUT: Duration = Duration::from_millis(2_850);
+/// Time that a client may take to send a message; its connection must not be closed earlier.
+const MIN_MESSAGE_TIME: Duration = Duration::from_millis(2_100);
 
-/// Plays a client that sends this at once and reads to the end: what it got, and why the connection ended.
+/// Sends the startup message and `bytes` in one write and reads to the end of the connection. Returns the received
+/// text and the close reason.
 async fn send_all(bytes: &[u8]) -> (String, CloseReason) {
     let (SessionFixture { client, session, serving_state }, _events) = SessionFixture::with_own_gateway();
     let (mut reader, mut writer) = tokio::io::split(client);
@@ -24,36 +25,38 @@
         reader.read_to_end(&mut received).await.expect("read");
         String::from_utf8_lossy(&received).into_owned()
     };
-    let write = async { writer.write_all(&[STARTUP, bytes].concat()).await.expect("all is read") };
+    let write =
+        async { writer.write_all(&[STARTUP, bytes].concat()).await.expect("session reads all input") };
     let (reason, received, ()) = tokio::join!(session, read, write);
     drop(serving_state);
     (received, reason)
 }
 
-/// Guards against bad clients that get no error, are not disconnected, keep a slot, or are served.
+/// Guards against malformed input that is served, gets no error, or leaves its connection open.
 #[tokio::test(start_paused = true)]
 async fn bad_clients_get_an_error_and_are_disconnected() {
     let oversized = [b"Q".as_slice(), &(9u32 << 20).to_be_bytes(), &vec![b'x'; 9 << 20]].concat();
     let without_id: Vec<u8> = (0..8).flat_map(|_| query("", "list")).collect();
-    for (what, bytes, code) in [
+    for (case, bytes, code) in [
         ("a value over 4 MB", oversized, "08P01"),
         ("a length without its bytes", query("1", "list")[..30].to_vec(), "08P01"),
         ("a negative length", b"Q\xff\xff\xff\xff".to_vec(), "08P01"),
-        ("noise", b"\x07noise".to_vec(), "08P01"),
-        ("the same again and again", without_id, "42601"),
+        ("an unknown message type", b"\x07noise".to_vec(), "08P01"),
+        ("repeated statements without an id", without_id, "42601"),
     ] {
         let (received, reason) = send_all(&bytes).await;
         assert!(
             received.contains(code) && reason == CloseReason::Protocol,
-            "{what}: {reason:?}, {received:?}"
+            "{case}: {reason:?}, {received:?}"
         );
     }
     let (received, _) = send_all(&[query("1", "none"), TERMINATE.to_vec()].concat()).await;
     assert!(received.contains("field c"), "{received:?}");
 }
 
-/// Guards against limits that are longer than the platform's, in exact time: whatever part of a message is missing, and also
-/// where the rest of it trickles in. A client that spends 2 s on a message is served all the same.
+/// Guards against a time limit longer than the platform's for a client that stalls after any byte of a message. A
+/// client that takes 2 s to send a message byte by byte must be served. Time is paused, so the measured times are
+/// exact.
 #[tokio::test(start_paused = true)]
 async fn client_that_stops_in_a_message_gets_its_end_in_time() {
     let message = [STARTUP, &query("1", "list")].concat();
@@ -61,41 +64,42 @@
         let (SessionFixture { mut client, session, serving_state }, _events) =
             SessionFixture::with_own_gateway();
         let started = Instant::now();
-        let stop = async {
+        let stall = async {
             write(&mut client, &message[..length]).await;
             let mut received = Vec::new();
             client.read_to_end(&mut received).await.expect("read");
             started.elapsed()
         };
-        let (reason, took) = tokio::join!(session, stop);
-        assert!(took <= STOPPED_CLIENT_WITHIN, "after {length} bytes: {took:?}, {reason}");
-        assert!(took >= SLOW_CLIENT_SERVED_FOR, "after {length} bytes: {took:?}, {reason}");
+        let (reason, took) = tokio::join!(session, stall);
+        assert!(took <= STALLED_CLIENT_TIMEOUT, "after {length} bytes: {took:?}, {reason}");
+        assert!(took >= MIN_MESSAGE_TIME, "after {length} bytes: {took:?}, {reason}");
         drop(serving_state);
     }
     let (SessionFixture { mut client, session, serving_state }, mut events) =
         SessionFixture::with_own_gateway();
-    let trickle = async {
+    let send_slowly = async {
         write(&mut client, STARTUP).await;
         let slow = query("1", "list");
         for byte in &slow {
             write(&mut client, &[*byte]).await;
             sleep(Duration::from_secs(2) / slow.len() as u32).await;
         }
-        // Two seconds are no stop: the request is accepted.
+        // A client that takes 2 s has not stalled: its request is accepted.
         let accepted = next_accepted(&mut events).await;
         drop(client);
         drop(accepted);
     };
-    tokio::join!(session, trickle);
+    tokio::join!(session, send_slowly);
     drop(serving_state);
 }
 
-/// Guards against a client's stop that is seen only from the answer to an earlier request on: its time runs meanwhile.
+/// Guards against a time limit that starts only once an earlier request is answered: the time of an incomplete message
+/// counts while that request is open.
 #[tokio::test(start_paused = true)]
 async fn client_that_stops_behind_an_open_request_is_ended_with_its_answer() {
     let (SessionFixture { mut client, session, serving_state: _serving_state }, mut events) =
         SessionFixture::with_own_gateway();
-    let play = async {
+    let steps = async {
         let half = &query("2", "own")[..20];
         write(&mut client, &[STARTUP, &query("1", "list"), half].concat()).await;
         let accepted = next_accepted(&mut events).await;
@@ -106,19 +110,20 @@
         assert!(received.contains("the row") && received.contains("08P01"), "{received:?}");
         assert!(answered.elapsed() < Duration::from_millis(300), "{:?}", answered.elapsed());
     };
-    let (reason, ()) = tokio::join!(session, play);
+    let (reason, ()) = tokio::join!(session, steps);
     assert_eq!(reason, CloseReason::Protocol);
 }
 
-/// Guards against messages that together take more memory than there is.
+/// Guards against messages that together exceed the memory for messages: the second one must be rejected with the time
+/// after which to retry, and all memory must be released.
 #[tokio::test(start_paused = true)]
 async fn message_without_memory_is_rejected() {
     let (gateway, _events) = new_gateway();
     let connection_gate = connection_gate(9);
     let long_message = [STARTUP, b"Q", &(150u32 << 10).to_be_bytes(), b"/* "].concat();
-    let mut first = SessionFixture::new(&gateway, connection_gate.admit().expect("a place"));
-    let mut second = SessionFixture::new(&gateway, connection_gate.admit().expect("a place"));
-    let play = async {
+    let mut first = SessionFixture::new(&gateway, connection_gate.admit().expect("free slot"));
+    let mut second = SessionFixture::new(&gateway, connection_gate.admit().expect("free slot"));
+    let steps = async {
         write(&mut first.client, &long_message).await;
         sleep(Duration::from_millis(10)).await;
         write(&mut second.client, &long_message).await;
@@ -126,11 +131,14 @@
         assert!(received.contains("C53300\0") && received.contains("\0D"), "{received:?}");
         drop(first.client);
     };
-    tokio::join!(first.session, second.session, play);
-    assert!(gateway.message_memory().acquire_weighted(MESSAGE_MEMORY).is_some(), "all of it is given back");
+    tokio::join!(first.session, second.session, steps);
+    assert!(
+        gateway.message_memory().acquire_weighted(MESSAGE_MEMORY_BYTES).is_some(),
+        "all message memory is released"
+    );
 }
 
-/// Guards against connections that take a descriptor for good and send nothing.
+/// Guards against connections that send no startup message and hold a descriptor indefinitely.
 #[tokio::test(start_paused = true)]
 async fn client_without_startup_message_is_disconnected() {
     let (SessionFixture { client, session, serving_state: _serving_state }, _events) =
--- a/tests/components/discovery_watch.rs
+++ b/tests/components/discovery_watch.rs
@@ -1,5 +1,5 @@
-//! Watches at the discovery service: when one counts as silent or broken, and which of its lists are accepted. A list must
-//! never be lost without the end of its watch, and never replace a newer one.
+//! Watches of the discovery service: when a watch counts as failed, and which of its lists are accepted. A watch that
+//! loses a list must end, and a list must never replace a newer one.
 
 use linenhill::api::Discovery;
 use linenhill::clock::Clock;
@@ -14,35 +14,35 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// How the response to a watch begins.
+/// Head of the response to a watch.
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// How it ends.
+/// The chunk that ends the response.
 const LAST_CHUNK: &str = "0\r\n\r\n";
-/// The longest time until the first message of a watch.
+/// Time limit for the first message of a watch.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_750);
-/// The version of the list that is in use when a watch begins.
+/// Version of the list in use when a watch starts.
 const VERSION_IN_USE: u64 = 41;
 
-/// One line of a watch, as a chunk of its own.
+/// Encodes a line of a watch as one HTTP chunk.
 fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
-/// These parts after the head of the response.
+/// Returns the head of the response, followed by `parts`.
 fn response(parts: &[String]) -> Vec<String> {
     [&[RESPONSE_HEAD.to_string()], parts].concat()
 }
 
-/// The head and these lines in one part.
+/// Returns the head of the response and `lines` as one part.
 fn response_in_one_part(lines: &[&str]) -> Vec<String> {
     let chunks: String = lines.iter().map(|line| chunk(line)).collect();
     vec![RESPONSE_HEAD.to_string() + &chunks]
 }
 
-/// How a watch ended.
+/// The result of a watch.
 #[derive(Debug, PartialEq, Eq)]
 struct WatchEnd {
-    /// The version of the list in use after it.
+    /// Version of the list in use after the watch.
     version: u64,
     lists_received: usize,
     reason: CloseReason,
@@ -52,13 +52,13 @@
     WatchEnd { version, lists_received, reason }
 }
 
-/// Plays a watch that sends these parts, 2 s apart, and then nothing.
-async fn play_watch(parts: Vec<String>) -> WatchEnd {
+/// Reads a watch that sends `parts` 2 s apart and then stays open without sending anything.
+async fn run_watch(parts: Vec<String>) -> WatchEnd {
     let (inbox, mut events) = mpsc::unbounded_channel();
-    let (stream, mut far) = duplex(4096);
+    let (stream, mut service) = duplex(4096);
     let send = async {
         for part in parts {
-            far.write_all(part.as_bytes()).await.expect("written");
+            service.write_all(part.as_bytes()).await.expect("write");
             sleep(Duration::from_secs(2)).await;
         }
         std::future::pending::<()>().await;
@@ -75,7 +75,7 @@
     ended(status.list_version(), lists_received, reason)
 }
 
-/// Plays a watch that sends these lines at once and ends: for each event whether it says that nothing has changed.
+/// Reads a watch that sends `lines` at once and ends. Returns for each event whether it is [`ListEvent::Unchanged`].
 async fn unchanged_events(lines: &[&str]) -> Vec<bool> {
     let (inbox, mut events) = mpsc::unbounded_channel();
     let text = response_in_one_part(lines).concat() + LAST_CHUNK;
@@ -86,39 +86,40 @@
     received.map(|input| matches!(input, DriverInput::List(ListEvent::Unchanged))).collect()
 }
 
-/// Guards against trusting a watch whose service hangs: only its blank lines show that it lives, and a line that never
-/// ends does not. And against skipping a bad line, whose content the watch does not repeat: the list in use stays, but
-/// the watch ends.
+/// Guards against keeping a watch whose service is unresponsive: complete lines count as messages, also empty ones,
+/// but an incomplete line does not. Also guards against skipping an invalid line, which the watch does not resend:
+/// the list in use stays, but the watch must end.
 #[tokio::test(start_paused = true)]
 async fn a_watch_ends_on_silence_or_a_bad_line() {
     let list = r#"{"version":43,"full":false,"servers":[]}"#;
-    let bad_list = r#"{"version":44,"full":false,"servers":[{"id":5}]}"#;
-    let alive = response(&["", "", "", "", list].map(chunk));
-    assert_eq!(play_watch(alive.clone()).await, ended(43, 1, CloseReason::WatchTimeout));
+    let invalid_list = r#"{"version":44,"full":false,"servers":[{"id":5}]}"#;
+    let responsive = response(&["", "", "", "", list].map(chunk));
+    assert_eq!(run_watch(responsive.clone()).await, ended(43, 1, CloseReason::WatchTimeout));
     let later_list = list.replace("43", "45");
-    let parts = [&alive[..], &[chunk(bad_list), chunk(&later_list)]].concat();
-    assert_eq!(play_watch(parts).await, ended(43, 1, CloseReason::Protocol));
-    assert_eq!(play_watch(vec![]).await, ended(41, 0, CloseReason::WatchTimeout));
-    // A call that waits in turn for 2 s is not given up: the next one would wait behind it. Later it may have fallen
-    // silent right after it was made, and what it misses counts as notified 6 s after that.
-    let late = |steps| [vec![String::new(); steps], response(&[chunk(list)])].concat();
-    assert_eq!(play_watch(late(1)).await, ended(43, 1, CloseReason::WatchTimeout));
-    assert_eq!(play_watch(late(2)).await, ended(41, 0, CloseReason::WatchTimeout));
+    let parts = [&responsive[..], &[chunk(invalid_list), chunk(&later_list)]].concat();
+    assert_eq!(run_watch(parts).await, ended(43, 1, CloseReason::Protocol));
+    assert_eq!(run_watch(vec![]).await, ended(41, 0, CloseReason::WatchTimeout));
+    // A call that is queued at the service for 2 s is not abandoned, since the next call would queue behind it. A
+    // call without a message for longer may have hung from the start, and a change that it misses counts as notified
+    // after 6 s.
+    let delayed = |steps| [vec![String::new(); steps], response(&[chunk(list)])].concat();
+    assert_eq!(run_watch(delayed(1)).await, ended(43, 1, CloseReason::WatchTimeout));
+    assert_eq!(run_watch(delayed(2)).await, ended(41, 0, CloseReason::WatchTimeout));
     assert_eq!(first_message_timeout(Discovery::OnRequest), FIRST_MESSAGE_TIMEOUT);
     assert_eq!(first_message_timeout(Discovery::Pushed), Duration::from_millis(1_500));
-    // Bytes that trickle in without ever making a line.
+    // Bytes that arrive slowly and never complete a line.
     let trickle = vec!["1\r\n \r\n".to_string(); 9];
-    assert_eq!(play_watch(response(&trickle)).await, ended(41, 0, CloseReason::WatchTimeout));
-    // A call that is answered with nothing new gives one event, so that the backoff after failures starts anew.
+    assert_eq!(run_watch(response(&trickle)).await, ended(41, 0, CloseReason::WatchTimeout));
+    // A call whose first line reports no change produces one event, which resets the backoff after failures.
     assert_eq!(unchanged_events(&["", "", list]).await, [true, false]);
     assert_eq!(unchanged_events(&[list, "", ""]).await, [false]);
     let busy = "HTTP/1.1 503 Service Unavailable\r\n\r\n".to_string();
-    assert_eq!(play_watch(vec![busy]).await, ended(41, 0, CloseReason::ErrorStatus));
+    assert_eq!(run_watch(vec![busy]).await, ended(41, 0, CloseReason::ErrorStatus));
     let empty = format!("{RESPONSE_HEAD}{LAST_CHUNK}");
-    assert_eq!(play_watch(vec![empty]).await, ended(41, 0, CloseReason::WatchEnded));
+    assert_eq!(run_watch(vec![empty]).await, ended(41, 0, CloseReason::WatchEnded));
 }
 
-/// A list of this version with so many members, as discovery writes it, with a field that the proxy doesn't know.
+/// Encodes a list with this number of members as discovery does, with fields that the proxy does not know.
 fn large_list(version: u64, is_full: bool, members: usize) -> String {
     let entry = |number: usize| {
         format!(
@@ -130,30 +131,38 @@
     format!(r#"{{"version":{version},"full":{is_full},"servers":[{}],"region":"mu"}}"#, entries.join(","))
 }
 
-/// Guards against a large fleet's list that is lost or misread: cut anywhere, sent twice, older than the one in use,
-/// empty, with unknown fields. An old change would undo a drain that was announced since.
+/// Guards against a large list that is lost or misread when it is split, sent twice, older than the one in use,
+/// empty, or has unknown fields. An older list would undo a drain that was announced since.
 #[tokio::test(start_paused = true)]
 async fn lists_are_accepted_complete_and_never_backwards() {
     let complete = chunk(&large_list(50, true, 60));
-    for cut in (1..complete.len()).step_by(397) {
-        let parts = vec![RESPONSE_HEAD.to_string() + &complete[..cut], complete[cut..].to_string()];
-        assert_eq!(play_watch(parts).await, ended(50, 1, CloseReason::WatchTimeout), "cut at {cut}");
+    for split_at in (1..complete.len()).step_by(397) {
+        let parts = vec![RESPONSE_HEAD.to_string() + &complete[..split_at], complete[split_at..].to_string()];
+        assert_eq!(
+            run_watch(parts).await,
+            ended(50, 1, CloseReason::WatchTimeout),
+            "split at byte {split_at}"
+        );
     }
     let new = large_list(50, false, 60);
     let older = large_list(49, false, 60);
     let empty = large_list(51, false, 0);
     let before_use = large_list(40, false, 60);
     let restarted = large_list(3, true, 60);
-    for (what, lists, end) in [
-        ("twice", vec![&new, &new], ended(50, 2, CloseReason::WatchTimeout)),
-        ("older", vec![&new, &older], ended(50, 1, CloseReason::WatchTimeout)),
-        ("empty", vec![&new, &empty], ended(51, 2, CloseReason::WatchTimeout)),
-        ("from before the list in use", vec![&before_use], ended(41, 0, CloseReason::WatchTimeout)),
-        ("a service that began anew", vec![&restarted], ended(3, 1, CloseReason::WatchTimeout)),
-        ("but not amid a watch", vec![&new, &restarted], ended(50, 1, CloseReason::WatchTimeout)),
+    for (case, lists, end) in [
+        ("sent twice", vec![&new, &new], ended(50, 2, CloseReason::WatchTimeout)),
+        ("older than the previous list", vec![&new, &older], ended(50, 1, CloseReason::WatchTimeout)),
+        ("empty change", vec![&new, &empty], ended(51, 2, CloseReason::WatchTimeout)),
+        ("older than the list in use", vec![&before_use], ended(41, 0, CloseReason::WatchTimeout)),
+        ("full list of a restarted service", vec![&restarted], ended(3, 1, CloseReason::WatchTimeout)),
+        (
+            "older full list in the middle of a watch",
+            vec![&new, &restarted],
+            ended(50, 1, CloseReason::WatchTimeout),
+        ),
     ] {
         let lines: Vec<&str> = lines_of(&lists);
-        assert_eq!(play_watch(response_in_one_part(&lines)).await, end, "{what}");
+        assert_eq!(run_watch(response_in_one_part(&lines)).await, end, "{case}");
     }
 }
 
@@ -161,8 +170,8 @@
     lists.iter().map(|list| list.as_str()).collect()
 }
 
-/// Guards against losing lists that are indented, also in pieces; and against a list that was cut and would take all
-/// later lines as its own.
+/// Guards against lists that are lost because they are indented, also when they arrive in parts, and against a
+/// truncated list that absorbs all later lines.
 #[tokio::test(start_paused = true)]
 async fn indented_lists_are_read_and_cut_ones_end_the_watch() {
     let entry =
@@ -172,24 +181,36 @@
     assert!(indented.lines().count() > 20);
     for text in [&flat, &indented] {
         let lines = chunk("") + &chunk(text) + &chunk("") + &chunk(&text.replace("50", "51"));
-        for cut in (1..lines.len()).step_by(89) {
-            let parts = vec![RESPONSE_HEAD.to_string() + &lines[..cut], lines[cut..].to_string()];
-            assert_eq!(play_watch(parts).await, ended(51, 2, CloseReason::WatchTimeout), "cut at {cut}");
+        for split_at in (1..lines.len()).step_by(89) {
+            let parts = vec![RESPONSE_HEAD.to_string() + &lines[..split_at], lines[split_at..].to_string()];
+            assert_eq!(
+                run_watch(parts).await,
+                ended(51, 2, CloseReason::WatchTimeout),
+                "split at byte {split_at}"
+            );
         }
     }
     let next = chunk("") + &chunk(&flat);
-    for cut in (1..indented.len()).step_by(7) {
-        let parts = vec![RESPONSE_HEAD.to_string() + &chunk(&indented[..cut]), next.clone()];
-        assert_eq!(play_watch(parts).await, ended(41, 0, CloseReason::Protocol), "cut at {cut}");
+    for length in (1..indented.len()).step_by(7) {
+        let parts = vec![RESPONSE_HEAD.to_string() + &chunk(&indented[..length]), next.clone()];
+        assert_eq!(
+            run_watch(parts).await,
+            ended(41, 0, CloseReason::Protocol),
+            "truncated after byte {length}"
+        );
     }
-    // Each member's entry is read by itself: one that can't be read keeps back no other one.
-    let with_bad_address = flat.replacen("10.1.0.1:6543", "10.1.0.1:port", 1);
-    let parts = response_in_one_part(&[&with_bad_address]);
-    assert_eq!(play_watch(parts).await, ended(50, 1, CloseReason::WatchTimeout));
-    let DecodedList { list, skipped } = list::decode(with_bad_address.as_bytes()).expect("a list");
+    // Entries are decoded independently: an invalid entry does not affect the others.
+    let with_invalid_address = flat.replacen("10.1.0.1:6543", "10.1.0.1:port", 1);
+    let parts = response_in_one_part(&[&with_invalid_address]);
+    assert_eq!(run_watch(parts).await, ended(50, 1, CloseReason::WatchTimeout));
+    let DecodedList { list, skipped } = list::decode(with_invalid_address.as_bytes()).expect("valid list");
     assert_eq!((list.endpoints.len(), skipped.len()), (1, 1));
     assert!(skipped[0].to_string().contains("servers[0].addr"), "{}", skipped[0]);
-    let terminating = with_bad_address.replacen("in_service", "terminating", 1);
-    let DecodedList { list, skipped } = list::decode(terminating.as_bytes()).expect("a list");
-    assert_eq!((list.endpoints.len(), skipped.len()), (2, 0), "that it leaves counts, whatever its address");
+    let terminating = with_invalid_address.replacen("in_service", "terminating", 1);
+    let DecodedList { list, skipped } = list::decode(terminating.as_bytes()).expect("valid list");
+    assert_eq!(
+        (list.endpoints.len(), skipped.len()),
+        (2, 0),
+        "a terminating entry is accepted with an invalid address"
+    );
 }
--- a/tests/components/main.rs
+++ b/tests/components/main.rs
@@ -1,9 +1,9 @@
-//! Components of the program one at a time, with paused time and in-memory streams where that is possible. The tests
-//! guard what happens when a peer sends nothing, too little, too late, or what is malformed. They must not start the
-//! program itself: the other root tests do that.
+//! Tests of single components, with paused time and in-memory streams where possible. They cover peers that send
+//! nothing, incomplete messages, late messages or malformed input. They must not start the program itself, which the
+//! other tests in this directory do.
 
 #[path = "../../examples/toy/peer.rs"]
-#[allow(dead_code)] // The tests of the whole program use the rest.
+#[allow(dead_code)] // Other test binaries use the rest.
 mod peer;
 
 mod client_input;
@@ -15,8 +15,8 @@
 mod request_driver;
 mod session_fixture;
 
-/// A message of the PostgreSQL protocol: its type, its length, its body.
+/// Encodes a message of the PostgreSQL protocol: type, length, body.
 fn typed_message(kind: u8, body: &[u8]) -> Vec<u8> {
-    let length = 4 + u32::try_from(body.len()).expect("a body under 4 GiB");
+    let length = 4 + u32::try_from(body.len()).expect("body is shorter than 4 GiB");
     [&[kind], &length.to_be_bytes()[..], body].concat()
 }
--- a/tests/components/member_connection.rs
+++ b/tests/components/member_connection.rs
@@ -1,4 +1,4 @@
-//! Connections to members: which are used again, when a statement may still be written, and which replies are accepted.
+//! Connections to members: which are reused, when a statement may be written, and which replies are accepted.
 
 use crate::{peer, typed_message};
 use bytes::Bytes;
@@ -21,125 +21,128 @@
 use tokio::time::Instant;
 
 const MEMBER: MemberId = MemberId(1);
-/// No step takes so long.
-const LONG: Duration = Duration::from_secs(60);
-/// Longer than a connection rests in the pool until it may be used again.
-const SETTLED: Duration = Duration::from_millis(5);
+/// A time limit that no step reaches.
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
+/// Longer than the pool waits before it reuses a connection.
+const REUSE_WAIT: Duration = Duration::from_millis(5);
 
-/// How a member greets a new connection: it is authenticated and ready.
-fn greeting() -> Vec<u8> {
+/// The answer of a member to a startup message: AuthenticationOk and ReadyForQuery.
+fn startup_answer() -> Vec<u8> {
     [typed_message(b'R', &[0; 4]), typed_message(b'Z', b"I")].concat()
 }
 
-/// A pool with room for `descriptors` connections that may be idle for `idle_close`.
+/// Creates a pool of at most `descriptors` connections, for a member that closes idle connections after `idle_close`.
 fn new_pool(descriptors: usize, idle_close: Duration, address: SocketAddr) -> Pool {
-    let pool = Pool::new(descriptors, idle_close, LONG, Rc::new(Counters::default()));
+    let pool = Pool::new(descriptors, idle_close, LONG_TIMEOUT, Rc::new(Counters::default()));
     pool.set_address(MEMBER, address);
     pool
 }
 
 async fn open_connection(pool: &Pool, address: SocketAddr) -> MemberConnection {
-    let descriptor = pool.reserve_descriptor().expect("a descriptor");
-    let Ok(connection) = MemberConnection::open(address, descriptor, LONG).await else {
-        panic!("no connection")
+    let descriptor = pool.reserve_descriptor().expect("free descriptor");
+    let Ok(connection) = MemberConnection::open(address, descriptor, LONG_TIMEOUT).await else {
+        panic!("connection was not opened")
     };
     connection
 }
 
-/// Whether the pool gives out an idle connection; it is put back.
+/// Checks out an idle connection and puts it back; returns whether there was one.
 fn has_usable_connection(pool: &Pool) -> bool {
     pool.checkout(MEMBER).map(|connection| pool.put_back(MEMBER, connection)).is_some()
 }
 
-/// Guards against writing to a connection that its member may be closing, and against exceeding the descriptors.
+/// Guards against writing to a connection that its member may be closing, and against exceeding the limit of
+/// descriptors.
 #[tokio::test]
 async fn the_pool_skips_old_connections_and_evicts_idle_ones() {
-    let act = |_| std::future::ready(peer::MemberAction::Disconnect);
-    let play = async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
-        tokio::task::spawn_local(peer::member(listener, true, act));
+    let respond = |_| std::future::ready(peer::MemberAction::Disconnect);
+    let steps = async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind listener");
+        let address = listener.local_addr().expect("local address");
+        tokio::task::spawn_local(peer::member(listener, true, respond));
         for (idle_close, is_kept) in [(Duration::ZERO, false), (Duration::from_secs(3_600), true)] {
             let pool = new_pool(1, idle_close, address);
             let connection = open_connection(&pool, address).await;
-            assert!(pool.reserve_descriptor().is_none(), "the one descriptor is in use");
+            assert!(pool.reserve_descriptor().is_none(), "the only descriptor is in use");
             tokio::time::pause();
             pool.put_back(MEMBER, connection);
-            assert!(pool.checkout(MEMBER).is_none(), "more than the answer may still be on the way");
+            assert!(pool.checkout(MEMBER).is_none(), "excess bytes of the reply may still arrive");
             tokio::time::advance(Duration::from_millis(3)).await;
             assert_eq!(has_usable_connection(&pool), is_kept);
-            assert!(pool.reserve_descriptor().is_some(), "an idle connection makes room");
+            assert!(pool.reserve_descriptor().is_some(), "an idle connection is evicted");
             assert!(pool.checkout(MEMBER).is_none());
             tokio::time::resume();
         }
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(steps).await;
 }
 
-/// A member in a thread of its own that greets one connection and gives it back.
-fn greet_in_thread() -> (SocketAddr, JoinHandle<std::net::TcpStream>) {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let greeted = std::thread::spawn(move || {
-        let (mut far, _) = listener.accept().expect("a connection");
+/// Runs a member in its own thread: it accepts one connection, answers the startup message and returns the connection.
+fn accept_in_thread() -> (SocketAddr, JoinHandle<std::net::TcpStream>) {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind listener");
+    let address = listener.local_addr().expect("local address");
+    let accepted = std::thread::spawn(move || {
+        let (mut member_stream, _) = listener.accept().expect("accept connection");
         let mut length = [0; 4];
-        far.read_exact(&mut length).expect("a length");
+        member_stream.read_exact(&mut length).expect("read length");
         let remaining = u32::from_be_bytes(length) as usize - length.len();
-        far.read_exact(&mut vec![0; remaining]).expect("a startup message");
-        far.write_all(&greeting()).expect("written");
-        far
+        member_stream.read_exact(&mut vec![0; remaining]).expect("read startup message");
+        member_stream.write_all(&startup_answer()).expect("write");
+        member_stream
     });
-    (address, greeted)
+    (address, accepted)
 }
 
-/// The member closes an idle connection, or sends bytes on it, between two polls of the runtime: this thread does not
-/// yield. Guards against a statement written to a closed connection, and against late bytes taken for its reply.
+/// Guards against a statement that is written to a closed connection, and against late bytes that are read as its
+/// reply. The member closes an idle connection, or sends bytes on it, between two polls of the runtime: this thread
+/// does not yield.
 #[tokio::test]
 async fn a_connection_that_ended_between_polls_is_not_used() {
     for event in ["closed", "reset", "late bytes"] {
-        let (address, greeted) = greet_in_thread();
+        let (address, accepted) = accept_in_thread();
         let pool = new_pool(1, Duration::from_secs(3_600), address);
         let connection = open_connection(&pool, address).await;
-        let mut far = greeted.join().expect("a member");
+        let mut member_stream = accepted.join().expect("member thread");
         pool.put_back(MEMBER, connection);
-        std::thread::sleep(SETTLED);
-        assert!(has_usable_connection(&pool), "nothing came");
+        std::thread::sleep(REUSE_WAIT);
+        assert!(has_usable_connection(&pool), "neither closed nor with pending input");
         let mut kept_open = None;
         match event {
-            "closed" => drop(far),
+            "closed" => drop(member_stream),
             "reset" => {
-                socket2::SockRef::from(&far).set_linger(Some(Duration::ZERO)).expect("set");
-                drop(far);
+                socket2::SockRef::from(&member_stream).set_linger(Some(Duration::ZERO)).expect("set linger");
+                drop(member_stream);
             }
             _ => {
-                far.write_all(&typed_message(b'Z', b"I")).expect("written");
-                kept_open = Some(far);
+                member_stream.write_all(&typed_message(b'Z', b"I")).expect("write");
+                kept_open = Some(member_stream);
             }
         }
-        // Written is not arrived, on a busy machine.
+        // On a busy machine the event may arrive late.
         let is_used = |_: &u32| {
-            std::thread::sleep(SETTLED);
+            std::thread::sleep(REUSE_WAIT);
             has_usable_connection(&pool)
         };
-        assert!((0..1_000).take_while(is_used).count() < 1_000, "{event}: it is used on and on");
+        assert!((0..1_000).take_while(is_used).count() < 1_000, "{event}: the connection is still used");
         drop(kept_open);
     }
 }
 
-/// Accepts the proxy's next connection and reads its startup message, without an answer.
+/// Accepts the next connection from the proxy and reads its startup message, without answering it.
 async fn accept_startup(listener: &TcpListener) -> TcpStream {
-    let (mut far, _) = listener.accept().await.expect("a connection");
-    let length = far.read_u32().await.expect("a length") as usize;
-    far.read_exact(&mut vec![0; length - 4]).await.expect("a startup message");
-    far
+    let (mut member_stream, _) = listener.accept().await.expect("accept connection");
+    let length = member_stream.read_u32().await.expect("read length") as usize;
+    member_stream.read_exact(&mut vec![0; length - 4]).await.expect("read startup message");
+    member_stream
 }
 
-/// Guards against sending work that was decided on before a drain was announced, while its connection came up.
+/// Guards against a statement that is sent after a drain, when its attempt started before the drain was announced and
+/// its connection was still being opened.
 #[tokio::test]
 async fn no_statement_is_written_after_a_drain() {
-    let play = async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let pool = new_pool(2, LONG, listener.local_addr().expect("an address"));
+    let steps = async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind listener");
+        let pool = new_pool(2, LONG_TIMEOUT, listener.local_addr().expect("local address"));
         for (is_draining, first_byte, outcome) in
             [(true, None, Outcome::NotSent), (false, Some(b'Q'), Outcome::Reset)]
         {
@@ -147,42 +150,42 @@
             let attempt_request = AttemptRequest {
                 member: MEMBER,
                 payload: Payload::split_at_timeout(&Bytes::from_static(b"/* d=9 */ SELECT 1"), 5..6),
-                deadline: Instant::now() + LONG,
+                deadline: Instant::now() + LONG_TIMEOUT,
                 is_retry: false,
                 purpose: Purpose::Attempt(RequestId([b'a'; 36]), 0),
                 is_request_over: Rc::default(),
             };
             let (_cancel, cancelled) = tokio::sync::oneshot::channel();
             let run = tokio::task::spawn_local(attempt::run(pool.clone(), attempt_request, cancelled, || ()));
-            let mut far = accept_startup(&listener).await;
+            let mut member_stream = accept_startup(&listener).await;
             pool.set_accepting(|_| !is_draining);
-            far.write_all(&greeting()).await.expect("written");
-            assert_eq!(far.read_u8().await.ok(), first_byte, "draining: {is_draining}");
-            drop(far);
-            assert_eq!(run.await.expect("an end").outcome, outcome);
+            member_stream.write_all(&startup_answer()).await.expect("write");
+            assert_eq!(member_stream.read_u8().await.ok(), first_byte, "draining: {is_draining}");
+            drop(member_stream);
+            assert_eq!(run.await.expect("attempt task").outcome, outcome);
         }
     };
-    LocalSet::new().run_until(play).await;
+    LocalSet::new().run_until(steps).await;
 }
 
-/// A permit to write to a member that accepts.
+/// Returns a permit to write to a member that accepts statements.
 async fn permit_for_test() -> SendPermit {
-    let pool = new_pool(1, LONG, "127.0.0.1:1".parse().expect("an address"));
-    let deadline = Instant::now() + LONG;
+    let pool = new_pool(1, LONG_TIMEOUT, "127.0.0.1:1".parse().expect("valid address"));
+    let deadline = Instant::now() + LONG_TIMEOUT;
     let intent = SendIntent {
         member: MEMBER,
         purpose: Purpose::HealthCheck,
         deadline,
         is_request_over: Rc::default(),
     };
-    pool.send_permit(intent).await.expect("a permit")
+    pool.send_permit(intent).await.expect("send permit")
 }
 
-/// What a connection makes of a member's reply.
+/// A member's reply as read by a connection.
 #[derive(Debug, PartialEq, Eq)]
 struct ReadReply {
     outcome: Outcome,
-    /// The position of its load report.
+    /// The position in the load report.
     position: Option<LogPosition>,
     /// Whether the connection may be used again.
     is_reusable: bool,
@@ -195,29 +198,27 @@
 const MALFORMED: ReadReply =
     ReadReply { outcome: Outcome::MalformedReply, position: None, is_reusable: false };
 
-/// The reply that a connection reads from these bytes, sent in answer to a statement; the connection stays open.
+/// Returns the reply that a connection reads when a member answers a statement with `bytes` and keeps the connection
+/// open.
 async fn reply_to(bytes: Vec<u8>) -> ReadReply {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind listener");
+    let address = listener.local_addr().expect("local address");
     let member = async {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let (mut stream, _) = listener.accept().await.expect("accept connection");
         let mut received = [0; 256];
-        assert!(stream.read(&mut received).await.expect("a startup message") > 0);
-        stream.write_all(&greeting()).await.expect("written");
-        assert!(stream.read(&mut received).await.expect("a statement") > 0);
-        stream.write_all(&bytes).await.expect("written");
+        assert!(stream.read(&mut received).await.expect("read startup message") > 0);
+        stream.write_all(&startup_answer()).await.expect("write");
+        assert!(stream.read(&mut received).await.expect("read statement") > 0);
+        stream.write_all(&bytes).await.expect("write");
         while stream.read(&mut received).await.is_ok_and(|length| length > 0) {}
     };
     let proxy = async {
-        let descriptor = ResourceLimit::new(1).acquire().expect("a descriptor");
-        let Ok(mut connection) = MemberConnection::open(address, descriptor, LONG).await else {
-            panic!("no connection")
+        let descriptor = ResourceLimit::new(1).acquire().expect("free descriptor");
+        let Ok(mut connection) = MemberConnection::open(address, descriptor, LONG_TIMEOUT).await else {
+            panic!("connection was not opened")
         };
         let permit = permit_for_test().await;
-        connection
-            .write_statement(permit, b"SELECT 1".as_slice().into(), Bytes::new())
-            .await
-            .expect("written");
+        connection.write_statement(permit, b"SELECT 1".as_slice().into(), Bytes::new()).await.expect("write");
         let reply = connection.read_reply().await;
         ReadReply { outcome: reply.outcome, position: reply.report.position, is_reusable: reply.is_reusable }
     };
@@ -243,15 +244,15 @@
         }
     }
 
-    /// A reply with these bytes in place of the row.
+    /// Returns a complete reply with `row` in place of its row message.
     fn with_row(&self, row: &[u8]) -> Vec<u8> {
         [&self.description[..], row, &self.complete, &self.ready].concat()
     }
 
-    /// Replies that no member makes for a request, and such whose rest never comes.
+    /// Replies that are not valid answers to a statement, and replies that never complete.
     fn malformed(&self) -> Vec<Vec<u8>> {
         let ReplyMessages { description, row, complete, ready } = self;
-        let good = self.with_row(row);
+        let valid = self.with_row(row);
         let two_columns = typed_message(b'T', &[b"\0\x02val\0".as_slice(), &[0; 18]].concat());
         vec![
             b"noise without an end".to_vec(),
@@ -269,28 +270,28 @@
             [&description[..], row, complete, &typed_message(b'Z', b"?")].concat(),
             [&description[..], row, &typed_message(b'E', b"SERROR\0C53300\0\0"), ready].concat(),
             [&typed_message(b'E', b"SERROR\0C53\0\0")[..], ready].concat(),
-            // The rest of these never comes.
-            good[..good.len() - 1].to_vec(),
+            // The remaining bytes of these replies are never sent.
+            valid[..valid.len() - 1].to_vec(),
             [&description[..], &row[..9]].concat(),
         ]
     }
 }
 
-/// Guards against relaying what no member made for the request, against waiting for an end that never comes, and
-/// against losing a good answer to what arrives along with it.
+/// Guards against relaying a malformed reply, against waiting for a reply that never completes, and against losing a
+/// valid reply because of the bytes that arrive with it.
 #[tokio::test]
 async fn malformed_replies_are_recognised_and_good_ones_served() {
     let messages = ReplyMessages::new();
     for bytes in messages.malformed() {
         assert_eq!(reply_to(bytes.clone()).await, MALFORMED, "{bytes:?}");
     }
-    let good = messages.with_row(&messages.row);
-    assert_eq!(reply_to(good.clone()).await, served(None, true));
-    for following in [&good[..], b"\xffnoise"] {
-        assert_eq!(reply_to([&good, following].concat()).await, served(None, false), "{following:?}");
+    let valid = messages.with_row(&messages.row);
+    assert_eq!(reply_to(valid.clone()).await, served(None, true));
+    for following in [&valid[..], b"\xffnoise"] {
+        assert_eq!(reply_to([&valid, following].concat()).await, served(None, false), "{following:?}");
     }
     let health = |text: &[u8]| typed_message(b'S', &[b"health\0", text, b"\0"].concat());
-    let with_report = |report: Vec<u8>| [&report[..], &good].concat();
+    let with_report = |report: Vec<u8>| [&report[..], &valid].concat();
     let position = Some(LogPosition(7_000_000));
     assert_eq!(reply_to(with_report(health(b"x0=7,x1=1"))).await, served(position, true));
     for report in [health(b"x0=7,x1=\xff"), health(b"x0=7,x1"), typed_message(b'S', b"health")] {
--- a/tests/components/request_driver.rs
+++ b/tests/components/request_driver.rs
@@ -1,4 +1,4 @@
-//! What the driver keeps for members and requests, and that it lets go of it.
+//! The state that the driver keeps for members and requests, and its removal.
 
 use crate::session_fixture::{example_config, new_metrics};
 use linenhill::api::{MemberId, RequestId};
@@ -21,7 +21,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A driver, its pool, and the sender of its inputs.
+/// Creates a driver; returns it with its pool and the sender of its inputs.
 fn new_driver() -> (Driver, Pool, mpsc::UnboundedSender<DriverInput>) {
     let config = example_config();
     let counters = Rc::new(Counters::default());
@@ -47,46 +47,47 @@
     (driver, pool, inbox)
 }
 
-/// A complete list of this version with one member.
+/// Returns the event of a full list with one member.
 fn list_of_one(version: u64, id: &str) -> DriverInput {
     let line = format!(
         r#"{{"version":{version},"full":true,"servers":[{{"id":"{id}","addr":"127.0.0.1:1",
             "zone":"a","kind":"m2","cell":1,"state":"in_service"}}]}}"#
     );
-    let decoded = list::decode(line.as_bytes()).expect("a list");
+    let decoded = list::decode(line.as_bytes()).expect("valid list");
     DriverInput::List(ListEvent::Received(decoded.list))
 }
 
-/// Guards against a slot kept for every member that ever was, and against a number that comes to mean another member.
+/// Guards against state that is kept indefinitely for members that were removed, and against a number that is reused
+/// for another member.
 #[tokio::test(start_paused = true)]
 async fn forgotten_members_are_dropped_everywhere() {
     let (driver, pool, inbox) = new_driver();
-    let is_known = |number| pool.address(MemberId(number)).is_some();
+    let is_in_pool = |number| pool.address(MemberId(number)).is_some();
     let receive = |version: u64, id: &str| assert!(inbox.send(list_of_one(version, id)).is_ok());
-    let play = async {
+    let steps = async {
         for (version, id) in [(1, "old"), (2, "new")] {
             receive(version, id);
             sleep(SECOND).await;
         }
-        assert!(is_known(0), "it may come back");
+        assert!(is_in_pool(0), "a removed member may return and is kept for a while");
         sleep(60 * SECOND).await;
         receive(3, "new");
         sleep(SECOND).await;
-        assert!(!is_known(0) && is_known(1));
+        assert!(!is_in_pool(0) && is_in_pool(1));
         receive(4, "newest");
         sleep(SECOND).await;
-        assert!(!is_known(0) && is_known(2));
+        assert!(!is_in_pool(0) && is_in_pool(2));
     };
     let run = async {
         tokio::select! {
             () = driver.run() => unreachable!(),
-            () = play => {}
+            () = steps => {}
         }
     };
     LocalSet::new().run_until(run).await;
 }
 
-/// Guards against a time limit that is kept long after its request has ended.
+/// Guards against a deadline that is kept after its request has ended.
 #[tokio::test(start_paused = true)]
 async fn nothing_is_due_once_it_is_answered() {
     let mut responses = ResponseDelivery::default();
@@ -99,7 +100,7 @@
     });
     assert_eq!(responses.next_due(), Some((due, ids[0])));
     assert!(responses.deliver(&ids[0], FinalResponse::Failed) && responses.abandon(&ids[1]));
-    assert!(!responses.deliver(&ids[0], FinalResponse::Failed), "one answer only");
+    assert!(!responses.deliver(&ids[0], FinalResponse::Failed), "a request gets only one answer");
     assert_eq!(responses.next_due(), None);
     drop(replies);
 }
--- a/tests/components/session_fixture.rs
+++ b/tests/components/session_fixture.rs
@@ -1,5 +1,5 @@
-//! A client session on an in-memory stream, in front of a request gateway whose events the test receives in place of the
-//! driver. It must not answer anything by itself.
+//! A client session on an in-memory stream, with a request gateway whose events the test receives in place of the
+//! driver. The fixture must not answer requests by itself.
 
 use crate::typed_message;
 use linenhill::api::Micros;
@@ -24,11 +24,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
 use tokio::sync::{mpsc, watch};
 
-/// Bytes that messages of clients may take in all.
-pub const MESSAGE_MEMORY: usize = 256 * 1024;
-/// The startup message of a client without parameters.
+/// Total memory for messages from clients.
+pub const MESSAGE_MEMORY_BYTES: usize = 256 * 1024;
+/// A startup message without parameters.
 pub const STARTUP: &[u8] = b"\0\0\0\x08\0\x03\0\0";
-/// The message with which a client ends its connection.
+/// The Terminate message, which ends the session.
 pub const TERMINATE: &[u8] = b"X\0\0\0\x04";
 
 pub const SERVING: ServingState = ServingState {
@@ -40,48 +40,48 @@
     rejects_requests: false,
 };
 
-/// What the gateway hands to the driver.
+/// The receiver of the inputs that the gateway sends to the driver.
 pub type Events = mpsc::UnboundedReceiver<DriverInput>;
 
-/// A client session and its surroundings.
+/// A client session with the client's end of its connection.
 pub struct SessionFixture {
     /// The client's end of the connection.
     pub client: DuplexStream,
     /// The session itself; it runs only while the test polls it.
     pub session: Pin<Box<dyn Future<Output = CloseReason>>>,
-    /// Changes how the session treats its client.
+    /// Sets whether the process serves, drains or stops.
     pub serving_state: watch::Sender<ServingState>,
 }
 
 impl SessionFixture {
-    /// A session with a gateway of its own.
+    /// Creates a session with a new gateway; returns it with the events of the gateway.
     pub fn with_own_gateway() -> (SessionFixture, Events) {
         let (gateway, events) = new_gateway();
-        let connection = connection_gate(9).admit().expect("a place");
+        let connection = connection_gate(9).admit().expect("free slot");
         (SessionFixture::new(&gateway, connection), events)
     }
 
     pub fn new(gateway: &Rc<RequestGateway>, connection: AdmittedConnection) -> SessionFixture {
-        let (client, far) = duplex(4096);
+        let (client, server) = duplex(4096);
         let (serving_state, receiver) = watch::channel(SERVING);
-        let session = Box::pin(session::run(far, gateway.clone(), connection, receiver));
+        let session = Box::pin(session::run(server, gateway.clone(), connection, receiver));
         SessionFixture { client, session, serving_state }
     }
 }
 
-/// The settings of the first kind of site.
+/// The example configuration of a site whose endpoint lists are requested, not pushed.
 pub fn example_config() -> Config {
     let text = include_str!("../../examples/config.json");
     Config::parse(text, Path::new("config.json"), Variables::default(), LoadReason::Start)
-        .expect("a configuration")
+        .expect("valid configuration")
 }
 
-/// A gateway whose events the test receives.
+/// Creates a gateway; returns it with its events.
 pub fn new_gateway() -> (Rc<RequestGateway>, Events) {
     let (inbox, events) = mpsc::unbounded_channel();
     let intake = RequestIntake::new(&example_config().site, Clock::start());
     let accounting = RequestAccounting::new(Rc::new(Counters::default()), new_metrics());
-    let admission = RequestAdmission::new(9, MESSAGE_MEMORY, 1 << 20);
+    let admission = RequestAdmission::new(9, MESSAGE_MEMORY_BYTES, 1 << 20);
     let guard = SendGuard::without_list();
     (Rc::new(RequestGateway::new(intake, admission, accounting, inbox, guard)), events)
 }
@@ -104,17 +104,17 @@
     ConnectionGate::new(admission_limits(max_served), Clock::start())
 }
 
-/// A query of this id and class.
+/// Encodes a query with this id and class.
 pub fn query(id: &str, class: &str) -> Vec<u8> {
     statement(id, class, "SELECT 1")
 }
 
-/// A query of this id, class and SQL text.
+/// Encodes a query with this id, class and SQL text.
 pub fn statement(id: &str, class: &str, sql: &str) -> Vec<u8> {
     typed_message(b'Q', format!("/* id={id},c={class},d=900,cluster=1 */ {sql}\0").as_bytes())
 }
 
-/// The next event, which must be a request that the gateway accepted.
+/// Returns the next event, which must be an accepted request.
 pub async fn next_accepted(events: &mut Events) -> AcceptedRequest {
     let Some(DriverInput::RequestAccepted(accepted)) = events.recv().await else {
         panic!("no request was accepted")
@@ -122,23 +122,26 @@
     *accepted
 }
 
-/// Answers an accepted request with these bytes; the session must still wait for them.
+/// Answers an accepted request with `bytes`; the session must still be waiting for the answer.
 pub fn serve(accepted: AcceptedRequest, bytes: &'static str) {
-    accepted.reply.send(FinalResponse::Served(bytes.as_bytes().into())).expect("a session that waits");
+    accepted
+        .reply
+        .send(FinalResponse::Served(bytes.as_bytes().into()))
+        .expect("session waits for the answer");
 }
 
 pub async fn write(client: &mut DuplexStream, bytes: &[u8]) {
-    client.write_all(bytes).await.expect("written");
+    client.write_all(bytes).await.expect("write");
 }
 
-/// All that the session still writes, up to the end of the connection.
+/// Reads the remaining output of the session up to the end of the connection.
 pub async fn read_to_end(client: &mut DuplexStream) -> String {
     let mut received = Vec::new();
     client.read_to_end(&mut received).await.expect("read");
     String::from_utf8_lossy(&received).into_owned()
 }
 
-/// What the session writes, up to the end of this text at least.
+/// Reads the output of the session until it contains `wanted`.
 pub async fn read_until(client: &mut DuplexStream, wanted: &str) -> String {
     let mut buffer = [0; 512];
     let mut text = String::new();
