--- a/tests/race_conditions/broken_connections.rs
+++ b/tests/race_conditions/broken_connections.rs
@@ -1,23 +1,27 @@
-//! Connections to members that break, close, or carry bytes at the wrong moment. A request must get one final answer, and only from a reply to its own statement.
+//! Connections to members that break, close, or deliver bytes at an unexpected time. A request must get exactly one
+//! final answer, and only from the reply to its own statement.
 
 use crate::harness::{
     CONFIG, WATCH_HEAD, WRITE, accept_watch, connect_client, encode, query_command, read_answer,
     send_watch_line,
 };
-use crate::member_side::{accept_startup, greeting, read_rest, read_statement, reply_with_row, send_row};
+use crate::member_side::{
+    accept_startup, read_rest, read_statement, reply_with_row, send_row, startup_answer,
+};
 use crate::setup::{
-    Change, PUSHED_CONFIG, ReadAtEitherMember, SITES, WITHOUT_CANCEL, accept_statement, greet_for_statement,
-    read_at_either_member, read_with_id, replica_read, request_at_first_member, run_with_setup, serve_retry,
+    ConfigChange, PUSHED_CONFIG, ReadAtEitherMember, SITES, WITHOUT_CANCEL, accept_statement,
+    read_at_either_member, read_first_statement, read_with_id, replica_read, request_at_first_member,
+    run_with_setup, serve_retry,
 };
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::time::{sleep, timeout};
 
-/// Members don't show their role.
-const ROLES_NOT_SHOWN: Change = ("\"showsRole\": \"trailing\"", "\"showsRole\": \"off\"");
+/// Members do not report their role.
+const ROLES_NOT_SHOWN: ConfigChange = ("\"showsRole\": \"trailing\"", "\"showsRole\": \"off\"");
 
-/// An idle connection. Guards against an attempt spent on one that the member has closed, and against late bytes of an
-/// answer that reach the next request.
+/// Guards against an attempt on an idle connection that the member has closed, and against late bytes of a reply that
+/// are delivered to the next request.
 #[test]
 fn closed_or_dirty_idle_connection_is_not_used() {
     for event in ["closed", "reset", "late-bytes"] {
@@ -26,29 +30,29 @@
             send_row(&mut connection, "first").await;
             assert!(read_answer(&mut client).await.contains("first"));
             match event {
-                "closed" => connection.shutdown().await.expect("closed"),
-                "reset" => connection.set_zero_linger().expect("set"),
-                _ => connection.write_all(&reply_with_row("late")).await.expect("written"),
+                "closed" => connection.shutdown().await.expect("shut down"),
+                "reset" => connection.set_zero_linger().expect("set linger"),
+                _ => connection.write_all(&reply_with_row("late")).await.expect("write"),
             }
             let still_open = (event != "reset").then_some(connection);
-            // Written is not arrived, on a busy machine: the program has seen it once it gives the connection up.
+            // On a busy machine the event may arrive late: the program has processed it once it logs the close.
             let close_code = if event == "late-bytes" { "code=protocol" } else { "code=peer-closed" };
             setup.program.wait_for_log(close_code).await;
-            client.write_all(&encode(&[query_command(&read_with_id("a2"))])).await.expect("written");
+            client.write_all(&encode(&[query_command(&read_with_id("a2"))])).await.expect("write");
             let (mut new_connection, statement) = accept_statement(&setup.members[0]).await;
             assert!(statement.contains("id=a2"), "{statement}");
             send_row(&mut new_connection, "second").await;
             let answer = read_answer(&mut client).await;
             assert!(answer.contains("second") && !answer.contains("late"), "{answer}");
             if let Some(connection) = still_open {
-                assert_eq!(read_rest(connection).await, "", "it got nothing more");
+                assert_eq!(read_rest(connection).await, "", "nothing more was sent on it");
             }
         });
     }
 }
 
-/// A member that answers before it has a statement, in one piece with its greeting. Guards against an answer that no member made
-/// for the request it is given to.
+/// Guards against a reply that is relayed to a request although the member sent it before it received the statement,
+/// together with its answer to the startup message.
 #[test]
 fn reply_before_its_statement_is_discarded() {
     run_with_setup("early", CONFIG, 2, &[], |setup| async move {
@@ -57,8 +61,8 @@
             connection = accept_startup(&setup.members[0]) => (connection, 1),
             connection = accept_startup(&setup.members[1]) => (connection, 0),
         };
-        early.write_all(&[greeting(), reply_with_row("early")].concat()).await.expect("written");
-        assert_eq!(read_statement(&mut early).await, None, "it gets no statement");
+        early.write_all(&[startup_answer(), reply_with_row("early")].concat()).await.expect("write");
+        assert_eq!(read_statement(&mut early).await, None, "the member that replied early gets no statement");
         let _next = serve_retry(&setup.members[other], "after its statement").await;
         let answer = read_answer(&mut client).await;
         assert!(answer.contains("after its statement") && !answer.contains("early"), "{answer}");
@@ -66,19 +70,20 @@
     });
 }
 
-/// A break at the instant that a statement is written, or amid its answer: it may have run. Guards against a read that is
-/// lost with its connection, a second attempt beside the first, and a write that is sent again where that is not allowed.
+/// The connection breaks right after a statement is written, or in the middle of its reply, so the statement may have
+/// run. Guards against a read that is lost with its connection, against a second attempt concurrent with the first,
+/// and against a write that is retried where that is not allowed.
 #[test]
 fn broken_read_is_retried_and_unsafe_write_is_not() {
-    for is_torn in [false, true] {
-        run_with_setup(&format!("break-read-{is_torn}"), CONFIG, 2, &[], |setup| async move {
+    for is_truncated in [false, true] {
+        run_with_setup(&format!("break-read-{is_truncated}"), CONFIG, 2, &[], |setup| async move {
             let ReadAtEitherMember { mut client, mut connection, other } =
                 read_at_either_member(&setup).await;
-            if is_torn {
+            if is_truncated {
                 let reply = reply_with_row("torn");
-                connection.write_all(&reply[..reply.len() - 6]).await.expect("written");
+                connection.write_all(&reply[..reply.len() - 6]).await.expect("write");
             }
-            connection.set_zero_linger().expect("set");
+            connection.set_zero_linger().expect("set linger");
             drop(connection);
             let _next = serve_retry(&setup.members[other], "again").await;
             let answer = read_answer(&mut client).await;
@@ -97,9 +102,9 @@
     });
 }
 
-/// A break at each place around the last byte of an answer, the program suspended until it is there: before the last byte
-/// the answer isn't complete, after it it is. Guards against half an answer that is relayed, and against a second attempt
-/// for a complete one.
+/// The connection breaks at different bytes near the end of a reply. The program is suspended until the bytes and the
+/// break have arrived. Guards against an incomplete reply that is relayed, and against a second attempt after a
+/// complete one.
 #[test]
 fn break_around_the_last_byte_gives_one_answer() {
     let complete = reply_with_row("complete").len();
@@ -119,9 +124,9 @@
                 let ReadAtEitherMember { mut client, mut connection, other } =
                     read_at_either_member(&setup).await;
                 setup.program.suspend();
-                connection.write_all(&reply_with_row("complete")[..sent]).await.expect("written");
+                connection.write_all(&reply_with_row("complete")[..sent]).await.expect("write");
                 if is_reset {
-                    connection.set_zero_linger().expect("set");
+                    connection.set_zero_linger().expect("set linger");
                 }
                 drop(connection);
                 setup.program.signal("-CONT");
@@ -142,34 +147,37 @@
     }
 }
 
-/// The answer and the timeout are there in one turn: the program is suspended until the request's time is over and its answer
-/// has come. Guards against two final answers, or none, and against a late answer that reaches the next request.
+/// The reply to a request and its timeout are processed at the same time: the program is suspended until the timeout
+/// has expired and the reply has arrived. Guards against two final answers, or none, and against a late reply that is
+/// delivered to the next request.
 #[test]
 fn reply_and_timeout_in_one_turn_give_one_answer() {
     for (site, config) in SITES {
         run_with_setup(&format!("late-{site}"), config, 1, &[], |setup| async move {
-            // The list is confirmed: otherwise its lease would be over after the stop, and nothing more be sent.
+            // Confirms the list: its lease would otherwise expire during the suspension, and nothing more would be
+            // sent.
             let (mut watch, _) = accept_watch(&setup.discovery).await;
             send_watch_line(&mut watch, WATCH_HEAD, "").await;
             let read = replica_read(site, "a1").replace("d=60000", "d=3000");
             let (mut client, mut connection) = request_at_first_member(&setup, &read).await;
             setup.program.suspend();
-            // Its time is over once this has passed, on any machine.
+            // Longer than the timeout of the request.
             sleep(Duration::from_millis(3_100)).await;
             send_row(&mut connection, "first").await;
             setup.program.signal("-CONT");
             let answer = read_answer(&mut client).await;
-            let ends = ["first", "C53300", "C08007"].iter().filter(|end| answer.contains(**end)).count();
-            assert_eq!(ends, 1, "{answer}");
-            client.write_all(&encode(&[query_command(&replica_read(site, "a2"))])).await.expect("written");
-            // A connection whose answer came too late is not used again.
+            let final_answers =
+                ["first", "C53300", "C08007"].iter().filter(|text| answer.contains(**text)).count();
+            assert_eq!(final_answers, 1, "{answer}");
+            client.write_all(&encode(&[query_command(&replica_read(site, "a2"))])).await.expect("write");
+            // A connection whose reply arrived too late is not reused.
             let mut next = tokio::select! {
                 Some(statement) = read_statement(&mut connection) => {
                     assert!(statement.contains("id=a2"), "{statement}");
                     connection
                 }
                 new_connection = accept_startup(&setup.members[0]) => {
-                    let (new_connection, statement) = greet_for_statement(new_connection).await;
+                    let (new_connection, statement) = read_first_statement(new_connection).await;
                     assert!(statement.contains("id=a2"), "{statement}");
                     new_connection
                 }
--- a/tests/race_conditions/list_changes.rs
+++ b/tests/race_conditions/list_changes.rs
@@ -1,7 +1,8 @@
-//! Changes of the endpoint list, most of all drains, that meet a connection coming up, a failing watch or a suspended process.
+//! Changes of the endpoint list, mainly drains, that arrive while a connection is being opened, a watch fails, or the
+//! process is suspended.
 
 use crate::harness::{WATCH_HEAD, accept_watch, connect_client, read_answer, send_watch_line};
-use crate::member_side::{accept_startup, greet, read_rest, read_statement, send_row};
+use crate::member_side::{accept_startup, answer_startup, read_rest, read_statement, send_row};
 use crate::setup::{SITES, draining_list, replica_read, run_with_setup};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -9,8 +10,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// A drain is announced while a connection comes up, in both orders. Guards against a statement that follows the drain, and
-/// against an answer that is lost because its member drains.
+/// A drain is announced while a connection is being opened, before or after the statement is written. Guards against a
+/// statement that is sent after the drain, and against an answer that is lost because its member drains.
 #[test]
 fn drain_before_the_first_byte_prevents_the_send() {
     for (site, config) in SITES {
@@ -24,11 +25,11 @@
                 if is_drain_first {
                     send_watch_line(&mut watch, WATCH_HEAD, &draining_list(2, &setup.members[0])).await;
                     setup.program.wait_for_log("list version 2").await;
-                    greet(&mut connection).await;
-                    assert_eq!(read_rest(connection).await, "", "nothing follows the drain");
+                    answer_startup(&mut connection).await;
+                    assert_eq!(read_rest(connection).await, "", "no statement is sent after the drain");
                     assert!(read_answer(&mut client).await.contains("C53300"));
                 } else {
-                    greet(&mut connection).await;
+                    answer_startup(&mut connection).await;
                     assert!(
                         read_statement(&mut connection)
                             .await
@@ -47,53 +48,54 @@
 /// How a watch fails to deliver a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WatchFailure {
-    UnreadableLine,
-    CutLine,
+    InvalidLine,
+    TruncatedLine,
     Ended,
     Reset,
-    Silent,
+    Unresponsive,
 }
 
 impl WatchFailure {
-    /// The failures to play at a site. Where lists are asked for, a silent watch takes long to show.
+    /// The failures to test at a site. Where lists are requested, an unresponsive watch is detected too slowly for
+    /// the test.
     fn of_site(site: &str) -> Vec<WatchFailure> {
-        use WatchFailure::{CutLine, Ended, Reset, Silent, UnreadableLine};
-        let mut failures = vec![UnreadableLine, CutLine, Ended, Reset];
+        use WatchFailure::{Ended, InvalidLine, Reset, TruncatedLine, Unresponsive};
+        let mut failures = vec![InvalidLine, TruncatedLine, Ended, Reset];
         if site != "asked" {
-            failures.push(Silent);
+            failures.push(Unresponsive);
         }
         failures
     }
 }
 
-/// Lets a watch fail; what is returned stays open until it is dropped.
+/// Makes a watch fail. A returned watch stays open until it is dropped.
 async fn fail_watch(mut watch: TcpStream, failure: WatchFailure) -> Option<TcpStream> {
     match failure {
-        WatchFailure::UnreadableLine => {
+        WatchFailure::InvalidLine => {
             let line = r#"{"version":2,"full":false,"servers":[{"id":7}]}"#;
             send_watch_line(&mut watch, WATCH_HEAD, line).await;
             keep_alive(watch);
             None
         }
-        WatchFailure::CutLine => {
+        WatchFailure::TruncatedLine => {
             let line = r#"{"version":2,"full":false,"servers":[{"id":"m"#;
             send_watch_line(&mut watch, WATCH_HEAD, line).await;
             keep_alive(watch);
             None
         }
         WatchFailure::Ended => {
-            watch.write_all(format!("{WATCH_HEAD}0\r\n\r\n").as_bytes()).await.expect("written");
+            watch.write_all(format!("{WATCH_HEAD}0\r\n\r\n").as_bytes()).await.expect("write");
             Some(watch)
         }
         WatchFailure::Reset => {
-            watch.set_zero_linger().expect("set");
+            watch.set_zero_linger().expect("set linger");
             None
         }
-        WatchFailure::Silent => Some(watch),
+        WatchFailure::Unresponsive => Some(watch),
     }
 }
 
-/// Sends empty lines on a watch, so that nothing but what was sent before ends it.
+/// Sends empty lines on a watch, so that only its earlier lines can end it, and not a timeout.
 fn keep_alive(mut watch: TcpStream) {
     spawn_local(async move {
         while watch.write_all(b"1\r\n\n\r\n").await.is_ok() {
@@ -102,9 +104,8 @@
     });
 }
 
-/// Guards against changes that are lost with the watch that brought them: a line that can't be read, one that is cut, a
-/// watch that ends, one that is reset, one that never sends anything (at an agent, where that shows soonest). The next
-/// watch brings the drain.
+/// Guards against a change that is lost with the watch that failed to deliver it: by an invalid line, a truncated
+/// line, the end of the watch, a reset, or an unresponsive agent. The next watch must deliver the drain.
 #[test]
 fn next_watch_delivers_what_the_last_one_lost() {
     for (site, config) in SITES {
@@ -114,7 +115,7 @@
                 assert_eq!(version, 1);
                 let _open_watch = fail_watch(watch, failure).await;
                 let (mut next_watch, version) = accept_watch(&setup.discovery).await;
-                assert_eq!(version, 1, "nothing counts as received");
+                assert_eq!(version, 1, "the list in use is unchanged");
                 send_watch_line(&mut next_watch, WATCH_HEAD, &draining_list(2, &setup.members[0])).await;
                 setup.program.wait_for_log("list version 2").await;
                 let read = replica_read(site, "a1").replace("d=60000", "d=500");
@@ -125,8 +126,9 @@
     }
 }
 
-/// A list comes while the program is suspended, and the watch counts as silent by then. Guards against a timer that is over
-/// before what has arrived is read: the watch was given up with the drain unread in it, and the member was sent to.
+/// A list arrives while the program is suspended for longer than the time limit of the watch. Guards against a
+/// timeout that takes effect before received input is read: the watch was closed with an unread drain, and a
+/// statement was sent to the draining member.
 #[test]
 fn list_received_while_suspended_is_read_before_any_send() {
     for (site, config) in SITES {
@@ -136,14 +138,14 @@
             setup.program.wait_for_log("saved to confirmed").await;
             setup.program.suspend();
             send_watch_line(&mut watch, "", &draining_list(2, &setup.members[0])).await;
-            // Longer than a watch may be silent.
+            // Longer than the time limit for the next message of a watch.
             sleep(Duration::from_millis(3_200)).await;
             setup.program.signal("-CONT");
             let read = replica_read(site, "a1").replace("d=60000", "d=800");
             let mut client = connect_client(setup.address, &[&read]).await;
             let answer = read_answer(&mut client).await;
             assert!(answer.contains("C53300") || answer.contains("C08007"), "{answer}");
-            assert!(timeout(Duration::ZERO, setup.members[0].accept()).await.is_err(), "it drains");
+            assert!(timeout(Duration::ZERO, setup.members[0].accept()).await.is_err(), "the member drains");
             setup.program.wait_for_log("list version 2 with 1 entries").await;
         });
     }
--- a/tests/race_conditions/main.rs
+++ b/tests/race_conditions/main.rs
@@ -1,6 +1,6 @@
-//! Two events that race, on real sockets: members, discovery and clients stop at a step and go on when the test lets them,
-//! so the order of the two is made here. No verdict rests on measured time: each step waits for what the one before
-//! brings about. `docs/design/crossings.md` names the pairs.
+//! Races between two events, on real sockets. Simulated members, discovery and clients pause at a step until the test
+//! lets them continue, so the test determines the order of the two events. No result depends on measured time: each
+//! step waits for an effect of the previous one. `docs/design/crossings.md` lists the pairs of events.
 
 #[path = "../harness/mod.rs"]
 mod harness;
--- a/tests/race_conditions/member_side.rs
+++ b/tests/race_conditions/member_side.rs
@@ -1,54 +1,55 @@
-//! The member's side of a connection, one message at a time, so that a test decides what happens between two of them.
+//! The member's side of a connection, one message at a time, so that a test controls what happens between two
+//! messages.
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The program's next connection to a member, with its startup message read and not answered.
+/// Accepts the program's next connection to a member and reads its startup message, without answering it.
 pub async fn accept_startup(member: &TcpListener) -> TcpStream {
-    let (mut connection, _) = member.accept().await.expect("a connection");
-    let length = connection.read_u32().await.expect("a length") as usize;
-    connection.read_exact(&mut vec![0; length - 4]).await.expect("a startup message");
+    let (mut connection, _) = member.accept().await.expect("accept connection");
+    let length = connection.read_u32().await.expect("read length") as usize;
+    connection.read_exact(&mut vec![0; length - 4]).await.expect("read startup message");
     connection
 }
 
-/// A message of the PostgreSQL protocol: its type, its length, its body.
+/// Encodes a message of the PostgreSQL protocol: type, length, body.
 fn message(kind: u8, body: &[u8]) -> Vec<u8> {
-    let length = 4 + u32::try_from(body.len()).expect("a body under 4 GiB");
+    let length = 4 + u32::try_from(body.len()).expect("body is shorter than 4 GiB");
     [&[kind], &length.to_be_bytes()[..], body].concat()
 }
 
-/// The answer to a startup message: the proxy is authenticated, the member is ready.
-pub fn greeting() -> Vec<u8> {
+/// The answer to a startup message: AuthenticationOk and ReadyForQuery.
+pub fn startup_answer() -> Vec<u8> {
     [message(b'R', &[0; 4]), message(b'Z', b"I")].concat()
 }
 
 /// Answers the startup message.
-pub async fn greet(connection: &mut TcpStream) {
-    connection.write_all(&greeting()).await.expect("written");
+pub async fn answer_startup(connection: &mut TcpStream) {
+    connection.write_all(&startup_answer()).await.expect("write");
 }
 
-/// The next statement on a connection; `None` at its end.
+/// Reads the next statement; `None` if the connection has ended.
 pub async fn read_statement(connection: &mut TcpStream) -> Option<String> {
     let kind = connection.read_u8().await.ok()?;
     let mut body = vec![0; connection.read_u32().await.ok()? as usize - 4];
     connection.read_exact(&mut body).await.ok()?;
     assert_eq!(kind, b'Q');
-    Some(String::from_utf8(body).expect("a text"))
+    Some(String::from_utf8(body).expect("statement is UTF-8"))
 }
 
-/// An answer of one row, up to ReadyForQuery.
+/// Encodes a reply with one row, up to ReadyForQuery.
 pub fn reply_with_row(value: &str) -> Vec<u8> {
     let column = [b"\0\x01val\0".as_slice(), &[0; 6], &17u32.to_be_bytes(), &[0xff; 6], &[0, 1]].concat();
     let data = [b"\0\x01".as_slice(), &(value.len() as u32).to_be_bytes(), value.as_bytes()].concat();
     [message(b'T', &column), message(b'D', &data), message(b'C', b"SELECT 1\0"), message(b'Z', b"I")].concat()
 }
 
-/// Answers a statement with one row of this value.
+/// Answers a statement with one row that contains `value`.
 pub async fn send_row(connection: &mut TcpStream, value: &str) {
-    connection.write_all(&reply_with_row(value)).await.expect("written");
+    connection.write_all(&reply_with_row(value)).await.expect("write");
 }
 
-/// All that still comes on a connection until it ends.
+/// Reads the remaining input of a connection until it ends.
 pub async fn read_rest(mut connection: TcpStream) -> String {
     let mut received = Vec::new();
     let _ = connection.read_to_end(&mut received).await;
--- a/tests/race_conditions/stop.rs
+++ b/tests/race_conditions/stop.rs
@@ -1,7 +1,8 @@
-//! SIGTERM at the moment when something else happens. What was accepted by then must be answered before the process ends.
+//! SIGTERM that coincides with another event. Requests that were accepted before must be answered before the process
+//! exits.
 
 use crate::harness::{CONFIG, connect_client, encode, query_command, read_answer};
-use crate::member_side::{accept_startup, greet, read_rest, read_statement, send_row};
+use crate::member_side::{accept_startup, answer_startup, read_rest, read_statement, send_row};
 use crate::setup::{
     ReadAtEitherMember, SITES, TestSetup, WITHOUT_CANCEL, accept_statement, read_at_either_member,
     read_with_id, replica_read, request_at_first_member, run_with_setup, serve_at_first_member, serve_retry,
@@ -18,10 +19,10 @@
 use tokio::time::sleep;
 
 /// Longer than the program waits after SIGTERM before it closes idle connections and its listener.
-const PAST_THE_CLOSE: Duration = Duration::from_millis(700);
+const PAST_CLOSE_DELAY: Duration = Duration::from_millis(700);
 
-/// Repeats a test until it notes that the program was suspended before the moment that it is about: a busy machine may be
-/// late for it.
+/// Repeats a test until it reports that the program was suspended before the event under test; on a busy machine the
+/// suspension may be too late.
 fn repeat_until_suspended_in_time(test: impl Fn(Rc<Cell<bool>>)) {
     let is_in_time = Rc::new(Cell::new(false));
     let in_time = (0..50).find(|_| {
@@ -31,8 +32,8 @@
     assert!(in_time.is_some(), "the program was never suspended in time");
 }
 
-/// SIGTERM while a query is half read, others are in flight on the same connection, and a second SIGTERM and a SIGHUP
-/// come. Guards against anything that was accepted and not answered, in its order, before the end.
+/// SIGTERM while one connection has a half-read query and another has two pipelined requests in progress, followed by
+/// a second SIGTERM and a SIGHUP. Guards against accepted requests that are not answered before the process exits.
 #[test]
 fn sigterm_answers_half_read_and_pipelined_requests() {
     for (site, config) in SITES {
@@ -42,20 +43,20 @@
             let member = &setup.members[0];
             let mut connections = [accept_startup(member).await, accept_startup(member).await];
             for connection in &mut connections {
-                greet(connection).await;
+                answer_startup(connection).await;
                 assert!(read_statement(connection).await.is_some());
             }
             let mut half_read = connect_client(setup.address, &[]).await;
             let third = encode(&[query_command(&replica_read(site, "a3"))]);
-            half_read.write_all(&third[..20]).await.expect("written");
+            half_read.write_all(&third[..20]).await.expect("write");
             setup.program.signal("-TERM");
             setup.program.wait_for_log("stopping, ").await;
-            half_read.write_all(&third[20..]).await.expect("written");
+            half_read.write_all(&third[20..]).await.expect("write");
             setup.program.signal("-TERM");
             setup.program.signal("-HUP");
             let answer = read_answer(&mut half_read);
             let [mut first, mut second] = connections;
-            // Its statement comes on a new connection, or it was rejected for want of time: on a slow machine.
+            // The statement arrives on a new connection. On a slow machine the request may be rejected as too late.
             let serve_third = async {
                 let (mut connection, _) = accept_statement(member).await;
                 send_row(&mut connection, "three").await;
@@ -74,19 +75,19 @@
                     && answers.iter().any(|answer| answer.contains("later")),
                 "{answers:?}"
             );
-            assert_eq!(read_answer(&mut pipelined).await, "", "then it is closed");
+            assert_eq!(read_answer(&mut pipelined).await, "", "the connection is closed after the answer");
             assert!(setup.program.wait_for_exit().await.success());
         });
     }
 }
 
-/// Whether the other side has ended a connection, as this machine knows by now.
+/// Whether the kernel has received the close of a connection by the other side.
 fn is_closed(stream: &TcpStream) -> bool {
     socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]).is_ok_and(|length| length == 0)
 }
 
-/// A query on an idle connection at the very moment when the stop closes it, in both orders. Guards against a request that
-/// is read and not answered, and against one that is read once its connection is closed, and forwarded.
+/// A query arrives on an idle connection right before or right after the stop closes the connection. Guards against a
+/// request that is read but not answered, and against one that is read and forwarded after its connection was closed.
 #[test]
 fn query_at_the_close_of_its_connection_is_answered_or_unread() {
     for (site, config) in SITES {
@@ -102,7 +103,7 @@
     }
 }
 
-/// Plays the moment, and returns whether the connection was closed before the query was written.
+/// Runs the test once; returns whether the connection was closed before the query was written.
 async fn query_at_the_close(setup: Rc<TestSetup>, site: &str, is_close_first: bool) -> bool {
     let mut idle = connect_client(setup.address, &[]).await;
     let (mut busy, mut connection) = request_at_first_member(&setup, &replica_read(site, "a1")).await;
@@ -110,24 +111,32 @@
     if is_close_first {
         setup.program.wait_for_log("code=stopping").await;
     } else {
-        // Suspended until the moment to close it has passed, and its query is there.
+        // Suspended until the close is due and the query has arrived.
         setup.program.wait_for_log("stopping, ").await;
         setup.program.suspend();
-        sleep(PAST_THE_CLOSE).await;
+        sleep(PAST_CLOSE_DELAY).await;
     }
     let statements = serve_at_first_member(&setup);
     let was_closed = is_closed(&idle);
-    idle.write_all(&encode(&[query_command(&replica_read(site, "a2"))])).await.expect("written");
+    idle.write_all(&encode(&[query_command(&replica_read(site, "a2"))])).await.expect("write");
     if !was_closed {
         wait_until_delivered(&idle).await;
     }
     setup.program.signal("-CONT");
     let answer = read_answer(&mut idle).await;
-    // Read before the program looks at its clock it is served, else it is too late.
+    // The query is served if it is read before the program checks its clock; otherwise it is rejected as too late.
     let is_served = answer.contains("mine");
-    assert_eq!(is_served || answer.contains("C53300"), !was_closed, "it is answered: {answer}");
-    assert_eq!(statements.borrow().len(), usize::from(is_served), "sent only for an answer");
-    assert_eq!(read_answer(&mut idle).await, "", "then it is closed");
+    assert_eq!(
+        is_served || answer.contains("C53300"),
+        !was_closed,
+        "answered unless the connection was closed: {answer}"
+    );
+    assert_eq!(
+        statements.borrow().len(),
+        usize::from(is_served),
+        "a statement is sent only if the query is served"
+    );
+    assert_eq!(read_answer(&mut idle).await, "", "the connection is closed after the answer");
     send_row(&mut connection, "one").await;
     assert!(read_answer(&mut busy).await.contains("one"));
     assert!(!read_rest(connection).await.contains("id=a2"));
@@ -136,8 +145,8 @@
     was_closed
 }
 
-/// A client connects at the moment when the listener closes: the program is suspended until that has passed and its query is there.
-/// Guards against a new connection that the machine has accepted and the program resets.
+/// A client connects right before the listener closes: the program is suspended until the close is due and the
+/// client's query has arrived. Guards against a connection that the kernel has accepted and the program resets.
 #[test]
 fn connection_at_the_close_of_the_listener_is_answered() {
     for (site, config) in SITES {
@@ -148,18 +157,21 @@
                 setup.program.signal("-TERM");
                 setup.program.wait_for_log("stopping, ").await;
                 setup.program.suspend();
-                sleep(PAST_THE_CLOSE).await;
+                sleep(PAST_CLOSE_DELAY).await;
                 let _statements = serve_at_first_member(&setup);
-                // Closed before it was suspended: nothing was accepted.
+                // Refused if the listener was closed before the program was suspended.
                 let Ok(mut last) = TcpStream::connect(setup.address).await else { return };
                 is_in_time.set(true);
                 let request = encode(&[ClientCommand::Startup, query_command(&replica_read(site, "a2"))]);
-                last.write_all(&request).await.expect("written");
+                last.write_all(&request).await.expect("write");
                 wait_until_delivered(&last).await;
                 setup.program.signal("-CONT");
                 read_answer(&mut last).await;
                 let answer = read_answer(&mut last).await;
-                assert!(answer.contains("mine") || answer.contains("C53300"), "it is answered: {answer}");
+                assert!(
+                    answer.contains("mine") || answer.contains("C53300"),
+                    "the query is answered: {answer}"
+                );
                 send_row(&mut connection, "one").await;
                 assert!(read_answer(&mut busy).await.contains("one"));
                 assert!(setup.program.wait_for_exit().await.success());
@@ -168,7 +180,7 @@
     }
 }
 
-/// SIGTERM while an answer is half written to a client that takes its time. Guards against a stop that cuts it off.
+/// SIGTERM while an answer is half written to a slow client. Guards against a stop that truncates the answer.
 #[test]
 fn half_written_answer_is_completed_before_the_end() {
     run_with_setup("term-slow", CONFIG, 1, &[], |setup| async move {
@@ -178,19 +190,19 @@
             send_row(&mut connection, &value).await;
             connection
         });
-        client.read_exact(&mut [0; 1000]).await.expect("it has begun");
+        client.read_exact(&mut [0; 1000]).await.expect("start of the answer");
         setup.program.signal("-TERM");
         setup.program.wait_for_log("stopping, ").await;
         let answer = read_answer(&mut client).await;
         assert!(answer.len() > 3_999_000 && answer.contains("SELECT 1"), "{} bytes", answer.len());
-        assert_eq!(read_answer(&mut client).await, "", "then it is closed");
+        assert_eq!(read_answer(&mut client).await, "", "the connection is closed after the answer");
         drop(member.await);
         assert!(setup.program.wait_for_exit().await.success());
     });
 }
 
-/// SIGTERM while a retry is due: the member breaks under a read, the program is suspended meanwhile. Guards against a request
-/// that is forgotten between its two attempts.
+/// SIGTERM while a retry is due: the connection with the first attempt of a read breaks while the program is
+/// suspended. Guards against a request that is lost between its two attempts.
 #[test]
 fn due_retry_is_made_during_a_stop() {
     run_with_setup("term-retry", CONFIG, 2, &[], |setup| async move {
@@ -205,7 +217,8 @@
     });
 }
 
-/// SIGTERM while an attempt hangs: it ends by its deadline, with a final answer, and so does the program.
+/// SIGTERM while an attempt gets no reply. Guards against a request without a final answer by its deadline, and
+/// against a program that does not exit after it.
 #[test]
 fn hanging_request_is_answered_by_its_deadline_during_a_stop() {
     run_with_setup("term-hang", CONFIG, 1, &[], |setup| async move {
