--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,5 +1,5 @@
-//! Every parser of input from outside the process: random cuts of valid input, and random garbage, from fixed seeds. No
-//! input may make one panic, and no result may depend on how a stream is cut.
+//! Tests of every parser of external input with valid input that is split at random, and with random bytes, from fixed
+//! seeds. No input may cause a panic, and no result may depend on how a stream is split.
 
 use bytes::{Bytes, BytesMut};
 use linenhill::admin::call::{Call, CallCodec, parse_call};
@@ -16,8 +16,8 @@
 use std::path::Path;
 use tokio_util::codec::Decoder;
 
-/// All that a decoder makes of these parts, up to its first error, and whether there was one.
-fn items<D>(mut decoder: D, parts: &[&[u8]]) -> (Vec<String>, bool)
+/// Decodes `parts` up to the first error. Returns the decoded items, and whether there was an error.
+fn decode_all<D>(mut decoder: D, parts: &[&[u8]]) -> (Vec<String>, bool)
 where
     D: Decoder,
     D::Item: Debug,
@@ -38,21 +38,21 @@
     (items, has_failed)
 }
 
-/// A parser as a function of parts. Its result may not depend on the cuts, and neither garbage nor valid
-/// input with a stretch of garbage in it may make it panic.
-fn check<T: PartialEq + Debug>(seed: u64, valid: &[u8], parse: impl Fn(&[&[u8]]) -> T) {
+/// Checks a parser of input in parts: its result must not depend on how the input is split, and neither random bytes
+/// nor valid input with random bytes inserted may cause a panic.
+fn check_parser<T: PartialEq + Debug>(seed: u64, valid: &[u8], parse: impl Fn(&[&[u8]]) -> T) {
     let mut random = Gen::from_size_and_seed(64, seed);
-    let uncut = parse(&[valid]);
+    let unsplit = parse(&[valid]);
     for _ in 0..200 {
         let mut rest = valid;
         let mut parts = Vec::new();
         while !rest.is_empty() {
-            let cut = usize::from(u8::arbitrary(&mut random)) % rest.len() + 1;
-            let (part, after) = rest.split_at(cut);
+            let split = usize::from(u8::arbitrary(&mut random)) % rest.len() + 1;
+            let (part, after) = rest.split_at(split);
             parts.push(part);
             rest = after;
         }
-        assert_eq!(parse(&parts), uncut, "cut as {parts:?}");
+        assert_eq!(parse(&parts), unsplit, "split as {parts:?}");
         let garbage = Vec::<u8>::arbitrary(&mut random);
         parse(&[&garbage]);
         let at = usize::arbitrary(&mut random) % (valid.len() + 1);
@@ -61,9 +61,9 @@
     }
 }
 
-/// The same for a parser that takes its input at once.
-fn check_at_once<T: Debug>(seed: u64, valid: &[u8], parse: impl Fn(&[u8]) -> T) {
-    check(seed, valid, |parts| format!("{:?}", parse(&parts.concat())));
+/// Like [`check_parser`], for a parser that takes its complete input at once.
+fn check_unsplit_parser<T: Debug>(seed: u64, valid: &[u8], parse: impl Fn(&[u8]) -> T) {
+    check_parser(seed, valid, |parts| format!("{:?}", parse(&parts.concat())));
 }
 
 const QUERY: &[u8] =
@@ -112,18 +112,18 @@
     [head, format!("{:x}\r\n", line.len()).as_bytes(), &line, b"\r\n0\r\n\r\n"].concat()
 }
 
-/// Guards against answers that depend on how the network happens to cut a stream.
+/// Guards against results that depend on how the network splits a stream.
 #[test]
 fn streams_of_clients_members_and_discovery() {
-    assert_eq!(items(FrontendCodec::default(), &[&client_stream()]).0.len(), 6);
-    assert_eq!(items(BackendCodec::default(), &[&member_stream()]).0.len(), 8);
-    assert!(items(WatchCodec::default(), &[&discovery_stream()]).0.len() > 4);
-    check(1, &client_stream(), |parts| items(FrontendCodec::default(), parts));
-    check(2, &member_stream(), |parts| items(BackendCodec::default(), parts));
-    check(3, &discovery_stream(), |parts| items(WatchCodec::default(), parts));
+    assert_eq!(decode_all(FrontendCodec::default(), &[&client_stream()]).0.len(), 6);
+    assert_eq!(decode_all(BackendCodec::default(), &[&member_stream()]).0.len(), 8);
+    assert!(decode_all(WatchCodec::default(), &[&discovery_stream()]).0.len() > 4);
+    check_parser(1, &client_stream(), |parts| decode_all(FrontendCodec::default(), parts));
+    check_parser(2, &member_stream(), |parts| decode_all(BackendCodec::default(), parts));
+    check_parser(3, &discovery_stream(), |parts| decode_all(WatchCodec::default(), parts));
 }
 
-/// Guards against a panic, or a half-read text taken for a complete one.
+/// Guards against a panic, and against a truncated text that is accepted as complete.
 #[test]
 fn statements_lists_reports_and_configurations() {
     let config = include_bytes!("../examples/config.json");
@@ -134,40 +134,40 @@
     };
     assert_eq!(parse(config), Ok(1_024));
     assert!(parse(&config[..config.len() - 2]).is_err());
-    check_at_once(4, QUERY, |text| statement::parse(&Bytes::copy_from_slice(text)));
-    check_at_once(5, LIST, list::decode);
-    check_at_once(6, b"x0=1767225600.123,x1=1,util=0.61", |t| {
+    check_unsplit_parser(4, QUERY, |text| statement::parse(&Bytes::copy_from_slice(text)));
+    check_unsplit_parser(5, LIST, list::decode);
+    check_unsplit_parser(6, b"x0=1767225600.123,x1=1,util=0.61", |t| {
         report::parse(&String::from_utf8_lossy(t)).position
     });
-    check_at_once(7, config, parse);
+    check_unsplit_parser(7, config, parse);
 }
 
-/// Guards against members seeing anything but the client's own statement with the time left.
+/// Guards against changes to a client's statement other than field d, which is set to the time left.
 #[test]
 fn only_d_is_written_anew() {
     fn is_same(before: u32, left: u64, key: u64) -> bool {
         let text =
             |deadline: u64| format!("/* id=a,c=order,d={deadline},k={key:x},cluster=2 */ INSERT 'x' 'd=1'");
-        let read = statement::parse(&Bytes::from(text(u64::from(before))));
-        read.is_ok_and(|r| r.timeout_ms == u64::from(before) && r.payload.render(left) == text(left))
+        let decoded = statement::parse(&Bytes::from(text(u64::from(before))));
+        decoded.is_ok_and(|r| r.timeout_ms == u64::from(before) && r.payload.render(left) == text(left))
     }
     let mut random = QuickCheck::new().rng(Gen::from_size_and_seed(64, 8)).tests(200);
     random.quickcheck(is_same as fn(u32, u64, u64) -> bool);
 }
 
-/// Guards against a length that makes the proxy reserve memory for what never comes.
+/// Guards against a length that makes the proxy reserve memory for a message that never arrives.
 #[test]
 fn lengths_out_of_bounds_are_errors_at_once() {
     for length in [0u32, 3, 1 << 24, u32::MAX] {
         let message = [b"Q", &length.to_be_bytes()[..]].concat();
-        let (read, has_failed) = items(FrontendCodec::default(), &[&client_stream()[..21], &message]);
-        assert!(read == ["Startup"] && has_failed, "{length}");
-        assert!(items(BackendCodec::default(), &[&message]).1, "{length}");
-        assert!(items(FrontendCodec::default(), &[&length.to_be_bytes()]).1, "{length}");
+        let (decoded, has_failed) = decode_all(FrontendCodec::default(), &[&client_stream()[..21], &message]);
+        assert!(decoded == ["Startup"] && has_failed, "{length}");
+        assert!(decode_all(BackendCodec::default(), &[&message]).1, "{length}");
+        assert!(decode_all(FrontendCodec::default(), &[&length.to_be_bytes()]).1, "{length}");
     }
 }
 
-/// Guards against a long value that is gathered in memory, or whose parts depend on how it came.
+/// Guards against a long value that is buffered completely, or whose content depends on how the stream is split.
 #[test]
 fn long_value_is_passed_in_parts_whatever_the_cuts() {
     let value: Vec<u8> = (0..100_000u32).map(|n| (n % 251) as u8).collect();
@@ -175,15 +175,15 @@
     let row =
         [b"D", &(length + 10).to_be_bytes()[..], &[0, 1], &length.to_be_bytes(), &value, b"Z\0\0\0\x05I"]
             .concat();
-    let parts = |cuts: &[&[u8]]| {
+    let decode_parts = |splits: &[&[u8]]| {
         let mut codec = BackendCodec::default();
         let mut buffer = BytesMut::new();
         let mut received = Vec::new();
         let mut largest = 0;
         let mut is_ready = false;
-        for cut in cuts {
-            buffer.extend_from_slice(cut);
-            while let Some(item) = codec.decode(&mut buffer).expect("well formed") {
+        for split in splits {
+            buffer.extend_from_slice(split);
+            while let Some(item) = codec.decode(&mut buffer).expect("valid row") {
                 match item {
                     BackendMessage::LongRowHead(head) => assert_eq!(head[..], row[..11]),
                     BackendMessage::ValueChunk(part) => {
@@ -197,13 +197,20 @@
         assert!(largest <= 16 * 1024);
         (received, is_ready)
     };
-    check(9, &row, |cuts| if cuts.concat() == row { parts(cuts) } else { (value.clone(), true) });
-    assert_eq!(parts(&[&row]), (value.clone(), true));
-    let wrong = [b"D", &(length + 10).to_be_bytes()[..], &[0, 1], &(length - 1).to_be_bytes()].concat();
-    assert!(items(BackendCodec::default(), &[&wrong]).1, "a column that does not fill its row");
+    check_parser(
+        9,
+        &row,
+        |splits| if splits.concat() == row { decode_parts(splits) } else { (value.clone(), true) },
+    );
+    assert_eq!(decode_parts(&[&row]), (value.clone(), true));
+    let invalid = [b"D", &(length + 10).to_be_bytes()[..], &[0, 1], &(length - 1).to_be_bytes()].concat();
+    assert!(
+        decode_all(BackendCodec::default(), &[&invalid]).1,
+        "row does not have exactly one column that fills it"
+    );
 }
 
-/// Guards against an error that leaves its reader to guess which field is meant.
+/// Guards against an error text that does not name the invalid field.
 #[test]
 fn errors_name_the_field() {
     let statement =
@@ -240,22 +247,22 @@
     }
 }
 
-/// Guards against a call that is taken for another one, however it is cut, and against a file that is used though it is half
-/// written or not the program's own.
+/// Guards against a call that is decoded as another one, however it is split, and against a saved file that is used
+/// although it is truncated, damaged or not written by the program.
 #[test]
 fn calls_and_saved_files_are_read_complete_or_not_at_all() {
     let valid = b"POST /maintenance/enter?name=s%2D1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
-    check(31, valid, |parts| items(CallCodec, parts));
-    assert_eq!(items(CallCodec, &[valid]).0, ["EnterMaintenance { member: \"s-1\", is_forced: false }"]);
+    check_parser(31, valid, |parts| decode_all(CallCodec, parts));
+    assert_eq!(decode_all(CallCodec, &[valid]).0, ["EnterMaintenance { member: \"s-1\", is_forced: false }"]);
     let call_or_status = |line: &str| parse_call("POST", line).map_err(|error| error.status());
     assert_eq!(
         call_or_status("/maintenance/exit?name=a+b%7e"),
         Ok(Call::ExitMaintenance { member: "a b~".into() })
     );
-    for wrong in
+    for invalid in
         ["", "?name=", "?name=a&name=b", "?name=%f", "?name=%zz", "?name=%00", "?nam=a", "?name=a&x=1"]
     {
-        assert_eq!(call_or_status(&format!("/maintenance/enter{wrong}")), Err(400), "{wrong}");
+        assert_eq!(call_or_status(&format!("/maintenance/enter{invalid}")), Err(400), "{invalid}");
     }
     assert_eq!(
         call_or_status("/maintenance/enter?force=1&name=a"),
@@ -281,27 +288,28 @@
     let text = r#"[{"id":"a","out":true,"at_us":5}]"#;
     let sealed = saved::seal(text);
     assert_eq!(saved::unseal(sealed.as_bytes()).ok(), Some(text));
-    check_at_once(32, sealed.as_bytes(), |bytes| saved::unseal(bytes).ok().map(str::to_string));
+    check_unsplit_parser(32, sealed.as_bytes(), |bytes| saved::unseal(bytes).ok().map(str::to_string));
     for at in 0..sealed.len() {
-        assert!(saved::unseal(&sealed.as_bytes()[..at]).is_err(), "torn at {at}");
+        assert!(saved::unseal(&sealed.as_bytes()[..at]).is_err(), "truncated at byte {at}");
         let mut flipped = sealed.clone().into_bytes();
         flipped[at] ^= 0x11;
-        assert!(saved::unseal(&flipped).is_err(), "changed at {at}");
+        assert!(saved::unseal(&flipped).is_err(), "changed at byte {at}");
     }
 }
 
-/// Guards against a reload that moves nothing, and against a start that ignores the variable.
+/// Guards against a reload that keeps the discovery address of the environment variable, and against a start that
+/// ignores the variable.
 #[test]
 fn at_a_reload_the_files_discovery_overrides_the_variable() {
     let config = include_str!("../examples/config.json");
     let without = config.replace("\"discovery\": \"127.0.0.1:8500\",", "");
-    let read = |text: &str, reason| {
+    let discovery_port = |text: &str, reason| {
         let variables = Variables { discovery: Some("127.0.0.1:1".into()), ..Variables::default() };
         Config::parse(text, Path::new("config.json"), variables, reason)
             .map(|config| config.discovery.port())
             .ok()
     };
-    assert_eq!(read(config, LoadReason::Start), Some(1));
-    assert_eq!(read(config, LoadReason::Reload), Some(8500));
-    assert_eq!(read(&without, LoadReason::Reload), Some(1));
+    assert_eq!(discovery_port(config, LoadReason::Start), Some(1));
+    assert_eq!(discovery_port(config, LoadReason::Reload), Some(8500));
+    assert_eq!(discovery_port(&without, LoadReason::Reload), Some(1));
 }
