--- a/crates/lab/src/decision_digest/history.rs
+++ b/crates/lab/src/decision_digest/history.rs
@@ -1,4 +1,4 @@
-//! A random history: requests, faults of members, lists, gossip and time, until nothing is left to happen.
+//! Simulates a random history at one site: requests, member faults, list updates, gossip and timers, in virtual time.
 
 mod member_changes;
 mod rare;
@@ -17,20 +17,20 @@
 
 const MS: u64 = 1_000;
 const SECOND: u64 = 1_000 * MS;
-/// A moment of 2026, in microseconds of Unix time.
+/// Start time of every history, in microseconds of Unix time (2026).
 const START: u64 = 1_780_000_000 * SECOND;
-/// Bursts of requests in a history.
-const ROUNDS: u32 = 9;
-/// Requests of a burst.
-const ROUND_REQUESTS: u32 = 36;
-/// Sessions that requests belong to.
+/// Bursts of requests per history.
+const BURSTS: u32 = 9;
+/// Requests per burst.
+const BURST_REQUESTS: u32 = 36;
+/// Number of sessions that requests are drawn from.
 const SESSIONS: u64 = 6;
-/// One history in so many has more sessions than a router remembers.
-const MANY_SESSIONS_ONE_IN: u32 = 400;
+/// On average one history in this many writes from more sessions than a router remembers.
+const SESSION_OVERFLOW_ONE_IN: u32 = 400;
 
-/// What is going to happen.
-enum Scheduled {
-    /// In this group, or in any.
+/// An event that is due at a later time of the history.
+enum ScheduledEvent {
+    /// A request for this group, or for a random one if `None`.
     RequestArrives(Option<GroupId>),
     AttemptEnds {
         id: RequestId,
@@ -56,11 +56,11 @@
     is_write: bool,
     deadline: u64,
     attempts: Vec<ModelAttempt>,
-    /// It has its final answer, or its client has left.
+    /// Whether the request has its final answer or its client has left.
     is_over: bool,
 }
 
-/// One history at one site.
+/// State of one history at one site. Times and durations are in microseconds.
 pub(super) struct History<'a> {
     router: Router,
     settings: Settings,
@@ -70,18 +70,18 @@
     rng: Rng,
     now: u64,
     sequence: u64,
-    schedule: BTreeMap<(u64, u64), Scheduled>,
+    schedule: BTreeMap<(u64, u64), ScheduledEvent>,
     members: Vec<ModelMember>,
     requests: BTreeMap<RequestId, ModelRequest>,
     next_request: u64,
-    /// Members answer at once, whatever they are asked.
-    answers_at_once: bool,
-    /// Actions that are not carried out yet, in order.
+    /// Whether all members answer without latency.
+    answers_immediately: bool,
+    /// Actions of the router that are not performed yet, in order.
     actions: VecDeque<Action>,
 }
 
 impl<'a> History<'a> {
-    /// A history that has not begun.
+    /// Creates a history with initial members and no scheduled events.
     pub(super) fn new(site: &Site, seed: u64, writer: &'a mut DigestWriter) -> History<'a> {
         let mut rng = Rng::with_seed(seed);
         let settings = site.settings(&mut rng);
@@ -98,21 +98,21 @@
             schedule: BTreeMap::new(),
             requests: BTreeMap::new(),
             next_request: 0,
-            answers_at_once: false,
+            answers_immediately: false,
             actions: VecDeque::new(),
         }
     }
 
-    /// Plays it to its end.
-    pub(super) fn play(mut self) {
+    /// Runs the history to its end.
+    pub(super) fn run(mut self) {
         if self.rng.u32(..4) > 0 {
             self.send_list(ListForm::Cached);
         }
         self.send_list(ListForm::Full);
-        for _ in 0..ROUNDS {
-            self.schedule_round();
-            if self.rng.u32(..MANY_SESSIONS_ONE_IN * ROUNDS) == 0 {
-                self.many_sessions_write();
+        for _ in 0..BURSTS {
+            self.schedule_burst();
+            if self.rng.u32(..SESSION_OVERFLOW_ONE_IN * BURSTS) == 0 {
+                self.write_from_many_sessions();
             }
             let pause = self.pick(&[200 * MS, SECOND, 4 * SECOND, 12 * SECOND, 70 * SECOND]);
             self.run_for(pause);
@@ -122,28 +122,28 @@
         self.observe();
     }
 
-    fn schedule_round(&mut self) {
+    fn schedule_burst(&mut self) {
         let spread = self.pick(&[20 * MS, 400 * MS, 3 * SECOND]);
-        for _ in 0..ROUND_REQUESTS {
+        for _ in 0..BURST_REQUESTS {
             let after = self.rng.u64(..spread);
-            self.schedule_in(after, Scheduled::RequestArrives(None));
+            self.schedule_in(after, ScheduledEvent::RequestArrives(None));
         }
         for _ in 0..self.rng.u32(..4) {
             let after = self.rng.u64(..spread);
-            self.schedule_in(after, Scheduled::MembersChange);
+            self.schedule_in(after, ScheduledEvent::MembersChange);
         }
         if self.rng.u32(..6) == 0 {
             let after = self.rng.u64(..spread);
-            self.schedule_in(after, Scheduled::RareEvent);
+            self.schedule_in(after, ScheduledEvent::RareEvent);
         }
     }
 
-    /// One of the durations, which must not be none.
+    /// Draws one of the durations, of which there must be at least one.
     fn pick(&mut self, durations: &[u64]) -> u64 {
         durations[self.rng.usize(..durations.len())]
     }
 
-    fn schedule_in(&mut self, after: u64, scheduled: Scheduled) {
+    fn schedule_in(&mut self, after: u64, scheduled: ScheduledEvent) {
         self.sequence += 1;
         self.schedule.insert((self.now + after, self.sequence), scheduled);
     }
@@ -156,24 +156,24 @@
             }
             let ((at, _), scheduled) = entry.remove_entry();
             self.now = self.now.max(at);
-            self.happen(scheduled);
+            self.run_event(scheduled);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, scheduled: Scheduled) {
+    fn run_event(&mut self, scheduled: ScheduledEvent) {
         match scheduled {
-            Scheduled::RequestArrives(group) => self.any_request_arrives(group),
-            Scheduled::AttemptEnds { id, attempt, member, outcome } => {
+            ScheduledEvent::RequestArrives(group) => self.any_request_arrives(group),
+            ScheduledEvent::AttemptEnds { id, attempt, member, outcome } => {
                 self.attempt_ends(id, attempt, member, outcome)
             }
-            Scheduled::AttemptStarts(id) => self.handle(Event::AttemptStarted { id }),
-            Scheduled::ClientLeaves(id) => self.client_leaves(id),
-            Scheduled::HealthCheckEnds(member) => self.health_check_ends(member),
-            Scheduled::Timer(token) => self.handle(Event::TimerDue { token }),
-            Scheduled::MembersChange => self.change_members(),
-            Scheduled::RareEvent => self.rare_event(),
-            Scheduled::GroupReturns(group) => self.set_state_of_group(group, MemberState::InService),
+            ScheduledEvent::AttemptStarts(id) => self.handle(Event::AttemptStarted { id }),
+            ScheduledEvent::ClientLeaves(id) => self.client_leaves(id),
+            ScheduledEvent::HealthCheckEnds(member) => self.health_check_ends(member),
+            ScheduledEvent::Timer(token) => self.handle(Event::TimerDue { token }),
+            ScheduledEvent::MembersChange => self.change_members(),
+            ScheduledEvent::RareEvent => self.run_rare_event(),
+            ScheduledEvent::GroupReturns(group) => self.set_state_of_group(group, MemberState::InService),
         }
     }
 
@@ -181,15 +181,15 @@
         let mut actions = Vec::new();
         self.router.handle(Time(self.now), event, &mut actions);
         for action in &actions {
-            self.writer.action(self.now, action);
+            self.writer.add_action(self.now, action);
         }
         self.actions.extend(actions);
         while let Some(action) = self.actions.pop_front() {
-            self.carry_out(action);
+            self.perform(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Send { id, member, .. } => self.start_attempt(id, member),
             Action::Reject { id, .. } | Action::Fail { id } => {
@@ -199,11 +199,11 @@
             }
             Action::Cancel { id, attempt } => self.cancel_attempt(id, attempt),
             Action::SetTimer { token, at } => {
-                self.schedule_in(at.0.saturating_sub(self.now), Scheduled::Timer(token));
+                self.schedule_in(at.0.saturating_sub(self.now), ScheduledEvent::Timer(token));
             }
             Action::CheckHealth { member } => {
                 let after = self.rng.u64(1..30) * MS;
-                self.schedule_in(after, Scheduled::HealthCheckEnds(member));
+                self.schedule_in(after, ScheduledEvent::HealthCheckEnds(member));
             }
             Action::Subscribe => {
                 if self.rng.u32(..3) > 0 {
@@ -226,19 +226,19 @@
     fn request_arrives(&mut self, class: usize, group: GroupId, session: Option<SessionKey>) {
         self.next_request += 1;
         let id = request_id(self.next_request);
-        let give_up = self.pick(&[30 * MS, 200 * MS, 900 * MS, 3 * SECOND, 5 * SECOND]);
-        let left = 5 * MS + self.rng.u64(..give_up);
+        let max_time_left = self.pick(&[30 * MS, 200 * MS, 900 * MS, 3 * SECOND, 5 * SECOND]);
+        let time_left = 5 * MS + self.rng.u64(..max_time_left);
         let is_write = self.settings.classes[class].read_level == ReadLevel::Write;
         let request =
-            ModelRequest { is_write, deadline: self.now + left, attempts: Vec::new(), is_over: false };
+            ModelRequest { is_write, deadline: self.now + time_left, attempts: Vec::new(), is_over: false };
         self.requests.insert(id, request);
         if self.rng.u32(..12) == 0 {
-            let after = self.rng.u64(..left);
-            self.schedule_in(after, Scheduled::ClientLeaves(id));
+            let after = self.rng.u64(..time_left);
+            self.schedule_in(after, ScheduledEvent::ClientLeaves(id));
         }
         let tenant = (self.tenants > 0).then(|| TenantId(self.rng.usize(..self.tenants)));
         let last_write_age = self.rng.bool().then(|| Micros(self.rng.u64(..900) * MS));
-        let time_left = Micros(left);
+        let time_left = Micros(time_left);
         let class = ClassId(class);
         self.handle(Event::RequestArrived(Request {
             id,
@@ -258,32 +258,32 @@
         let remaining = request.deadline.saturating_sub(self.now);
         let end = self.members[member.0 as usize].answer(request.is_write, &mut self.rng);
         let (outcome, latency) = match end.latency {
-            Some(_) if self.answers_at_once => (end.outcome, 0),
+            Some(_) if self.answers_immediately => (end.outcome, 0),
             Some(latency) if latency <= remaining => (end.outcome, latency),
             _ => (Outcome::TimedOut, remaining),
         };
         if outcome == Outcome::Ok && self.rng.u32(..5) == 0 {
-            self.schedule_in(latency / 2, Scheduled::AttemptStarts(id));
+            self.schedule_in(latency / 2, ScheduledEvent::AttemptStarts(id));
         }
-        self.schedule_in(latency, Scheduled::AttemptEnds { id, attempt, member, outcome });
+        self.schedule_in(latency, ScheduledEvent::AttemptEnds { id, attempt, member, outcome });
     }
 
     fn cancel_attempt(&mut self, id: RequestId, attempt: u32) {
         let scheduled = self.schedule.iter().find_map(|(key, scheduled)| match scheduled {
-            Scheduled::AttemptEnds { id: of, attempt: number, member, .. }
-                if *of == id && *number == attempt =>
+            ScheduledEvent::AttemptEnds { id: scheduled_id, attempt: number, member, .. }
+                if *scheduled_id == id && *number == attempt =>
             {
                 Some((*key, *member))
             }
             _ => None,
         });
         let Some((key, member)) = scheduled else { return };
-        // Some answers cross the cancellation.
+        // In one of five cases the answer arrives despite the cancellation.
         if self.rng.u32(..5) > 0 {
             self.schedule.remove(&key);
             let after = self.rng.u64(..3) * MS;
             let outcome = Outcome::Cancelled;
-            self.schedule_in(after, Scheduled::AttemptEnds { id, attempt, member, outcome });
+            self.schedule_in(after, ScheduledEvent::AttemptEnds { id, attempt, member, outcome });
         }
     }
 
@@ -296,14 +296,14 @@
         let latency = Micros(self.now - ended.sent);
         request.is_over |= outcome == Outcome::Ok;
         let is_request_over = request.is_over;
-        let answering = &self.members[member.0 as usize];
-        let is_answer =
+        let answering_member = &self.members[member.0 as usize];
+        let is_reply =
             matches!(outcome, Outcome::Ok | Outcome::NotApplicable | Outcome::Failed | Outcome::QueueFull);
-        let speaks = is_answer && (self.answers_at_once || self.rng.u32(..5) > 0);
-        let position = speaks.then(|| answering.position(self.now));
-        let role = speaks.then(|| answering.role());
-        let report = if speaks && self.rng.bool() {
-            answering.report(self.now, &mut self.rng)
+        let has_status = is_reply && (self.answers_immediately || self.rng.u32(..5) > 0);
+        let position = has_status.then(|| answering_member.position(self.now));
+        let role = has_status.then(|| answering_member.role());
+        let report = if has_status && self.rng.bool() {
+            answering_member.report(self.now, &mut self.rng)
         } else {
             LoadReport::default()
         };
@@ -320,9 +320,9 @@
     }
 
     fn health_check_ends(&mut self, member: MemberId) {
-        let answering = &self.members[member.0 as usize];
-        let outcome = match answering.condition {
-            Condition::Silent => Outcome::TimedOut,
+        let answering_member = &self.members[member.0 as usize];
+        let outcome = match answering_member.condition {
+            Condition::Unresponsive => Outcome::TimedOut,
             Condition::RefusesConnections | Condition::Unreachable => Outcome::ConnectError,
             Condition::Erratic => {
                 let outcomes = [Outcome::Reset, Outcome::MalformedReply, Outcome::NotSent, Outcome::Failed];
@@ -330,33 +330,33 @@
             }
             _ => Outcome::Ok,
         };
-        let report = answering.report(self.now, &mut self.rng);
+        let report = answering_member.report(self.now, &mut self.rng);
         self.handle(Event::HealthCheckEnded { member, outcome, report });
     }
 
     fn send_list(&mut self, form: ListForm) {
         let is_partial = form == ListForm::Partial;
-        let chosen: Vec<ModelMember> =
+        let listed: Vec<ModelMember> =
             self.members.iter().filter(|_| !is_partial || self.rng.u32(..4) > 0).cloned().collect();
-        let entries = chosen.iter().map(|member| member.list_entry(&mut self.rng)).collect();
+        let entries = listed.iter().map(|member| member.list_entry(&mut self.rng)).collect();
         let entries = Arc::new(entries);
         let update = match form {
             ListForm::Cached => ListUpdate::Cached(entries),
             ListForm::Full | ListForm::Partial => ListUpdate::Full(entries),
             ListForm::Changes => ListUpdate::Changes(entries),
             ListForm::Failed => {
-                let quiet = self.rng.bool().then(|| Micros(self.rng.u64(..7 * SECOND)));
-                ListUpdate::Failed { silent_for: quiet }
+                let silent_for = self.rng.bool().then(|| Micros(self.rng.u64(..7 * SECOND)));
+                ListUpdate::Failed { silent_for }
             }
         };
         self.handle(Event::ListUpdated(update));
     }
 
-    /// Asks the router what drivers ask of it.
+    /// Records what the router reports to its callers: the health of each member and the number of records.
     fn observe(&mut self) {
         for member in &self.members {
             let health = self.router.observed_health(member.id);
-            let observed = [
+            let values = [
                 u64::from(member.id.0),
                 health.availability as u64,
                 u64::from(health.is_primary),
@@ -364,18 +364,18 @@
                 u64::from(self.router.accepts_new_requests(member.id)),
                 u64::from(self.router.is_avoided(member.id)),
             ];
-            self.writer.observation(Time(self.now), &observed);
+            self.writer.add_observation(Time(self.now), &values);
         }
-        self.writer.observation(Time(self.now), &[self.router.record_count() as u64]);
+        self.writer.add_observation(Time(self.now), &[self.router.record_count() as u64]);
     }
 }
 
-/// How a list is sent.
+/// Form in which the endpoint list is sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ListForm {
     Cached,
     Full,
-    /// A complete list that some members are missing from.
+    /// A full list without some of the members.
     Partial,
     Changes,
     Failed,
--- a/crates/lab/src/decision_digest/history/member_changes.rs
+++ b/crates/lab/src/decision_digest/history/member_changes.rs
@@ -1,19 +1,19 @@
-//! What happens to the members of a history: faults, restarts, failovers, drains and gossip.
+//! Changes of the members of a history: faults, restarts, failovers, drains and gossip.
 
 use super::super::members::Condition;
 use super::{History, ListForm, MS, SECOND};
 use linenhill_decisions::api::{Event, LogPosition, MemberState, Time, ZoneId};
 
 impl History<'_> {
-    /// Something happens to members, and sometimes the list tells it.
+    /// Applies one random change to the members, or to the fleet's quota share, and usually sends a list afterwards.
     pub(super) fn change_members(&mut self) {
         let index = self.rng.usize(..self.members.len());
         match self.rng.u32(..12) {
             0..4 => self.change_condition(index),
-            4 => self.zone_falls_silent(),
+            4 => self.make_zone_unresponsive(),
             5 => self.restart(index),
             6 => self.fail_over(index),
-            7 => self.drain_or_return(index),
+            7 => self.draw_state(index),
             8 => self.gossip(index),
             9 => self.router.set_fleet_quota_share(self.rng.f64() - 0.3),
             10 => self.members.iter_mut().for_each(|member| member.condition = Condition::Healthy),
@@ -31,22 +31,22 @@
 
     fn change_condition(&mut self, index: usize) {
         let conditions = [
-            Condition::Silent,
+            Condition::Unresponsive,
             Condition::RefusesConnections,
             Condition::Unreachable,
             Condition::Overloaded,
             Condition::Slow,
             Condition::Erratic,
         ];
-        let condition = *self.rng.choice(&conditions).unwrap_or(&Condition::Silent);
+        let condition = *self.rng.choice(&conditions).unwrap_or(&Condition::Unresponsive);
         self.members[index].condition = condition;
         self.members[index].utilisation = self.rng.f64();
     }
 
-    fn zone_falls_silent(&mut self) {
+    fn make_zone_unresponsive(&mut self) {
         let zone = ZoneId(self.rng.usize(..3));
         for member in self.members.iter_mut().filter(|member| member.zone == zone) {
-            member.condition = Condition::Silent;
+            member.condition = Condition::Unresponsive;
         }
     }
 
@@ -64,7 +64,7 @@
         }
     }
 
-    fn drain_or_return(&mut self, index: usize) {
+    fn draw_state(&mut self, index: usize) {
         let states = [MemberState::InService, MemberState::Draining, MemberState::Gone];
         self.members[index].state = *self.rng.choice(&states).unwrap_or(&MemberState::InService);
     }
--- a/crates/lab/src/decision_digest/members.rs
+++ b/crates/lab/src/decision_digest/members.rs
@@ -1,4 +1,4 @@
-//! The members of a history: what they are, what is wrong with them, and how they answer.
+//! Simulated members of a history: their properties, their faults and how they answer. Times are in microseconds.
 
 use fastrand::Rng;
 use linenhill_decisions::api::{
@@ -7,30 +7,30 @@
 use linenhill_decisions::api::{Time, ZoneId};
 
 const MS: u64 = 1_000;
-/// Members of each group, the primary among them.
+/// Members per group, including the primary.
 const GROUP_SIZE: u32 = 5;
-/// Groups of a history.
+/// Groups per history.
 pub(super) const GROUPS: u32 = 2;
 
-/// What is wrong with a member.
+/// Fault state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Condition {
     Healthy,
-    /// Takes requests and answers nothing.
-    Silent,
-    /// Answers connections with a rejection.
+    /// Accepts requests and never answers.
+    Unresponsive,
+    /// Refuses connections within a few milliseconds.
     RefusesConnections,
-    /// Connections to it are never established.
+    /// Connection attempts fail only after 190 ms or more.
     Unreachable,
-    /// Rejects most requests.
+    /// Rejects three of four requests, because its queue is full.
     Overloaded,
-    /// Answers ten times later than others.
+    /// Serves with ten times the usual latency.
     Slow,
-    /// Answers with errors, broken connections and malformed replies.
+    /// Ends half of its attempts with errors, broken connections or malformed replies.
     Erratic,
 }
 
-/// A member of a history.
+/// A simulated member.
 #[derive(Clone)]
 pub(super) struct ModelMember {
     pub(super) id: MemberId,
@@ -40,22 +40,22 @@
     pub(super) started: Option<Time>,
     pub(super) is_primary: bool,
     pub(super) condition: Condition,
-    /// How far its log is behind the primary's, in microseconds.
+    /// Replication lag behind the primary.
     pub(super) lag: u64,
-    /// Its usual time for a request, in microseconds.
+    /// Mean time to serve a request.
     pub(super) service_time: u64,
-    /// Share of its processors in use.
+    /// CPU utilisation, from 0 to 1.
     pub(super) utilisation: f64,
 }
 
-/// How a member ends an attempt, and after how long.
+/// Outcome and latency of an attempt at a member.
 pub(super) struct AttemptEnd {
     pub(super) outcome: Outcome,
-    /// In microseconds; `None` where it never ends by itself.
+    /// `None` if the member never ends the attempt.
     pub(super) latency: Option<u64>,
 }
 
-/// The members at the start: groups of five, spread over three zones.
+/// Creates healthy members in groups of five, spread over three zones.
 pub(super) fn initial_members(rng: &mut Rng) -> Vec<ModelMember> {
     let member = |number: u32, rng: &mut Rng| ModelMember {
         id: MemberId(number),
@@ -73,7 +73,7 @@
 }
 
 impl ModelMember {
-    /// Its entry in the list of members.
+    /// The member's entry in the endpoint list. One entry in ten has a random `primary_hint`.
     pub(super) fn list_entry(&self, rng: &mut Rng) -> ListEntry {
         ListEntry {
             member: self.id,
@@ -87,15 +87,15 @@
         }
     }
 
-    /// How an attempt of a write or read sent now ends.
+    /// Draws the end of an attempt that is sent now.
     pub(super) fn answer(&self, is_write: bool, rng: &mut Rng) -> AttemptEnd {
-        let usual = 1 + (self.service_time as f64 * -(1.0 - rng.f64()).ln()) as u64;
-        let ends = |outcome, latency| AttemptEnd { outcome, latency: Some(latency) };
+        let latency = 1 + (self.service_time as f64 * -(1.0 - rng.f64()).ln()) as u64;
+        let ends_after = |outcome, latency| AttemptEnd { outcome, latency: Some(latency) };
         match self.condition {
-            Condition::Silent => AttemptEnd { outcome: Outcome::TimedOut, latency: None },
-            Condition::RefusesConnections => ends(Outcome::ConnectError, rng.u64(1..5) * MS),
-            Condition::Unreachable => ends(Outcome::ConnectError, rng.u64(190..400) * MS),
-            Condition::Overloaded if rng.u32(..4) > 0 => ends(Outcome::QueueFull, rng.u64(1..10) * MS),
+            Condition::Unresponsive => AttemptEnd { outcome: Outcome::TimedOut, latency: None },
+            Condition::RefusesConnections => ends_after(Outcome::ConnectError, rng.u64(1..5) * MS),
+            Condition::Unreachable => ends_after(Outcome::ConnectError, rng.u64(190..400) * MS),
+            Condition::Overloaded if rng.u32(..4) > 0 => ends_after(Outcome::QueueFull, rng.u64(1..10) * MS),
             Condition::Erratic if rng.bool() => {
                 let outcomes = [
                     Outcome::Failed,
@@ -104,10 +104,10 @@
                     Outcome::NotSent,
                     Outcome::Cancelled,
                 ];
-                ends(*rng.choice(&outcomes).unwrap_or(&Outcome::Failed), usual)
+                ends_after(*rng.choice(&outcomes).unwrap_or(&Outcome::Failed), latency)
             }
-            Condition::Slow => self.serve(is_write, usual * 10, rng),
-            _ => self.serve(is_write, usual, rng),
+            Condition::Slow => self.serve(is_write, latency * 10, rng),
+            _ => self.serve(is_write, latency, rng),
         }
     }
 
@@ -121,17 +121,17 @@
         AttemptEnd { outcome, latency: Some(latency) }
     }
 
-    /// Its log position at `now`.
+    /// Log position at `now`.
     pub(super) fn position(&self, now: u64) -> LogPosition {
         LogPosition(if self.is_primary { now } else { now.saturating_sub(self.lag) })
     }
 
-    /// Its role.
+    /// Role, as the member reports it.
     pub(super) fn role(&self) -> Role {
         if self.is_primary { Role::Primary } else { Role::Replica }
     }
 
-    /// A load report, in some of whose fields it says nothing.
+    /// Draws a load report in which each field may be absent.
     pub(super) fn report(&self, now: u64, rng: &mut Rng) -> LoadReport {
         LoadReport {
             position: (rng.u32(..4) > 0).then(|| self.position(now)),
--- a/crates/lab/src/decision_digest/mod.rs
+++ b/crates/lab/src/decision_digest/mod.rs
@@ -1,9 +1,9 @@
-//! Digests of the decisions that the policy takes in random histories.
+//! Digests of the policy's decisions in random histories.
 //!
-//! Two revisions that print the same digest for a seed took the same decisions, in the same order and at the same
-//! moments, in the histories of that seed. A change that is to keep behaviour is checked with it (`make
-//! same-decisions`). Histories and digests depend on nothing but the seed: not on names in the code, on a clock, or on
-//! the order of a hash map.
+//! If two revisions print the same digest for a seed, they took the same decisions in the same order and at the same
+//! times in that seed's histories. Changes that must preserve behaviour are checked this way (`make same-decisions`).
+//! Histories and digests depend on the seed alone: not on names in the code, a clock, or the iteration order of a
+//! hash map.
 
 mod encoding;
 mod history;
@@ -14,16 +14,16 @@
 use history::History;
 use std::fmt;
 
-/// What one seed's histories, one at each site, made the policy decide.
+/// Digest of the decisions in one seed's histories, one at each site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DecisionDigest {
-    /// The seed that drew the histories.
+    /// The seed that the histories were drawn from.
     pub seed: u64,
-    /// Actions and observations that were encoded.
+    /// Number of encoded actions and observations.
     pub records: u64,
-    /// Bytes of their encoding.
+    /// Length of the encoding, in bytes.
     pub bytes: u64,
-    /// CRC-32 of these bytes.
+    /// CRC-32 of the encoding.
     pub checksum: u32,
 }
 
@@ -33,12 +33,12 @@
     }
 }
 
-/// Plays one history at each site and digests what the policy decided.
+/// Runs one history at each site and returns the digest of the policy's decisions.
 pub fn digest(seed: u64) -> DecisionDigest {
     let mut writer = DigestWriter::default();
     for (index, site) in site::SITES.iter().enumerate() {
         let history_seed = seed.wrapping_mul(site::SITES.len() as u64).wrapping_add(index as u64);
-        History::new(site, history_seed, &mut writer).play();
+        History::new(site, history_seed, &mut writer).run();
     }
     writer.finish(seed)
 }
