--- a/crates/lab/src/disk.rs
+++ b/crates/lab/src/disk.rs
@@ -1,19 +1,19 @@
-//! A disk in memory for the real store. It outlives its keeper's process, and it can be full or fail; what was written
-//! stays readable all the same.
+//! In-memory storage backend for the real keeper store. Its content outlives the keeper's process, writes and syncs
+//! can be made to fail, and written data stays readable under every fault.
 
 use redb::StorageBackend;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What is wrong with a disk.
+/// Fault of a disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiskFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Writes fail, also those that would not make the store larger.
+    /// All writes fail, including those within the current size of the store.
     Full,
-    /// Writes work, and syncing them fails.
+    /// Writes succeed, and syncing them fails.
     SyncFails,
 }
 
@@ -23,7 +23,7 @@
     fault: DiskFault,
 }
 
-/// The disk. Clones share its content.
+/// An in-memory disk. Clones share its content.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDisk(Arc<Mutex<Content>>);
 
@@ -32,12 +32,12 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets what is wrong with the disk from now on.
+    /// Sets the fault of the disk.
     pub fn set_fault(&self, fault: DiskFault) {
         self.content().fault = fault;
     }
 
-    /// Whether the disk has no content, as before a keeper's first start.
+    /// Whether the disk has no content, which holds before a keeper's first start.
     pub fn is_empty(&self) -> bool {
         self.content().bytes.is_empty()
     }
@@ -67,7 +67,7 @@
 
     fn sync_data(&self) -> io::Result<()> {
         match self.content().fault {
-            DiskFault::SyncFails => Err(io::Error::other("the disk can't be synced")),
+            DiskFault::SyncFails => Err(io::Error::other("simulated disk fault: sync failed")),
             _ => Ok(()),
         }
     }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The laboratory: the real decisions, keepers and lease holders under virtual time, with a network and clocks that a seed
-//! draws. It must never be linked into the proxy, and nothing in it may depend on anything but its seed.
+//! Simulation of the real policy, keepers and lease holders in virtual time, with a seeded random network and clocks.
+//! The proxy must not link this crate, and results must depend on the seed alone.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,10 +1,10 @@
-//! The laboratory's command line.
+//! Command line of the simulations.
 
 use clap::{Parser, Subcommand};
 use linenhill_lab::decision_digest::digest;
 use linenhill_lab::measure::{Cost, Division, measure_cost, measure_divisions};
 
-/// Plays linenhill's deciders under virtual time.
+/// Runs linenhill's policy and keepers in virtual time.
 #[derive(Parser)]
 #[command(name = "linenhill-lab", version)]
 struct Cli {
@@ -14,39 +14,39 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// How much of a budget is in use by leases, beside an n-th part for each proxy.
+    /// Measure the used part of a budget divided by leases, compared with an equal split.
     Divide {
-        /// Draws the network, the clocks and the start of each process.
+        /// Seed for the network, the clocks and the start time of each process.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Proxies.
+        /// Number of proxies.
         #[arg(long, default_value_t = 10)]
         proxies: usize,
         /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Digests of the decisions in random histories: a line a seed, the same as long as the decisions are.
+    /// Print digests of the decisions in random histories, one line per seed; equal lines mean equal decisions.
     DigestDecisions {
-        /// The first seed.
+        /// First seed.
         #[arg(long, default_value_t = 0)]
         first: u64,
-        /// How many seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 1_000)]
         seeds: u64,
     },
-    /// What agreeing on budgets costs.
+    /// Measure the messages and CPU time that leases cost.
     Cost {
-        /// Draws the network, the clocks and the start of each process.
+        /// Seed for the network, the clocks and the start time of each process.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Proxies.
+        /// Number of proxies.
         #[arg(long, default_value_t = 300)]
         proxies: usize,
-        /// Seconds that are played.
+        /// Simulated duration in seconds.
         #[arg(long, default_value_t = 3_600)]
         seconds: u64,
-        /// The lease, in seconds.
+        /// Lease duration in seconds.
         #[arg(long, default_value_t = 3)]
         lease: u64,
         /// Print JSON.
@@ -78,9 +78,9 @@
     }
     println!("{:<34} {:>7} {:>7} {:>8} {:>12}", "case", "leases", "n-th", "90% in s", "most");
     for Division { case, leased_part, equal_split_part, reached_after_s, peak_in_use, total } in divisions {
-        let reached = reached_after_s.map_or("never".into(), |seconds| format!("{seconds:.2}"));
+        let reached_after = reached_after_s.map_or("never".into(), |seconds| format!("{seconds:.2}"));
         println!(
-            "{case:<34} {leased_part:>7.3} {equal_split_part:>7.3} {reached:>8} {peak_in_use:>5} of {total}"
+            "{case:<34} {leased_part:>7.3} {equal_split_part:>7.3} {reached_after:>8} {peak_in_use:>5} of {total}"
         );
     }
 }
@@ -92,7 +92,7 @@
     }
     let Cost { proxies, seconds, lease_s, messages, bytes, grants, keepers_busy, us_per_grant, in_use_part } =
         cost;
-    println!("{proxies} proxies, {seconds} s, lease {lease_s} s: {in_use_part:.3} of the whole in use");
-    println!("a second: {messages:.0} messages, {bytes:.0} bytes, {grants:.0} grants");
-    println!("keepers: {keepers_busy:.4} s of work a second, {us_per_grant:.1} us for a grant");
+    println!("{proxies} proxies, {seconds} s, lease {lease_s} s: {in_use_part:.3} of the budget in use");
+    println!("per second: {messages:.0} messages, {bytes:.0} bytes, {grants:.0} grants");
+    println!("keepers: {keepers_busy:.4} s of work per second, {us_per_grant:.1} us per grant");
 }
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -1,6 +1,6 @@
-//! What leases give and cost, under virtual time: how much of a budget is in use by leases, beside a fleet in which each
-//! proxy has an equal part for good; and what agreeing on leases takes. The figures must depend on the seed alone, but
-//! for those of real time.
+//! Measures in virtual time how much of a budget is in use when leases divide it, compared with an equal split among
+//! the proxies, and how many messages and how much CPU time leases cost. All figures except those of wall-clock time
+//! must depend on the seed alone.
 
 use crate::simulation::{Simulation, SimulationConfig};
 use linenhill_decisions::membership::LeaseTerms;
@@ -8,71 +8,72 @@
 
 const MILLISECOND_US: u64 = 1_000;
 const SECOND_US: u64 = 1_000 * MILLISECOND_US;
-/// How often the units in use are sampled.
+/// Interval between samples of the units in use.
 const SAMPLE_INTERVAL_US: u64 = 50 * MILLISECOND_US;
-/// For how long each case is watched.
+/// Duration over which each case is sampled.
 const CASE_DURATION_US: u64 = 20 * SECOND_US;
-/// A fleet that holds no leases after this does not start at all.
+/// Timeout for every proxy's first lease. The measurement continues after it in any case.
 const START_TIMEOUT_US: u64 = 120 * SECOND_US;
-/// From the first leases until the division has come to rest.
-const SETTLING_US: u64 = 10 * SECOND_US;
-/// The part of what can be in use from which on a division counts as reached.
-const REACHED_PART: f64 = 0.9;
+/// Time from the first leases until the division of the budget is stable.
+const STABILISATION_US: u64 = 10 * SECOND_US;
+/// A division counts as reached once this part of the usable units is in use.
+const REACHED_USABLE_PART: f64 = 0.9;
 const KEEPERS: usize = 3;
-/// Units of the budget for each proxy.
+/// Units of the budget per proxy.
 const UNITS_PER_PROXY: u64 = 10;
-/// What each proxy wants where all want the same: twice an equal part.
+/// Demand per proxy when all have the same: twice the equal share.
 const EVEN_DEMAND: u64 = 2 * UNITS_PER_PROXY;
-/// Demand of all proxies in the skewed case, beside the budget.
+/// Total demand in the skewed case, as a multiple of the budget.
 const SKEWED_DEMAND: f64 = 1.5;
 
-/// A case of demand and what became of it. The serialized names are those of earlier versions.
+/// Result of one case. The serialised names are those of earlier versions.
 #[derive(Debug, Serialize)]
 pub struct Division {
-    /// What was played.
+    /// Description of the case.
     pub case: String,
-    /// The part of what could be in use that was, by leases, on average.
+    /// Average part of the usable units that was in use when leases divide the budget, from 0 to 1.
     #[serde(rename = "leases")]
     pub leased_part: f64,
-    /// The same with an equal part of the budget for each proxy.
+    /// Part of the usable units that would be in use with an equal split, from 0 to 1.
     #[serde(rename = "parts")]
     pub equal_split_part: f64,
-    /// Seconds until 90% of what can be in use was; none if it never was.
+    /// Seconds until 90% of the usable units were in use; `None` if that was not reached.
     #[serde(rename = "within_s")]
     pub reached_after_s: Option<f64>,
-    /// The most units in use at once.
+    /// Maximum number of units in use at the same time, since the start of the simulation.
     #[serde(rename = "most")]
     pub peak_in_use: u64,
-    /// Units of the budget.
+    /// Total units of the budget.
     #[serde(rename = "whole")]
     pub total: u64,
 }
 
-/// What agreeing on leases costs. Rates are per second of virtual time.
+/// Cost of leases. Rates are per second of virtual time.
 #[derive(Debug, Serialize)]
 pub struct Cost {
     /// Number of proxies.
     pub proxies: u64,
-    /// Virtual seconds that were played.
+    /// Measured duration in virtual seconds.
     pub seconds: u64,
-    /// The lease, in seconds.
+    /// Lease duration in seconds.
     pub lease_s: f64,
-    /// Messages a second between all instances.
+    /// Messages per second between all instances.
     pub messages: f64,
-    /// Bytes a second.
+    /// Bytes of these messages per second.
     pub bytes: f64,
-    /// Grants a second.
+    /// Lease grants per second.
     pub grants: f64,
-    /// Real seconds that all keepers worked for a virtual second: above 1 they could not keep up on this machine.
+    /// Wall-clock seconds of work by all keepers per virtual second. Above 1, this machine could not run them in real
+    /// time.
     pub keepers_busy: f64,
-    /// Real microseconds that all keepers worked for one grant.
+    /// Wall-clock microseconds of work by all keepers per grant.
     pub us_per_grant: f64,
-    /// The part of the budget in use at the end.
+    /// Part of the budget in use at the end, from 0 to 1.
     #[serde(rename = "in_use")]
     pub in_use_part: f64,
 }
 
-fn measured_fleet(seed: u64, proxies: usize) -> SimulationConfig {
+fn fleet_config(seed: u64, proxies: usize) -> SimulationConfig {
     SimulationConfig {
         total: UNITS_PER_PROXY * proxies as u64,
         terms: LeaseTerms { lease_us: 3 * SECOND_US, membership_us: 60 * SECOND_US, drift_ppm: 20_000 },
@@ -82,12 +83,12 @@
     }
 }
 
-/// Starts a fleet with this demand of each proxy, and plays until its division has come to rest.
-fn settled_simulation(config: SimulationConfig, demand: &[u64]) -> Simulation {
+/// Starts a fleet with this demand per proxy and runs it until the division of the budget is stable.
+fn stable_simulation(config: SimulationConfig, demand: &[u64]) -> Simulation {
     let mut simulation = Simulation::new(config);
     set_demands(&mut simulation, demand);
-    simulation.wait_for(START_TIMEOUT_US, Simulation::is_settled);
-    simulation.run_for(SETTLING_US);
+    simulation.wait_for(START_TIMEOUT_US, Simulation::all_proxies_have_leases);
+    simulation.run_for(STABILISATION_US);
     simulation
 }
 
@@ -95,10 +96,11 @@
     demand.iter().enumerate().for_each(|(proxy, units)| simulation.set_demand(proxy, *units));
 }
 
-/// Plays a case of this demand and measures how much of what can be in use is.
+/// Runs a case and measures which part of the usable units is in use.
 fn measure_division(case: &str, simulation: &mut Simulation, demand: &[u64]) -> Division {
     let total = UNITS_PER_PROXY * demand.len() as u64;
-    // The floor of a proxy without demand, or of a dead one that is a member still, stays set aside.
+    // The floor of a proxy without demand stays reserved, also that of a killed proxy whose membership has not
+    // expired.
     let idle_floors = demand.iter().filter(|units| **units == 0).count() as u64;
     let usable = demand.iter().sum::<u64>().min(total - idle_floors);
     let (leased_part, reached_after_s) = sample_use(simulation, usable);
@@ -112,7 +114,7 @@
     }
 }
 
-/// Plays the case, and returns the part of `usable` that was in use on average, and the seconds until 90% of it was.
+/// Runs the case. Returns the average part of `usable` in use, and the seconds until 90% of it was in use.
 fn sample_use(simulation: &mut Simulation, usable: u64) -> (f64, Option<f64>) {
     let start_us = simulation.now_us();
     let mut sum = 0.0;
@@ -123,85 +125,85 @@
         let part = simulation.in_use() as f64 / usable.max(1) as f64;
         sum += part;
         samples += 1.0;
-        if reached_after_s.is_none() && part >= REACHED_PART {
+        if reached_after_s.is_none() && part >= REACHED_USABLE_PART {
             reached_after_s = Some((simulation.now_us() - start_us) as f64 / SECOND_US as f64);
         }
     }
     (sum / samples, reached_after_s)
 }
 
-/// The part of `usable` that would be in use if each proxy had an equal part of the total.
+/// Returns the part of `usable` that would be in use with an equal split of the total.
 fn equal_split_part(total: u64, usable: u64, demand: &[u64]) -> f64 {
-    let each = total / demand.len() as u64;
-    let in_use: u64 = demand.iter().map(|units| (*units).min(each)).sum();
+    let equal_share = total / demand.len() as u64;
+    let in_use: u64 = demand.iter().map(|units| (*units).min(equal_share)).sum();
     in_use as f64 / usable.max(1) as f64
 }
 
-/// Measures four cases with fleets of `proxies` proxies, two at least, and a budget of ten units for each.
+/// Measures four cases, each with at least two proxies and a budget of ten units per proxy.
 pub fn measure_divisions(seed: u64, proxies: usize) -> Vec<Division> {
     vec![
         one_proxy_has_all_demand(seed, proxies),
         skewed_demand(seed + 1, proxies),
-        half_die(seed + 2, proxies),
-        leader_dies(seed + 3, proxies),
+        half_of_proxies_killed(seed + 2, proxies),
+        leader_killed(seed + 3, proxies),
     ]
 }
 
-/// All proxies are idle, then one has all demand.
+/// All proxies are idle, then all demand arises at one of them.
 fn one_proxy_has_all_demand(seed: u64, proxies: usize) -> Division {
     let mut demand = vec![0; proxies];
-    let mut simulation = settled_simulation(measured_fleet(seed, proxies), &demand);
+    let mut simulation = stable_simulation(fleet_config(seed, proxies), &demand);
     demand[0] = UNITS_PER_PROXY * proxies as u64;
     set_demands(&mut simulation, &demand);
     measure_division("one proxy has all demand", &mut simulation, &demand)
 }
 
-/// Demand by Zipf's law, of one and a half times the budget.
+/// Demand follows Zipf's law and totals 1.5 times the budget.
 fn skewed_demand(seed: u64, proxies: usize) -> Division {
-    let config = measured_fleet(seed, proxies);
+    let config = fleet_config(seed, proxies);
     let total_demand = SKEWED_DEMAND * config.total as f64;
     let weight = |index: usize| 1.0 / (index + 1) as f64;
     let weights: f64 = (0..proxies).map(weight).sum();
     let units = |index: usize| (total_demand * weight(index) / weights).round() as u64;
     let demand: Vec<u64> = (0..proxies).map(units).collect();
-    let mut simulation = settled_simulation(config, &demand);
+    let mut simulation = stable_simulation(config, &demand);
     measure_division("skewed demand, 1.5 of the whole", &mut simulation, &demand)
 }
 
-/// The first half of the proxies die; the others could use the whole budget.
-fn half_die(seed: u64, proxies: usize) -> Division {
-    let config = measured_fleet(seed, proxies);
+/// Half of the proxies are killed; the others have demand for the full budget.
+fn half_of_proxies_killed(seed: u64, proxies: usize) -> Division {
+    let config = fleet_config(seed, proxies);
     let outlives_us = config.outlives_us;
     let mut demand = vec![EVEN_DEMAND; proxies];
-    let mut simulation = settled_simulation(config, &demand);
+    let mut simulation = stable_simulation(config, &demand);
     for (index, units) in demand.iter_mut().enumerate().take(proxies / 2) {
         simulation.kill_proxy(index);
         *units = 0;
     }
-    // Until what the dead had in use has ended.
+    // Waits for the end of the units that the killed proxies had in use.
     simulation.run_for(outlives_us);
     measure_division("half die", &mut simulation, &demand)
 }
 
-/// The leader dies.
-fn leader_dies(seed: u64, proxies: usize) -> Division {
+/// The leader of the keepers is killed.
+fn leader_killed(seed: u64, proxies: usize) -> Division {
     let demand = vec![EVEN_DEMAND; proxies];
-    let mut simulation = settled_simulation(measured_fleet(seed, proxies), &demand);
+    let mut simulation = stable_simulation(fleet_config(seed, proxies), &demand);
     if let Some(leader) = simulation.leader() {
         simulation.kill_keeper(leader);
     }
     measure_division("the leader dies", &mut simulation, &demand)
 }
 
-/// Measures what agreeing costs a fleet of `proxies` proxies, one at least, with leases of `lease_s` seconds, over
-/// `seconds` seconds of virtual time.
+/// Measures the cost of leases of `lease_s` seconds for a fleet of at least one proxy, over `seconds` of virtual
+/// time.
 pub fn measure_cost(seed: u64, proxies: usize, seconds: u64, lease_s: u64) -> Cost {
-    let mut config = measured_fleet(seed, proxies);
+    let mut config = fleet_config(seed, proxies);
     config.terms.lease_us = lease_s * SECOND_US;
     config.use_interval_us = SECOND_US;
     let total = config.total;
     let demand: Vec<u64> = (0..proxies as u64).map(|index| 5 + index % 10).collect();
-    let mut simulation = settled_simulation(config, &demand);
+    let mut simulation = stable_simulation(config, &demand);
     let before = simulation.traffic();
     simulation.run_for(seconds * SECOND_US);
     let after = simulation.traffic();
--- a/crates/lab/src/simulation/checker.rs
+++ b/crates/lab/src/simulation/checker.rs
@@ -1,32 +1,32 @@
-//! Checks the invariant of budgets from outside: the units in use never exceed the total. The checker counts uses alone.
-//! It must never look at leases or quotas, since those are what it checks.
+//! Checks from outside that the units in use never exceed the total. The checker counts only the use of units; it
+//! must not read leases or quotas, which it verifies.
 
 use std::error::Error;
 use std::fmt;
 
-/// How many entries of a history are kept: its beginning, which is what a failure is explained by.
+/// Maximum number of history entries. The first ones are kept, since they lead to the failure.
 const HISTORY_ENTRIES_MAX: usize = 400;
 
-/// What a simulation found wrong. Times are real times in microseconds.
+/// A failed check of a simulation. Times are simulation time in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Problem {
-    /// More units were in use than the budget allows.
+    /// More units were in use than the bound.
     TotalExceeded {
         /// Units in use.
         in_use: u64,
-        /// Units that may be in use.
+        /// Maximum number of units that may be in use.
         bound: u64,
-        /// When it was seen first.
+        /// Time of the first such excess.
         at_us: u64,
     },
-    /// Some proxy got no lease in this time after the start.
+    /// Some running proxy had no lease within this time after the start.
     NotStarted {
-        /// The time that was waited.
+        /// Time waited.
         within_us: u64,
     },
-    /// Some proxy had no lease this long after the last fault ended.
+    /// Some running proxy had no lease within this time after the last fault ended.
     NotRecovered {
-        /// The time that was waited.
+        /// Time waited.
         within_us: u64,
     },
 }
@@ -35,7 +35,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Problem::TotalExceeded { in_use, bound, at_us } => {
-                write!(f, "{in_use} of {bound} in use at {at_us}")
+                write!(f, "{in_use} units in use at {at_us} us, at most {bound} are allowed")
             }
             Problem::NotStarted { within_us } => {
                 write!(f, "expected a lease at every proxy within {within_us} us of the start")
@@ -47,16 +47,16 @@
     }
 }
 
-/// A problem with what is needed to play it again and to understand it.
+/// A problem with the seed and the history that reproduce and explain it.
 #[derive(Clone, Debug)]
 pub struct SimulationFailure {
-    /// The seed that plays it again.
+    /// Seed that reproduces the problem.
     pub seed: u64,
-    /// What is wrong.
+    /// The failed check.
     pub problem: Problem,
-    /// What happened, one event a line.
+    /// Faults and process ends up to the problem, one per line.
     pub history: Vec<String>,
-    /// The state of the keepers at the time of this report, one keeper a line.
+    /// State of the keepers when this report was made, one keeper per line.
     pub keepers: Vec<String>,
 }
 
@@ -69,7 +69,7 @@
 
 impl Error for SimulationFailure {}
 
-/// Faults and ends of processes, in the order in which they happened.
+/// Faults and process ends in chronological order.
 #[derive(Default)]
 pub(super) struct History(Vec<String>);
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// Counts the units that all proxies use together.
+/// Counts the units in use by all proxies.
 pub(super) struct UsageChecker {
     in_use: u64,
     peak: u64,
@@ -98,8 +98,8 @@
         UsageChecker { in_use: 0, peak: 0, bound, first_problem: None }
     }
 
-    /// Counts units of which the use begins, and checks the sum.
-    pub(super) fn units_begun(&mut self, units: u64, now_us: u64) {
+    /// Counts newly acquired units and checks the sum against the bound.
+    pub(super) fn record_acquired(&mut self, units: u64, now_us: u64) {
         self.in_use += units;
         self.peak = self.peak.max(self.in_use);
         if self.in_use > self.bound && self.first_problem.is_none() {
@@ -108,7 +108,7 @@
         }
     }
 
-    pub(super) fn units_ended(&mut self, units: u64) {
+    pub(super) fn record_released(&mut self, units: u64) {
         self.in_use -= units;
     }
 
--- a/crates/lab/src/simulation/config.rs
+++ b/crates/lab/src/simulation/config.rs
@@ -1,5 +1,5 @@
-//! What a simulation plays: the size of the fleet, its budget, and how its processes behave. Everything else is drawn
-//! from the seed.
+//! Configuration of a simulation: the size of the fleet, its budget, and the behaviour of its processes. Other
+//! choices are drawn from the seed.
 
 use super::MILLISECOND_US;
 use linenhill_cluster::transport::InstanceIdentity;
@@ -8,43 +8,43 @@
 use linenhill_settings::operator::{Keeper, Operator};
 use std::net::SocketAddr;
 
-/// The budget that the proxies divide among them.
+/// Name of the budget that the proxies share.
 pub const BUDGET_NAME: &str = "units";
-/// The simulated keepers' address; each has a port of its own.
+/// IP address of all simulated keepers; each has its own port.
 const KEEPER_HOST: [u8; 4] = [10, 0, 0, 1];
-/// The port of the first keeper.
+/// Port of the first keeper; the others use the following ports.
 const FIRST_KEEPER_PORT: u16 = 1_000;
-/// How often a proxy of [`SimulationConfig::small`] compares its use with its demand.
+/// Interval at which a proxy of [`SimulationConfig::small`] compares its use with its demand.
 const SMALL_USE_INTERVAL_US: u64 = 20 * MILLISECOND_US;
 
-/// What is simulated. Durations are in microseconds.
+/// Configuration of a simulation. Durations are in microseconds.
 #[derive(Clone, Debug)]
 pub struct SimulationConfig {
-    /// Draws everything that is not given here.
+    /// Seed for all random choices.
     pub seed: u64,
-    /// Number of keepers, from 1 on.
+    /// Number of keepers, at least 1.
     pub keepers: usize,
     /// Number of proxies.
     pub proxies: usize,
-    /// How long leases and memberships last, and by how much clocks may drift.
+    /// Durations of leases and memberships, and the bound on clock drift.
     pub terms: LeaseTerms,
-    /// Units of the budget, for the whole fleet.
+    /// Total units of the budget for the fleet.
     pub total: u64,
-    /// Units that each proxy keeps without a lease.
+    /// Units that each proxy may use without a lease.
     pub floor: u64,
-    /// For how long a unit may stay in use after its lease ended.
+    /// Maximum time for which a unit may stay in use after its lease ended.
     pub outlives_us: u64,
-    /// How often a proxy compares the units it uses with its demand.
+    /// Interval at which a proxy compares the units in use with its demand.
     pub use_interval_us: u64,
-    /// Whether clocks drift, up to the bound of `terms`.
+    /// Whether clocks drift, by at most the bound in `terms`.
     pub has_clock_drift: bool,
-    /// Whether a unit stays in use for as long as the proxy wants it and may use it. Otherwise each unit ends after a
-    /// random time, which is at most `outlives_us`.
+    /// Whether a unit stays in use while the proxy has demand for it and may use it. Otherwise each unit ends after a
+    /// random time of at most `outlives_us`.
     pub holds_units: bool,
 }
 
 impl SimulationConfig {
-    /// A small fleet with short leases, so that a short history holds many renewals.
+    /// Configuration of a small fleet with short leases, so that a short history contains many renewals.
     pub fn small(seed: u64, keepers: usize, proxies: usize) -> SimulationConfig {
         SimulationConfig {
             seed,
@@ -64,12 +64,12 @@
         }
     }
 
-    /// By how many millionths the clocks of this simulation drift at most.
+    /// Maximum drift of the clocks in this simulation, in millionths.
     pub(super) fn drift_ppm(&self) -> u64 {
         if self.has_clock_drift { u64::from(self.terms.drift_ppm as u32) } else { 0 }
     }
 
-    /// The operators' file that all processes of the fleet start with.
+    /// Builds the operators' file with which the processes of the fleet start.
     pub(super) fn operator_file(&self) -> Operator {
         let keepers = (0..self.keepers)
             .map(|index| Keeper { name: keeper_name(index), address: keeper_address(index) })
@@ -85,7 +85,7 @@
     }
 }
 
-/// The operators' file, at revision 1, of a fleet that bounds nothing but these budgets.
+/// Builds an operators' file of revision 1 that declares only these keepers, lease terms and budgets.
 pub fn operator_file(keepers: Vec<Keeper>, terms: LeaseTerms, budgets: Budgets) -> Operator {
     Operator {
         cluster: "lab".into(),
@@ -110,7 +110,7 @@
     SocketAddr::from((KEEPER_HOST, FIRST_KEEPER_PORT + index as u16))
 }
 
-/// The identity of an instance of the fleet that `operator` describes.
+/// Builds the identity of an instance in the fleet that `operator` describes.
 pub(super) fn instance_identity(operator: &Operator, name: &str, incarnation: u64) -> InstanceIdentity {
     InstanceIdentity {
         cluster: operator.cluster.clone(),
--- a/crates/lab/src/simulation/events.rs
+++ b/crates/lab/src/simulation/events.rs
@@ -1,17 +1,17 @@
-//! What is still to happen, in the order of real time. Events of equal time happen in the order in which they were
-//! scheduled, so that a seed always plays the same history.
+//! Queue of scheduled events, ordered by simulation time. Events of equal time run in the order in which they were
+//! scheduled, so that a seed always reproduces the same history.
 
 use linenhill_cluster::protocol::Envelope;
 use std::collections::BTreeMap;
 
-/// One end of a network link, by its place among the keepers or the proxies.
+/// Endpoint of a network link: the index of a keeper or of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Endpoint {
     Keeper(usize),
     Proxy(usize),
 }
 
-/// An event that lies ahead. It belongs to one incarnation of its process and is dropped once that is over.
+/// A scheduled event. Events for an incarnation that has ended are dropped.
 #[derive(Clone, Debug)]
 pub(super) enum ScheduledEvent {
     ForKeeper {
@@ -24,7 +24,8 @@
         incarnation: u64,
         event: ProxyEvent,
     },
-    /// A unit in use ends. This happens outside the proxy, so also when the proxy is suspended or dead.
+    /// A unit in use ends. The proxy takes no part in this, so it also happens while the proxy is suspended or has
+    /// ended.
     UnitEnds {
         proxy: usize,
         incarnation: u64,
@@ -34,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub(super) enum KeeperEvent {
     Tick,
-    /// The node asked to be called at this moment.
+    /// The time at which the node requested a call.
     CallDue,
     JoinReply(Box<Envelope>),
     Message {
@@ -51,18 +52,18 @@
     Message(Box<Envelope>),
 }
 
-/// The events that lie ahead.
+/// Scheduled events.
 #[derive(Default)]
 pub(super) struct EventQueue {
-    /// By real time in microseconds, then by the number under which the event was scheduled.
+    /// Key: simulation time in microseconds, then the sequence number of the event.
     events: BTreeMap<(u64, u64), ScheduledEvent>,
-    scheduled: u64,
+    last_sequence: u64,
 }
 
 impl EventQueue {
     pub(super) fn schedule(&mut self, at_us: u64, event: ScheduledEvent) {
-        self.scheduled += 1;
-        self.events.insert((at_us, self.scheduled), event);
+        self.last_sequence += 1;
+        self.events.insert((at_us, self.last_sequence), event);
     }
 
     /// Removes the next event, with its time, if it is due at `until_us` at the latest.
--- a/crates/lab/src/simulation/faults.rs
+++ b/crates/lab/src/simulation/faults.rs
@@ -1,15 +1,15 @@
-//! Random faults of processes and of the network, and their end. A fault must draw from the simulation's seed alone, so
-//! that a history can be played again.
+//! Random faults of processes and the network, and their end. All random choices must come from the simulation's
+//! seed, so that a history can be reproduced.
 
 use super::Simulation;
 use super::events::Endpoint;
 use super::{MILLISECOND_US, ScheduledEvent};
 use std::ops::Range;
 
-/// How long a fault lasts before the next one may come.
+/// Time between two faults.
 const FAULT_INTERVAL_US: Range<u64> = 20 * MILLISECOND_US..1_500 * MILLISECOND_US;
-/// The numbers that [`Simulation::draw_fault`] draws a kind from: a kind that comes more often has several.
-const FAULT_KINDS: Range<u8> = 0..14;
+/// Range from which [`Simulation::draw_fault`] draws; more likely faults cover several numbers.
+const FAULT_DRAWS: Range<u8> = 0..14;
 
 /// A change of the processes, the network or the demand.
 enum Fault {
@@ -25,7 +25,7 @@
 }
 
 impl Simulation {
-    /// Has one random fault happen, or all faults end, and plays on for a random time of at most 1.5 s.
+    /// Applies a random fault, or ends all faults, and runs for a random time of at most 1.5 s.
     pub fn inject_random_fault(&mut self) {
         let fault = self.draw_fault();
         self.apply(fault);
@@ -36,15 +36,15 @@
     fn draw_fault(&mut self) -> Fault {
         let keeper = self.rng.usize(0..self.keepers.len());
         let proxy = self.rng.usize(0..self.proxies.len());
-        let other = self.draw_endpoint();
-        match self.rng.u8(FAULT_KINDS) {
+        let endpoint = self.draw_endpoint();
+        match self.rng.u8(FAULT_DRAWS) {
             0 => Fault::RestartProxy(proxy),
             1 | 2 => Fault::RestartKeeper(keeper),
             3 => Fault::KillKeeper(keeper),
             4 | 5 => Fault::SuspendProxy(proxy),
             6 => Fault::SuspendKeeper(keeper),
-            7 | 8 => Fault::BlockDirection { from: other, to: Endpoint::Keeper(keeper) },
-            9 => Fault::BlockDirection { from: Endpoint::Keeper(keeper), to: other },
+            7 | 8 => Fault::BlockDirection { from: endpoint, to: Endpoint::Keeper(keeper) },
+            9 => Fault::BlockDirection { from: Endpoint::Keeper(keeper), to: endpoint },
             10 => {
                 let loss_percent = self.rng.u64(0..30);
                 Fault::DisturbNetwork { loss_percent, late_percent: self.rng.u64(0..40) }
@@ -62,11 +62,11 @@
     fn apply(&mut self, fault: Fault) {
         match fault {
             Fault::RestartProxy(proxy) => {
-                self.record(&format!("p{proxy} is killed and started"));
+                self.record(&format!("p{proxy} is killed and restarted"));
                 self.start_proxy(proxy);
             }
             Fault::RestartKeeper(keeper) => {
-                self.record(&format!("k{keeper} is killed and started"));
+                self.record(&format!("k{keeper} is killed and restarted"));
                 self.kill_keeper(keeper);
                 self.start_keeper(keeper);
             }
@@ -92,15 +92,15 @@
                 self.network.late_percent = late_percent;
             }
             Fault::ChangeDemand { proxy, units } => {
-                self.record(&format!("p{proxy} could use {units}"));
+                self.record(&format!("p{proxy} has a demand of {units} units"));
                 self.set_demand(proxy, units);
             }
             Fault::Heal => self.heal(),
         }
     }
 
-    /// Ends all faults of the network and of processes: suspended ones run on, and dead keepers start. Faults of disks
-    /// stay.
+    /// Ends all faults of the network and of processes: suspended processes resume, and stopped keepers start. Disk
+    /// faults remain.
     pub fn heal(&mut self) {
         self.record("all faults end");
         self.network.heal();
@@ -109,7 +109,7 @@
             keeper.is_suspended = false;
             let deferred = std::mem::take(&mut keeper.deferred);
             self.schedule_deferred(deferred);
-            if !self.is_keeper_alive(index) {
+            if !self.is_keeper_started(index) {
                 self.start_keeper(index);
             }
         }
--- a/crates/lab/src/simulation/keepers.rs
+++ b/crates/lab/src/simulation/keepers.rs
@@ -1,4 +1,4 @@
-//! Simulated keepers: the real Raft node and the real store, on a disk in memory that outlives the process.
+//! Simulated keepers: the real Raft node and the real store on an in-memory disk that outlives the process.
 
 use super::clock::Clock;
 use super::config::{BUDGET_NAME, instance_identity, keeper_address, keeper_name};
@@ -12,26 +12,26 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The real Raft node. A message's sender stands for the connection to reply on; operators have none.
+/// The real Raft node. The sender of a message takes the place of the connection to reply on; operators have none.
 type Node = RaftNode<Option<Endpoint>>;
 
-/// One keeper under its name, over all its incarnations.
+/// One keeper over all its incarnations.
 pub(super) struct SimulatedKeeper {
-    /// `None` while the process is dead.
+    /// `None` while the process is not started.
     node: Option<Node>,
     disk: MemoryDisk,
     clock: Clock,
-    /// Counts starts and ends: what was scheduled before one is dropped.
+    /// Counts starts and ends. Events scheduled for an earlier incarnation are dropped.
     pub(super) incarnation: u64,
-    /// Whether a call that the node asked for is scheduled.
+    /// Whether a call requested by the node is scheduled.
     has_call_scheduled: bool,
-    /// Whether the process does not run for now. What arrives meanwhile is deferred.
+    /// Whether the process is suspended. Events that fall due meanwhile are deferred.
     pub(super) is_suspended: bool,
     pub(super) deferred: Vec<ScheduledEvent>,
 }
 
 impl SimulatedKeeper {
-    /// A keeper with an empty disk that is not started yet.
+    /// Creates a keeper with an empty disk, not started yet.
     pub(super) fn new(config: &SimulationConfig, rng: &mut fastrand::Rng) -> SimulatedKeeper {
         SimulatedKeeper {
             node: None,
@@ -44,14 +44,14 @@
         }
     }
 
-    /// The term in which this keeper leads, if it does.
+    /// The term in which this keeper is leader, if any.
     fn leader_term(&self) -> Option<u64> {
         self.node.as_ref().filter(|_| !self.is_suspended).and_then(RaftNode::leader_term)
     }
 
-    /// One line on the state of the keeper of this name.
+    /// Describes the state of the keeper in one line.
     fn describe(&self, name: &str) -> String {
-        let Some(node) = &self.node else { return format!("{name} is away") };
+        let Some(node) = &self.node else { return format!("{name} is not started") };
         let (id, status) = (node.id(), node.status());
         format!(
             "{name} {id:x}: {} of {:?} in term {}, entry {}, keepers {:?}",
@@ -61,8 +61,8 @@
 }
 
 impl Simulation {
-    /// Starts a keeper on its disk. On an empty disk it begins a new store; the first keeper of all begins a new log as
-    /// well. A keeper that can't start stays dead, and the history names the reason.
+    /// Starts a keeper on its disk. On an empty disk it creates a new store; at time 0 the first keeper also creates
+    /// a new log. If a keeper fails to start, the reason is recorded in the history.
     pub fn start_keeper(&mut self, index: usize) {
         let keeper = &mut self.keepers[index];
         keeper.incarnation += 1;
@@ -76,7 +76,7 @@
                 let first_tick_us = self.rng.u64(0..TICK_US);
                 self.schedule_for_keeper(index, first_tick_us, KeeperEvent::Tick);
             }
-            Err(error) => self.record(&format!("{} does not start: {error}", keeper_name(index))),
+            Err(error) => self.record(&format!("{} failed to start: {error}", keeper_name(index))),
         }
     }
 
@@ -102,40 +102,41 @@
         KeeperStore::create_with_backend(disk, identity, state)
     }
 
-    /// Ends a keeper's process. Its disk is all that stays.
+    /// Ends a keeper's process. Only its disk remains.
     pub fn kill_keeper(&mut self, index: usize) {
         self.keepers[index].node = None;
         self.keepers[index].incarnation += 1;
     }
 
-    /// Whether a keeper's process runs or is suspended, and not dead.
-    pub fn is_keeper_alive(&self, index: usize) -> bool {
+    /// Whether a keeper's process is started; it may be suspended.
+    pub fn is_keeper_started(&self, index: usize) -> bool {
         self.keepers[index].node.is_some()
     }
 
-    /// The place of the keeper that leads in the highest term, if one leads.
+    /// Index of the leader in the highest term, if any.
     pub fn leader(&self) -> Option<usize> {
         (0..self.keepers.len())
             .filter(|index| self.keepers[*index].leader_term().is_some())
             .max_by_key(|index| self.keepers[*index].leader_term())
     }
 
-    /// Loses everything that a keeper sends to proxies from now on, until [`Simulation::heal`].
-    pub fn silence_keeper_to_proxies(&mut self, index: usize) {
+    /// Drops all messages from a keeper to proxies until [`Simulation::heal`].
+    pub fn block_keeper_to_proxies(&mut self, index: usize) {
         self.record(&format!("messages from {} to proxies are lost", keeper_name(index)));
         for proxy in 0..self.proxies.len() {
             self.network.block(Endpoint::Keeper(index), Endpoint::Proxy(proxy));
         }
     }
 
-    /// Sets the fault of a keeper's disk from now on.
+    /// Sets the fault of a keeper's disk.
     pub fn set_disk_fault(&mut self, index: usize, fault: DiskFault) {
         self.keepers[index].disk.set_fault(fault);
     }
 
-    /// Declares another total at the leader, by an operators' file of the next revision. The checker's bound is never
-    /// lowered here: units that were granted of a larger total may stay in use until their leases are over. See
-    /// [`Simulation::set_max_units_in_use`]. Without a leader the file changes and nobody is asked.
+    /// Declares a new total at the leader, by an operators' file of the next revision. Without a leader only the file
+    /// changes, which processes read when they start. The checker's bound is raised if necessary but not lowered:
+    /// units granted from a larger total may stay in use until their leases expire. See
+    /// [`Simulation::set_max_units_in_use`].
     pub fn declare_total(&mut self, total: u64) {
         self.operator.revision += 1;
         if let Some(budget) = self.operator.budgets.get_mut(BUDGET_NAME) {
@@ -152,7 +153,7 @@
         self.call_node(leader, Some(Event::Received(envelope, None)));
     }
 
-    /// One line for each keeper.
+    /// Describes each keeper in one line.
     pub(super) fn describe_keepers(&self) -> Vec<String> {
         let keepers = self.keepers.iter().enumerate();
         keepers.map(|(index, keeper)| keeper.describe(&keeper_name(index))).collect()
@@ -161,7 +162,7 @@
     pub(super) fn run_keeper_event(&mut self, index: usize, event: KeeperEvent) {
         match event {
             KeeperEvent::Tick => {
-                let next_tick_us = self.keepers[index].clock.real_duration(TICK_US);
+                let next_tick_us = self.keepers[index].clock.simulation_duration(TICK_US);
                 self.schedule_for_keeper(index, next_tick_us, KeeperEvent::Tick);
                 self.call_node(index, Some(Event::Tick));
             }
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Passes an event to the node, if its process is alive, and carries out what it asks for. A node that fails ends its
-    /// process.
+    /// Passes an event to the node, if its process is started, and performs the resulting actions. An error of the
+    /// node ends its process.
     fn call_node(&mut self, index: usize, event: Option<Event<Option<Endpoint>>>) {
         let now = self.keepers[index].clock.reading(self.now_us);
         let Some(node) = &mut self.keepers[index].node else { return };
@@ -188,7 +189,7 @@
         let actions = match handled {
             Ok(actions) => actions,
             Err(error) => {
-                self.record(&format!("{} ends: {error}", keeper_name(index)));
+                self.record(&format!("{} stopped: {error}", keeper_name(index)));
                 self.kill_keeper(index);
                 return;
             }
@@ -197,22 +198,22 @@
             self.schedule_call(index, at.saturating_sub(now));
         }
         for action in actions {
-            self.carry_out(index, action);
+            self.perform(index, action);
         }
     }
 
-    /// Schedules the call that a node asked for, `delay_us` later by its clock, unless one is scheduled already.
+    /// Schedules the call that a node requested after `delay_us` on its clock, unless a call is already scheduled.
     fn schedule_call(&mut self, index: usize, delay_us: u64) {
         let keeper = &mut self.keepers[index];
         if keeper.has_call_scheduled {
             return;
         }
         keeper.has_call_scheduled = true;
-        let real_delay_us = keeper.clock.real_duration(delay_us);
-        self.schedule_for_keeper(index, real_delay_us, KeeperEvent::CallDue);
+        let simulation_delay_us = keeper.clock.simulation_duration(delay_us);
+        self.schedule_for_keeper(index, simulation_delay_us, KeeperEvent::CallDue);
     }
 
-    fn carry_out(&mut self, index: usize, action: Action<Option<Endpoint>>) {
+    fn perform(&mut self, index: usize, action: Action<Option<Endpoint>>) {
         let (recipient, envelope) = match action {
             Action::Reply(recipient, envelope) => (recipient, envelope),
             Action::Send(node_id, envelope) => (self.keeper_by_node_id(node_id), envelope),
@@ -221,7 +222,7 @@
                 let keeper = keepers.into_iter().find(|other| keeper_address(*other) == address);
                 (keeper.map(Endpoint::Keeper), envelope)
             }
-            // Links between simulated instances need no connections.
+            // Simulated links need no connections.
             Action::SetPeers(_) => return,
         };
         if let Some(recipient) = recipient {
--- a/crates/lab/src/simulation/mod.rs
+++ b/crates/lab/src/simulation/mod.rs
@@ -1,10 +1,10 @@
-//! A fleet under virtual time: keepers with the real Raft engine and the real store, proxies with the real lease holder
-//! and leader search, a network that delays, loses, duplicates and blocks messages, and clocks at the edge of the bound
-//! on drift. One seed draws it all.
+//! A simulated fleet in virtual time: keepers with the real Raft engine and store, proxies with the real lease holder
+//! and leader search, a network that delays, loses, duplicates and blocks messages, and clocks that drift up to the
+//! configured bound. All random choices come from one seed.
 //!
-//! Nothing here may depend on real time, on the order of an unordered map, or on another source of randomness: the same
-//! seed must always play the same history. The checker stands outside: it counts the units in use and knows the total,
-//! and nothing of quotas.
+//! Nothing here may depend on wall-clock time, on the iteration order of an unordered map, or on another source of
+//! randomness: a seed must always reproduce the same history. The checker is independent of the processes: it counts
+//! the units in use against the total and does not read quotas.
 
 mod checker;
 mod clock;
@@ -26,31 +26,31 @@
 use proxies::SimulatedProxy;
 
 const MILLISECOND_US: u64 = 1_000;
-/// How often [`Simulation::wait_for`] looks at its condition.
+/// Interval at which [`Simulation::wait_for`] checks its condition.
 const CONDITION_INTERVAL_US: u64 = 10 * MILLISECOND_US;
 
-/// What was sent between all instances, and what keepers took for it.
+/// Traffic between all instances, and the keepers' processing time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TrafficCounts {
-    /// Messages that were sent, also those that were lost.
+    /// Sent messages, including lost ones.
     pub messages: u64,
-    /// Bytes of these messages.
+    /// Encoded size of these messages in bytes.
     pub bytes: u64,
-    /// Grants among these messages.
+    /// Lease grants among these messages.
     pub grants: u64,
-    /// Real time that all keepers worked, in nanoseconds. The one figure here that differs from run to run; it never
-    /// changes what happens.
+    /// Wall-clock time of all keepers' work, in nanoseconds. Only this figure differs between runs of one seed; it
+    /// does not affect the simulation.
     pub keepers_ns: u64,
 }
 
-/// A simulated fleet. Its processes are named by their place: keepers `k0`, `k1`, …, proxies `p0`, `p1`, …
+/// A simulated fleet. Processes are named by their index: keepers `k0`, `k1`, …, proxies `p0`, `p1`, …
 pub struct Simulation {
     config: SimulationConfig,
     rng: fastrand::Rng,
-    /// Real time, in microseconds from the start. Processes see their own clocks.
+    /// Simulation time in microseconds since the start. Processes read their own clocks instead.
     now_us: u64,
     events: EventQueue,
-    /// The operators' file with which processes start now.
+    /// The operators' file that processes start with.
     operator: Operator,
     keepers: Vec<SimulatedKeeper>,
     proxies: Vec<SimulatedProxy>,
@@ -61,7 +61,7 @@
 }
 
 impl Simulation {
-    /// Starts all keepers and proxies, without demand.
+    /// Starts all keepers, and all proxies without demand.
     pub fn new(config: SimulationConfig) -> Simulation {
         let mut rng = fastrand::Rng::with_seed(config.seed);
         let operator = config.operator_file();
@@ -87,37 +87,37 @@
         simulation
     }
 
-    /// Real time since the start, in microseconds.
+    /// Simulation time since the start, in microseconds.
     pub fn now_us(&self) -> u64 {
         self.now_us
     }
 
-    /// What was sent so far.
+    /// Traffic since the start.
     pub fn traffic(&self) -> TrafficCounts {
         self.traffic
     }
 
-    /// Units that all proxies use now.
+    /// Units that are in use by all proxies.
     pub fn in_use(&self) -> u64 {
         self.checker.in_use()
     }
 
-    /// The most units in use at once so far.
+    /// Maximum number of units in use at the same time since the start.
     pub fn peak_in_use(&self) -> u64 {
         self.checker.peak()
     }
 
-    /// Sets how many units may be in use from now on: the checker's bound, of which the processes know nothing.
+    /// Sets the checker's bound on the units in use. The processes do not read it.
     pub fn set_max_units_in_use(&mut self, units: u64) {
         self.checker.set_max_units_in_use(units);
     }
 
-    /// The first problem that the checker found, if any, with the seed and the history.
+    /// Returns the first problem that the checker found, with the seed and the history.
     pub fn check(&self) -> Result<(), SimulationFailure> {
         self.checker.first_problem().map_or(Ok(()), |problem| Err(self.failure(problem)))
     }
 
-    /// A problem with the seed, what happened, and how the keepers are now.
+    /// Adds the seed, the history and the keepers' present state to a problem.
     pub fn failure(&self, problem: Problem) -> SimulationFailure {
         SimulationFailure {
             seed: self.config.seed,
@@ -127,12 +127,12 @@
         }
     }
 
-    /// Plays for this long, in microseconds.
+    /// Runs for this duration in microseconds.
     pub fn run_for(&mut self, duration_us: u64) {
         self.run_until(self.now_us + duration_us);
     }
 
-    /// Plays until this moment, in microseconds from the start.
+    /// Runs until this time, in microseconds since the start.
     pub fn run_until(&mut self, end_us: u64) {
         while let Some((at_us, event)) = self.events.pop_due(end_us) {
             self.now_us = at_us;
@@ -141,8 +141,8 @@
         self.now_us = self.now_us.max(end_us);
     }
 
-    /// Plays until `condition` holds, and returns how long that took, to 10 ms. `None` if it does not hold after
-    /// `timeout_us`.
+    /// Runs until `condition` holds and returns how long that took, to 10 ms. Returns `None` if it does not hold
+    /// within `timeout_us`.
     pub fn wait_for(&mut self, timeout_us: u64, condition: impl Fn(&Simulation) -> bool) -> Option<u64> {
         let start_us = self.now_us;
         while !condition(self) {
@@ -162,8 +162,8 @@
         self.events.schedule(self.now_us + delay_us, event);
     }
 
-    /// Passes an event to its process. One for an incarnation that is over is dropped; one for a suspended process is
-    /// deferred until it runs on.
+    /// Passes an event to its process. An event for an ended incarnation is dropped; an event for a suspended process
+    /// is deferred until the process resumes.
     fn run_event(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::UnitEnds { proxy, incarnation } => self.end_unit(proxy, incarnation),
--- a/crates/lab/src/simulation/network.rs
+++ b/crates/lab/src/simulation/network.rs
@@ -1,5 +1,5 @@
-//! The network between simulated instances: it delays messages, and under faults loses, duplicates and blocks them. It
-//! never changes one.
+//! The network between simulated instances. It delays messages and, under faults, loses, duplicates and blocks them.
+//! It never alters a message.
 
 use super::Simulation;
 use super::events::{Endpoint, KeeperEvent, ProxyEvent, ScheduledEvent};
@@ -9,19 +9,19 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// What a message takes on a network without faults.
+/// Delay of a message on a network without faults.
 const DELAY_US: Range<u64> = 200..2_000;
-/// What a late message takes beyond that.
+/// Additional delay of a late message.
 const LATE_DELAY_US: Range<u64> = 0..1_500 * MILLISECOND_US;
 
-/// What is wrong with the network now.
+/// Present faults of the network.
 #[derive(Default)]
 pub(super) struct Network {
-    /// Directions that carry nothing, as sender and recipient.
+    /// Blocked directions, as sender and recipient.
     blocked: BTreeSet<(Endpoint, Endpoint)>,
-    /// How many of a hundred messages are lost.
+    /// Percentage of messages that are lost.
     pub(super) loss_percent: u64,
-    /// How many of a hundred messages are duplicated; and how many copies of a hundred are late.
+    /// Percentage of messages that are duplicated, and percentage of copies that are late.
     pub(super) late_percent: u64,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl Simulation {
-    /// Counts a message and schedules its arrival, unless the network loses it.
+    /// Counts a message and schedules its arrival, unless it is lost.
     pub(super) fn send(&mut self, from: Endpoint, to: Endpoint, envelope: Envelope) {
         self.traffic.count(&envelope);
         if self.network.loses(from, to, &mut self.rng) {
@@ -69,7 +69,8 @@
         }
     }
 
-    /// The arrival of a message at the recipient's present incarnation: connections end with their process.
+    /// Builds the event of a message's arrival at the recipient's present incarnation: connections end with their
+    /// process.
     fn arrival(&self, from: Endpoint, to: Endpoint, envelope: Envelope) -> ScheduledEvent {
         let envelope = Box::new(envelope);
         match to {
--- a/crates/lab/src/simulation/proxies.rs
+++ b/crates/lab/src/simulation/proxies.rs
@@ -1,5 +1,5 @@
-//! Simulated proxies: the real lease holder and the real search for a leader, with a demand that the simulation sets.
-//! A unit's use ends by time alone or by the holder's own clock, never by a message.
+//! Simulated proxies: the real lease holder and leader search, with a demand that the simulation sets. The use of a
+//! unit ends at a scheduled time or by the holder's own clock, never because of a message.
 
 use super::clock::Clock;
 use super::config::{BUDGET_NAME, instance_identity};
@@ -12,35 +12,37 @@
 use linenhill_settings::operator::Operator;
 use std::ops::Range;
 
-/// When a proxy first asks for a lease after its start.
+/// Delay of a proxy's first lease request after its start.
 const FIRST_REQUEST_US: Range<u64> = 0..100 * MILLISECOND_US;
-/// The longest time for which a timer is set, twelve days: a holder that waits for nothing yields the largest moment.
+/// Longest delay of a timer, twelve days. A holder without a pending request reports the maximum time as its next
+/// request.
 const TIMER_MAX_US: u64 = 1 << 40;
 
-/// One proxy under its name, over all its incarnations.
+/// One proxy over all its incarnations.
 pub(super) struct SimulatedProxy {
     identity: InstanceIdentity,
     holder: LeaseHolder,
     leader_search: LeaderSearch,
     clock: Clock,
-    /// Counts starts: what was scheduled before one is dropped. The identity's incarnation is drawn instead.
+    /// Counts starts. Events scheduled for an earlier incarnation are dropped. The identity's incarnation is a random
+    /// number instead.
     pub(super) incarnation: u64,
-    is_alive: bool,
-    /// Whether the process does not run for now. What arrives meanwhile is deferred.
+    is_started: bool,
+    /// Whether the process is suspended. Events that fall due meanwhile are deferred.
     pub(super) is_suspended: bool,
     pub(super) deferred: Vec<ScheduledEvent>,
-    /// The real time of its next timer event. One that is scheduled for earlier is void.
+    /// Simulation time of the next timer event. Timer events before it are ignored.
     timer_at_us: u64,
-    /// It sends no request before this, by its clock.
+    /// No request is sent before this time on the proxy's clock.
     backoff_until: u64,
-    /// Units that it could use.
+    /// Units that the proxy has demand for.
     demand: u64,
-    /// Units that this incarnation uses.
+    /// Units in use by this incarnation.
     in_use: u64,
 }
 
 impl SimulatedProxy {
-    /// A proxy without demand that is not started yet.
+    /// Creates a proxy without demand, not started yet.
     pub(super) fn new(
         config: &SimulationConfig, operator: &Operator, index: usize, rng: &mut fastrand::Rng,
     ) -> SimulatedProxy {
@@ -50,7 +52,7 @@
             leader_search: LeaderSearch::new(config.keepers, config.terms.lease_us),
             clock: Clock::draw(rng, config.drift_ppm()),
             incarnation: 0,
-            is_alive: false,
+            is_started: false,
             is_suspended: false,
             deferred: Vec::new(),
             timer_at_us: 0,
@@ -60,12 +62,12 @@
         }
     }
 
-    /// When the next request is due, by its clock.
+    /// Time of the next request on the proxy's clock.
     fn next_request_at(&self) -> u64 {
         self.holder.next_request_at().max(self.backoff_until)
     }
 
-    /// Ends the use of units beyond the demand or beyond what the lease allows, and returns how many.
+    /// Releases units beyond the demand or beyond the lease, and returns their number.
     fn release_excess(&mut self, now: u64) -> u64 {
         let beyond_demand = self.in_use.saturating_sub(self.demand);
         let excess = beyond_demand.max(self.holder.excess(now, BUDGET_NAME));
@@ -74,10 +76,10 @@
         excess
     }
 
-    /// Begins to use units up to the demand, as far as the holder allows, and returns how many.
+    /// Acquires units up to the demand, as far as the holder permits, and returns their number.
     fn acquire_demand(&mut self, now: u64) -> u64 {
         let wanted = self.demand.saturating_sub(self.in_use);
-        // Each unit is asked for, also after a refusal: the holder counts them as the demand.
+        // Tries each unit even after a refusal, since the holder counts these calls as demand.
         let acquired = (0..wanted)
             .filter(|_| self.holder.acquire(now, BUDGET_NAME) == AcquireDecision::Acquired)
             .count() as u64;
@@ -87,8 +89,9 @@
 }
 
 impl Simulation {
-    /// Starts a proxy as a new incarnation. A process that runs under its name dies; its units end as they would have.
-    /// Where [`SimulationConfig::holds_units`] is set they have no end of their own: call [`Simulation::kill_proxy`] first.
+    /// Starts a proxy as a new incarnation, in place of a running process of the same name. Units of that process end
+    /// as scheduled. With [`SimulationConfig::holds_units`] no end is scheduled: call [`Simulation::kill_proxy`]
+    /// first.
     pub fn start_proxy(&mut self, index: usize) {
         let identity_incarnation = self.rng.u64(1..u64::MAX);
         let first_request_us = self.rng.u64(FIRST_REQUEST_US);
@@ -100,7 +103,7 @@
         proxy.holder = LeaseHolder::new(terms.lease_us);
         proxy.holder.enforce(BUDGET_NAME, false);
         proxy.leader_search = LeaderSearch::new(self.config.keepers, terms.lease_us);
-        proxy.is_alive = true;
+        proxy.is_started = true;
         proxy.is_suspended = false;
         proxy.backoff_until = 0;
         proxy.in_use = 0;
@@ -109,25 +112,25 @@
         self.schedule_for_proxy(index, first_use_us, ProxyEvent::UseCheck);
     }
 
-    /// Ends a proxy's process. Units that it uses end by themselves, within the time that they may outlive a lease.
+    /// Ends a proxy's process. Its units in use end within `outlives_us`.
     pub fn kill_proxy(&mut self, index: usize) {
         let units = self.proxies[index].in_use;
-        self.proxies[index].is_alive = false;
+        self.proxies[index].is_started = false;
         if self.config.holds_units {
             self.schedule_unit_ends(index, units);
         }
     }
 
-    /// Sets how many units a proxy could use from now on.
+    /// Sets how many units a proxy has demand for.
     pub fn set_demand(&mut self, index: usize, units: u64) {
         self.proxies[index].demand = units;
     }
 
-    /// Whether every proxy that lives holds a lease.
-    pub fn is_settled(&self) -> bool {
+    /// Whether every started proxy holds a lease.
+    pub fn all_proxies_have_leases(&self) -> bool {
         self.proxies.iter().all(|proxy| {
             let now = proxy.clock.reading(self.now_us);
-            !proxy.is_alive || proxy.holder.has_lease(now)
+            !proxy.is_started || proxy.holder.has_lease(now)
         })
     }
 
@@ -136,7 +139,7 @@
             ProxyEvent::Timer if self.now_us < self.proxies[index].timer_at_us => {}
             ProxyEvent::Timer => self.run_timer(index),
             ProxyEvent::UseCheck => {
-                if self.proxies[index].is_alive {
+                if self.proxies[index].is_started {
                     self.adjust_use(index);
                     self.schedule_for_proxy(index, self.config.use_interval_us, ProxyEvent::UseCheck);
                 }
@@ -145,9 +148,10 @@
         }
     }
 
-    /// Counts the end of a unit's use, which the proxy learns if it is still the incarnation that used it.
+    /// Counts the end of a unit's use, and releases the unit at the holder if the proxy's incarnation is still the
+    /// one that acquired it.
     pub(super) fn end_unit(&mut self, index: usize, incarnation: u64) {
-        self.checker.units_ended(1);
+        self.checker.record_released(1);
         let proxy = &mut self.proxies[index];
         if proxy.incarnation == incarnation {
             proxy.in_use -= 1;
@@ -155,14 +159,15 @@
         }
     }
 
-    /// Gives up on a keeper that does not answer, sends a request that is due, and sets the next timer.
+    /// Moves to another keeper if the current one did not answer in time, sends a due request, and sets the next
+    /// timer.
     fn run_timer(&mut self, index: usize) {
         let proxy = &mut self.proxies[index];
-        if !proxy.is_alive {
+        if !proxy.is_started {
             return;
         }
         let now = proxy.clock.reading(self.now_us);
-        // Taken before the search moves on: a lost keeper makes the next timer's request due, not this one's.
+        // Read before `request_at_once`: after a lost keeper the request is due at the next timer, not at this one.
         let request_at = proxy.holder.next_request_at();
         if proxy.leader_search.answer_deadline().is_some_and(|deadline| now >= deadline) {
             proxy.backoff_until = now + proxy.leader_search.keeper_lost(self.rng.f64());
@@ -176,8 +181,8 @@
         let deadline = proxy.leader_search.answer_deadline();
         let next = deadline.map_or(request_at, |deadline| deadline.min(request_at));
         let delay_us = next.max(now + MILLISECOND_US) - now;
-        let real_delay_us = proxy.clock.real_duration(delay_us);
-        self.set_timer(index, real_delay_us);
+        let simulation_delay_us = proxy.clock.simulation_duration(delay_us);
+        self.set_timer(index, simulation_delay_us);
     }
 
     fn request_lease(&mut self, index: usize, now: u64) {
@@ -219,40 +224,40 @@
         }
     }
 
-    /// Brings the units in use to the demand, as far as the lease allows, and has the checker count the change.
+    /// Adjusts the units in use to the demand, within the lease, and reports the change to the checker.
     fn adjust_use(&mut self, index: usize) {
         let proxy = &mut self.proxies[index];
         let now = proxy.clock.reading(self.now_us);
         if self.config.holds_units {
             let released = proxy.release_excess(now);
-            self.checker.units_ended(released);
+            self.checker.record_released(released);
         }
         let acquired = proxy.acquire_demand(now);
         if proxy.in_use < proxy.demand {
             self.advance_timer(index, now);
         }
-        self.checker.units_begun(acquired, self.now_us);
+        self.checker.record_acquired(acquired, self.now_us);
         if !self.config.holds_units {
             self.schedule_unit_ends(index, acquired);
         }
     }
 
-    /// Sets the timer to the next request, if that is earlier: unmet demand may have made it due.
+    /// Moves the timer forward to the next request, which unmet demand may have made due earlier.
     fn advance_timer(&mut self, index: usize, now: u64) {
         let proxy = &self.proxies[index];
         let delay_us = proxy.next_request_at().saturating_sub(now).min(TIMER_MAX_US);
-        let real_delay_us = proxy.clock.real_duration(delay_us);
-        if self.now_us + real_delay_us < proxy.timer_at_us {
-            self.set_timer(index, real_delay_us);
+        let simulation_delay_us = proxy.clock.simulation_duration(delay_us);
+        if self.now_us + simulation_delay_us < proxy.timer_at_us {
+            self.set_timer(index, simulation_delay_us);
         }
     }
 
-    fn set_timer(&mut self, index: usize, real_delay_us: u64) {
-        self.proxies[index].timer_at_us = self.now_us + real_delay_us;
-        self.schedule_for_proxy(index, real_delay_us, ProxyEvent::Timer);
+    fn set_timer(&mut self, index: usize, simulation_delay_us: u64) {
+        self.proxies[index].timer_at_us = self.now_us + simulation_delay_us;
+        self.schedule_for_proxy(index, simulation_delay_us, ProxyEvent::Timer);
     }
 
-    /// Has each of these units end at a random moment, within the time that a unit may outlive its lease.
+    /// Schedules the end of each of these units at a random time within `outlives_us`.
     fn schedule_unit_ends(&mut self, proxy: usize, units: u64) {
         let incarnation = self.proxies[proxy].incarnation;
         for _ in 0..units {
--- a/crates/lab/tests/decision_digest.rs
+++ b/crates/lab/tests/decision_digest.rs
@@ -1,14 +1,14 @@
-//! The digest of decisions: the same for the same seed, another one for other decisions.
+//! Tests of the decision digest: equal for equal seeds, different for different decisions.
 
 use linenhill_lab::decision_digest::digest;
 
-// Guards against a digest that depends on more than its seed: two revisions could not be compared then.
+// Guards against a digest that depends on more than its seed, which would make revisions incomparable.
 #[test]
 fn a_seed_has_one_digest() {
     assert_eq!(digest(7), digest(7));
 }
 
-// Guards against a digest that says nothing: histories that are alike, or whose actions are not encoded.
+// Guards against digests that distinguish nothing: identical histories, or actions that are not encoded.
 #[test]
 fn seeds_have_different_digests() {
     let digests: Vec<_> = (0..8).map(digest).collect();
