--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for tests: a network between two instances ([`Relay`]), and in [`soak`] everybody that a proxy deals with,
-//! under faults from one seed. Never linked into the proxy, and free of its code: what tests a proxy must not share its
-//! mistakes.
+//! Test doubles: a network between two instances ([`Relay`]), and in [`soak`] members, discovery and clients of real
+//! proxies, with faults drawn from one seed. The proxy must not link this crate, and this crate must not use the
+//! proxy's code: a shared fault would go undetected.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -1,5 +1,6 @@
-//! A relay that stands for the network between two instances. It can hold back either direction without a sign, delay and
-//! reset. It never changes, reorders or loses a byte of a connection that goes on.
+//! A TCP relay that simulates the network between two instances. It can hold back data in either direction without
+//! closing the connection, delay it, and close connections. While a connection is open, no byte is changed, reordered
+//! or lost.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,53 +12,52 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The most bytes that are passed on as one piece, and delayed as one.
-const PIECE_BYTES: usize = 16 * 1024;
+/// Maximum number of bytes that are read, delayed and forwarded together.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What is wrong with the network between two instances.
+/// Faults of the network between two instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NetworkFaults {
-    /// Nothing that the connecting side sends reaches the target, and nothing says so. Connections are accepted all the
-    /// same.
+    /// Whether data from the client to the target is held back. Connections are still accepted.
     pub holds_requests: bool,
-    /// Nothing that the target sends reaches the connecting side.
+    /// Whether data from the target to the client is held back.
     pub holds_replies: bool,
-    /// Each piece takes so much longer.
+    /// Additional delay of each chunk of data.
     pub delay: Duration,
-    /// Counts resets: each change ends all open connections.
+    /// Counts resets: each change closes all open connections.
     pub resets: u32,
 }
 
 impl NetworkFaults {
-    /// Nothing is wrong.
+    /// No faults.
     pub const NONE: NetworkFaults =
         NetworkFaults { holds_requests: false, holds_replies: false, delay: Duration::ZERO, resets: 0 };
 
-    /// Sets which directions carry nothing.
+    /// Sets in which directions data is held back.
     pub fn hold(&mut self, requests: bool, replies: bool) {
         self.holds_requests = requests;
         self.holds_replies = replies;
     }
 
-    /// Has nothing pass in either direction.
+    /// Holds back data in both directions.
     pub fn hold_both(&mut self) {
         self.hold(true, true);
     }
 }
 
-/// A relay between the side that connects and a target. It ends with the task set that it runs in.
+/// A relay between a client and a target. It ends with the `LocalSet` that it was started in.
 pub struct Relay {
-    /// Where one side connects.
+    /// Address for clients to connect to.
     pub address: SocketAddr,
     faults: watch::Sender<NetworkFaults>,
     target: watch::Sender<Option<SocketAddr>>,
 }
 
 impl Relay {
-    /// Starts a relay without a target: it closes the connections that it accepts.
+    /// Starts a relay on a free port of 127.0.0.1. Without a target it closes accepted connections at once.
     ///
     /// # Errors
-    /// No port could be bound.
+    /// Fails if no port can be bound.
     pub async fn start() -> io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -72,47 +72,47 @@
         Ok(Relay { address, faults, target })
     }
 
-    /// Sets where new connections lead.
+    /// Sets the target of new connections.
     pub fn set_target(&self, target: SocketAddr) {
         self.target.send_replace(Some(target));
     }
 
-    /// Changes the faults, for open connections as well.
+    /// Changes the faults, also for open connections.
     pub fn change_faults(&self, change: impl FnOnce(&mut NetworkFaults)) {
         self.faults.send_modify(change);
     }
 }
 
-/// Passes bytes between both sides until one of them closes, or a reset.
-async fn relay_connection(near: TcpStream, target: SocketAddr, faults: watch::Receiver<NetworkFaults>) {
-    let Ok(far) = TcpStream::connect(target).await else { return };
-    // A relay that adds its own delay is slow, and no reason to fail.
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
+/// Forwards bytes in both directions until one side closes the connection or `resets` changes.
+async fn relay_connection(client: TcpStream, target: SocketAddr, faults: watch::Receiver<NetworkFaults>) {
+    let Ok(server) = TcpStream::connect(target).await else { return };
+    // Without TCP_NODELAY the relay only adds latency, so errors are ignored.
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
+    let (client_reader, client_writer) = client.into_split();
+    let (server_reader, server_writer) = server.into_split();
     let resets = faults.borrow().resets;
     let mut reset = faults.clone();
     tokio::select! {
-        () = relay_direction(near_in, far_out, faults.clone(), |faults| faults.holds_requests) => {}
-        () = relay_direction(far_in, near_out, faults, |faults| faults.holds_replies) => {}
+        () = relay_direction(client_reader, server_writer, faults.clone(), |faults| faults.holds_requests) => {}
+        () = relay_direction(server_reader, client_writer, faults, |faults| faults.holds_replies) => {}
         _ = reset.wait_for(|faults| faults.resets != resets) => {}
     }
 }
 
 async fn relay_direction(
-    mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut faults: watch::Receiver<NetworkFaults>,
+    mut reader: OwnedReadHalf, mut writer: OwnedWriteHalf, mut faults: watch::Receiver<NetworkFaults>,
     is_held: impl Fn(&NetworkFaults) -> bool,
 ) {
-    let mut piece = vec![0; PIECE_BYTES];
+    let mut chunk = vec![0; CHUNK_BYTES];
     loop {
-        let length = match from.read(&mut piece).await {
+        let length = match reader.read(&mut chunk).await {
             Ok(0) | Err(_) => return,
             Ok(length) => length,
         };
         let Ok(delay) = faults.wait_for(|now| !is_held(now)).await.map(|now| now.delay) else { return };
         sleep(delay).await;
-        if to.write_all(&piece[..length]).await.is_err() {
+        if writer.write_all(&chunk[..length]).await.is_err() {
             return;
         }
     }
--- a/crates/standins/src/soak/client.rs
+++ b/crates/standins/src/soak/client.rs
@@ -1,5 +1,5 @@
-//! Clients at one proxy, which the platform's front assigns only once the proxy has answered an empty query. Each client
-//! reports to the judge what it wrote and how that ended.
+//! Clients of one proxy. As the platform's front assigns clients only to a proxy that has answered an empty query, a
+//! session starts with one unless it resends requests. Clients report each written request and its end to the judge.
 
 use super::judge::Judge;
 use super::process::Process;
@@ -12,37 +12,37 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// The pause between two requests of a client, on average.
+/// Mean pause between two requests of a client.
 const THINK_TIME: Duration = Duration::from_millis(150);
-/// The pause before a client reconnects.
+/// Pause before a client reconnects.
 const RECONNECT_DELAY: Duration = Duration::from_millis(60);
-/// From this time after SIGTERM on a proxy may refuse new requests.
-const STOP_REFUSES_AFTER: Duration = Duration::from_millis(700);
-/// How long a client that stopped in a message waits for its connection's end.
-const STOPPED_CLIENT_WAIT: Duration = Duration::from_secs(6);
-/// How long an answer is waited for past its time before it counts as lost.
+/// Time after SIGTERM from which a proxy may refuse new requests.
+const REFUSALS_ALLOWED_AFTER: Duration = Duration::from_millis(700);
+/// How long a client that stalled within a message waits for the end of its connection.
+const STALLED_CLIENT_WAIT: Duration = Duration::from_secs(6);
+/// Time after a request's deadline from which a missing answer counts as lost.
 const LOST_AFTER: Duration = Duration::from_secs(6);
 
-/// One client.
+/// A client of a proxy.
 pub struct Client {
-    /// The proxy that it was assigned to.
+    /// The proxy that the client connects to.
     pub process: Rc<Process>,
-    /// Judges what the client sees.
+    /// Receives the client's reports.
     pub judge: Rc<Judge>,
-    /// Numbers requests over all clients.
+    /// Next request number, shared by all clients.
     pub next_id: Rc<Cell<u64>>,
     /// Number of groups of members.
     pub groups: usize,
-    /// Set once no more requests are to be made.
+    /// Set when no more requests are to be made.
     pub is_over: Rc<Cell<bool>>,
-    /// Draws what it does.
+    /// Random source of the client's behaviour.
     pub rng: fastrand::Rng,
 }
 
-/// A request that was or will be written.
+/// A request to the proxy.
 struct Request {
     id: String,
-    /// Its deadline, from its last byte on.
+    /// Time from the request's last byte to its deadline.
     time_left: Duration,
     is_write: bool,
     text: Vec<u8>,
@@ -50,25 +50,25 @@
 
 /// Why a session ended.
 enum SessionEnd {
-    /// The client closed it.
+    /// The client closed the session.
     ByClient,
-    /// The proxy closed it, or it broke.
+    /// The proxy closed the session, or the connection failed.
     ByProxy {
-        /// The requests that were not answered.
+        /// Requests without an answer.
         unanswered: Vec<Request>,
-        /// Whether they had been sent on an earlier connection as well.
+        /// Whether these requests had already been sent on an earlier connection.
         is_resent: bool,
     },
 }
 
 impl Client {
-    /// Makes requests until the soak is over.
+    /// Sends requests until the soak is over.
     pub async fn run(mut self) {
         let mut resend: Vec<Request> = Vec::new();
         while !self.is_over.get() {
             let incarnation = self.process.incarnation.get();
             let Some(address) = self.process.address() else {
-                // What a process that died had open is lost with it.
+                // Requests that were open at the end of a process are lost with it.
                 resend.clear();
                 sleep(RECONNECT_DELAY).await;
                 continue;
@@ -86,12 +86,13 @@
         }
     }
 
-    /// After a connection that ended with unanswered requests though the process lives: they may have crossed the end of an
-    /// idle connection, so they are sent once more. A second such end is reported.
+    /// Handles unanswered requests of a connection that a running process closed. The requests may have crossed the
+    /// end of an idle connection, so they are sent once more. If that connection ends the same way, they are reported
+    /// as lost.
     fn resend_or_report(&self, unanswered: Vec<Request>, is_resent: bool, resend: &mut Vec<Request>) {
-        let is_late_in_stop =
-            self.process.terminated_at.get().is_some_and(|at| at.elapsed() > STOP_REFUSES_AFTER);
-        if unanswered.is_empty() || is_late_in_stop {
+        let may_refuse_requests =
+            self.process.terminated_at.get().is_some_and(|at| at.elapsed() > REFUSALS_ALLOWED_AFTER);
+        if unanswered.is_empty() || may_refuse_requests {
             return;
         }
         if !is_resent {
@@ -102,15 +103,16 @@
             return;
         }
         for request in unanswered {
-            let text = format!("{} at proxy {} was closed without an answer", request.id, self.process.index);
-            self.judge.report("lost", text);
+            let text =
+                format!("{} at proxy {} was closed twice without an answer", request.id, self.process.index);
+            self.judge.record_violation("lost", text);
         }
     }
 
-    /// Opens a connection and exchanges requests and answers on it until it ends.
+    /// Opens a connection, sends requests and reads answers until the session ends.
     async fn run_session(&mut self, address: SocketAddr, resend: Vec<Request>) -> io::Result<SessionEnd> {
         if resend.is_empty() && self.rng.u32(0..14) == 0 {
-            self.stop_within_message(address).await?;
+            self.stall_within_message(address).await?;
             return Ok(SessionEnd::ByClient);
         }
         let mut stream = TcpStream::connect(address).await?;
@@ -122,7 +124,7 @@
             wire::write(&mut stream, &wire::query("")).await?;
             wire::read_answer(&mut stream).await?;
         }
-        // What was sent before is not sent a third time.
+        // Requests are resent only once.
         let mut is_resent = !resend.is_empty();
         let mut batch = resend;
         loop {
@@ -133,15 +135,15 @@
                 return Ok(end);
             }
             is_resent = false;
-            let think = THINK_TIME.mul_f64(2.0 * self.rng.f64());
-            sleep(think).await;
+            let think_time = THINK_TIME.mul_f64(2.0 * self.rng.f64());
+            sleep(think_time).await;
             if self.is_over.get() || self.rng.u32(0..30) == 0 {
                 return Ok(SessionEnd::ByClient);
             }
         }
     }
 
-    /// Draws one request, or a few that are pipelined.
+    /// Draws one request, or three pipelined ones.
     fn draw_batch(&mut self) -> Vec<Request> {
         let size = if self.rng.u32(0..8) == 0 { 3 } else { 1 };
         (0..size).map(|_| self.draw_request()).collect()
@@ -152,32 +154,38 @@
         self.next_id.set(number + 1);
         let id = format!("{number:016x}");
         let is_write = self.rng.u32(0..3) == 0;
-        // Some have very little time.
-        let left_ms = if self.rng.u32(0..20) == 0 { self.rng.u64(5..50) } else { self.rng.u64(400..2_500) };
+        // One request in twenty has less than 50 ms to its deadline.
+        let time_left_ms =
+            if self.rng.u32(0..20) == 0 { self.rng.u64(5..50) } else { self.rng.u64(400..2_500) };
         let group = self.rng.usize(0..self.groups);
         let key = self.rng.u64(0..1_000);
         let statement = match is_write {
             true => format!(
-                "/* id={id},c=order,d={left_ms},k={id},cluster={group} */ INSERT INTO state (uid, val) VALUES ('{key:x}', 'x') RETURNING val"
+                "/* id={id},c=order,d={time_left_ms},k={id},cluster={group} */ INSERT INTO state (uid, val) VALUES ('{key:x}', 'x') RETURNING val"
             ),
             false => format!(
-                "/* id={id},c=list,d={left_ms},cluster={group} */ SELECT val FROM state WHERE uid = '{key:x}'"
+                "/* id={id},c=list,d={time_left_ms},cluster={group} */ SELECT val FROM state WHERE uid = '{key:x}'"
             ),
         };
-        Request { id, time_left: Duration::from_millis(left_ms), is_write, text: wire::query(&statement) }
+        Request {
+            id,
+            time_left: Duration::from_millis(time_left_ms),
+            is_write,
+            text: wire::query(&statement),
+        }
     }
 
-    /// Writes requests and reads their answers; an end if the session is over with that.
+    /// Writes requests and reads their answers. Returns why the session ended, if it did.
     async fn exchange(
         &mut self, stream: &mut TcpStream, batch: Vec<Request>, is_resent: bool,
     ) -> Option<SessionEnd> {
-        let leaves_after = (self.rng.u32(0..25) == 0).then(|| Duration::from_millis(self.rng.u64(0..40)));
+        let disconnect_after = (self.rng.u32(0..25) == 0).then(|| Duration::from_millis(self.rng.u64(0..40)));
         if self.write(stream, &batch).await.is_err() {
             return Some(SessionEnd::ByProxy { unanswered: batch, is_resent });
         }
-        if let Some(leaves_after) = leaves_after {
-            sleep(leaves_after).await;
-            batch.iter().for_each(|request| self.judge.client_left(&request.id));
+        if let Some(disconnect_after) = disconnect_after {
+            sleep(disconnect_after).await;
+            batch.iter().for_each(|request| self.judge.client_disconnected(&request.id));
             return Some(SessionEnd::ByClient);
         }
         let mut open = batch.into_iter();
@@ -202,8 +210,11 @@
                     return Some(SessionEnd::ByClient);
                 }
                 Err(_) => {
-                    let text = format!("{} at proxy {} got no answer", request.id, self.process.index);
-                    self.judge.report("lost", text);
+                    let text = format!(
+                        "{} at proxy {} was not answered within {answer_timeout:?}",
+                        request.id, self.process.index
+                    );
+                    self.judge.record_violation("lost", text);
                     return Some(SessionEnd::ByClient);
                 }
             }
@@ -213,33 +224,36 @@
 
     fn judge_answer(&self, request: &Request, answer: &[u8], previous_answer_at: Instant) {
         let is_served = answer.starts_with(b"T");
-        if is_served && !contains(answer, request.id.as_bytes()) {
-            self.judge.report("lost", format!("{} was answered with another's value", request.id));
+        if is_served && !contains_bytes(answer, request.id.as_bytes()) {
+            self.judge.record_violation(
+                "lost",
+                format!("{} was answered with the value of another request", request.id),
+            );
         }
         self.judge.judge_answer(&request.id, is_served, previous_answer_at);
     }
 
-    /// Writes requests, some of them slowly, in pieces.
+    /// Writes requests. A single request is sometimes written slowly, in parts.
     async fn write(&mut self, stream: &mut TcpStream, batch: &[Request]) -> io::Result<()> {
-        // The answers of those written before must not wait for the last one to be written.
+        // Only single requests: in a batch the answers to earlier requests would wait for the last one to be written.
         let is_slow = batch.len() == 1 && self.rng.u32(0..12) == 0;
         for request in batch {
             let mut text = &request.text[..];
             while is_slow && text.len() > 20 {
-                let (piece, rest) = text.split_at(self.rng.usize(1..text.len() / 2));
-                wire::write(stream, piece).await?;
+                let (part, remainder) = text.split_at(self.rng.usize(1..text.len() / 2));
+                wire::write(stream, part).await?;
                 sleep(Duration::from_millis(self.rng.u64(10..150))).await;
-                text = rest;
+                text = remainder;
             }
-            // Recorded before the last byte is written: no member may see the request earlier.
+            // Recorded before the last byte is written, so that no member receives the request earlier.
             self.judge.request_written(&request.id, self.process.index, request.time_left, request.is_write);
             wire::write(stream, text).await?;
         }
         Ok(())
     }
 
-    /// Connects, stops at some byte of the startup message or of a request, and waits for the connection's end.
-    async fn stop_within_message(&mut self, address: SocketAddr) -> io::Result<()> {
+    /// Connects, stalls within the startup message or a request, and waits for the end of the connection.
+    async fn stall_within_message(&mut self, address: SocketAddr) -> io::Result<()> {
         let incarnation = self.process.incarnation.get();
         let mut stream = TcpStream::connect(address).await?;
         let startup = wire::startup();
@@ -247,18 +261,18 @@
         let mut length = self.rng.usize(1..messages.len());
         length = if length == startup.len() { length + 1 } else { length };
         wire::write(&mut stream, &messages[..length]).await?;
-        let stopped_at = Instant::now();
+        let stalled_at = Instant::now();
         if length > startup.len() {
             wire::read_answer(&mut stream).await?;
         }
-        let has_ended = timeout(STOPPED_CLIENT_WAIT, stream.read(&mut [0; 1])).await.is_ok();
+        let has_ended = timeout(STALLED_CLIENT_WAIT, stream.read(&mut [0; 1])).await.is_ok();
         if self.process.incarnation.get() == incarnation && self.process.terminated_at.get().is_none() {
-            self.judge.judge_stopped_client(self.process.index, stopped_at, has_ended);
+            self.judge.judge_stalled_client(self.process.index, stalled_at, has_ended);
         }
         Ok(())
     }
 }
 
-fn contains(text: &[u8], part: &[u8]) -> bool {
+fn contains_bytes(text: &[u8], part: &[u8]) -> bool {
     text.windows(part.len()).any(|window| window == part)
 }
--- a/crates/standins/src/soak/discovery.rs
+++ b/crates/standins/src/soak/discovery.rs
@@ -1,5 +1,6 @@
-//! A stand-in discovery: one list with versions, which each proxy watches at an address of its own. It is down, crowded,
-//! slow or silent as the schedule says, and reports to the judge what it wrote and when.
+//! A simulated discovery service with one versioned list. Each proxy watches it at an address of its own. The
+//! schedule makes the service unavailable, overloaded, slow or unresponsive, and it reports each written list to the
+//! judge.
 
 use super::judge::Judge;
 use super::member::Member;
@@ -13,25 +14,25 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// How often a watch gets an empty line while nothing changes.
+/// Interval of empty lines on a watch without changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// After which time a crowded service rejects a call.
-const REJECTED_AFTER: Duration = Duration::from_secs(2);
-const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-const BUSY: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+/// Time after which an overloaded service rejects a call.
+const REJECTION_DELAY: Duration = Duration::from_secs(2);
+const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const UNAVAILABLE_RESPONSE: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// How discovery treats calls.
+/// How the service handles calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// It answers after this delay.
+    /// Calls are answered after this delay.
     Serving(Duration),
-    /// It lets all calls wait, and rejects them.
-    Crowded,
-    /// It closes all calls and watches.
+    /// Calls wait and are then rejected with status 503.
+    Overloaded,
+    /// Calls and watches are closed.
     Down,
 }
 
-/// What a version of the list says of a member.
+/// A member's state in one version of the list.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     version: u64,
@@ -39,39 +40,39 @@
     started_ms: u64,
 }
 
-/// What ends or silences watches, which are numbered as they are opened.
+/// Interruptions of watches, which are numbered in the order in which they open.
 #[derive(Clone, Copy, Debug, Default)]
 struct Interruptions {
-    /// Watches up to this number are silent.
-    silent_before: u64,
-    /// Watches up to this number are reset.
-    reset_before: u64,
-    /// Counts failures of the whole service: each change ends all calls and watches.
+    /// Watches up to this number send no more data.
+    stalled_up_to: u64,
+    /// Watches up to this number are closed.
+    reset_up_to: u64,
+    /// Counts outages of the service: each change closes all calls and watches.
     outages: u64,
 }
 
-/// The stand-in service.
+/// The simulated discovery service.
 pub struct Discovery {
-    /// Where each proxy calls.
+    /// Address of the service for each proxy.
     pub addresses: Vec<SocketAddr>,
-    /// How it treats calls now.
+    /// How the service handles calls at present.
     pub condition: Cell<Condition>,
     interruptions: watch::Sender<Interruptions>,
     watches: Cell<u64>,
     version: watch::Sender<u64>,
-    /// By member: what each version of the list that changed it says, the newest last.
+    /// For each member, its states in the versions that changed it, oldest first.
     entries: RefCell<Vec<Vec<Entry>>>,
     members: Vec<Rc<Member>>,
     judge: Rc<Judge>,
-    /// The version that was written last to each proxy.
+    /// The last version written to each proxy.
     written_versions: RefCell<Vec<u64>>,
 }
 
 impl Discovery {
-    /// Starts a service with these members, all in service, for this many proxies.
+    /// Starts the service for this many proxies. All members are in service.
     ///
     /// # Errors
-    /// A port could not be bound.
+    /// Fails if a port cannot be bound.
     pub async fn start(
         members: Vec<Rc<Member>>, processes: usize, judge: Rc<Judge>,
     ) -> io::Result<Rc<Discovery>> {
@@ -99,19 +100,19 @@
         Ok(discovery)
     }
 
-    /// Silences all open watches for good.
-    pub fn silence_watches(&self) {
+    /// Stops all data on open watches, without closing them.
+    pub fn stall_watches(&self) {
         let opened = self.watches.get();
-        self.interruptions.send_modify(|interruptions| interruptions.silent_before = opened);
+        self.interruptions.send_modify(|interruptions| interruptions.stalled_up_to = opened);
     }
 
-    /// Ends all open watches.
+    /// Closes all open watches.
     pub fn reset_watches(&self) {
         let opened = self.watches.get();
-        self.interruptions.send_modify(|interruptions| interruptions.reset_before = opened);
+        self.interruptions.send_modify(|interruptions| interruptions.reset_up_to = opened);
     }
 
-    /// Changes how it treats calls. A service that goes down ends all open watches.
+    /// Changes how calls are handled. [`Condition::Down`] also closes all open watches.
     pub fn set_condition(&self, condition: Condition) {
         self.condition.set(condition);
         let is_reachable = matches!(condition, Condition::Serving(_));
@@ -121,44 +122,47 @@
         }
     }
 
-    /// Whether a member is in service.
+    /// Whether a member is in service in the newest version of the list.
     pub fn is_in_service(&self, member: usize) -> bool {
-        self.newest(member).state == "in_service"
+        self.newest_entry(member).state == "in_service"
     }
 
-    /// Changes a member's state in the list. A member that is in service again has started anew.
+    /// Changes a member's state in the list. A member that returns to service gets a new start time.
     pub fn change_member(&self, member: usize, state: &'static str) {
         let version = *self.version.borrow() + 1;
         let started_ms = match state {
             "in_service" => {
                 SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |at| at.as_millis() as u64)
             }
-            _ => self.newest(member).started_ms,
+            _ => self.newest_entry(member).started_ms,
         };
         self.entries.borrow_mut()[member].push(Entry { version, state, started_ms });
         self.judge.member_changed(member, version, state == "in_service");
         self.version.send_replace(version);
     }
 
-    fn newest(&self, member: usize) -> Entry {
-        *self.entries.borrow()[member].last().expect("a first entry")
+    fn newest_entry(&self, member: usize) -> Entry {
+        *self.entries.borrow()[member].last().expect("every member has an entry of version 1")
     }
 
-    /// The list as a proxy had it last, for its configuration, and its version.
+    /// Returns the version last written to a proxy, and the full list of that version for the proxy's configuration.
     pub fn saved_list(&self, process: usize) -> (u64, String) {
         let version = self.written_versions.borrow()[process];
         let entries = self.entries.borrow();
         let listed = entries.iter().enumerate().map(|(member, history)| {
-            let entry = history.iter().rfind(|entry| entry.version <= version).expect("a first entry");
-            self.list_line(process, member, *entry)
+            let entry = history
+                .iter()
+                .rfind(|entry| entry.version <= version)
+                .expect("every member has an entry of version 1");
+            self.list_entry(process, member, *entry)
         });
         let servers: Vec<String> = listed.collect();
         let servers = servers.join(",");
         (version, format!(r#"{{"version":{version},"full":true,"servers":[{servers}]}}"#))
     }
 
-    /// A member's entry in the JSON of the list, with the address at which this proxy reaches it.
-    fn list_line(&self, process: usize, member: usize, entry: Entry) -> String {
+    /// A member's JSON list entry, with the member's address for this proxy.
+    fn list_entry(&self, process: usize, member: usize, entry: Entry) -> String {
         let Member { group, addresses, .. } = &*self.members[member];
         let address = addresses[process];
         let Entry { state, started_ms, .. } = entry;
@@ -191,20 +195,20 @@
             head.split("from=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok()).unwrap_or(0);
         match self.condition.get() {
             Condition::Down => return Ok(()),
-            Condition::Crowded => {
-                sleep(REJECTED_AFTER).await;
-                return stream.write_all(BUSY.as_bytes()).await;
+            Condition::Overloaded => {
+                sleep(REJECTION_DELAY).await;
+                return stream.write_all(UNAVAILABLE_RESPONSE.as_bytes()).await;
             }
             Condition::Serving(delay) => sleep(delay).await,
         }
-        stream.write_all(HEAD.as_bytes()).await?;
-        // From here on it is a watch, and may fall silent or be reset with the others.
+        stream.write_all(RESPONSE_HEAD.as_bytes()).await?;
+        // From here on the call is a watch that later interruptions may stall or close.
         let number = self.watches.get() + 1;
         self.watches.set(number);
         let mut interruptions = self.interruptions.subscribe();
         tokio::select! {
             ended = self.watch(process, number, from, stream) => ended,
-            _ = interruptions.wait_for(|now| now.reset_before >= number) => Ok(()),
+            _ = interruptions.wait_for(|now| now.reset_up_to >= number) => Ok(()),
         }
     }
 
@@ -214,28 +218,32 @@
         let incarnation = self.judge.incarnation(process);
         let mut version = self.version.subscribe();
         loop {
-            if self.interruptions.borrow().silent_before >= number {
+            if self.interruptions.borrow().stalled_up_to >= number {
                 return std::future::pending().await;
             }
-            let newest = *version.borrow_and_update();
-            let line = if newest > from { self.changes(process, from, newest) } else { String::new() };
-            from = newest;
+            let newest_version = *version.borrow_and_update();
+            let line = if newest_version > from {
+                self.changes_since(process, from, newest_version)
+            } else {
+                String::new()
+            };
+            from = newest_version;
             let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
-            // A proxy counts as notified from the first byte on.
-            if !self.judge.list_written(process, incarnation, newest) {
+            // Recorded before the write: a proxy counts as notified from the first byte on.
+            if !self.judge.list_written(process, incarnation, newest_version) {
                 return Ok(());
             }
-            self.written_versions.borrow_mut()[process] = newest;
+            self.written_versions.borrow_mut()[process] = newest_version;
             stream.write_all(chunk.as_bytes()).await?;
             let _ = timeout(KEEPALIVE_INTERVAL, version.changed()).await;
         }
     }
 
-    fn changes(&self, process: usize, from: u64, version: u64) -> String {
-        let newest = (0..self.members.len()).map(|member| (member, self.newest(member)));
-        let changed = newest.filter(|(_, entry)| entry.version > from);
+    fn changes_since(&self, process: usize, from: u64, version: u64) -> String {
+        let entries = (0..self.members.len()).map(|member| (member, self.newest_entry(member)));
+        let changed = entries.filter(|(_, entry)| entry.version > from);
         let servers: Vec<String> =
-            changed.map(|(member, entry)| self.list_line(process, member, entry)).collect();
+            changed.map(|(member, entry)| self.list_entry(process, member, entry)).collect();
         format!(r#"{{"version":{version},"full":false,"servers":[{}]}}"#, servers.join(","))
     }
 }
--- a/crates/standins/src/soak/judge/intervals.rs
+++ b/crates/standins/src/soak/judge/intervals.rs
@@ -1,21 +1,21 @@
-//! Times in which something was so, such as an outage of discovery or a suspension of a proxy.
+//! Intervals of time, such as outages of discovery or suspensions of a proxy.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Intervals in the order of their time. The last one may be open: it still lasts.
+/// Intervals in chronological order. The last one may still be open.
 #[derive(Clone, Default)]
 pub(super) struct Intervals(Vec<Interval>);
 
 #[derive(Clone, Copy)]
 struct Interval {
     begin: Instant,
-    /// `None` while it lasts.
+    /// `None` while the interval is open.
     end: Option<Instant>,
 }
 
 impl Intervals {
-    /// Opens an interval, or closes the open one, unless that is so already.
+    /// Opens a new interval or closes the open one. Has no effect if the state is already as requested.
     pub(super) fn set_open(&mut self, is_open: bool) {
         let now = Instant::now();
         let open = self.0.last_mut().filter(|interval| interval.end.is_none());
@@ -26,7 +26,7 @@
         }
     }
 
-    /// How much of the time between two moments the intervals cover.
+    /// Returns how much of the time between `from` and `to` the intervals cover.
     pub(super) fn covered(&self, from: Instant, to: Instant) -> Duration {
         let overlap = |interval: &Interval| {
             let end = interval.end.unwrap_or(to).min(to);
@@ -35,16 +35,17 @@
         self.0.iter().map(overlap).sum()
     }
 
-    /// The moment at which `length` outside the intervals has passed since `from`. An open interval lasts until `now`.
-    pub(super) fn moment_after(&self, from: Instant, length: Duration, now: Instant) -> Instant {
-        let mut moment = from + length;
+    /// Returns the time at which `length` has elapsed since `from`, not counting the intervals. An open interval
+    /// counts as lasting until `now`.
+    pub(super) fn time_after_excluding(&self, from: Instant, length: Duration, now: Instant) -> Instant {
+        let mut time = from + length;
         for interval in &self.0 {
-            if interval.begin >= moment {
+            if interval.begin >= time {
                 break;
             }
             let end = interval.end.unwrap_or(now);
-            moment += end.saturating_duration_since(interval.begin.max(from));
+            time += end.saturating_duration_since(interval.begin.max(from));
         }
-        moment
+        time
     }
 }
--- a/crates/standins/src/soak/judge/list_history.rs
+++ b/crates/standins/src/soak/judge/list_history.rs
@@ -1,16 +1,17 @@
-//! What discovery's list said of each member, and when each proxy was notified of it. It records what discovery did, and
-//! must never assume what a proxy made of that.
+//! Records the changes of each member in discovery's list, and when each proxy was notified of them. Only discovery's
+//! actions are recorded; how a proxy handled a list must not be assumed.
 
 use super::intervals::Intervals;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A proxy counts as notified of a change at the latest so long after it, while discovery can be reached.
-const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
-/// A process that can't reach discovery after its start goes on with its saved list after this time.
-const OUTAGE_AT_START: Duration = Duration::from_secs(12);
+/// Time after a change at which a proxy counts as notified even if no list was written to it. Outages of discovery
+/// are excluded.
+const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time after a start without discovery from which a proxy uses its saved list.
+const SAVED_LIST_DELAY: Duration = Duration::from_secs(12);
 
-/// A change of a member in the list.
+/// A change of a member's state in the list.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MemberChange {
     pub(super) version: u64,
@@ -18,26 +19,26 @@
     pub(super) is_in_service: bool,
 }
 
-/// A list that discovery wrote to a proxy.
+/// A list version that discovery wrote to a proxy.
 struct Notification {
     version: u64,
     at: Instant,
 }
 
-/// What is recorded of one proxy.
+/// Recorded state of one proxy.
 struct ProxyRecord {
-    /// Counts its starts and ends.
+    /// Counts starts and ends.
     incarnation: u64,
     started_at: Instant,
-    /// What this incarnation was notified of. The first one is its saved list.
+    /// Lists that this incarnation received. The first one is its saved list.
     notifications: Vec<Notification>,
 }
 
 pub(super) struct ListHistory {
-    /// By member.
+    /// Changes of each member, oldest first.
     changes: Vec<Vec<MemberChange>>,
     proxies: Vec<ProxyRecord>,
-    /// When discovery could not be reached.
+    /// Intervals in which discovery could not be reached.
     pub(super) outages: Intervals,
 }
 
@@ -60,7 +61,8 @@
         self.proxies[process].incarnation
     }
 
-    /// Records that a list was written to this incarnation, unless that is over. Returns whether it lives.
+    /// Records that a list was written to this incarnation, unless the incarnation has ended. Returns whether it
+    /// still runs.
     pub(super) fn record_list(&mut self, process: usize, incarnation: u64, version: u64) -> bool {
         let proxy = &mut self.proxies[process];
         let is_current = proxy.incarnation == incarnation;
@@ -70,7 +72,8 @@
         is_current
     }
 
-    /// Records the start of a proxy with a saved list of this version. What it was notified of before is void.
+    /// Records the start of a proxy with a saved list of this version. Notifications of its earlier incarnations are
+    /// discarded.
     pub(super) fn record_start(&mut self, process: usize, version: u64) {
         self.record_end(process);
         let now = Instant::now();
@@ -83,17 +86,19 @@
         self.proxies[process].incarnation += 1;
     }
 
-    /// Whether a proxy goes on with its saved list, since it could not reach discovery for so long after its start. That
-    /// it does is the project's decision (`docs/design/list-lease.md`), against the letter of the rule.
+    /// Whether a proxy may use its saved list: it received no other list in at least [`SAVED_LIST_DELAY`] since its
+    /// start, and discovery had an outage in that time. The project permits this (`docs/design/list-lease.md`),
+    /// against the letter of the platform's rule.
     pub(super) fn started_into_outage(&self, process: usize, at: Instant) -> bool {
         let proxy = &self.proxies[process];
         let was_never_notified = proxy.notifications.len() <= 1;
         let outage = self.outages.covered(proxy.started_at, at);
-        was_never_notified && !outage.is_zero() && at.duration_since(proxy.started_at) >= OUTAGE_AT_START
+        was_never_notified && !outage.is_zero() && at.duration_since(proxy.started_at) >= SAVED_LIST_DELAY
     }
 
-    /// The changes by which a member left service, that a proxy was notified of by `now`, and of which it was not notified
-    /// that they are over; with the moment of its notification.
+    /// Returns the changes by which a member left service, with the time at which the proxy was notified of each.
+    /// Includes only changes that the proxy was notified of by `now`, and excludes those followed by a return to
+    /// service that it was also notified of.
     pub(super) fn notified_departures(
         &self, process: usize, member: usize, now: Instant,
     ) -> impl Iterator<Item = (&MemberChange, Instant)> {
@@ -101,14 +106,14 @@
         let departures = changes.iter().enumerate().filter(|(_, change)| !change.is_in_service);
         departures.filter_map(move |(index, change)| {
             let notified_at = self.notified_at(process, change, now)?;
-            let is_back = changes[index + 1..]
+            let has_returned = changes[index + 1..]
                 .iter()
                 .any(|later| later.is_in_service && self.notified_at(process, later, now).is_some());
-            (!is_back).then_some((change, notified_at))
+            (!has_returned).then_some((change, notified_at))
         })
     }
 
-    /// When a proxy counts as notified of a change, if it does by `now`.
+    /// Returns when a proxy counts as notified of a change, if it does by `now`.
     fn notified_at(&self, process: usize, change: &MemberChange, now: Instant) -> Option<Instant> {
         let notifications = self.proxies[process].notifications.iter();
         let by_list = notifications
@@ -116,9 +121,9 @@
             .map(|notification| notification.at)
             .min()
             .map(|at| at.max(change.made_at));
-        // Time in which discovery can't be reached does not count.
-        let due = self.outages.moment_after(change.made_at, NOTIFIED_WITHIN, now);
-        let by_rule = Some(due).filter(|due| *due <= now);
-        by_list.into_iter().chain(by_rule).min()
+        // Outages of discovery do not count.
+        let due = self.outages.time_after_excluding(change.made_at, NOTIFICATION_TIMEOUT, now);
+        let by_timeout = Some(due).filter(|due| *due <= now);
+        by_list.into_iter().chain(by_timeout).min()
     }
 }
--- a/crates/standins/src/soak/judge/mod.rs
+++ b/crates/standins/src/soak/judge/mod.rs
@@ -1,5 +1,6 @@
-//! The judge of a soak. It looks from outside, at what members, discovery and clients saw, and must know nothing of how a
-//! proxy decides. Its rules are the platform's, with the platform's slack; what its own thread was late by is added.
+//! Checks a soak from outside, by the observations of members, discovery and clients; it must not use knowledge of
+//! how a proxy decides. The rules and their tolerances are the platform's. Lateness of the judge's own thread is
+//! added to each tolerance.
 
 mod intervals;
 mod list_history;
@@ -11,39 +12,39 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// No attempt reaches a member later than this after its proxy was notified that it drains or is gone.
+/// Time after a proxy was notified that a member drains or is gone, from which no attempt may reach that member.
 pub const DRAIN_GRACE: Duration = Duration::from_secs(2);
-/// Every limit is longer by this on sockets.
+/// Tolerance that is added to every limit, for delays of sockets.
 const SOCKET_SLACK: Duration = Duration::from_millis(50);
-/// A proxy may be held up for so long between reading its clock and writing.
-const HOLD_UP: Duration = Duration::from_millis(150);
-/// No attempt begins later than this after its client's close.
+/// Maximum hold-up of a proxy between reading its clock and writing.
+const MAX_HOLD_UP: Duration = Duration::from_millis(150);
+/// Time after a client closed its connection from which no attempt may begin.
 const SENT_AFTER_CLOSE_MAX: Duration = Duration::from_millis(100);
-/// What a request is answered late by at most.
-const LATE_ANSWER: Duration = Duration::from_millis(500);
-/// The connection of a client that stops in the middle of a message ends within this time.
-const STOPPED_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// A keyed write may be repeated for so long after its first attempt began.
-const KEY_WINDOW: Duration = Duration::from_secs(5);
-/// After a suspension, an answer may be late by its length and this.
-const AFTER_SUSPENSION: Duration = Duration::from_secs(1);
-/// For how long lateness of the judge's own thread is remembered.
-const LATENESS_KEPT: Duration = Duration::from_secs(2);
+/// Maximum delay of a final answer after the request's deadline.
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(500);
+/// Time within which a proxy must close the connection of a client that stalled within a message.
+const STALLED_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after the first attempt of a keyed write within which the write may be retried.
+const KEYED_RETRY_WINDOW: Duration = Duration::from_secs(5);
+/// Additional delay of an answer that is permitted after a suspension, beyond the suspension itself.
+const SUSPENSION_ALLOWANCE: Duration = Duration::from_secs(1);
+/// How long lateness of the judge's own thread is taken into account.
+const LATENESS_WINDOW: Duration = Duration::from_secs(2);
 
-/// A rule that was broken.
+/// Violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule.
+    /// Name of the rule.
     pub rule: &'static str,
-    /// Which proxy and request, and when, in a line to read.
+    /// Description that names the time, the proxy and the request.
     pub text: String,
 }
 
-/// What is known of a request from its client and from members.
+/// State of a request, as reported by its client and by members.
 struct JudgedRequest {
     process: usize,
     written_at: Instant,
-    /// Its deadline, from `written_at` on.
+    /// Time from `written_at` to the deadline.
     time_left: Duration,
     closed_at: Option<Instant>,
     answered_at: Option<Instant>,
@@ -51,55 +52,55 @@
     is_write: bool,
 }
 
-/// An attempt that reached a member.
+/// An attempt that a member received.
 #[derive(Clone, Debug)]
 pub struct ObservedAttempt {
-    /// The proxy that sent it.
+    /// The sending proxy.
     pub process: usize,
-    /// The member that received it.
+    /// The receiving member.
     pub member: usize,
     /// The request's id.
     pub id: String,
-    /// The time left to the deadline that the attempt names, in milliseconds.
-    pub left_ms: u64,
-    /// When it was received.
+    /// Time to the deadline that the attempt states, in milliseconds.
+    pub time_left_ms: u64,
+    /// Time of receipt.
     pub at: Instant,
 }
 
-/// What was counted.
+/// Counters of a soak.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Requests written by clients.
+    /// Requests that clients wrote.
     pub requests: u64,
-    /// Of those, served.
+    /// Requests that were served.
     pub served: u64,
-    /// Of those, rejected or failed.
+    /// Requests that were rejected or failed.
     pub rejected: u64,
-    /// Attempts that reached members.
+    /// Attempts that members received.
     pub attempts: u64,
-    /// Clients that stopped in the middle of a message.
-    pub stopped_clients: u64,
-    /// Clients that left before their answer.
-    pub left_clients: u64,
-    /// Attempts at drained members by processes that had started into an outage, and not reached discovery for 12 s.
+    /// Clients that stalled within a message.
+    pub stalled_clients: u64,
+    /// Requests whose client disconnected before the answer.
+    pub disconnected_clients: u64,
+    /// Attempts at drained members by proxies that started during an outage and had not reached discovery for 12 s.
     pub sends_after_start_in_outage: u64,
 }
 
-/// The judge. Everything that it is notified of is taken to happen now.
+/// The judge. Each reported event is taken to happen at the time of the call.
 pub struct Judge {
     started: Instant,
     lists: RefCell<ListHistory>,
-    /// When each proxy did not run.
+    /// Suspensions of each proxy.
     suspensions: RefCell<Vec<Intervals>>,
     requests: RefCell<BTreeMap<String, JudgedRequest>>,
-    /// By how much the judge's own thread was late, and when.
+    /// Lateness of the judge's own thread, with the time of each measurement.
     lateness: RefCell<VecDeque<(Instant, Duration)>>,
     violations: RefCell<Vec<Violation>>,
     counts: Cell<Counts>,
 }
 
 impl Judge {
-    /// A judge of this many proxies and members. All members are in service.
+    /// Creates a judge for this many proxies and members. All members are in service.
     pub fn new(processes: usize, members: usize) -> Judge {
         Judge {
             started: Instant::now(),
@@ -112,28 +113,28 @@
         }
     }
 
-    /// The rules that were broken, in the order of time.
+    /// Violations in chronological order.
     pub fn violations(&self) -> Vec<Violation> {
         self.violations.borrow().clone()
     }
 
-    /// What was counted.
+    /// Counters of a soak.
     pub fn counts(&self) -> Counts {
         self.counts.get()
     }
 
-    /// Changes what is counted.
+    /// Updates the counters.
     fn count(&self, change: impl FnOnce(&mut Counts)) {
         let mut counts = self.counts.get();
         change(&mut counts);
         self.counts.set(counts);
     }
 
-    /// Records by how much the judge's own thread was late, which no proxy is to blame for.
+    /// Records lateness of the judge's own thread, which is not a proxy's fault.
     pub fn record_lateness(&self, late_by: Duration) {
         let mut lateness = self.lateness.borrow_mut();
         let now = Instant::now();
-        while lateness.front().is_some_and(|(at, _)| now.duration_since(*at) > LATENESS_KEPT) {
+        while lateness.front().is_some_and(|(at, _)| now.duration_since(*at) > LATENESS_WINDOW) {
             lateness.pop_front();
         }
         lateness.push_back((now, late_by));
@@ -144,29 +145,30 @@
         SOCKET_SLACK + late
     }
 
-    /// Records a violation, also one that others saw.
-    pub fn report(&self, rule: &'static str, text: String) {
+    /// Records a violation; members, clients and the soak also call it for what they observe themselves.
+    pub fn record_violation(&self, rule: &'static str, text: String) {
         let at = self.started.elapsed().as_secs_f64();
         self.violations.borrow_mut().push(Violation { rule, text: format!("{at:.3} s: {text}") });
     }
 
-    /// Records a new version of discovery's list: this member is in service, or drains or is gone.
+    /// Records a new version of the list: this member is in service, or it drains or is gone.
     pub fn member_changed(&self, member: usize, version: u64, is_in_service: bool) {
         self.lists.borrow_mut().record_change(member, version, is_in_service);
     }
 
-    /// The number of a proxy's starts and ends, which names its present incarnation.
+    /// Returns the number of a proxy's starts and ends so far, which identifies the present incarnation.
     pub fn incarnation(&self, process: usize) -> u64 {
         self.lists.borrow().incarnation(process)
     }
 
-    /// Records that discovery wrote a list of this version to a proxy, on a connection that is not silent and that was
-    /// made by this incarnation. Returns whether the incarnation lives.
+    /// Records that discovery wrote a list of this version to a proxy, on an open connection of this incarnation.
+    /// Returns whether the incarnation still runs.
     pub fn list_written(&self, process: usize, incarnation: u64, version: u64) -> bool {
         self.lists.borrow_mut().record_list(process, incarnation, version)
     }
 
-    /// Records the start of a proxy with a saved list of this version. What it was notified of before is void.
+    /// Records the start of a proxy with a saved list of this version. Notifications of its earlier incarnations are
+    /// discarded.
     pub fn process_started(&self, process: usize, version: u64) {
         self.lists.borrow_mut().record_start(process, version);
     }
@@ -176,22 +178,22 @@
         self.lists.borrow_mut().record_end(process);
     }
 
-    /// Sets whether discovery can be reached, from now on.
+    /// Sets whether discovery can be reached.
     pub fn set_discovery_reachable(&self, is_reachable: bool) {
         self.lists.borrow_mut().outages.set_open(!is_reachable);
     }
 
-    /// Sets whether a proxy is suspended, from now on.
+    /// Sets whether a proxy is suspended.
     pub fn set_suspended(&self, process: usize, is_suspended: bool) {
         self.suspensions.borrow_mut()[process].set_open(is_suspended);
     }
 
-    /// For how long a proxy was suspended since `from`.
+    /// Returns for how long a proxy was suspended since `from`.
     pub fn suspended_since(&self, process: usize, from: Instant) -> Duration {
         self.suspensions.borrow()[process].covered(from, Instant::now())
     }
 
-    /// Judges an attempt that reached a member.
+    /// Checks an attempt that a member received.
     pub fn judge_attempt(&self, attempt: &ObservedAttempt) {
         self.count(|counts| counts.attempts += 1);
         self.judge_drain(attempt);
@@ -212,36 +214,39 @@
             }
             let version = change.version;
             let text = format!(
-                "proxy {process} sent {id} to member {member} {age:?} after it was notified of version {version}"
+                "proxy {process} sent {id} to member {member} {age:?} after it was notified of list version {version}"
             );
-            self.report("drain", text);
+            self.record_violation("drain", text);
         }
     }
 
     fn judge_by_request(&self, attempt: &ObservedAttempt) {
         let mut requests = self.requests.borrow_mut();
         let Some(request) = requests.get_mut(&attempt.id) else { return };
-        let ObservedAttempt { id, at, left_ms, .. } = attempt;
+        let ObservedAttempt { id, at, time_left_ms, .. } = attempt;
         let slack = self.slack();
         let since_close = request.closed_at.map(|closed_at| at.saturating_duration_since(closed_at));
         if let Some(age) = since_close.filter(|age| *age > SENT_AFTER_CLOSE_MAX + slack) {
-            self.report("lost", format!("{id} was sent {age:?} after its client had left"));
+            self.record_violation("lost", format!("{id} was sent {age:?} after its client had disconnected"));
         }
         let since_answer = request.answered_at.map(|answered_at| at.saturating_duration_since(answered_at));
         if let Some(age) = since_answer.filter(|age| *age > slack) {
-            self.report("after-answer", format!("{id} was sent {age:?} after its answer"));
+            self.record_violation("after-answer", format!("{id} was sent {age:?} after its final answer"));
         }
-        let left = request.time_left.saturating_sub(at.duration_since(request.written_at));
-        if Duration::from_millis(*left_ms) > left + HOLD_UP + slack {
-            self.report("deadline", format!("{id} was sent with {left_ms} ms, {left:?} were left"));
+        let remaining = request.time_left.saturating_sub(at.duration_since(request.written_at));
+        if Duration::from_millis(*time_left_ms) > remaining + MAX_HOLD_UP + slack {
+            self.record_violation(
+                "deadline",
+                format!("{id} was sent with {time_left_ms} ms to its deadline, but {remaining:?} remained"),
+            );
         }
         let age = at.duration_since(*request.first_attempt_at.get_or_insert(*at));
-        if request.is_write && age > KEY_WINDOW + slack {
-            self.report("duplicate", format!("{id} was repeated {age:?} after its first attempt"));
+        if request.is_write && age > KEYED_RETRY_WINDOW + slack {
+            self.record_violation("duplicate", format!("{id} was retried {age:?} after its first attempt"));
         }
     }
 
-    /// Records that a client wrote the last byte of a request, which names this deadline.
+    /// Records that a client wrote the last byte of a request with this time to its deadline.
     pub fn request_written(&self, id: &str, process: usize, time_left: Duration, is_write: bool) {
         self.count(|counts| counts.requests += 1);
         let request = JudgedRequest {
@@ -257,15 +262,15 @@
     }
 
     /// Records that a client closed its connection while this request was open.
-    pub fn client_left(&self, id: &str) {
-        self.count(|counts| counts.left_clients += 1);
+    pub fn client_disconnected(&self, id: &str) {
+        self.count(|counts| counts.disconnected_clients += 1);
         if let Some(request) = self.requests.borrow_mut().get_mut(id) {
             request.closed_at = Some(Instant::now());
         }
     }
 
-    /// Judges the time of a request's final answer. The request before it on its connection was answered at
-    /// `previous_answer_at`: the wait for that does not count.
+    /// Checks the time of a request's final answer. The preceding request on its connection was answered at
+    /// `previous_answer_at`; time until then does not count.
     pub fn judge_answer(&self, id: &str, is_served: bool, previous_answer_at: Instant) {
         self.count(|counts| if is_served { counts.served += 1 } else { counts.rejected += 1 });
         let mut requests = self.requests.borrow_mut();
@@ -274,25 +279,29 @@
         request.answered_at = Some(now);
         let process = request.process;
         let suspended = self.suspended_since(process, request.written_at);
-        let allowance = if suspended.is_zero() { Duration::ZERO } else { suspended + AFTER_SUSPENSION };
+        let allowance = if suspended.is_zero() { Duration::ZERO } else { suspended + SUSPENSION_ALLOWANCE };
         let since = request.written_at.max(previous_answer_at);
-        let late = now.duration_since(since).saturating_sub(request.time_left + LATE_ANSWER + allowance);
+        let late = now.duration_since(since).saturating_sub(request.time_left + MAX_ANSWER_DELAY + allowance);
         if late > self.slack() {
-            self.report("lost", format!("{id} at proxy {process} was answered {late:?} after its time"));
+            self.record_violation(
+                "lost",
+                format!("{id} at proxy {process} was answered {late:?} after its permitted time"),
+            );
         }
     }
 
-    /// Judges the end of the connection of a client that stopped in the middle of a message at `stopped_at`: it ended now,
-    /// or it has not ended.
-    pub fn judge_stopped_client(&self, process: usize, stopped_at: Instant, has_ended: bool) {
-        self.count(|counts| counts.stopped_clients += 1);
-        let took = stopped_at.elapsed();
-        if !self.suspended_since(process, stopped_at).is_zero() {
+    /// Checks the connection of a client that stalled within a message at `stalled_at`: it has ended now, or it is
+    /// still open.
+    pub fn judge_stalled_client(&self, process: usize, stalled_at: Instant, has_ended: bool) {
+        self.count(|counts| counts.stalled_clients += 1);
+        let took = stalled_at.elapsed();
+        if !self.suspended_since(process, stalled_at).is_zero() {
             return;
         }
-        if !has_ended || took > STOPPED_CLIENT_TIMEOUT + self.slack() {
-            let text = format!("proxy {process}: its end after {took:?}, ended: {has_ended}");
-            self.report("stopped-client", text);
+        if !has_ended || took > STALLED_CLIENT_TIMEOUT + self.slack() {
+            let text =
+                format!("proxy {process}: connection of a stalled client after {took:?}, ended: {has_ended}");
+            self.record_violation("stopped-client", text);
         }
     }
 }
--- a/crates/standins/src/soak/member.rs
+++ b/crates/standins/src/soak/member.rs
@@ -1,5 +1,5 @@
-//! A stand-in member. It serves what it receives, reports each attempt to the judge, and hangs or resets connections as
-//! the schedule says. Every proxy reaches it at an address of its own, so that it knows which one sent what.
+//! A simulated member. It answers statements, reports each attempt to the judge, and hangs or resets connections as
+//! the schedule says. It listens at a separate address for each proxy, which identifies the sender of an attempt.
 
 use super::judge::{Judge, ObservedAttempt};
 use super::wire;
@@ -14,10 +14,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How long a statement takes.
-const WORK: Duration = Duration::from_millis(4);
-/// The end of an earlier attempt may be seen so much later than the next attempt.
-const END_SEEN_WITHIN: Duration = Duration::from_millis(150);
+/// Time to process a statement.
+const PROCESSING_TIME: Duration = Duration::from_millis(4);
+/// Time by which the end of an earlier attempt may be observed after the next attempt.
+const MAX_END_DELAY: Duration = Duration::from_millis(150);
 
 /// The attempts in flight at all members.
 #[derive(Default)]
@@ -27,7 +27,7 @@
 }
 
 struct OpenAttempt {
-    /// Numbers attempts in the order in which they reached members.
+    /// Sequence number in the order in which members received attempts.
     number: u64,
     member: usize,
 }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The member of an attempt of this request that began before the one of this number.
+    /// Returns the member of an attempt of this request that began before attempt `number`, if one is in flight.
     fn earlier_member(&self, id: &str, number: u64) -> Option<usize> {
         let by_request = self.by_request.borrow();
         let attempts = by_request.get(id)?;
@@ -59,29 +59,29 @@
     }
 }
 
-/// One stand-in member.
+/// A simulated member.
 pub struct Member {
-    /// Its place among the members.
+    /// Index among the members.
     pub index: usize,
-    /// Its group.
+    /// Index of the group.
     pub group: usize,
-    /// Whether it accepts writes.
+    /// Whether the member accepts writes.
     pub is_primary: bool,
-    /// Where each proxy reaches it.
+    /// Address of the member for each proxy.
     pub addresses: Vec<SocketAddr>,
-    /// It answers nothing before this.
+    /// The member sends no answers before this time.
     pub hangs_until: Cell<Option<Instant>>,
-    /// Counts resets: each change ends all connections.
+    /// Counts resets: each change closes all connections.
     pub resets: watch::Sender<u32>,
     judge: Rc<Judge>,
     open: Rc<OpenAttempts>,
 }
 
 impl Member {
-    /// Starts a member that listens for this many proxies.
+    /// Starts a member that listens on one port per proxy.
     ///
     /// # Errors
-    /// A port could not be bound.
+    /// Fails if a port cannot be bound.
     pub async fn start(
         index: usize, group: usize, is_primary: bool, processes: usize, judge: Rc<Judge>,
         open: Rc<OpenAttempts>,
@@ -118,52 +118,59 @@
         stream.set_nodelay(true)?;
         wire::read_startup(&mut stream).await?;
         self.hang().await;
-        wire::write(&mut stream, &wire::welcome()).await?;
+        wire::write(&mut stream, &wire::startup_response()).await?;
         loop {
             let statement = wire::read_query(&mut stream).await?;
-            let Some(id) = wire::field(&statement, "id").map(str::to_string) else {
-                let answer = wire::row(&self.report(), self.is_primary, unix_ms());
+            let Some(id) = wire::comment_field(&statement, "id").map(str::to_string) else {
+                let answer = wire::row_response(&self.health_report(), self.is_primary, unix_ms());
                 wire::write(&mut stream, &answer).await?;
                 continue;
             };
             let _in_flight = self.begin_attempt(process, &id, &statement);
-            // A proxy that cancels an attempt closes its connection: the end is seen at once.
+            // A proxy cancels an attempt by closing its connection, which ends the attempt at once.
             tokio::select! {
-                () = self.work() => {}
-                ended = closed(&stream) => return ended,
+                () = self.process_statement() => {}
+                ended = wait_for_close(&stream) => return ended,
             }
             let answer = match statement.contains("INSERT") && !self.is_primary {
-                true => wire::error("25006", self.is_primary, unix_ms()),
-                false => wire::row(&id, self.is_primary, unix_ms()),
+                true => wire::error_response("25006", self.is_primary, unix_ms()),
+                false => wire::row_response(&id, self.is_primary, unix_ms()),
             };
             wire::write(&mut stream, &answer).await?;
         }
     }
 
-    /// Reports an attempt to the judge, and reports it as a violation if another one of its request stays in flight.
+    /// Reports an attempt to the judge. Records a violation if an earlier attempt of the same request is still in
+    /// flight after [`MAX_END_DELAY`].
     fn begin_attempt(&self, process: usize, id: &str, statement: &str) -> InFlightGuard {
-        let left_ms = wire::field(statement, "d").and_then(|left| left.parse().ok()).unwrap_or(0);
-        let attempt =
-            ObservedAttempt { process, member: self.index, id: id.to_string(), left_ms, at: Instant::now() };
+        let time_left_ms =
+            wire::comment_field(statement, "d").and_then(|left| left.parse().ok()).unwrap_or(0);
+        let attempt = ObservedAttempt {
+            process,
+            member: self.index,
+            id: id.to_string(),
+            time_left_ms,
+            at: Instant::now(),
+        };
         self.judge.judge_attempt(&attempt);
         let number = self.open.open(id, self.index);
         if self.open.earlier_member(id, number).is_some() {
             let (open, judge, id) = (self.open.clone(), self.judge.clone(), id.to_string());
             let member = self.index;
             spawn_local(async move {
-                sleep(END_SEEN_WITHIN).await;
+                sleep(MAX_END_DELAY).await;
                 if let Some(earlier) = open.earlier_member(&id, number) {
                     let text =
                         format!("{id} was sent to member {member} while in flight at member {earlier}");
-                    judge.report("one-attempt", text);
+                    judge.record_violation("one-attempt", text);
                 }
             });
         }
         InFlightGuard { id: id.to_string(), number, open: self.open.clone() }
     }
 
-    async fn work(&self) {
-        sleep(WORK).await;
+    async fn process_statement(&self) {
+        sleep(PROCESSING_TIME).await;
         self.hang().await;
     }
 
@@ -173,13 +180,13 @@
         }
     }
 
-    fn report(&self) -> String {
+    fn health_report(&self) -> String {
         let now = unix_ms();
         format!("x0={}.{:03},x1={}", now / 1_000, now % 1_000, u8::from(self.is_primary))
     }
 }
 
-/// Keeps an attempt among those in flight until it is dropped, also where the connection's task is cancelled.
+/// Marks an attempt as in flight until it is dropped, which also happens when the connection's task is cancelled.
 struct InFlightGuard {
     id: String,
     number: u64,
@@ -192,8 +199,8 @@
     }
 }
 
-/// Returns, with an error, once the other side has closed or written: it must do neither before its answer.
-async fn closed(stream: &TcpStream) -> io::Result<()> {
+/// Returns an error once the peer has closed the connection or sent data, which it must not do before the answer.
+async fn wait_for_close(stream: &TcpStream) -> io::Result<()> {
     stream.peek(&mut [0; 1]).await?;
     Err(io::ErrorKind::ConnectionAborted.into())
 }
--- a/crates/standins/src/soak/mod.rs
+++ b/crates/standins/src/soak/mod.rs
@@ -1,5 +1,6 @@
-//! A soak: a few dozen real proxies before stand-in members, discovery and clients, with random faults that overlap, from
-//! one seed. It is judged from outside by the platform's rules, and by the proxies' own invariants; never by their metrics.
+//! A soak test: real proxies with simulated members, discovery and clients, under overlapping random faults from one
+//! seed. It is checked from outside by the platform's rules, and by the invariants that the proxies check themselves;
+//! their metrics are not used.
 
 pub mod client;
 pub mod discovery;
@@ -23,37 +24,37 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Groups of members.
+/// Number of groups.
 const GROUPS: usize = 3;
-/// Members of each group. The first one is its primary.
+/// Members per group. The first one is the primary.
 const GROUP_MEMBERS: usize = 3;
-/// Clients of each proxy.
+/// Clients per proxy.
 const CLIENTS: usize = 3;
-/// Fleet sizes that the proxies' settings name, at least: the seed chooses one.
+/// Fleet sizes in the proxies' settings; the seed selects one. The number of proxies is the minimum.
 const FLEET_SIZES: [usize; 3] = [1, 300, 900];
-/// How often the judge's own lateness is measured.
+/// Interval at which the lateness of the judge's thread is measured.
 const LATENESS_INTERVAL: Duration = Duration::from_millis(10);
-/// After the last fault, every open request and connection ends within this time.
+/// Time after the last fault within which all open requests and connections must end.
 const SETTLING_TIMEOUT: Duration = Duration::from_secs(12);
-/// For how long discovery is slow.
-const SLOW_FOR: Duration = Duration::from_secs(5);
-/// Over how long the soak looks for requests that are served after the last fault.
+/// Duration of slow discovery.
+const SLOW_DISCOVERY_DURATION: Duration = Duration::from_secs(5);
+/// Time within which at least one request must be served after the last fault.
 const PROGRESS_WINDOW: Duration = Duration::from_secs(1);
-/// Violations, and log lines, that a report prints in full.
+/// Maximum number of violations, and of log lines, in a report's text.
 const PRINTED_MAX: usize = 12;
 
-/// What a soak plays.
+/// Configuration of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakConfig {
-    /// The program of the proxies.
+    /// Path of the proxy's executable.
     pub program: PathBuf,
-    /// The proxies' configuration; see [`ProcessConfig::template`].
+    /// Template of the proxies' configuration; see [`ProcessConfig::template`].
     pub template: String,
-    /// Where configurations and logs go.
+    /// Directory for configurations and logs.
     pub folder: PathBuf,
-    /// Draws the faults and what clients do.
+    /// Seed for the faults and the clients' behaviour.
     pub seed: u64,
-    /// From the start until the last fault begins, at most.
+    /// Maximum time from the start of the soak to its last fault.
     pub length: Duration,
     /// Number of proxies.
     pub processes: usize,
@@ -62,25 +63,25 @@
 /// The result of a soak.
 #[derive(Debug)]
 pub struct SoakReport {
-    /// The faults that were played.
+    /// Scheduled faults.
     pub schedule: Schedule,
-    /// The rules that were broken.
+    /// Violated rules.
     pub violations: Vec<Violation>,
-    /// What was counted.
+    /// Counters.
     pub counts: Counts,
-    /// Lines of the proxies' logs on violated invariants or panics.
+    /// Log lines of the proxies about violated invariants or panics.
     pub invariant_lines: Vec<String>,
-    /// Number of log lines on the list lease: confirmed, expired, sends withheld.
+    /// Number of log lines about the list lease: confirmed, expired, sends withheld.
     pub lease_lines: usize,
 }
 
 impl SoakReport {
-    /// Whether no rule was broken, and at least one request was served.
+    /// Whether no rule was violated and at least one request was served.
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty() && self.invariant_lines.is_empty() && self.counts.served > 0
     }
 
-    /// A text to read: the seed, the counts, the broken rules, and if there are any all faults.
+    /// Summary with the seed, the counters and the violations. Lists all faults if the soak failed.
     pub fn text(&self) -> String {
         let mut lines = vec![format!(
             "seed {}: {} faults, {:?}",
@@ -89,7 +90,7 @@
             self.counts
         )];
         lines.push(format!(
-            "{} violations, {} lines of invariants",
+            "{} violations, {} log lines about invariants or panics",
             self.violations.len(),
             self.invariant_lines.len()
         ));
@@ -108,16 +109,16 @@
     }
 }
 
-/// Plays a soak to its end.
+/// Runs a soak to its end.
 ///
 /// # Errors
-/// A port, a file or a process could not be opened.
+/// Fails if a port, a file or a process cannot be opened.
 pub fn run(config: SoakConfig) -> io::Result<SoakReport> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    runtime.block_on(LocalSet::new().run_until(play(config)))
+    runtime.block_on(LocalSet::new().run_until(run_soak(config)))
 }
 
-/// The stand-ins, the proxies and the judge.
+/// The simulated services, the proxies and the judge.
 struct Soak {
     judge: Rc<Judge>,
     members: Vec<Rc<Member>>,
@@ -126,7 +127,7 @@
     is_over: Rc<Cell<bool>>,
 }
 
-async fn play(config: SoakConfig) -> io::Result<SoakReport> {
+async fn run_soak(config: SoakConfig) -> io::Result<SoakReport> {
     let size =
         SoakSize { processes: config.processes, members: GROUPS * GROUP_MEMBERS, length: config.length };
     let schedule = Schedule::draw(config.seed, size);
@@ -159,7 +160,7 @@
     })
 }
 
-/// Measures for the judge by how much its own thread is late.
+/// Measures how late the judge's own thread runs.
 async fn measure_lateness(judge: Rc<Judge>) {
     loop {
         let due = Instant::now() + LATENESS_INTERVAL;
@@ -215,63 +216,69 @@
 
     fn check_crashes(&self) {
         for process in self.processes.iter().filter(|process| process.has_crashed()) {
-            self.judge.report("crash", format!("proxy {} has ended by itself", process.index));
+            self.judge.record_violation("crash", format!("proxy {} exited unexpectedly", process.index));
             process.kill();
         }
     }
 
     async fn inject(self: Rc<Soak>, fault: Fault) {
         match fault {
-            Fault::Kill { process, down } => self.restart(process, Some(down)).await,
+            Fault::Kill { process, downtime } => self.restart(process, Some(downtime)).await,
             Fault::Terminate { process } => self.restart(process, None).await,
-            Fault::Suspend { process, length } if self.processes[process].is_alive() => {
+            Fault::Suspend { process, length } if self.processes[process].is_running() => {
                 self.processes[process].suspend(length).await;
             }
             Fault::Suspend { .. } => {}
-            Fault::Drain { member, back, is_removed } => self.drain(member, back, is_removed).await,
+            Fault::Drain { member, return_after, is_removed } => {
+                self.drain(member, return_after, is_removed).await
+            }
             Fault::Hang { member, length } => {
                 self.members[member].hangs_until.set(Some(Instant::now() + length));
             }
             Fault::Reset { member } => self.members[member].resets.send_modify(|resets| *resets += 1),
-            Fault::DiscoveryDown { length } => self.disturb(Condition::Down, length).await,
-            Fault::DiscoveryCrowded { length } => self.disturb(Condition::Crowded, length).await,
-            Fault::DiscoverySlow { delay } => self.disturb(Condition::Serving(delay), SLOW_FOR).await,
-            Fault::WatchesSilent => self.discovery.silence_watches(),
+            Fault::DiscoveryDown { length } => self.disturb_discovery(Condition::Down, length).await,
+            Fault::DiscoveryOverloaded { length } => {
+                self.disturb_discovery(Condition::Overloaded, length).await
+            }
+            Fault::DiscoverySlow { delay } => {
+                self.disturb_discovery(Condition::Serving(delay), SLOW_DISCOVERY_DURATION).await
+            }
+            Fault::WatchesStalled => self.discovery.stall_watches(),
             Fault::WatchesReset => self.discovery.reset_watches(),
         }
     }
 
-    async fn restart(&self, process: usize, down: Option<Duration>) {
+    async fn restart(&self, process: usize, downtime: Option<Duration>) {
         let process = &self.processes[process];
-        // A proxy that is dead or ending is started again by the fault that ended it.
-        if !process.is_alive() || process.terminated_at.get().is_some() {
+        // A proxy that is down or stopping is restarted by the fault that ended it.
+        if !process.is_running() || process.terminated_at.get().is_some() {
             return;
         }
-        match down {
-            Some(down) => {
+        match downtime {
+            Some(downtime) => {
                 process.kill();
-                sleep(down).await;
+                sleep(downtime).await;
             }
             None => process.terminate().await,
         }
         if let Err(error) = process.start().await {
-            self.judge.report("start", error.to_string());
+            self.judge.record_violation("start", error.to_string());
         }
     }
 
-    /// Takes a member out of service, and back later. A member that is out already stays so.
-    async fn drain(&self, member: usize, back: Duration, is_removed: bool) {
+    /// Takes a member out of service and returns it later. Has no effect on a member that is already out of service.
+    async fn drain(&self, member: usize, return_after: Duration, is_removed: bool) {
         if !self.discovery.is_in_service(member) {
             return;
         }
         self.discovery.change_member(member, if is_removed { "terminated" } else { "terminating" });
-        sleep(back).await;
+        sleep(return_after).await;
         self.members[member].resets.send_modify(|resets| *resets += 1);
         self.discovery.change_member(member, "in_service");
     }
 
-    /// Changes how discovery treats calls, for this long. One disturbance at a time: another one is skipped.
-    async fn disturb(&self, condition: Condition, length: Duration) {
+    /// Changes how discovery handles calls for this duration. Has no effect during another disturbance.
+    async fn disturb_discovery(&self, condition: Condition, length: Duration) {
         let normal = Condition::Serving(Duration::ZERO);
         if self.discovery.condition.get() != normal {
             return;
@@ -281,15 +288,18 @@
         self.discovery.set_condition(normal);
     }
 
-    /// After the last fault: waits until open requests have ended, checks that requests are served, and ends clients and
-    /// proxies.
+    /// After the last fault, waits until open requests have ended, checks that requests are served, and stops clients
+    /// and proxies.
     async fn settle(&self, clients: Vec<tokio::task::JoinHandle<()>>) {
         sleep(SETTLING_TIMEOUT).await;
         self.check_crashes();
         let before = self.judge.counts().served;
         sleep(PROGRESS_WINDOW).await;
         if self.judge.counts().served == before {
-            self.judge.report("progress", "nothing is served after the last fault".to_string());
+            self.judge.record_violation(
+                "progress",
+                format!("no request was served within {PROGRESS_WINDOW:?}, {SETTLING_TIMEOUT:?} after the last fault"),
+            );
         }
         self.is_over.set(true);
         for client in clients {
--- a/crates/standins/src/soak/process.rs
+++ b/crates/standins/src/soak/process.rs
@@ -1,5 +1,5 @@
-//! The proxies of a soak: real processes that are started, killed, suspended and terminated. Signals go to the ids of
-//! processes that this module started, and to no others.
+//! The proxies of a soak: real processes that are started, killed, suspended and terminated. Signals are sent only to
+//! processes that this module started.
 
 use super::discovery::Discovery;
 use super::judge::Judge;
@@ -13,45 +13,45 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How often a process's end, or its address, is looked for.
+/// Interval of polling for a process's exit or its listening address.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// A process ends within this time after SIGTERM: the longest deadline, and a margin.
+/// Time within which a process must exit after SIGTERM: the longest deadline plus a margin.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(8);
-/// What a process logs before its address once it listens.
-const LISTENING_LOG: &str = " listens on ";
+/// Text of the log line that precedes the listening address.
+const LISTENING_LOG_TEXT: &str = " listens on ";
 
-/// What all proxies of a soak share.
+/// Configuration shared by all proxies of a soak.
 pub struct ProcessConfig {
-    /// The program.
+    /// Path of the executable.
     pub program: PathBuf,
-    /// The configuration, with `@LIST@`, `@DISCOVERY@`, `@INDEX@` and `@FLEET@` in it.
+    /// Configuration template with the placeholders `@LIST@`, `@DISCOVERY@`, `@INDEX@` and `@FLEET@`.
     pub template: String,
-    /// Where configurations and logs go.
+    /// Directory for configurations and logs.
     pub folder: PathBuf,
-    /// How many proxies there are.
+    /// Number of proxies.
     pub processes: usize,
-    /// The size of the fleet that their settings name.
+    /// Fleet size in the proxies' settings.
     pub fleet_size: usize,
 }
 
-/// One proxy under its name, over all its incarnations. Dropping it kills the process.
+/// One proxy over all its incarnations. Dropping it kills the process.
 pub struct Process {
-    /// Its place in the fleet.
+    /// Index among the proxies.
     pub index: usize,
     config: Rc<ProcessConfig>,
     discovery: Rc<Discovery>,
     judge: Rc<Judge>,
     child: RefCell<Option<Child>>,
-    /// Counts starts and ends: what was open across one is lost with the process.
+    /// Counts starts and ends. Connections and requests do not outlive an incarnation.
     pub incarnation: Cell<u64>,
     address: Cell<Option<SocketAddr>>,
-    /// When it got SIGTERM.
+    /// When SIGTERM was sent to the present process.
     pub terminated_at: Cell<Option<Instant>>,
     logs: RefCell<Vec<PathBuf>>,
 }
 
 impl Process {
-    /// A proxy that is not started yet.
+    /// Creates a proxy that is not started yet.
     pub fn new(
         index: usize, config: Rc<ProcessConfig>, discovery: Rc<Discovery>, judge: Rc<Judge>,
     ) -> Rc<Process> {
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Where clients connect, while it runs.
+    /// Address for clients, while the proxy runs.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address.get()
     }
@@ -77,10 +77,10 @@
         self.config.folder.join(format!("n{}-{}.{suffix}", self.index, self.incarnation.get()))
     }
 
-    /// Starts it with the list that it had last, and waits until it listens.
+    /// Starts the process with the list last written to it, and waits until it listens.
     ///
     /// # Errors
-    /// A file could not be written, or the process could not be started or has ended.
+    /// Fails if a file cannot be written, or if the process cannot be started or exits early.
     pub async fn start(&self) -> io::Result<()> {
         self.incarnation.set(self.incarnation.get() + 1);
         let (version, list) = self.discovery.saved_list(self.index);
@@ -114,32 +114,35 @@
     async fn wait_for_address(&self, log: &Path) -> io::Result<SocketAddr> {
         loop {
             let text = std::fs::read_to_string(log)?;
-            let line = text.lines().find(|line| line.contains(LISTENING_LOG));
+            let line = text.lines().find(|line| line.contains(LISTENING_LOG_TEXT));
             if let Some(address) = line.and_then(|line| line.trim().rsplit(' ').next()?.parse().ok()) {
                 return Ok(address);
             }
-            if self.has_ended()? {
-                return Err(io::Error::other(format!("proxy {} has not started: {text}", self.index)));
+            if self.has_exited()? {
+                return Err(io::Error::other(format!(
+                    "proxy {} exited before it listened; its log: {text}",
+                    self.index
+                )));
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn has_ended(&self) -> io::Result<bool> {
+    fn has_exited(&self) -> io::Result<bool> {
         match &mut *self.child.borrow_mut() {
             Some(child) => Ok(child.try_wait()?.is_some()),
             None => Ok(true),
         }
     }
 
-    /// Whether it runs.
-    pub fn is_alive(&self) -> bool {
+    /// Whether the process has been started, listens, and has not been killed.
+    pub fn is_running(&self) -> bool {
         self.address.get().is_some()
     }
 
-    /// Whether it has ended without being killed or terminated.
+    /// Whether the process has exited without being killed or terminated.
     pub fn has_crashed(&self) -> bool {
-        self.is_alive() && self.terminated_at.get().is_none() && self.has_ended().unwrap_or(true)
+        self.is_running() && self.terminated_at.get().is_none() && self.has_exited().unwrap_or(true)
     }
 
     fn signal(&self, name: &str) {
@@ -149,7 +152,7 @@
         }
     }
 
-    /// Kills it.
+    /// Kills the process and waits for its exit.
     pub fn kill(&self) {
         self.address.set(None);
         self.incarnation.set(self.incarnation.get() + 1);
@@ -161,15 +164,18 @@
         self.judge.set_suspended(self.index, false);
     }
 
-    /// Sends SIGTERM and waits until the process has ended. One that has not after 8 s, and its suspensions, is killed and
-    /// reported.
+    /// Sends SIGTERM and waits for the process to exit. After 8 s, plus its suspensions, a process that still runs is
+    /// killed and a violation is recorded.
     pub async fn terminate(&self) {
         self.terminated_at.set(Some(Instant::now()));
         self.signal("-TERM");
         let since = Instant::now();
-        while !self.has_ended().unwrap_or(true) {
+        while !self.has_exited().unwrap_or(true) {
             if since.elapsed() > TERMINATION_TIMEOUT + self.judge.suspended_since(self.index, since) {
-                self.judge.report("end", format!("proxy {} has not ended after SIGTERM", self.index));
+                self.judge.record_violation(
+                    "end",
+                    format!("proxy {} did not exit within its time after SIGTERM", self.index),
+                );
                 break;
             }
             sleep(POLL_INTERVAL).await;
@@ -177,7 +183,7 @@
         self.kill();
     }
 
-    /// Suspends it for this long.
+    /// Suspends the process for this duration.
     pub async fn suspend(&self, length: Duration) {
         let incarnation = self.incarnation.get();
         self.judge.set_suspended(self.index, true);
@@ -189,7 +195,7 @@
         }
     }
 
-    /// Lines of its logs that contain one of these patterns.
+    /// Returns the lines of the process's logs that contain one of these patterns.
     pub fn log_lines(&self, patterns: &[&str]) -> Vec<String> {
         let texts = self
             .logs
--- a/crates/standins/src/soak/schedule.rs
+++ b/crates/standins/src/soak/schedule.rs
@@ -1,69 +1,69 @@
-//! What goes wrong, and when: a schedule that is drawn from one seed, and must depend on nothing else. Faults overlap.
+//! Schedule of faults, which may overlap. It must depend only on the seed and the size of the soak.
 
 use std::fmt;
 use std::time::Duration;
 
-/// One fault.
+/// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A proxy is killed, and started again later.
+    /// A proxy is killed and restarted later.
     Kill {
-        /// Which.
+        /// Index of the proxy.
         process: usize,
-        /// From its end to its next start.
-        down: Duration,
+        /// Time from the kill to the next start.
+        downtime: Duration,
     },
-    /// A proxy gets SIGTERM, and is started again once it has ended.
+    /// A proxy receives SIGTERM and is restarted once it has exited.
     Terminate {
-        /// Which.
+        /// Index of the proxy.
         process: usize,
     },
     /// A proxy is suspended.
     Suspend {
-        /// Which.
+        /// Index of the proxy.
         process: usize,
-        /// For how long.
+        /// Duration of the suspension.
         length: Duration,
     },
-    /// A member drains, and serves proxies that still send. Later it is back under its name.
+    /// A member drains, and still serves proxies that send to it. Later it returns to service under the same name.
     Drain {
-        /// Which.
+        /// Index of the member.
         member: usize,
-        /// From the drain until it is back.
-        back: Duration,
-        /// Whether it leaves the list at once instead of draining.
+        /// Time until the return to service.
+        return_after: Duration,
+        /// Whether the member leaves the list at once instead of draining.
         is_removed: bool,
     },
-    /// A member accepts requests and answers nothing.
+    /// A member accepts requests and sends no answers.
     Hang {
-        /// Which.
+        /// Index of the member.
         member: usize,
-        /// For how long.
+        /// Duration without answers.
         length: Duration,
     },
-    /// A member closes its connections, with what is in flight on them.
+    /// A member closes its connections, including those with attempts in flight.
     Reset {
-        /// Which.
+        /// Index of the member.
         member: usize,
     },
-    /// Discovery closes calls, and ends its watches.
+    /// Discovery closes all calls and watches.
     DiscoveryDown {
-        /// For how long.
+        /// Duration of the outage.
         length: Duration,
     },
-    /// Discovery lets each call wait for 2 s and rejects it then. Watches go on.
-    DiscoveryCrowded {
-        /// For how long.
+    /// Discovery rejects each call after 2 s. Open watches continue.
+    DiscoveryOverloaded {
+        /// Duration of the overload.
         length: Duration,
     },
-    /// Discovery answers calls late, for 5 s.
+    /// Discovery answers calls with a delay, for 5 s.
     DiscoverySlow {
-        /// By how much.
+        /// Delay of each answer.
         delay: Duration,
     },
-    /// All open watches fall silent for good; new ones are served.
-    WatchesSilent,
-    /// All open watches are reset.
+    /// All open watches receive no more data and stay open; new watches are served.
+    WatchesStalled,
+    /// All open watches are closed.
     WatchesReset,
 }
 
@@ -73,12 +73,12 @@
     }
 }
 
-/// The faults of one run, in the order of their time.
+/// The faults of one soak in chronological order.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    /// The seed that it was drawn from.
+    /// Seed of the schedule.
     pub seed: u64,
-    /// When each begins, from the start of the run, and what it is.
+    /// Start of each fault, from the start of the soak, and the fault.
     pub faults: Vec<(Duration, Fault)>,
 }
 
@@ -89,34 +89,37 @@
     pub processes: usize,
     /// Number of members.
     pub members: usize,
-    /// From the start until the last fault begins, at most.
+    /// Maximum time from the start of the soak to its last fault.
     pub length: Duration,
 }
 
-/// The mean time between two faults, for a dozen proxies.
+/// Mean time between two faults, in milliseconds, for twelve proxies.
 const MEAN_GAP_MS: u64 = 500;
 
 impl Schedule {
-    /// Draws a schedule. The same seed and size give the same schedule.
+    /// Draws a schedule. The same seed and size always give the same schedule.
     pub fn draw(seed: u64, size: SoakSize) -> Schedule {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut faults = Vec::new();
-        // All proxies start and get their list before the first fault.
+        // All proxies start and receive their first list before the first fault.
         let mut at = Duration::from_millis(2_500);
         let gap = (MEAN_GAP_MS * 12 / size.processes.max(1) as u64).clamp(100, 1_000);
         while at < size.length {
             faults.push((at, Schedule::draw_fault(&mut rng, size)));
             at += Duration::from_millis(rng.u64(0..2 * gap));
-            // A release: most proxies are replaced at once, and members change meanwhile.
+            // Simulates a release: about 70% of the proxies are restarted at once, while members change.
             if rng.u32(0..40) == 0 {
-                let down = Duration::from_millis(rng.u64(200..6_000));
+                let downtime = Duration::from_millis(rng.u64(200..6_000));
                 for process in (0..size.processes).filter(|_| rng.u32(0..10) < 7) {
-                    faults.push((at, Fault::Kill { process, down }));
+                    faults.push((at, Fault::Kill { process, downtime }));
                 }
                 for _ in 0..size.members / 3 {
-                    let back = Duration::from_millis(rng.u64(2_000..8_000));
-                    let fault =
-                        Fault::Drain { member: rng.usize(0..size.members), back, is_removed: rng.bool() };
+                    let return_after = Duration::from_millis(rng.u64(2_000..8_000));
+                    let fault = Fault::Drain {
+                        member: rng.usize(0..size.members),
+                        return_after,
+                        is_removed: rng.bool(),
+                    };
                     faults.push((at + Duration::from_millis(rng.u64(0..3_000)), fault));
                 }
             }
@@ -131,16 +134,16 @@
         let short = draw_duration(rng, 300, 4_000);
         let long = draw_duration(rng, 1_000, 10_000);
         match rng.u32(0..24) {
-            0..=3 => Fault::Kill { process, down: draw_duration(rng, 200, 9_000) },
+            0..=3 => Fault::Kill { process, downtime: draw_duration(rng, 200, 9_000) },
             4..=5 => Fault::Terminate { process },
             6..=8 => Fault::Suspend { process, length: short },
-            9..=13 => Fault::Drain { member, back: long, is_removed: rng.bool() },
+            9..=13 => Fault::Drain { member, return_after: long, is_removed: rng.bool() },
             14..=15 => Fault::Hang { member, length: short },
             16..=17 => Fault::Reset { member },
             18 => Fault::DiscoveryDown { length: long },
-            19 => Fault::DiscoveryCrowded { length: short },
+            19 => Fault::DiscoveryOverloaded { length: short },
             20 => Fault::DiscoverySlow { delay: Duration::from_millis(rng.u64(100..1_500)) },
-            21..=22 => Fault::WatchesSilent,
+            21..=22 => Fault::WatchesStalled,
             _ => Fault::WatchesReset,
         }
     }
--- a/crates/standins/tests/judge.rs
+++ b/crates/standins/tests/judge.rs
@@ -1,5 +1,5 @@
-//! The soak's judge must report what breaks a rule, and nothing else: each rule is tested with an act right beyond its
-//! limit, and with the same act right within it.
+//! Tests that the soak's judge reports violations and nothing else: each rule is tested just beyond its limit and
+//! just within it.
 
 use linenhill_standins::soak::judge::{Judge, ObservedAttempt};
 use linenhill_standins::soak::schedule::{Schedule, SoakSize};
@@ -9,24 +9,24 @@
 const MS: Duration = Duration::from_millis(1);
 const MEMBER: usize = 0;
 
-fn attempt(id: &str, left_ms: u64) -> ObservedAttempt {
-    ObservedAttempt { process: 0, member: MEMBER, id: id.to_string(), left_ms, at: Instant::now() }
+fn attempt(id: &str, time_left_ms: u64) -> ObservedAttempt {
+    ObservedAttempt { process: 0, member: MEMBER, id: id.to_string(), time_left_ms, at: Instant::now() }
 }
 
-/// The rules that were broken, in order.
-fn broken(judge: &Judge) -> Vec<&'static str> {
+/// Names of the violated rules, in chronological order.
+fn violated_rules(judge: &Judge) -> Vec<&'static str> {
     judge.violations().iter().map(|violation| violation.rule).collect()
 }
 
 #[tokio::test(start_paused = true)]
 async fn send_to_a_drained_member_counts_from_its_notification() {
-    // Notified by a watch: 2 s of grace. Never notified: 6 s more, not counting those in which discovery was down.
-    for (is_written, outage, allowed) in [(true, 0, 2_050), (false, 0, 8_050), (false, 3_000, 11_050)] {
+    // If notified by a watch, 2 s are allowed; otherwise 6 s more, not counting outages of discovery.
+    for (is_notified, outage, allowed) in [(true, 0, 2_050), (false, 0, 8_050), (false, 3_000, 11_050)] {
         for (wait, expected) in [(allowed, 0), (allowed + 1, 1)] {
             let judge = Judge::new(1, 1);
             judge.process_started(0, 1);
             judge.member_changed(MEMBER, 2, false);
-            if is_written {
+            if is_notified {
                 assert!(judge.list_written(0, judge.incarnation(0), 2));
             }
             judge.set_discovery_reachable(outage == 0);
@@ -34,13 +34,13 @@
             judge.set_discovery_reachable(true);
             advance(MS * (wait - outage)).await;
             judge.judge_attempt(&attempt("a", 0));
-            let case = format!("written {is_written}, outage {outage}, after {wait}");
-            assert_eq!(broken(&judge).len(), expected, "{case}: {:?}", judge.violations());
+            let case = format!("notified {is_notified}, outage {outage}, after {wait}");
+            assert_eq!(violated_rules(&judge).len(), expected, "{case}: {:?}", judge.violations());
         }
     }
 }
 
-/// Guards against attempts at a member that is back, from a proxy that was not notified of it.
+/// Guards against attempts at a member that has returned to service, by a proxy that was not notified of the return.
 #[tokio::test(start_paused = true)]
 async fn member_that_is_back_stays_drained_for_a_proxy_that_was_not_notified() {
     for (is_notified, expected) in [(true, 0), (false, 1)] {
@@ -54,12 +54,13 @@
         }
         advance(MS * 2_000).await;
         judge.judge_attempt(&attempt("a", 0));
-        assert_eq!(broken(&judge).len(), expected, "{:?}", judge.violations());
+        assert_eq!(violated_rules(&judge).len(), expected, "{:?}", judge.violations());
     }
 }
 
-/// A list that was written to a dead process does not notify the next one. Of a process that started into an outage,
-/// attempts from 12 s on are counted apart, but none before that, and none once it was notified.
+/// A list that was written to an ended process does not count as a notification of the next one. Attempts by a
+/// process that started during an outage are counted separately from 12 s on, but not earlier, and not once it was
+/// notified.
 #[tokio::test(start_paused = true)]
 async fn starts_are_judged_by_the_notifications_of_this_incarnation() {
     for (outage, after, is_notified, expected) in [
@@ -70,11 +71,11 @@
     ] {
         let judge = Judge::new(1, 1);
         judge.process_started(0, 1);
-        let dead = judge.incarnation(0);
+        let ended_incarnation = judge.incarnation(0);
         judge.member_changed(MEMBER, 2, false);
         advance(MS * 6_000).await;
         judge.process_started(0, 1);
-        assert!(!judge.list_written(0, dead, 2), "it has died");
+        assert!(!judge.list_written(0, ended_incarnation, 2), "a list counts for an ended process");
         judge.set_discovery_reachable(outage == 0);
         advance(MS * outage).await;
         judge.set_discovery_reachable(true);
@@ -83,14 +84,20 @@
             judge.list_written(0, judge.incarnation(0), 2);
         }
         judge.judge_attempt(&attempt("a", 0));
-        let apart = judge.counts().sends_after_start_in_outage;
-        assert_eq!((broken(&judge).len(), apart), expected, "{after}: {:?}", judge.violations());
+        let counted_separately = judge.counts().sends_after_start_in_outage;
+        assert_eq!(
+            (violated_rules(&judge).len(), counted_separately),
+            expected,
+            "{after}: {:?}",
+            judge.violations()
+        );
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn attempts_are_judged_by_their_request() {
-    // After how many milliseconds, with which time left named, whether the client had left, and the rules that this breaks.
+    // Time of the attempt in milliseconds, the stated time to the deadline, whether the client had disconnected, and
+    // the rules that are violated.
     let cases: [(u32, u64, bool, &[&str]); 6] = [
         (100, 900, false, &[]),
         (100, 1_101, false, &["deadline"]),
@@ -99,15 +106,15 @@
         (900, 300, false, &[]),
         (900, 301, false, &["deadline"]),
     ];
-    for (after, left_ms, has_left, rules) in cases {
+    for (after, time_left_ms, has_disconnected, rules) in cases {
         let judge = Judge::new(1, 1);
         judge.request_written("a", 0, MS * 1_000, false);
-        if has_left {
-            judge.client_left("a");
+        if has_disconnected {
+            judge.client_disconnected("a");
         }
         advance(MS * after).await;
-        judge.judge_attempt(&attempt("a", left_ms));
-        assert_eq!(broken(&judge), rules, "after {after}, {left_ms} left");
+        judge.judge_attempt(&attempt("a", time_left_ms));
+        assert_eq!(violated_rules(&judge), rules, "after {after} ms, {time_left_ms} ms to the deadline");
     }
     let judge = Judge::new(1, 1);
     judge.request_written("w", 0, MS * 60_000, true);
@@ -117,7 +124,7 @@
     judge.judge_answer("w", true, Instant::now());
     advance(MS * 51).await;
     judge.judge_attempt(&attempt("w", 0));
-    assert_eq!(broken(&judge), ["duplicate", "after-answer", "duplicate"]);
+    assert_eq!(violated_rules(&judge), ["duplicate", "after-answer", "duplicate"]);
 }
 
 #[tokio::test(start_paused = true)]
@@ -129,14 +136,14 @@
         advance(MS * after).await;
         judge.set_suspended(0, false);
         judge.judge_answer("a", false, Instant::now() - MS * after);
-        assert_eq!(broken(&judge).len(), expected, "{after}: {:?}", judge.violations());
+        assert_eq!(violated_rules(&judge).len(), expected, "{after}: {:?}", judge.violations());
     }
     for (after, has_ended, expected) in [(3_050, true, 0), (3_051, true, 1), (10, false, 1)] {
         let judge = Judge::new(1, 1);
-        let stopped_at = Instant::now();
+        let stalled_at = Instant::now();
         advance(MS * after).await;
-        judge.judge_stopped_client(0, stopped_at, has_ended);
-        assert_eq!(broken(&judge).len(), expected, "{after}: {:?}", judge.violations());
+        judge.judge_stalled_client(0, stalled_at, has_ended);
+        assert_eq!(violated_rules(&judge).len(), expected, "{after}: {:?}", judge.violations());
     }
 }
 
