--- a/examples/toy/peer.rs
+++ b/examples/toy/peer.rs
@@ -1,4 +1,4 @@
-//! A member and a discovery service that follow a script, for the toy server and the proxy's tests.
+//! A simulated member and discovery service with scripted behaviour, for the toy group and the proxy's tests.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
@@ -18,17 +18,17 @@
     Row(String),
     /// Answers with an error of this SQLSTATE.
     Error(&'static str),
-    /// Breaks the connection.
+    /// Closes the connection without an answer.
     Disconnect,
-    /// Breaks it in the middle of a row of this value.
+    /// Closes the connection in the middle of a row of this value.
     TruncatedRow(String),
-    /// Says nothing until the proxy hangs up, then calls this.
+    /// Sends no answer. Calls this once the proxy has closed the connection.
     NoReply(Box<dyn FnOnce()>),
 }
 
-fn message(kind: u8, body: &[u8]) -> Bytes {
+fn message(message_type: u8, body: &[u8]) -> Bytes {
     let mut out = BytesMut::new();
-    out.put_u8(kind);
+    out.put_u8(message_type);
     out.put_u32(4 + body.len() as u32);
     out.put_slice(body);
     out.freeze()
@@ -43,31 +43,31 @@
     let length = (value.len() as u32).to_be_bytes();
     let data = [b"\0\x01".as_slice(), &length, value.as_bytes()].concat();
     [(b'T', column), (b'D', data), (b'C', b"SELECT 1\0".to_vec())]
-        .map(|(kind, body)| Reply::Raw(message(kind, &body)))
+        .map(|(message_type, body)| Reply::Raw(message(message_type, &body)))
 }
 
-/// Plays one member: every statement is handed to `act`.
-pub async fn member<F, R>(listener: TcpListener, primary: bool, act: F)
+/// Runs one member on `listener`: `respond` determines the answer to each statement.
+pub async fn member<F, R>(listener: TcpListener, primary: bool, respond: F)
 where
     F: Fn(String) -> R + Clone + 'static,
     R: Future<Output = MemberAction>,
 {
     while let Ok((stream, _)) = listener.accept().await {
-        let act = act.clone();
-        tokio::task::spawn_local(async move { serve(stream, primary, act).await });
+        let respond = respond.clone();
+        tokio::task::spawn_local(async move { serve(stream, primary, respond).await });
     }
 }
 
-async fn serve<F, R>(stream: TcpStream, primary: bool, act: F) -> Option<()>
+async fn serve<F, R>(stream: TcpStream, primary: bool, respond: F) -> Option<()>
 where
     F: Fn(String) -> R,
     R: Future<Output = MemberAction>,
 {
-    serve_until_idle(stream, primary, act, Duration::from_secs(86_400)).await
+    serve_until_idle(stream, primary, respond, Duration::from_secs(86_400)).await
 }
 
-/// Writes the first part of a row's description and of the row itself.
-async fn write_torn_row(stream: &mut TcpStream, value: &str) -> Option<()> {
+/// Writes the first half, at least 64 bytes, of a row's description and of the row itself.
+async fn write_truncated_row(stream: &mut TcpStream, value: &str) -> Option<()> {
     for part in row(value).into_iter().take(2) {
         let Reply::Raw(raw) = part else { return None };
         let length = raw.len().div_ceil(2).max(64).min(raw.len());
@@ -76,24 +76,29 @@
     Some(())
 }
 
-/// Plays one connection, until nothing was received on it for `idle`.
-pub async fn serve_until_idle<F, R>(stream: TcpStream, primary: bool, act: F, idle: Duration) -> Option<()>
+/// Serves one connection until no message arrives within `idle`.
+pub async fn serve_until_idle<F, R>(
+    stream: TcpStream, primary: bool, respond: F, idle: Duration,
+) -> Option<()>
 where
     F: Fn(String) -> R,
     R: Future<Output = MemberAction>,
 {
     let mut framed = Framed::new(stream, FrontendCodec::default());
-    while let Ok(Some(Ok(got))) = timeout(idle, framed.next()).await {
+    while let Ok(Some(Ok(received))) = timeout(idle, framed.next()).await {
         let mut answers = Vec::new();
-        match got {
+        match received {
             FrontendMessage::Startup => answers.push(Reply::SessionOpened),
             FrontendMessage::Query(text) => {
                 let text = String::from_utf8_lossy(&text).into_owned();
                 let now = SystemTime::now().duration_since(UNIX_EPOCH).ok()?.as_millis() as u64;
                 let health = format!("x0={}.{:03},x1={}", now / 1_000, now % 1_000, u8::from(primary));
-                let done =
-                    if text == "SHOW health" { MemberAction::Row(health.clone()) } else { act(text).await };
-                match done {
+                let action = if text == "SHOW health" {
+                    MemberAction::Row(health.clone())
+                } else {
+                    respond(text).await
+                };
+                match action {
                     MemberAction::Row(value) => answers.extend(row(&value)),
                     MemberAction::Error(code) => {
                         let (message, detail) = ("scripted".into(), None);
@@ -101,12 +106,12 @@
                     }
                     MemberAction::Disconnect => return None,
                     MemberAction::TruncatedRow(value) => {
-                        write_torn_row(framed.get_mut(), &value).await?;
+                        write_truncated_row(framed.get_mut(), &value).await?;
                         return None;
                     }
-                    MemberAction::NoReply(hung_up) => {
+                    MemberAction::NoReply(on_close) => {
                         while framed.get_mut().read_u8().await.is_ok() {}
-                        hung_up();
+                        on_close();
                         return None;
                     }
                 }
@@ -130,17 +135,17 @@
     None
 }
 
-/// Plays discovery: every watch is given `line`, then empty lines.
+/// Runs discovery: each watch receives `line`, then an empty line every 2 s.
 pub async fn discovery(listener: TcpListener, line: String) {
     while let Ok((mut stream, _)) = listener.accept().await {
         let line = line.clone();
         tokio::task::spawn_local(async move {
             let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
             let first = format!("{head}{:x}\r\n{line}\n\r\n", line.len() + 1);
-            let mut said = stream.write_all(first.as_bytes()).await;
-            while said.is_ok() {
+            let mut written = stream.write_all(first.as_bytes()).await;
+            while written.is_ok() {
                 tokio::time::sleep(std::time::Duration::from_secs(2)).await;
-                said = stream.write_all(b"1\r\n\n\r\n").await;
+                written = stream.write_all(b"1\r\n\n\r\n").await;
             }
         });
     }
