--- a/examples/toy/peer.rs
+++ b/examples/toy/peer.rs
@@ -89,15 +89,12 @@
         let mut answers = Vec::new();
         match received {
             FrontendMessage::Startup => answers.push(Reply::SessionOpened),
-            FrontendMessage::Query(text) => {
-                let text = String::from_utf8_lossy(&text).into_owned();
+            FrontendMessage::Query(sql) => {
+                let sql = String::from_utf8_lossy(&sql).into_owned();
                 let now = SystemTime::now().duration_since(UNIX_EPOCH).ok()?.as_millis() as u64;
                 let health = format!("x0={}.{:03},x1={}", now / 1_000, now % 1_000, u8::from(primary));
-                let action = if text == "SHOW health" {
-                    MemberAction::Row(health.clone())
-                } else {
-                    respond(text).await
-                };
+                let action =
+                    if sql == "SHOW health" { MemberAction::Row(health.clone()) } else { respond(sql).await };
                 match action {
                     MemberAction::Row(value) => answers.extend(row(&value)),
                     MemberAction::Error(code) => {
