--- a/src/admin/call.rs
+++ b/src/admin/call.rs
@@ -89,9 +89,9 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             CallError::Head(error) => write!(f, "malformed call: {error}"),
-            CallError::TooLong(part, limit) => write!(f, "the {part} is longer than {limit} bytes"),
-            CallError::Length => write!(f, "the body's length must be given by one valid Content-Length"),
-            CallError::Path(path) => write!(f, "no such path: {path}"),
+            CallError::TooLong(part, limit) => write!(f, "the {part} is over {limit} bytes"),
+            CallError::Length => write!(f, "the body's length must be told, once, by Content-Length"),
+            CallError::Path(path) => write!(f, "nothing is found at {path}"),
             CallError::Method(allowed) => write!(f, "only {allowed} is allowed here"),
             CallError::Query(problem) => write!(f, "{problem}"),
             CallError::Io(error) => write!(f, "{error}"),
@@ -224,7 +224,7 @@
     match force[..] {
         [] => Ok((rest.join("&"), false)),
         ["force=1"] => Ok((rest.join("&"), true)),
-        _ => Err(CallError::Query("force must be given at most once, as force=1")),
+        _ => Err(CallError::Query("force=1 is all that may be said of force, once")),
     }
 }
 
@@ -234,23 +234,23 @@
     for field in query.split('&').filter(|field| !field.is_empty()) {
         let (key, value) = field.split_once('=').unwrap_or((field, ""));
         if percent_decoded(key)? != "name" {
-            return Err(CallError::Query("the query must hold only name=ID"));
+            return Err(CallError::Query("the query holds more than name=ID"));
         }
         if found.replace(percent_decoded(value)?).is_some() {
             return Err(CallError::Query("the query names more than one member"));
         }
     }
     let member =
-        found.filter(|member| !member.is_empty()).ok_or(CallError::Query("the query must hold name=ID"))?;
+        found.filter(|member| !member.is_empty()).ok_or(CallError::Query("the query lacks name=ID"))?;
     if member.len() > MAX_MEMBER_ID_BYTES || member.chars().any(char::is_control) {
-        return Err(CallError::Query("the member id must have at most 256 bytes and no control characters"));
+        return Err(CallError::Query("the name is no member's id"));
     }
     Ok(member)
 }
 
 /// Decodes percent-encoding, with `+` for a space.
 fn percent_decoded(text: &str) -> Result<String, CallError> {
-    let malformed = || CallError::Query("the query's percent-encoding is malformed");
+    let malformed = || CallError::Query("the query's percent-encoding is broken");
     let mut decoded = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((&byte, after)) = rest.split_first() {
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -125,13 +125,7 @@
         Ok(Some(Err(CallError::Io(_)))) => return CloseReason::Io,
         Ok(Some(Err(error))) => (Response::from(error), CloseReason::Protocol),
         Ok(None) => return CloseReason::PeerClosed,
-        Err(_) => {
-            let limit = CALL_TIMEOUT.as_secs();
-            (
-                Response::text(408, format!("the call was not complete within {limit} s")),
-                CloseReason::TimedOut,
-            )
-        }
+        Err(_) => (Response::text(408, "the call did not come whole"), CloseReason::TimedOut),
     };
     match write_response(&mut stream, &response).await {
         Ok(Ok(())) => {}
--- a/src/admin/operator_api.rs
+++ b/src/admin/operator_api.rs
@@ -64,7 +64,7 @@
         self.metrics.record_discovery(silence, list_age, self.discovery_status.list_version());
         match self.metrics.text() {
             Ok(text) => Response::metrics(text),
-            Err(_) => Response::text(500, "the metrics can't be encoded"),
+            Err(_) => Response::text(500, "the figures can't be written"),
         }
     }
 
@@ -139,7 +139,7 @@
                 Response::text(200, format!("{member} is {state}{unchanged}"))
             }
             Err(OrderRejected::UnknownMember) => {
-                Response::text(404, format!("no recent list has named {member}"))
+                Response::text(404, format!("no list of late has named {member}"))
             }
             Err(OrderRejected::TooManyOrders) => Response::text(409, "too many members are out"),
         }
--- a/src/admin/response.rs
+++ b/src/admin/response.rs
@@ -57,7 +57,7 @@
             DisruptionError::Denied(_) => 409,
             DisruptionError::Unconfirmed(_) | DisruptionError::NoLeader(_) => 503,
         };
-        Response::text(status, format!("{error}; retry in 1 s"))
+        Response::text(status, format!("{error}; ask again in 1 s"))
     }
 }
 
--- a/src/admin/response/tests.rs
+++ b/src/admin/response/tests.rs
@@ -30,16 +30,16 @@
 #[test]
 fn responses_to_denied_disruptions_keep_their_bytes() {
     for (error, status, line) in [
-        (DisruptionError::Denied("p0 is out".into()), "409 Conflict", "p0 is out; retry in 1 s"),
+        (DisruptionError::Denied("p0 is out".into()), "409 Conflict", "p0 is out; ask again in 1 s"),
         (
             DisruptionError::Unconfirmed(vec!["p1".into(), "p2".into()]),
             "503 Service Unavailable",
-            "not confirmed yet by p1, p2; retry in 1 s",
+            "not confirmed yet by p1, p2; ask again in 1 s",
         ),
         (
             DisruptionError::NoLeader(OperatorCallError::NoKeepers),
             "503 Service Unavailable",
-            "no keeper answers: there is no keeper; retry in 1 s",
+            "no keeper answers: there is no keeper; ask again in 1 s",
         ),
     ] {
         assert_eq!(Response::from(error).encode(), plain(status, "", line));
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -148,7 +148,7 @@
 
 fn write_budget(f: &mut fmt::Formatter, budget: &BudgetStatus) -> fmt::Result {
     let BudgetStatus { name, total, committed, in_use } = budget;
-    writeln!(f, "budget  {name:<24} total {total}, committed {committed}, in use {in_use}")
+    writeln!(f, "budget  {name:<24} whole {total}, counted {committed}, in use {in_use}")
 }
 
 fn write_unavailable(f: &mut fmt::Formatter, unavailable: &UnavailableStatus) -> fmt::Result {
--- a/src/fleet/status/tests.rs
+++ b/src/fleet/status/tests.rs
@@ -46,7 +46,7 @@
         "keeper  k0               127.0.0.1:1",
         "proxy   p0               00000000000000ab 0.1.0 a last request 12 ms ago, has lease",
         "proxy   p1               00000000000000ab 0.1.0 a last request 12 ms ago, no lease",
-        "budget  links                    total 9, committed 8, in use 7",
+        "budget  links                    whole 9, counted 8, in use 7",
         "out     proxy/p1                 standby, permit 3 of p1: by hand, forced",
         "out     proxy/p1                 standby, permit 3 of p1: by hand",
         "out     proxy/p1                 standby, no permit",
