--- a/src/admin/operator_api.rs
+++ b/src/admin/operator_api.rs
@@ -136,7 +136,7 @@
         match self.maintenance_log.order(member, is_out) {
             Ok(has_changed) => {
                 let unchanged = if has_changed { "" } else { ", as before" };
-                info!("operators: member {member} is {state}{unchanged}");
+                info!("operators: {member} is {state}{unchanged}");
                 Response::text(200, format!("{member} is {state}{unchanged}"))
             }
             Err(OrderRejected::UnknownMember) => {
@@ -150,7 +150,7 @@
     fn lifecycle_event(&self, event: Event, state: &str) -> Response {
         match self.lifecycle.handle(event) {
             Ok(()) => {
-                info!("operators: this process is {state}");
+                info!("operators: {state}");
                 Response::text(200, state)
             }
             Err(_) => Response::text(409, "the process is stopping"),
--- a/src/config.rs
+++ b/src/config.rs
@@ -86,7 +86,7 @@
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ConfigError::NoFile => write!(f, "LB_CONFIG must name the configuration file, but is not set"),
+            ConfigError::NoFile => write!(f, "LB_CONFIG names no file"),
             ConfigError::Unreadable(path, error) => write!(f, "{}: {error}", path.display()),
             ConfigError::Malformed(path, error) => write!(f, "{}: {error}", path.display()),
             ConfigError::Variable(name, value) => {
--- a/src/hot_restart/maintenance_log.rs
+++ b/src/hot_restart/maintenance_log.rs
@@ -166,8 +166,7 @@
     fn merge(&self, record: OrderRecord) {
         let is_new = self.maintenance.borrow_mut().merge(&record.id, record.order());
         if is_new {
-            let state = if record.out { "out of service" } else { "in service" };
-            info!("maintenance: member {} is {state} by an order from the shared file", record.id);
+            info!("maintenance: {} is {}", record.id, if record.out { "out" } else { "back" });
             let _ = self.inbox.send(DriverInput::MaintenanceChanged(record.id));
         }
     }
--- a/src/process/serve.rs
+++ b/src/process/serve.rs
@@ -119,6 +119,6 @@
             info!("reload: discovery is at {}", config.discovery);
             discovery_address.send_replace(config.discovery);
         }
-        Err(error) => warn!("reload failed, the old configuration is kept: {error}"),
+        Err(error) => warn!("reload: the old configuration is kept: {error}"),
     }
 }
