--- a/src/process/keep.rs
+++ b/src/process/keep.rs
@@ -15,7 +15,8 @@
 ///
 /// # Errors
 ///
-/// The operators' file or the store can't be used, the socket can't be bound, or the keeper fails while it runs.
+/// The operators' file, the store or the socket can't be used, the signal handler can't be installed, or the keeper
+/// fails while it runs.
 pub fn keep(operator_file: &Path, name: &str, founds_fleet: bool) -> Result<(), ProcessError> {
     let operator = read_operator_file(operator_file)?;
     inject_fault()?;
--- a/src/process/serve.rs
+++ b/src/process/serve.rs
@@ -28,8 +28,8 @@
 ///
 /// # Errors
 ///
-/// The configuration or the operators' file can't be used, a socket can't be bound, or the driver of the decisions has
-/// ended.
+/// The configuration, the operators' file or a socket can't be used, a signal handler can't be installed, or the driver
+/// of the decisions has ended.
 pub fn serve(operator_file: Option<&Path>) -> Result<(), ProcessError> {
     runtime()?.block_on(async {
         // Installed first, so that a SIGHUP while the configuration is loaded neither ends the process nor is lost.
@@ -42,7 +42,7 @@
     })
 }
 
-/// Binds all sockets and creates the shared directory.
+/// Binds all sockets, or takes over that of the clients if it is inherited, and creates the shared directory.
 async fn open_listeners(config: &Config, operator: Option<Operator>) -> Result<Listeners, ProcessError> {
     let fleet = match operator {
         None => None,
