--- a/src/process/keep.rs
+++ b/src/process/keep.rs
@@ -1,4 +1,4 @@
-//! The process of a keeper, which stores the fleet's agreed log on its disk.
+//! The process of a keeper, which stores the fleet's replicated log on its disk.
 
 use super::signals::stream;
 use super::{ProcessError, bind, bound_address, inject_fault, runtime};
@@ -15,7 +15,8 @@
 ///
 /// # Errors
 ///
-/// The operators' file or the store can't be used, the socket can't be bound, or the keeper fails while it runs.
+/// The operators' file, the store or the socket can't be used, the signal handler can't be installed, or the keeper
+/// fails while it runs.
 pub fn keep(operator_file: &Path, name: &str, founds_fleet: bool) -> Result<(), ProcessError> {
     let operator = read_operator_file(operator_file)?;
     inject_fault()?;
@@ -29,7 +30,7 @@
         tokio::select! {
             ended = keeper::run(operator, name, store, listener) => Ok(ended?),
             _ = terminate.recv() => {
-                info!("keeper {name} stops");
+                info!("keeper {name} stops on SIGTERM");
                 Ok(())
             }
         }
--- a/src/process/serve.rs
+++ b/src/process/serve.rs
@@ -28,8 +28,8 @@
 ///
 /// # Errors
 ///
-/// The configuration or the operators' file can't be used, a socket can't be bound, or the driver of the decisions has
-/// ended.
+/// The configuration, the operators' file or a socket can't be used, a signal handler can't be installed, or the driver
+/// of the decisions has ended.
 pub fn serve(operator_file: Option<&Path>) -> Result<(), ProcessError> {
     runtime()?.block_on(async {
         // Installed first, so that a SIGHUP while the configuration is loaded neither ends the process nor is lost.
@@ -42,7 +42,7 @@
     })
 }
 
-/// Binds all sockets and creates the shared directory.
+/// Binds all sockets, or takes over that of the clients if it is inherited, and creates the shared directory.
 async fn open_listeners(config: &Config, operator: Option<Operator>) -> Result<Listeners, ProcessError> {
     let fleet = match operator {
         None => None,
@@ -75,7 +75,8 @@
     }
 }
 
-/// Makes this process a member of the fleet that the operators' file describes.
+/// Creates this process's client and quotas for the fleet of the operators' file, and binds its socket for other
+/// instances, if any. Does not contact the keepers.
 async fn join_fleet(operator: Operator, config: &Config) -> Result<FleetMember, ProcessError> {
     if !(1..=MAX_NAME_BYTES).contains(&config.name.len()) {
         return Err(ProcessError::ProxyName(config.name.len()));
@@ -110,7 +111,8 @@
     }
 }
 
-/// Reloads the configuration and switches to its discovery address; an invalid file changes nothing.
+/// Reloads the configuration and opens the watch again at its address of discovery, even if unchanged. Other fields take
+/// effect only at a start. An invalid configuration changes nothing.
 fn reload(discovery_address: &watch::Sender<SocketAddr>) {
     match Config::from_environment(LoadReason::Reload) {
         Ok(config) => {
