--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,6 +1,6 @@
-//! Support for tests of the program itself: the process, scripted members and discovery before it, and clients of it. It
-//! must not decide what is right: that is the tests' part.
-#![allow(dead_code)] // Each test binary uses its part.
+//! Support for tests of the proxy as a process: the process, its scripted members and discovery service, and its
+//! clients. It makes no assertions about the proxy's behaviour; those belong in the tests.
+#![allow(dead_code)] // Each test binary uses only some of the items.
 #![allow(unused_imports)]
 
 #[path = "../../examples/toy/peer.rs"]
@@ -24,34 +24,35 @@
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
 
-/// The settings of a site that asks for its lists.
+/// Configuration of a site that requests its endpoint lists from discovery.
 pub const CONFIG: &str = include_str!("../../examples/config.json");
-/// A read with its comment.
+/// A read with its statement comment.
 pub const READ: &str = "/* id=a1,c=list,d=60000,cluster=1 */ SELECT val FROM state WHERE uid = 'aa'";
-/// An idempotent write with its comment.
+/// An idempotent write with its statement comment.
 pub const WRITE: &str =
     "/* id=a2,c=order,d=60000,k=b2,cluster=1 */ INSERT INTO state VALUES ('aa', 'x') RETURNING val";
 
-/// The settings with an address for operators, at a free port.
+/// [`CONFIG`] with an operators' address at a free port.
 pub fn config_with_operators() -> String {
     CONFIG.replacen("\"seed\"", "\"admin\": \"127.0.0.1:0\", \"seed\"", 1)
 }
 
-/// Runs a test on a runtime of its own, with tasks that stay on this thread.
+/// Runs a test on a new single-threaded runtime with a local task set.
 pub fn run_local<T>(test: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build a runtime");
     runtime.block_on(LocalSet::new().run_until(test))
 }
 
-/// A listener on a free port of loopback, and its address.
+/// Binds a listener to a free loopback port; returns it with its address.
 pub async fn bind_loopback() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a loopback port");
+    let address = listener.local_addr().expect("local address of the listener");
     (listener, address)
 }
 
-/// Starts three members (the first is the primary) that do what `act` says, discovery and the program, and runs a test
-/// with the program's address.
+/// Starts three members (the first is the primary), discovery and the proxy, and runs `test` with the proxy's client
+/// address. `act` returns a member's action for a statement, from the member's index and the statement.
 pub fn run_with_members<A, R, T, F>(name: &str, act: A, test: T)
 where
     A: Fn(usize, String) -> R + Clone + 'static,
@@ -62,7 +63,7 @@
     run_with_config(name, CONFIG, act, test);
 }
 
-/// The same with this configuration.
+/// Same as [`run_with_members`], with this configuration instead of [`CONFIG`].
 pub fn run_with_config<A, R, T, F>(name: &str, config: &str, act: A, test: T)
 where
     A: Fn(usize, String) -> R + Clone + 'static,
@@ -82,7 +83,7 @@
         let line = r#"{"version":2,"full":false,"servers":[]}"#.to_string();
         spawn_local(peer::discovery(listener, line));
         let config = config.replace("127.0.0.1:8500", &address.to_string());
-        // A slow machine must not turn a connection into a failed one, or an answer into a late one.
+        // Long limits, so that on a slow machine connecting does not time out and answers do not miss their objective.
         let config = config.replace("\"slo\": 800000", "\"slo\": 30000000");
         let config = config.replace("\"connectTimeout\": 250000", "\"connectTimeout\": 5000000");
         let path = write_test_file(&format!("{name}.json"), &config);
