--- a/tests/cluster_harness/clients.rs
+++ b/tests/cluster_harness/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of a cluster's proxies, for as long as the test runs or for a while.
+//! Clients of a cluster's proxies, running until the end of the test or for a given time.
 
 use super::Cluster;
 use crate::harness::{encode, query_command};
@@ -12,27 +12,27 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-/// A client waits so long for an answer.
+/// Time that a client waits for a response.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
-/// And so long after it.
+/// Pause of a client between two statements.
 const PAUSE: Duration = Duration::from_millis(5);
-/// ReadyForQuery, which ends the answer to the startup message, and that to a statement.
+/// ReadyForQuery while no transaction is open; ends the response to the startup message and to a statement.
 const READY_FOR_QUERY: &[u8] = b"Z\0\0\0\x05I";
 
 impl Cluster {
-    /// Starts so many clients that write at each proxy.
+    /// Starts writing clients, `clients` at each proxy.
     pub fn start_writers(&self, clients: usize) {
         self.start_writers_at(0..self.proxies.len(), clients);
     }
 
-    /// Starts so many clients that write at each of these proxies.
+    /// Starts writing clients, `clients` at each proxy of the range.
     pub fn start_writers_at(&self, proxies: Range<usize>, clients: usize) {
         for proxy in proxies {
             self.start_writers_until(proxy, clients, None);
         }
     }
 
-    /// Starts so many clients that write at one proxy for this long.
+    /// Starts writing clients at one proxy, which stop after `length`.
     pub fn start_writers_for(&self, proxy: usize, clients: usize, length: Duration) {
         self.start_writers_until(proxy, clients, Some(Instant::now() + length));
     }
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Starts so many clients that read at each proxy.
+    /// Starts reading clients, `clients` at each proxy.
     pub fn start_readers(&self, clients: usize) {
         for client in 0..self.proxies.len() * clients {
             let proxy = client % self.proxies.len();
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Starts a client that sends one statement after the other, each on a connection of its own.
+    /// Starts a client that sends statements one after another, each on a new connection, until `end`.
     fn start_client(&self, proxy: usize, end: Option<Instant>, statement: impl Fn(u64) -> String + 'static) {
         let addresses = self.addresses.clone();
         spawn_local(async move {
@@ -68,11 +68,11 @@
         });
     }
 
-    /// Sends one read to a proxy and waits for its answer.
+    /// Sends one read to a proxy and waits for its response.
     pub async fn read_once(&self, proxy: usize, number: usize) {
-        let address = self.addresses.borrow()[proxy].expect("a proxy");
+        let address = self.addresses.borrow()[proxy].expect("address of a started proxy");
         let read = read_statement(&format!("l{proxy}x{number}"));
-        send_statement(address, &read).await.expect("an answer");
+        send_statement(address, &read).await.expect("response to a read");
     }
 }
 
@@ -86,7 +86,8 @@
     )
 }
 
-/// Sends a statement on a new connection, and waits for its answer, whatever it is.
+/// Sends a statement on a new connection and waits for its response, which may be an error, or for the end of the
+/// connection.
 async fn send_statement(address: SocketAddr, statement: &str) -> io::Result<()> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(&encode(&[Command::Startup, query_command(statement)])).await?;
--- a/tests/cluster_harness/cluster.rs
+++ b/tests/cluster_harness/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes of a fleet and its members, from their start to their end.
+//! Starts, restarts and stops the processes of a fleet and its members.
 
 use super::counting_member::{MemberCounts, run_member};
 use super::fleet_commands::linenhill_command;
@@ -17,18 +17,18 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// What a cluster is started with.
+/// Configuration of a cluster.
 pub struct ClusterConfig {
-    /// Makes the names of its files unique.
+    /// Part of the names of the cluster's files; unique among the tests of a binary.
     pub label: String,
     pub proxies: usize,
-    /// The name of a fault that all instances inject into themselves.
+    /// Name of a fault that every instance injects into itself.
     pub injected_fault: Option<&'static str>,
     pub terms: Terms,
-    /// The rate of an instance's clock, in millionths, by its name; others run at the machine's rate.
+    /// Clock rates by instance name, in millionths of the machine's rate; other instances use the machine's rate.
     pub clock_rates: BTreeMap<String, u64>,
-    /// What may be out at once, as the operators' file has it. Where it is not empty there are two replicas beside the
-    /// primary, and no limits are checked.
+    /// Disruption limits as text of the operators' file. Unless it is empty, the cluster has two replicas besides the
+    /// primary, and [`Cluster::check_limits`] checks nothing.
     pub disruption_limits: &'static str,
 }
 
@@ -44,26 +44,27 @@
         }
     }
 
-    fn bounds_disruption(&self) -> bool {
+    fn has_disruption_limits(&self) -> bool {
         !self.disruption_limits.is_empty()
     }
 
     fn member_count(&self) -> usize {
-        if self.bounds_disruption() { 3 } else { 1 }
+        if self.has_disruption_limits() { 3 } else { 1 }
     }
 
-    /// The settings of all proxies, with these members and this discovery.
+    /// Configuration of all proxies, with these addresses of the members and of discovery.
     fn proxy_settings(&self, members: &[SocketAddr], discovery: SocketAddr) -> String {
         let mut settings = CONFIG.replace("127.0.0.1:8500", &discovery.to_string());
         for (index, member) in members.iter().enumerate() {
             settings = settings.replace(&format!("127.0.0.1:{}", 7001 + index), &member.to_string());
         }
-        if self.bounds_disruption() {
+        if self.has_disruption_limits() {
             settings = settings.replacen("\"seed\"", "\"admin\": \"127.0.0.1:0\", \"seed\"", 1);
         } else {
             settings = without_replicas(&settings);
         }
-        // Long work is no sign of overload here, or the decisions would let less of it run at once.
+        // A higher latency objective, because otherwise long statements count as overload and the proxy lowers its
+        // concurrency.
         if self.terms.work_ms > 100 {
             settings = settings.replace("\"slo\": 500000", "\"slo\": 5000000");
         }
@@ -72,14 +73,14 @@
     }
 }
 
-/// The settings with the primary alone in their list, so that all work goes there.
+/// Removes the replicas from the endpoint list, so that all attempts go to the primary.
 fn without_replicas(settings: &str) -> String {
-    let from = settings.find("  {\"id\": \"m-2\"").expect("the second member");
-    let to = settings.find("]},\n \"settings\"").expect("the end of the list");
+    let from = settings.find("  {\"id\": \"m-2\"").expect("the second member in the configuration");
+    let to = settings.find("]},\n \"settings\"").expect("the end of the list in the configuration");
     settings[..from].trim_end().trim_end_matches(',').to_string() + &settings[to..]
 }
 
-/// A limit of the whole fleet that was exceeded at a member.
+/// A violation of a limit of the whole fleet at a member, with the history before it.
 #[derive(Debug)]
 pub struct LimitExceeded {
     pub violation: String,
@@ -94,19 +95,19 @@
 
 impl std::error::Error for LimitExceeded {}
 
-/// A fleet that runs; its processes are killed when it is dropped.
+/// A running fleet; dropping it kills its processes.
 pub struct Cluster {
     pub keepers: Vec<Instance>,
     pub proxies: Vec<Instance>,
-    /// What each member counts; the first one is the primary.
+    /// Counters of each member; the first member is the primary.
     pub members: Vec<Rc<MemberCounts>>,
-    /// Where each proxy serves now.
+    /// Current client address of each proxy.
     pub addresses: Rc<RefCell<Vec<Option<SocketAddr>>>>,
-    /// The stores of the keepers.
+    /// Folder with the stores of the keepers.
     pub folder: PathBuf,
-    /// What was done to the cluster.
+    /// Faults and other actions so far, in order, for failure messages.
     pub history: Vec<String>,
-    /// The file with the settings of all proxies.
+    /// Path of the configuration file of all proxies.
     proxy_settings: PathBuf,
     config: ClusterConfig,
 }
@@ -163,7 +164,7 @@
         (0..KEEPERS).for_each(|index| self.start_keeper(index, index == 0));
     }
 
-    /// An instance with its operators' file, not started.
+    /// Creates an instance and writes its operators' file, without starting its process.
     async fn new_instance(&self, name: &str, store: &str, file_name: &str) -> Instance {
         let relays = start_relays().await;
         let operator_file = OperatorFile {
@@ -178,7 +179,7 @@
         Instance::new(name, relays, path)
     }
 
-    /// Starts one more proxy, which may have a name that another one has.
+    /// Adds and starts a proxy; another proxy may have the same name.
     pub async fn add_proxy(&mut self, name: &str) {
         let index = self.proxies.len();
         let file_name = format!("{}-{index}.textproto", self.config.label);
@@ -188,11 +189,11 @@
         self.start_proxy(index);
     }
 
-    /// Starts one more proxy, which is part of no fleet.
+    /// Adds and starts a proxy that belongs to no fleet.
     pub async fn add_proxy_without_fleet(&mut self) {
         let mut command = linenhill_command();
         command.env("LB_CONFIG", &self.proxy_settings).env("LB_LISTEN", "127.0.0.1:0");
-        let program = start_process(command, self.proxy_settings.clone()).expect("a proxy starts");
+        let program = start_process(command, self.proxy_settings.clone()).expect("start a proxy");
         self.addresses.borrow_mut().push(Some(program.logged_address(" listens on ")));
         let operator_file = self.proxies[0].operator_file.clone();
         let mut instance = Instance::new("alone", start_relays().await, operator_file);
@@ -200,7 +201,7 @@
         self.proxies.push(instance);
     }
 
-    /// Lets all relays lead to where the keepers listen now.
+    /// Sets the targets of all relays to the keepers' current addresses.
     fn connect_relays(&self) {
         for (index, keeper) in self.keepers.iter().enumerate() {
             let Some(program) = &keeper.program else { continue };
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Starts the process of a keeper, which may end at once: that is left to the test.
+    /// Starts the process of a keeper. If it exits before it listens, its `program` is `None`.
     pub fn start_keeper(&mut self, index: usize, is_founder: bool) {
         let keeper = &self.keepers[index];
         let mut command = linenhill_command();
@@ -227,7 +228,7 @@
         self.connect_relays();
     }
 
-    /// Starts the process of a proxy, and returns once it listens.
+    /// Starts the process of a proxy and waits until it listens.
     pub fn start_proxy(&mut self, index: usize) {
         let proxy = &self.proxies[index];
         let mut command = linenhill_command();
@@ -235,14 +236,14 @@
         command.env("LB_CONFIG", &self.proxy_settings);
         command.env("LB_LISTEN", "127.0.0.1:0").env("LB_NAME", &proxy.name);
         self.set_fault_environment(&mut command, &proxy.name);
-        let program = start_process(command, self.proxy_settings.clone()).expect("a proxy starts");
+        let program = start_process(command, self.proxy_settings.clone()).expect("start a proxy");
         self.addresses.borrow_mut()[index] = Some(program.logged_address(" listens on "));
         let proxy = &mut self.proxies[index];
         proxy.is_suspended = false;
         proxy.program = Some(program);
     }
 
-    /// Passes the fault to inject, and the rate of the instance's clock.
+    /// Passes the fault to inject and the instance's clock rate in the environment.
     fn set_fault_environment(&self, command: &mut Command, name: &str) {
         if let Some(fault) = self.config.injected_fault {
             command.env("LINENHILL_PLANTED", fault);
@@ -252,25 +253,27 @@
         }
     }
 
+    /// All keepers, then all proxies.
     pub fn instances_mut(&mut self) -> impl Iterator<Item = &mut Instance> {
         self.keepers.iter_mut().chain(&mut self.proxies)
     }
 
-    /// Notes what was done in the history, lets the cluster run for this long, and checks its limits.
-    pub async fn run_for(&mut self, length: Duration, done: &str) -> Result<(), LimitExceeded> {
-        self.history.push(done.to_string());
+    /// Appends `action` to the history, lets the cluster run for `length`, and checks the limits.
+    pub async fn run_for(&mut self, length: Duration, action: &str) -> Result<(), LimitExceeded> {
+        self.history.push(action.to_string());
         sleep(length).await;
         self.check_limits()
     }
 
-    /// Whether no limit of the fleet was exceeded so far.
+    /// Returns the first violation at the primary, if there was any so far.
     pub fn check_limits(&self) -> Result<(), LimitExceeded> {
         match self.members[0].violations.borrow().first() {
-            Some(violation) if !self.config.bounds_disruption() => Err(self.limit_exceeded(violation)),
+            Some(violation) if !self.config.has_disruption_limits() => Err(self.limit_exceeded(violation)),
             _ => Ok(()),
         }
     }
 
+    /// An error for this violation, with the history so far.
     pub fn limit_exceeded(&self, violation: &str) -> LimitExceeded {
         LimitExceeded { violation: violation.to_string(), history: self.history.clone() }
     }
@@ -283,8 +286,8 @@
     }
 }
 
-/// Starts a process, and returns once it listens; `None` where it ends before.
+/// Starts a process and waits until it listens; `None` if it exits before.
 fn start_process(mut command: Command, config: PathBuf) -> Option<Program> {
-    let process = command.stderr(Stdio::piped()).spawn().expect("the program");
+    let process = command.stderr(Stdio::piped()).spawn().expect("start the program");
     try_wait_until_listening(process, config)
 }
--- a/tests/cluster_harness/counting_member.rs
+++ b/tests/cluster_harness/counting_member.rs
@@ -1,4 +1,5 @@
-//! A member that serves every statement and counts what it has at once, as its kernel sees it.
+//! A member that serves every statement and counts its concurrent connections and attempts in flight. A
+//! connection counts as open until its socket shows that the proxy closed it.
 
 use super::operator_file::{Budgets, Terms};
 use super::{ADMISSIONS_PER_SECOND, MEMBER_LIMIT};
@@ -12,34 +13,34 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// What one member has counted.
+/// Counters of one member.
 #[derive(Default)]
 pub struct MemberCounts {
-    /// Second handles of the connections that are open here, by number.
+    /// Duplicated handles of the connections being served, by connection number.
     open: RefCell<BTreeMap<u64, std::net::TcpStream>>,
     attempts_in_flight: Cell<usize>,
-    /// The most connections, or attempts in flight, at once.
+    /// Highest number of concurrent connections or attempts in flight, whichever is limited.
     pub peak: Cell<usize>,
     pub served: Cell<u64>,
-    /// Each time that a limit of the fleet was exceeded here.
+    /// One entry for each time that a limit of the fleet was exceeded at this member.
     pub violations: RefCell<Vec<String>>,
-    /// When each admitted write came here first.
+    /// Time of the first attempt of each write.
     admitted_at: RefCell<Vec<Instant>>,
     admitted_ids: RefCell<BTreeSet<String>>,
 }
 
 impl MemberCounts {
-    /// How many connections the other side has not closed.
+    /// Number of connections that the proxy has not closed.
     pub fn open_connections(&self) -> usize {
-        let is_alive = |stream: &&std::net::TcpStream| match stream.peek(&mut [0]) {
+        let is_open = |stream: &&std::net::TcpStream| match stream.peek(&mut [0]) {
             Ok(length) => length > 0,
             Err(error) => error.kind() == ErrorKind::WouldBlock,
         };
-        self.open.borrow().values().filter(is_alive).count()
+        self.open.borrow().values().filter(is_open).count()
     }
 
-    /// The most admissions beyond the rate in any window: more than the burst are too many, but for those that waited
-    /// between their admission and their arrival.
+    /// Highest number of admissions in excess of the rate, over all windows of time. It may exceed the configured burst
+    /// only by requests that were delayed between their admission and their arrival here.
     pub fn admission_burst(&self) -> f64 {
         let mut level = 0.0f64;
         let mut peak = 0.0f64;
@@ -53,7 +54,7 @@
         peak
     }
 
-    /// Counts the connections, where they are limited.
+    /// Records the number of connections if the budget limits connections.
     fn record_connections(&self, budgets: Budgets) {
         let connections = self.open_connections();
         if budgets != Budgets::Connections {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Counts an attempt that begins, where attempts are limited; with it the admission of its request.
+    /// Records the start of an attempt, and the admission of its request, if the budgets limit attempts.
     fn record_attempt(&self, statement: &str, budgets: Budgets) {
         if budgets == Budgets::Connections {
             return;
@@ -84,7 +85,7 @@
     }
 }
 
-/// An attempt in flight at a member; it counts until it is answered or its connection is gone, which drops this guard.
+/// Guard of an attempt in flight at a member. It is dropped when the attempt is answered or its connection ends.
 struct AttemptInFlight(Rc<MemberCounts>);
 
 impl AttemptInFlight {
@@ -100,15 +101,15 @@
     }
 }
 
-/// Serves connections at this listener for as long as the test runs.
+/// Accepts and serves connections until the end of the test.
 pub async fn run_member(listener: TcpListener, is_primary: bool, counts: Rc<MemberCounts>, terms: Terms) {
     for number in 0.. {
         let Ok((stream, _)) = listener.accept().await else { return };
-        let stream = stream.into_std().expect("a socket");
-        let second_handle = stream.try_clone().expect("a second handle");
-        counts.open.borrow_mut().insert(number, second_handle);
+        let stream = stream.into_std().expect("convert the socket");
+        let handle = stream.try_clone().expect("duplicate the socket");
+        counts.open.borrow_mut().insert(number, handle);
         counts.record_connections(terms.budgets);
-        let stream = TcpStream::from_std(stream).expect("a socket");
+        let stream = TcpStream::from_std(stream).expect("convert the socket");
         let counts = counts.clone();
         spawn_local(async move {
             serve_connection(stream, is_primary, &counts, terms).await;
@@ -117,7 +118,8 @@
     }
 }
 
-/// Serves a connection until it is closed or idle for too long: what a suspended process holds can't outlast that.
+/// Serves a connection until it is closed or idle for `terms.idle_ms`, which also bounds how long a connection of a
+/// suspended process stays open.
 async fn serve_connection(stream: TcpStream, is_primary: bool, counts: &Rc<MemberCounts>, terms: Terms) {
     let counts = counts.clone();
     let act = move |statement: String| {
--- a/tests/cluster_harness/faults.rs
+++ b/tests/cluster_harness/faults.rs
@@ -1,103 +1,104 @@
-//! Random faults of processes and of the network between them, by seed.
+//! Random faults of the processes and of the network between them, drawn from a seeded generator.
 
 use super::{Cluster, Instance, KEEPERS};
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// What to draw a fault from; all are drawn each time, so that a seed gives the same faults whatever is done with them.
-struct Draw {
+/// Random parameters of a fault. All of them are drawn for every fault, so that the sequence of a seed does not depend
+/// on which are used.
+struct FaultParameters {
     keeper: usize,
     proxy: usize,
-    /// Among keepers and proxies.
+    /// Index among all keepers and proxies.
     instance: usize,
-    /// The keeper at the other end of a link of that instance.
-    far_keeper: usize,
+    /// Keeper at the other end of the affected link of `instance`.
+    link_keeper: usize,
     kind: u8,
 }
 
-impl Draw {
-    fn new(random: &mut fastrand::Rng, proxies: usize) -> Draw {
-        Draw {
+impl FaultParameters {
+    fn new(random: &mut fastrand::Rng, proxies: usize) -> FaultParameters {
+        FaultParameters {
             keeper: random.usize(0..KEEPERS),
             proxy: random.usize(0..proxies),
             instance: random.usize(0..KEEPERS + proxies),
-            far_keeper: random.usize(0..KEEPERS),
+            link_keeper: random.usize(0..KEEPERS),
             kind: random.u8(0..12),
         }
     }
 
-    /// Which directions of a link are held.
+    /// Which directions of the link are held: to the keeper, from the keeper.
     fn held_directions(&self) -> (bool, bool) {
         let directions = [(true, true), (true, false), (false, true)];
-        directions[usize::from(self.kind) % 2 + self.far_keeper % 2]
+        directions[usize::from(self.kind) % 2 + self.link_keeper % 2]
     }
 }
 
 impl Cluster {
     fn instance_mut(&mut self, index: usize) -> &mut Instance {
-        self.instances_mut().nth(index).expect("an instance")
+        self.instances_mut().nth(index).expect("index of an instance")
     }
 
-    /// Injects a fault, or heals all, and waits for a while; the history says what was done.
+    /// Injects a random fault or heals all, appends that to the history, and waits for a random time.
     pub async fn inject_random_fault(&mut self, random: &mut fastrand::Rng) {
-        let draw = Draw::new(random, self.proxies.len());
-        let done = match draw.kind {
-            0 => self.restart_proxy(draw.proxy),
-            1 => self.restart_keeper(draw.keeper),
+        let parameters = FaultParameters::new(random, self.proxies.len());
+        let action = match parameters.kind {
+            0 => self.restart_proxy(parameters.proxy),
+            1 => self.restart_keeper(parameters.keeper),
             2 | 3 => {
-                self.proxies[draw.proxy].suspend();
-                format!("p{} suspended", draw.proxy)
+                self.proxies[parameters.proxy].suspend();
+                format!("p{} suspended", parameters.proxy)
             }
             4 => {
-                self.keepers[draw.keeper].suspend();
-                format!("k{} suspended", draw.keeper)
+                self.keepers[parameters.keeper].suspend();
+                format!("k{} suspended", parameters.keeper)
             }
-            5..=8 => self.inject_link_fault(&draw),
+            5..=8 => self.inject_link_fault(&parameters),
             _ => {
                 self.heal();
-                "all healed".to_string()
+                "all faults healed".to_string()
             }
         };
-        self.history.push(done);
+        self.history.push(action);
         sleep(Duration::from_millis(random.u64(50..1_500))).await;
     }
 
-    fn inject_link_fault(&mut self, draw: &Draw) -> String {
-        let keeper = draw.far_keeper;
-        let instance = self.instance_mut(draw.instance);
-        let fault = match draw.kind {
+    fn inject_link_fault(&mut self, parameters: &FaultParameters) -> String {
+        let keeper = parameters.link_keeper;
+        let instance = self.instance_mut(parameters.instance);
+        let fault = match parameters.kind {
             7 => {
                 instance.reset_link(keeper);
-                "reset".to_string()
+                "connections reset".to_string()
             }
             8 => {
                 instance.delay_link(keeper, Duration::from_millis(300));
                 "delayed".to_string()
             }
             _ => {
-                let (is_held_to, is_held_from) = draw.held_directions();
-                instance.hold_link(keeper, is_held_to, is_held_from);
-                format!("held {is_held_to} {is_held_from}")
+                let (to_keeper, from_keeper) = parameters.held_directions();
+                instance.hold_link(keeper, to_keeper, from_keeper);
+                format!("held, to keeper: {to_keeper}, from keeper: {from_keeper}")
             }
         };
-        format!("{} to k{keeper} {fault}", instance.name)
+        format!("{} to k{keeper}: {fault}", instance.name)
     }
 
-    /// Kills a proxy and starts it anew; returns what was done.
+    /// Kills a proxy and starts it again; returns the entry for the history.
     pub fn restart_proxy(&mut self, index: usize) -> String {
         self.proxies[index].program = None;
         self.start_proxy(index);
-        format!("p{index} killed and started")
+        format!("p{index} killed and restarted")
     }
 
-    /// Kills a keeper and starts it anew; returns what was done.
+    /// Kills a keeper and starts it again; returns the entry for the history.
     pub fn restart_keeper(&mut self, index: usize) -> String {
         self.keepers[index].program = None;
         self.start_keeper(index, false);
-        format!("k{index} killed and started")
+        format!("k{index} killed and restarted")
     }
 
-    /// Lets all processes go on, and removes all faults of the network.
+    /// Resumes all suspended processes and removes all faults of the network.
     pub fn heal(&mut self) {
         self.instances_mut().for_each(Instance::heal);
     }
--- a/tests/cluster_harness/mod.rs
+++ b/tests/cluster_harness/mod.rs
@@ -1,7 +1,7 @@
-//! A fleet of processes on loopback: keepers, proxies, and members that count what reaches them, with a relay as the network
-//! between every instance and each keeper. It knows the limits of the whole fleet and nothing of quotas: what a proxy may
-//! use must be judged at the members alone.
-#![allow(dead_code)] // Each test binary uses its part.
+//! A fleet of processes on loopback: keepers, proxies, and members that count connections and attempts. A relay
+//! simulates the network between each instance and each keeper. Tests check the limits of the whole fleet at the
+//! members alone, without regard to the proxies' quotas.
+#![allow(dead_code)] // Each test binary uses only some of the items.
 #![allow(unused_imports)]
 
 mod clients;
@@ -19,12 +19,13 @@
 pub use operator_file::{Budgets, OperatorFile, Terms};
 use std::time::Duration;
 
+/// Number of keepers in every test fleet.
 pub const KEEPERS: usize = 3;
-/// What the whole fleet may use at each member at once: connections, or attempts in flight.
+/// Limit of the whole fleet at each member: concurrent connections, or attempts in flight.
 pub const MEMBER_LIMIT: usize = 6;
-/// Admissions of the class `order` that the whole fleet may make each second.
+/// Rate at which the whole fleet may admit requests of the class `order`.
 pub const ADMISSIONS_PER_SECOND: u64 = 60;
-/// Admissions that it may make at once.
+/// Admissions of that class that the whole fleet may make at once.
 pub const ADMISSION_BURST: u64 = 6;
-/// A state that must come has come by then, on the slowest machine.
+/// Time limit for an expected state, long enough for a slow machine.
 pub const PROGRESS_TIMEOUT: Duration = Duration::from_secs(120);
--- a/tests/cluster_harness/operator_file.rs
+++ b/tests/cluster_harness/operator_file.rs
@@ -1,30 +1,30 @@
-//! The operators' file of a test fleet.
+//! Generates the operators' files of a test fleet.
 
 use super::{ADMISSION_BURST, ADMISSIONS_PER_SECOND};
 use linenhill_standins::Relay;
 use std::fmt::Write;
 
-/// Which budgets the operators' file declares.
+/// Budgets that the operators' file declares.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Budgets {
-    /// Connections at each member.
+    /// Concurrent connections at each member.
     Connections,
     /// Attempts in flight at each member, and admissions of the class `order`.
     Work,
 }
 
-/// The terms of a fleet, and the pace of its members. Durations are in milliseconds.
+/// Terms and budgets of a fleet, and timing of its members.
 #[derive(Clone, Copy)]
 pub struct Terms {
     pub lease_ms: u64,
     pub membership_ms: u64,
-    /// By how much a clock may be wrong, in millionths.
+    /// Bound on the rate error of a clock, in millionths.
     pub drift_ppm: u64,
-    /// For how long what a lease allowed may go on after its end.
+    /// How long connections or attempts that a lease permitted may outlive it.
     pub outlives_ms: u64,
-    /// Members close a connection that is idle for so long.
+    /// Idle time after which a member closes a connection, and after which a proxy does.
     pub idle_ms: u64,
-    /// For how long a member works on a statement.
+    /// Time that a member takes for a statement.
     pub work_ms: u64,
     pub budgets: Budgets,
 }
@@ -39,27 +39,27 @@
         work_ms: 20,
         budgets: Budgets::Connections,
     };
-    /// Connections outlive a lease by little, so that an overlap of leases shows.
+    /// Connections may outlive a lease only briefly, so that overlapping leases exceed the limit at a member.
     pub const TIGHT: Terms =
         Terms { lease_ms: 1_000, membership_ms: 20_000, outlives_ms: 600, idle_ms: 150, ..Terms::DEFAULT };
 }
 
-/// What the operators' file of one instance says.
+/// Content of the operators' file of one instance.
 pub struct OperatorFile<'a> {
-    /// The zone of the instance.
+    /// Name of the instance, which is used as its zone.
     pub name: &'a str,
-    /// From the instance to each keeper.
+    /// The instance's relays to each keeper.
     pub relays: &'a [Relay],
-    /// The folder of a keeper's store; empty for a proxy.
+    /// Folder of a keeper's store; empty for a proxy.
     pub store: &'a str,
     pub terms: Terms,
     pub revision: u64,
-    /// What the whole fleet may use at each member.
+    /// Limit of the whole fleet at each member, in connections or attempts.
     pub member_limit: usize,
 }
 
 impl OperatorFile<'_> {
-    /// The file in protobuf text format.
+    /// Formats the file in protobuf text format.
     pub fn text(&self) -> String {
         let OperatorFile { name, store, revision, .. } = self;
         let Terms { lease_ms, membership_ms, drift_ppm, .. } = self.terms;
@@ -77,7 +77,8 @@
         let mut text = String::new();
         for (index, relay) in self.relays.iter().enumerate() {
             let address = relay.address;
-            writeln!(text, "keeper {{ name: \"k{index}\" address: \"{address}\" }}").expect("a string");
+            writeln!(text, "keeper {{ name: \"k{index}\" address: \"{address}\" }}")
+                .expect("write to a string");
         }
         text
     }
--- a/tests/fleet/latency.rs
+++ b/tests/fleet/latency.rs
@@ -1,4 +1,4 @@
-//! Not a test but a measurement: what a fleet costs a request, within one run.
+//! Measures the latency of reads with and without a fleet in one run; makes no assertions.
 
 use crate::cluster_harness::{Budgets, Cluster, ClusterConfig, KEEPERS, Terms};
 use crate::harness::run_local;
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Reads for one set of figures.
+/// Reads for each printed line.
 const READS: usize = 4_000;
 
-/// Milliseconds of reads one after another.
+/// Latencies of sequential reads, in milliseconds.
 struct Latencies {
     median: f64,
     p99: f64,
@@ -26,9 +26,9 @@
 async fn measure_reads(cluster: &Cluster, proxy: usize) -> Latencies {
     let mut milliseconds = Vec::with_capacity(READS);
     for number in 0..READS {
-        let began = Instant::now();
+        let started = Instant::now();
         cluster.read_once(proxy, number).await;
-        milliseconds.push(began.elapsed().as_secs_f64() * 1e3);
+        milliseconds.push(started.elapsed().as_secs_f64() * 1e3);
     }
     milliseconds.sort_by(f64::total_cmp);
     Latencies {
@@ -47,8 +47,8 @@
         let mut cluster = Cluster::start_with(config).await;
         cluster.wait_until_settled().await;
         cluster.add_proxy_without_fleet().await;
-        for (proxy, what) in [(0, "in a fleet"), (1, "alone"), (0, "in a fleet"), (1, "alone")] {
-            println!("{what}: {}", measure_reads(&cluster, proxy).await);
+        for (proxy, label) in [(0, "in a fleet"), (1, "alone"), (0, "in a fleet"), (1, "alone")] {
+            println!("{label}: {}", measure_reads(&cluster, proxy).await);
         }
         for index in 0..KEEPERS {
             sleep(Duration::from_millis(300)).await;
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,7 +1,7 @@
-//! Several processes of the program that agree on budgets, with faults between them and within. The checker stands at the
-//! members and counts what really arrives; it knows the limits of the whole fleet, and nothing of quotas.
+//! Fleets of processes that agree on budgets, under faults of the processes and of the network between them. Limits of
+//! the whole fleet are checked at the members, by what arrives there, without regard to quotas.
 //!
-//! What must never be is asserted always; what must come is waited for, with a long limit and no measured time.
+//! Safety is checked throughout; an expected state is waited for with a long time limit, and no time is measured.
 
 #[path = "../cluster_harness/mod.rs"]
 mod cluster_harness;
