--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -1,6 +1,6 @@
-//! The recorded incidents (`docs/incidents/`), played with the real program: a process that starts with a saved list while
-//! a whole fleet does, and clients that stop in the middle of a request. Limits here are the platform's own, and the
-//! program keeps well away from them, so that a slow machine gives the same verdict.
+//! Reproduces the recorded incidents (`docs/incidents/`) with the proxy process: a proxy that starts from a saved list
+//! while its whole fleet starts, and clients that stall in the middle of a request. The bounds are those of the
+//! platform; the proxy's own timeouts are well below them, so that a slow machine does not change the result.
 
 mod harness;
 
@@ -19,23 +19,24 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// A client that stopped in the middle of a request is owed an error or a close within this time.
-const STOPPED_CLIENT_WITHIN: Duration = Duration::from_secs(3);
-/// A member that was gone when the process before this one died, 5 s before the start, counts as notified 1 s after the
-/// start, and nothing may be sent to it 2 s later.
+/// A client that stalls in the middle of a request must get an error or a close within this time.
+const STALLED_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Nothing may be sent by an unconfirmed saved list later than this after the start. A change just before the previous
+/// process exited, 5 s before the start, counts as notified 1 s after the start, and binds 2 s later.
 const LAST_SEND_AFTER_START: Duration = Duration::from_secs(3);
-/// Beyond that, what a busy machine may add to what this test sees.
+/// Added to that bound for delays of a busy machine in the test's own measurements.
 const TEST_SLACK: Duration = Duration::from_millis(900);
-/// Longer than the program may use a saved list, and than the place of the last of 300 proxies.
-const OBSERVED: Duration = Duration::from_secs(6);
+/// Longer than an unconfirmed saved list may be used, and than the delay of the first call of the last of 300 proxies.
+const OBSERVATION_TIME: Duration = Duration::from_secs(6);
 
-/// Three members that serve every statement and note when; the addresses stand in the configuration.
+/// Starts three members that serve every statement and record the times of writes in `sent`. Returns the configuration
+/// with their addresses, and the addresses.
 async fn start_members(config: &str, sent: &Rc<RefCell<Vec<Instant>>>) -> (String, Vec<SocketAddr>) {
     let mut config = config.to_string();
     let mut addresses = Vec::new();
-    for (index, named) in ["127.0.0.1:7001", "127.0.0.1:7002", "127.0.0.1:7003"].iter().enumerate() {
+    for (index, example) in ["127.0.0.1:7001", "127.0.0.1:7002", "127.0.0.1:7003"].iter().enumerate() {
         let (listener, address) = bind_loopback().await;
-        config = config.replace(named, &address.to_string());
+        config = config.replace(example, &address.to_string());
         addresses.push(address);
         let sent = sent.clone();
         let serve = move |statement: String| {
@@ -49,19 +50,19 @@
     (config, addresses)
 }
 
-/// Starts the program as the last of 300 proxies, before this discovery.
+/// Starts the proxy as the last of a fleet of 300, with this discovery service.
 async fn start_last_of_fleet(name: &str, config: &str, discovery: &TcpListener) -> Program {
-    let at = discovery.local_addr().expect("an address").to_string();
+    let address = discovery.local_addr().expect("local address of discovery").to_string();
     let config = config
-        .replace("127.0.0.1:8500", &at)
+        .replace("127.0.0.1:8500", &address)
         .replace("\"fleetSize\": 1", "\"fleetSize\": 300, \"me\": 299")
         .replace("\"mayProbe\": true", "\"mayProbe\": false");
     let path = write_test_file(&format!("{name}.json"), &config);
     start_program(program_command(&path), path)
 }
 
-/// Writes of one client after the other, for as long as the test runs.
-async fn write_all_the_time(at: SocketAddr, written: Rc<Cell<u32>>) {
+/// Sends one write after another, each from a new client, until the end of the test. Counts them in `written`.
+async fn write_continuously(address: SocketAddr, written: Rc<Cell<u32>>) {
     loop {
         written.set(written.get() + 1);
         let statement = WRITE
@@ -69,7 +70,7 @@
             .replace("k=b2", &format!("k={:x}", written.get()))
             .replace("d=60000", "d=2000");
         let answered = async {
-            let mut stream = connect_client(at, &[&statement]).await;
+            let mut stream = connect_client(address, &[&statement]).await;
             read_answer(&mut stream).await
         };
         let _ = timeout(Duration::from_millis(400), answered).await;
@@ -77,14 +78,15 @@
     }
 }
 
+/// Times since the start of the writes that were sent after the bound.
 fn late_sends(sent: &Rc<RefCell<Vec<Instant>>>, started: Instant) -> Vec<Duration> {
-    let ages = sent.borrow().iter().map(|at| at.duration_since(started)).collect::<Vec<_>>();
-    ages.into_iter().filter(|age| *age > LAST_SEND_AFTER_START + TEST_SLACK).collect()
+    let times = sent.borrow().iter().map(|time| time.duration_since(started)).collect::<Vec<_>>();
+    times.into_iter().filter(|time| *time > LAST_SEND_AFTER_START + TEST_SLACK).collect()
 }
 
-/// Guards against sends by a saved list whose changes count as notified while the first call of discovery waits for the
-/// process's place in a fleet of 300: its members were all gone, and came back under their names, before the process
-/// started. With the fault, sends went on for 8 s.
+/// Guards against sends by a saved list after its changes count as notified. The first call of discovery is delayed by
+/// the process's place in a fleet of 300, and all members were replaced under the same names before the process
+/// started. With the fault, sends continued for 8 s.
 #[test]
 fn restarted_process_stops_using_an_unconfirmed_saved_list() {
     run_local(async {
@@ -93,27 +95,28 @@
         let (discovery, _) = bind_loopback().await;
         let program = start_last_of_fleet("saved-list", &config, &discovery).await;
         let started = Instant::now();
-        let at = program.logged_address("listens on ");
-        // Discovery accepts every call and sends nothing before the observation ends.
+        let address = program.logged_address("listens on ");
+        // Discovery accepts every call and sends no response.
         let calls = Rc::new(RefCell::new(Vec::new()));
-        let held = calls.clone();
+        let open_calls = calls.clone();
         spawn_local(async move {
             loop {
-                let call = discovery.accept().await.expect("a call").0;
-                held.borrow_mut().push(call);
+                let call = discovery.accept().await.expect("accept a discovery call").0;
+                open_calls.borrow_mut().push(call);
             }
         });
         let written = Rc::new(Cell::new(0));
-        spawn_local(write_all_the_time(at, written.clone()));
-        sleep(OBSERVED).await;
-        assert!(!sent.borrow().is_empty(), "the saved list is used at first");
+        spawn_local(write_continuously(address, written.clone()));
+        sleep(OBSERVATION_TIME).await;
+        assert!(!sent.borrow().is_empty(), "the saved list should be used at first");
         let late = late_sends(&sent, started);
         assert!(late.is_empty(), "{} of {} sends were late: {late:?}", late.len(), sent.borrow().len());
-        assert!(written.get() > 50, "clients are answered at once: {}", written.get());
+        assert!(written.get() > 50, "clients should be answered without delay: {} writes", written.get());
     });
 }
 
-/// Guards against a first call that comes after what the process missed binds.
+/// Guards against a first call of discovery that comes after the changes missed before the start have become binding.
+/// The last proxy of a large fleet calls last.
 #[test]
 fn last_of_a_large_fleet_calls_discovery_before_what_it_missed_binds() {
     run_local(async {
@@ -123,56 +126,58 @@
         let program = start_last_of_fleet("first-call", &config, &discovery).await;
         let (mut call, from) = timeout(LAST_SEND_AFTER_START + TEST_SLACK, accept_watch(&discovery))
             .await
-            .expect("a call in time");
+            .expect("the first call should come in time");
         assert_eq!(from, 1);
-        // The member that serves is named as draining: nothing is sent there from then on.
-        let gone: Vec<String> = addresses
+        // The list marks all members as terminating.
+        let terminating: Vec<String> = addresses
             .iter()
             .enumerate()
-            .map(|(index, at)| {
+            .map(|(index, address)| {
                 format!(
-                    r#"{{"id":"m-{}","addr":"{at}","zone":"a","kind":"toy","cell":1,"state":"terminating","started_ms":0}}"#,
+                    r#"{{"id":"m-{}","addr":"{address}","zone":"a","kind":"toy","cell":1,"state":"terminating","started_ms":0}}"#,
                     index + 1
                 )
             })
             .collect();
-        let line = format!(r#"{{"version":2,"full":false,"servers":[{}]}}"#, gone.join(","));
+        let line = format!(r#"{{"version":2,"full":false,"servers":[{}]}}"#, terminating.join(","));
         send_watch_line(&mut call, WATCH_HEAD, &line).await;
         program.wait_for_log("list version 2 with 3 entries").await;
     });
 }
 
-/// Sends `bytes`, stays, and returns after how long the proxy sent something more or closed.
-async fn stop_after(at: SocketAddr, bytes: Vec<u8>, answers_before: usize) -> Duration {
-    let mut stream = TcpStream::connect(at).await.expect("a connection");
-    stream.set_nodelay(true).expect("an option");
-    stream.write_all(&bytes).await.expect("written");
-    let stopped = Instant::now();
+/// Sends `bytes`, stalls with the connection open, and returns the time until the proxy sent more than
+/// `expected_length` bytes or closed.
+async fn stall_after(address: SocketAddr, bytes: Vec<u8>, expected_length: usize) -> Duration {
+    let mut stream = TcpStream::connect(address).await.expect("connect to the proxy");
+    stream.set_nodelay(true).expect("set TCP_NODELAY");
+    stream.write_all(&bytes).await.expect("write the bytes");
+    let stalled_at = Instant::now();
     let mut received = Vec::new();
     loop {
         let mut piece = [0; 1024];
         match stream.read(&mut piece).await {
-            Ok(0) | Err(_) => return stopped.elapsed(),
+            Ok(0) | Err(_) => return stalled_at.elapsed(),
             Ok(length) => received.extend_from_slice(&piece[..length]),
         }
-        if received.len() > answers_before {
-            return stopped.elapsed();
+        if received.len() > expected_length {
+            return stalled_at.elapsed();
         }
     }
 }
 
-/// The length of what a client is answered to its startup message.
-async fn length_of_welcome(at: SocketAddr) -> usize {
-    let mut stream = TcpStream::connect(at).await.expect("a connection");
-    stream.write_all(&encode(&[Command::Startup])).await.expect("written");
+/// Length of the response to a startup message, in bytes.
+async fn startup_response_length(address: SocketAddr) -> usize {
+    let mut stream = TcpStream::connect(address).await.expect("connect to the proxy");
+    stream.write_all(&encode(&[Command::Startup])).await.expect("write the startup message");
     let mut received = Vec::new();
     while !received.ends_with(b"Z\0\0\0\x05I") {
-        received.push(stream.read_u8().await.expect("a welcome"));
+        received.push(stream.read_u8().await.expect("read the response to the startup message"));
     }
     received.len()
 }
 
-/// Guards against limits that are longer than the platform's for bad clients: with the fault, their end came after 3.5 s.
+/// Guards against timeouts of stalled clients that exceed the platform's bound. With the fault, their connections were
+/// closed after 3.5 s.
 #[test]
 fn client_that_stops_at_any_byte_gets_its_end_in_time() {
     run_local(async {
@@ -185,24 +190,24 @@
             &config.replace("127.0.0.1:8500", &discovery_address.to_string()),
         );
         let program = start_program(program_command(&path), path);
-        let at = program.logged_address("listens on ");
-        let welcome = length_of_welcome(at).await;
+        let address = program.logged_address("listens on ");
+        let startup_response = startup_response_length(address).await;
         let startup = encode(&[Command::Startup]).to_vec();
         let request = encode(&[Command::Startup, query_command(READ)]).to_vec();
         let mut clients = Vec::new();
         for length in 1..request.len() {
-            // A complete startup message and nothing more is a client between requests.
+            // After exactly the startup message a client is between requests, and has not stalled.
             if length != startup.len() {
-                let before = if length > startup.len() { welcome } else { 0 };
-                let client = stop_after(at, request[..length].to_vec(), before);
+                let expected_length = if length > startup.len() { startup_response } else { 0 };
+                let client = stall_after(address, request[..length].to_vec(), expected_length);
                 clients.push((length, spawn_local(client)));
             }
         }
         for (length, client) in clients {
-            let took = client.await.expect("a client");
+            let took = client.await.expect("join a client");
             assert!(
-                took < STOPPED_CLIENT_WITHIN,
-                "stopped after {length} bytes: its end came after {took:?}"
+                took < STALLED_CLIENT_TIMEOUT,
+                "client stalled after {length} bytes: error or close after {took:?}"
             );
         }
     });
