--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line, on the program itself.
+//! The command line of the program: subcommands, exit codes and errors at the start.
 
 use std::net::TcpListener;
 use std::path::PathBuf;
@@ -7,31 +7,31 @@
 const CONFIG: &str = include_str!("../examples/config.json");
 const OPERATOR_FILE: &str = include_str!("../deploy/operator.textproto");
 
-fn linenhill(args: &[&str]) -> Output {
-    linenhill_with(args, &[])
+fn run(args: &[&str]) -> Output {
+    run_with(args, &[])
 }
 
-/// Runs the program with these variables alone out of those that configure it.
-fn linenhill_with(args: &[&str], variables: &[(&str, &str)]) -> Output {
+/// Runs the program with these environment variables and without any others that configure it.
+fn run_with(args: &[&str], variables: &[(&str, &str)]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_linenhill"));
     for name in ["LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_ADMIN", "LB_INHERITED_FD"] {
         command.env_remove(name);
     }
-    command.args(args).envs(variables.iter().copied()).output().expect("the program")
+    command.args(args).envs(variables.iter().copied()).output().expect("run the program")
 }
 
-/// A file of this test's own.
-fn file(name: &str, text: &str) -> PathBuf {
+/// Writes a file into Cargo's folder for temporary files of tests.
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("write a test file");
     path
 }
 
-/// Runs the program and asserts that it fails to start, and with this message.
+/// Runs the program and asserts that it exits with 1 and logs a line whose text begins with this message.
 fn assert_fails_to_start(args: &[&str], variables: &[(&str, &str)], message: &str) {
-    let run = linenhill_with(args, variables);
-    assert_eq!(run.status.code(), Some(1), "{args:?} {variables:?}");
-    let log = text(&run.stderr);
+    let output = run_with(args, variables);
+    assert_eq!(output.status.code(), Some(1), "{args:?} {variables:?}");
+    let log = text(&output.stderr);
     assert!(log.contains(&format!("] {message}")), "{args:?} {variables:?}: {log}");
 }
 
@@ -39,58 +39,64 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-// Guards against a start by the platform, which gives no arguments, that means anything but to serve.
+// Guards against a start without arguments, as the platform starts the proxy, that does something other than `serve`.
 #[test]
 fn no_command_and_serve_are_the_same() {
     for args in [&[] as &[&str], &["serve"]] {
-        let run = linenhill(args);
-        assert_eq!(run.status.code(), Some(1));
-        assert!(text(&run.stderr).contains("LB_CONFIG names no file"), "{}", text(&run.stderr));
+        let output = run(args);
+        assert_eq!(output.status.code(), Some(1));
+        assert!(text(&output.stderr).contains("LB_CONFIG names no file"), "{}", text(&output.stderr));
     }
 }
 
-// Guards against a mistyped command that is passed over and served.
+// Guards against a mistyped command or flag that is ignored, so that the proxy serves.
 #[test]
 fn what_does_not_exist_is_named_and_ends_with_2() {
-    for wrong in ["sevre", "--operater"] {
-        let run = linenhill(&[wrong]);
-        assert_eq!(run.status.code(), Some(2));
-        assert!(text(&run.stderr).contains(wrong), "{}", text(&run.stderr));
+    for mistyped in ["sevre", "--operater"] {
+        let output = run(&[mistyped]);
+        assert_eq!(output.status.code(), Some(2));
+        assert!(text(&output.stderr).contains(mistyped), "{}", text(&output.stderr));
     }
 }
 
 #[test]
 fn version_and_completions_are_printed() {
-    let version = linenhill(&["--version"]);
+    let version = run(&["--version"]);
     assert_eq!(text(&version.stdout).trim(), concat!("linenhill ", env!("CARGO_PKG_VERSION")));
     for shell in ["bash", "zsh", "fish"] {
-        let run = linenhill(&["completions", shell]);
-        assert!(run.status.success() && text(&run.stdout).contains("completions"));
+        let output = run(&["completions", shell]);
+        assert!(output.status.success() && text(&output.stdout).contains("completions"));
     }
 }
 
-// Guards against a start that fails with another message than operators' scripts know, or that does not fail.
+// Guards against a failed start whose message differs from the one that operators' scripts match, and against a start
+// that succeeds despite the error.
 #[test]
 fn a_proxy_that_can_not_start_says_why() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a socket");
-    let taken = taken.local_addr().expect("its address").to_string();
-    let config = file("cli.json", CONFIG);
-    let nameless = file("cli-nameless.json", &CONFIG.replace("\"name\": \"toy\",", ""));
-    let operator_text = OPERATOR_FILE.replace("listen: \"127.0.0.1:7401\"", &format!("listen: \"{taken}\""));
-    let operator = file("cli.textproto", &operator_text);
-    let config = ("LB_CONFIG", config.to_str().expect("a path"));
-    let nameless = ("LB_CONFIG", nameless.to_str().expect("a path"));
-    let operator = operator.to_str().expect("a path");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
+    let address_in_use = listener.local_addr().expect("local address of the listener").to_string();
+    let config = write_file("cli.json", CONFIG);
+    let nameless = write_file("cli-nameless.json", &CONFIG.replace("\"name\": \"toy\",", ""));
+    let operator_text =
+        OPERATOR_FILE.replace("listen: \"127.0.0.1:7401\"", &format!("listen: \"{address_in_use}\""));
+    let operator = write_file("cli.textproto", &operator_text);
+    let config = ("LB_CONFIG", config.to_str().expect("a UTF-8 path"));
+    let nameless = ("LB_CONFIG", nameless.to_str().expect("a UTF-8 path"));
+    let operator = operator.to_str().expect("a UTF-8 path");
     let (serve, listen) = (&["serve", "--operator", operator][..], ("LB_LISTEN", "127.0.0.1:0"));
-    let in_use = |purpose: &str| format!("{purpose} {taken}: Address already in use (os error 98)");
+    let in_use = |purpose: &str| format!("{purpose} {address_in_use}: Address already in use (os error 98)");
     assert_fails_to_start(
         &["serve"],
         &[("LB_CONFIG", "none.json")],
         "none.json: No such file or directory (os error 2)",
     );
     assert_fails_to_start(&["serve"], &[config, ("LB_LISTEN", "x")], "LB_LISTEN is not an address");
-    assert_fails_to_start(&["serve"], &[config, ("LB_LISTEN", &taken)], &in_use("listen on"));
-    assert_fails_to_start(&["serve"], &[config, listen, ("LB_ADMIN", &taken)], &in_use("operators at"));
+    assert_fails_to_start(&["serve"], &[config, ("LB_LISTEN", &address_in_use)], &in_use("listen on"));
+    assert_fails_to_start(
+        &["serve"],
+        &[config, listen, ("LB_ADMIN", &address_in_use)],
+        &in_use("operators at"),
+    );
     assert_fails_to_start(
         &["serve"],
         &[config, listen, ("LB_INHERITED_FD", "99")],
@@ -106,42 +112,44 @@
     );
 }
 
-// Guards against budgets of a class that no request has, which would never bind.
+// Guards against a budget for a class that the settings do not define, which no request would ever count against.
 #[test]
 fn a_budget_of_an_unknown_class_ends_the_start() {
     let text = OPERATOR_FILE
         .replace("what: REPEATS", "what: ADMISSIONS class: \"none\"")
         .replace("listen: \"127.0.0.1:7401\"", "");
-    let operator = file("cli-class.textproto", &text);
-    let config = file("cli-class.json", CONFIG);
+    let operator = write_file("cli-class.textproto", &text);
+    let config = write_file("cli-class.json", CONFIG);
     assert_fails_to_start(
-        &["serve", "--operator", operator.to_str().expect("a path")],
-        &[("LB_CONFIG", config.to_str().expect("a path")), ("LB_LISTEN", "127.0.0.1:0")],
+        &["serve", "--operator", operator.to_str().expect("a UTF-8 path")],
+        &[("LB_CONFIG", config.to_str().expect("a UTF-8 path")), ("LB_LISTEN", "127.0.0.1:0")],
         "budget repeats: no class 'none'",
     );
 }
 
-// Guards against a keeper that starts without an address or on another one's, and against mistakes that share a line.
+// Guards against a keeper that starts without a listening address or on one in use, and against several errors of its
+// file that are not each logged on a line of their own.
 #[test]
 fn a_keeper_that_can_not_start_says_why() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a socket");
-    let taken = taken.local_addr().expect("its address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
+    let address_in_use = listener.local_addr().expect("local address of the listener").to_string();
     let store = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("cli-store");
-    let with_listen = |name: &str, listen: &str| {
+    let operator_file = |name: &str, listen: &str| {
         let _ = std::fs::remove_dir_all(&store);
         let text = OPERATOR_FILE
             .replace("listen: \"127.0.0.1:7401\"", listen)
-            .replace("/tmp/linenhill-k1", store.to_str().expect("a path"));
-        file(name, &text).to_str().expect("a path").to_string()
+            .replace("/tmp/linenhill-k1", store.to_str().expect("a UTF-8 path"));
+        write_file(name, &text).to_str().expect("a UTF-8 path").to_string()
     };
     let keep = |operator: &str, message: &str| {
         assert_fails_to_start(&["keep", "--operator", operator, "--name", "k1", "--found"], &[], message);
     };
-    keep(&with_listen("cli-silent.textproto", ""), "the operator's file lacks instance.listen");
-    let operator = with_listen("cli-taken.textproto", &format!("listen: \"{taken}\""));
-    keep(&operator, &format!("listen on {taken}: Address already in use (os error 98)"));
-    let wrong = OPERATOR_FILE.replace("lease_ms: 3000", "lease_ms: 1").replace("burst: 100", "burst: 0");
-    let wrong = file("cli-wrong.textproto", &wrong).to_str().expect("a path").to_string();
-    keep(&wrong, &format!("{wrong}: line 24: terms.lease_ms: 100 to 60000 is expected"));
-    keep(&wrong, &format!("{wrong}: line 39: budget[1].rate.burst: at least 1 is expected"));
+    keep(&operator_file("cli-silent.textproto", ""), "the operator's file lacks instance.listen");
+    let operator = operator_file("cli-taken.textproto", &format!("listen: \"{address_in_use}\""));
+    keep(&operator, &format!("listen on {address_in_use}: Address already in use (os error 98)"));
+    let invalid = OPERATOR_FILE.replace("lease_ms: 3000", "lease_ms: 1").replace("burst: 100", "burst: 0");
+    let invalid_file =
+        write_file("cli-wrong.textproto", &invalid).to_str().expect("a UTF-8 path").to_string();
+    keep(&invalid_file, &format!("{invalid_file}: line 24: terms.lease_ms: 100 to 60000 is expected"));
+    keep(&invalid_file, &format!("{invalid_file}: line 39: budget[1].rate.burst: at least 1 is expected"));
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,5 +1,6 @@
-//! The soak: real proxies under random faults that overlap, judged from outside. `make soak` plays longer ones;
-//! `LINENHILL_SEED`, `LINENHILL_SECONDS` and `LINENHILL_PROCESSES` choose, and `LINENHILL_PROGRAM` names another build.
+//! Soak test: proxy processes under overlapping random faults, checked from outside. `make soak` makes longer runs.
+//! `LINENHILL_SEED`, `LINENHILL_SECONDS` and `LINENHILL_PROCESSES` set the seed, the length and the number of
+//! processes; `LINENHILL_PROGRAM` is the path of another build to test.
 
 use linenhill_standins::soak::{self, SoakConfig};
 use std::path::{Path, PathBuf};
@@ -8,23 +9,27 @@
 
 const CONFIG: &str = include_str!("../examples/config.json");
 
-/// The example's settings, for a fleet before the soak's members.
+/// The example configuration with placeholders for the list, the discovery address and the fleet, which the soak fills
+/// in.
 fn template() -> String {
-    let (before, rest) = CONFIG.split_once("\"known\"").expect("a saved list");
-    let settings = rest.split_once("\"settings\"").expect("settings").1;
+    let (before, rest) = CONFIG.split_once("\"known\"").expect("the saved list in the configuration");
+    let settings = rest.split_once("\"settings\"").expect("the settings in the configuration").1;
     format!(r#"{before}"known": @LIST@, "settings"{settings}"#)
         .replace("127.0.0.1:8500", "@DISCOVERY@")
         .replace("\"fleetSize\": 1", "\"fleetSize\": @FLEET@, \"me\": @INDEX@")
 }
 
-/// The value of an environment variable, or a default where it is empty or not set.
+/// The value of an environment variable, or `default` if it is empty or not set.
 fn from_environment<T: FromStr>(variable: &str, default: T) -> T {
     let value = std::env::var(variable).ok().filter(|value| !value.is_empty());
-    value.map_or(default, |value| value.parse().unwrap_or_else(|_| panic!("{variable}: {value}")))
+    value.map_or(default, |value| {
+        value.parse().unwrap_or_else(|_| panic!("{variable}: cannot parse '{value}'"))
+    })
 }
 
-/// Guards the platform's rules as a whole under faults that no other test combines: drains, lost requests, attempts for
-/// clients that left, deadlines, second attempts, clients that stop, crashes, and the program's own invariants.
+/// Guards against violations of the platform's rules that need a combination of faults which no other test covers.
+/// Checks drains, lost requests, attempts for disconnected clients, deadlines, second attempts, stalled clients,
+/// crashes and the proxy's own invariants.
 #[test]
 fn fleet_keeps_the_rules_under_random_faults() {
     let seed = from_environment("LINENHILL_SEED", 1);
@@ -37,7 +42,7 @@
         length: Duration::from_secs(from_environment("LINENHILL_SECONDS", 20)),
         processes: from_environment("LINENHILL_PROCESSES", 12),
     });
-    let report = report.expect("a soak that runs");
+    let report = report.expect("run the soak");
     println!("{}", report.text());
     assert!(report.is_clean(), "{}", report.text());
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,5 +1,6 @@
-//! What earlier versions have written, read by the program itself: a keeper's store, and the file of operators' orders that
-//! the versions of an upgrade share. The fixtures never change (docs/CONTRIBUTING.md); commit 4f22f0b wrote them.
+//! Compatibility with data that earlier versions stored: a keeper's store, and the file of maintenance orders that two
+//! versions share during an upgrade. The fixtures were written by commit 4f22f0b and never change
+//! (docs/CONTRIBUTING.md).
 
 mod harness;
 
@@ -13,23 +14,23 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// A state that must come has come by then, on the slowest machine.
+/// Time limit for an expected state, long enough for a slow machine.
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A file of this repository.
-fn fixture(path: &str) -> PathBuf {
+/// Absolute path of a file of this repository.
+fn repository_path(path: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join(path)
 }
 
-/// An empty folder under the build's own one for temporary files.
-fn empty_folder(name: &str) -> PathBuf {
+/// Creates an empty folder in Cargo's folder for temporary files of tests.
+fn create_empty_folder(name: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-stored-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
-    std::fs::create_dir_all(&path).expect("a folder");
+    std::fs::create_dir_all(&path).expect("create a folder");
     path
 }
 
-/// What `fleet status --json` prints; scripts of operators read the same names.
+/// Output of `fleet status --json`, with the field names that operators' scripts read.
 #[derive(Deserialize)]
 struct Status {
     role: String,
@@ -68,7 +69,7 @@
     }
 }
 
-/// A keeper on a copy of a stored log, and the operators' file with which it is called.
+/// A keeper running on a copy of a stored log, and the operators' file for calls to it.
 struct Keeper {
     _program: Program,
     operator: PathBuf,
@@ -81,7 +82,7 @@
     }
 }
 
-/// The operators' file, older than the revision that is agreed on: it must change nothing.
+/// Writes an operators' file whose revision is older than the agreed one, so that it changes nothing.
 fn operator_file(name: &str, keeper: SocketAddr, store: &Path) -> PathBuf {
     let text = format!(
         "cluster: \"fixture\"\ninstance {{ listen: \"127.0.0.1:0\" zone: \"a\" store: \"{}\" }}\n\
@@ -94,30 +95,32 @@
 }
 
 impl Keeper {
+    /// Starts a keeper on a copy of the store of this fixture.
     fn start_on(fixture_name: &str) -> Keeper {
-        let folder = empty_folder(fixture_name);
-        let from = fixture("crates/cluster/tests/fixtures").join(fixture_name);
-        std::fs::copy(from.join("agreed.redb"), folder.join("agreed.redb")).expect("a copy");
-        let any: SocketAddr = "127.0.0.1:1".parse().expect("an address");
-        let served = operator_file(&format!("{fixture_name}-keeper"), any, &folder);
+        let folder = create_empty_folder(fixture_name);
+        let source = repository_path("crates/cluster/tests/fixtures").join(fixture_name);
+        std::fs::copy(source.join("agreed.redb"), folder.join("agreed.redb")).expect("copy the store");
+        let placeholder: SocketAddr = "127.0.0.1:1".parse().expect("a socket address");
+        let keeper_file = operator_file(&format!("{fixture_name}-keeper"), placeholder, &folder);
         let mut command = Command::new(env!("CARGO_BIN_EXE_linenhill"));
-        command.args(["keep", "--name", "k1", "--operator"]).arg(&served);
+        command.args(["keep", "--name", "k1", "--operator"]).arg(&keeper_file);
         command.env("RUST_LOG", "info").stderr(std::process::Stdio::piped());
-        let program = start_program(command, served);
-        let at = program.logged_address(" listens on ");
-        let operator = operator_file(&format!("{fixture_name}-asked"), at, &folder);
+        let program = start_program(command, keeper_file);
+        let address = program.logged_address(" listens on ");
+        let operator = operator_file(&format!("{fixture_name}-asked"), address, &folder);
         Keeper { _program: program, operator, folder }
     }
 
-    /// `linenhill fleet ...`: what it prints, if it succeeds.
+    /// Runs `linenhill fleet` with these arguments; returns its output, if it succeeds.
     fn fleet(&self, args: &[&str]) -> Option<String> {
         let mut command = Command::new(env!("CARGO_BIN_EXE_linenhill"));
-        let run = command.arg("fleet").args(args).arg("--operator").arg(&self.operator).output();
-        let run = run.expect("the program");
-        run.status.success().then(|| String::from_utf8_lossy(&run.stdout).trim().to_string())
+        let output = command.arg("fleet").args(args).arg("--operator").arg(&self.operator).output();
+        let output = output.expect("run the program");
+        output.status.success().then(|| String::from_utf8_lossy(&output.stdout).trim().to_string())
     }
 
-    /// The state once this keeper leads again and knows what was agreed on.
+    /// Waits until this keeper is leader and has applied an entry after 37, the last one of the fixtures; returns its
+    /// status.
     async fn wait_until_leader(&self) -> Status {
         let leads = async {
             loop {
@@ -129,19 +132,19 @@
                 }
             }
         };
-        timeout(PROGRESS_TIMEOUT, leads).await.expect("the keeper leads")
+        timeout(PROGRESS_TIMEOUT, leads).await.expect("the keeper should become leader")
     }
 }
 
-/// Guards against a keeper of a later version that comes up on the disk of an earlier one without what was agreed on, begins a
-/// log of its own there, or gives a permit's number twice. The log and the snapshot of it must lead to the same.
+/// Guards against a keeper that starts on the store of an earlier version and loses the agreed state, begins a new log,
+/// or assigns a permit number twice. The log and its snapshot must give the same state.
 #[test]
 fn a_keeper_continues_from_an_earlier_versions_store() {
     for fixture_name in ["keeper-log", "keeper-snapshot"] {
         run_local(async {
             let keeper = Keeper::start_on(fixture_name);
             let Status { term, instances, budgets, out, .. } = keeper.wait_until_leader().await;
-            assert!(term > 2, "{fixture_name}: an election after that of the fixture");
+            assert!(term > 2, "{fixture_name}: expected a later term than the fixture's, got {term}");
             let instances: Vec<(&str, &str, &str)> = instances
                 .iter()
                 .map(|instance| (&*instance.name, &*instance.incarnation, &*instance.zone))
@@ -172,30 +175,31 @@
     }
 }
 
-/// Guards against an upgrade that sends to a member which operators took out with the version before: the file of orders is
-/// read as it was written, also the order of a member that came back, and the next order doesn't drop it.
+/// Guards against an upgrade after which requests are sent to a member that operators took out with the earlier
+/// version. All orders in the file must be read, also that of a member that returned, and the next order must not drop
+/// them.
 #[test]
 fn maintenance_orders_of_an_earlier_version_hold() {
     run_local(async {
-        let folder = empty_folder("orders");
+        let folder = create_empty_folder("orders");
         let orders = folder.join("linenhill-stored").join("words");
-        std::fs::create_dir_all(orders.parent().expect("a folder")).expect("a folder");
-        std::fs::copy(fixture("tests/fixtures/words"), &orders).expect("a copy");
-        // Nothing listens there: the saved list of three members stays in use.
+        std::fs::create_dir_all(orders.parent().expect("a parent folder")).expect("create a folder");
+        std::fs::copy(repository_path("tests/fixtures/words"), &orders).expect("copy the orders");
+        // Nothing listens at this discovery address, so the saved list of three members stays in use.
         let config = config_with_operators().replace("127.0.0.1:8500", "127.0.0.1:1");
         let path = write_test_file("stored-orders.json", &config);
         let mut command = program_command(&path);
         command.env("LB_NAME", "stored").env("TMPDIR", &folder);
         let program = start_program(command, path);
-        let at = program.logged_address("operators call at ");
-        let (status, text) = operator_call(at, "GET /status/metrics").await;
+        let operators = program.logged_address("operators call at ");
+        let (status, text) = operator_call(operators, "GET /status/metrics").await;
         assert!(status == 200 && text.contains("proxy_members 3\n"), "{text}");
         let enter = |id: &str| format!("POST /maintenance/enter?name={id}");
         let exit = |id: &str| format!("POST /maintenance/exit?name={id}");
-        assert_eq!(operator_call(at, &enter("m-2")).await, (200, "m-2 is out, as before\n".into()));
-        assert_eq!(operator_call(at, &exit("m-3")).await, (200, "m-3 is in use, as before\n".into()));
-        assert_eq!(operator_call(at, &enter("m-1")).await, (200, "m-1 is out\n".into()));
-        let written = std::fs::read_to_string(&orders).expect("the file");
+        assert_eq!(operator_call(operators, &enter("m-2")).await, (200, "m-2 is out, as before\n".into()));
+        assert_eq!(operator_call(operators, &exit("m-3")).await, (200, "m-3 is in use, as before\n".into()));
+        assert_eq!(operator_call(operators, &enter("m-1")).await, (200, "m-1 is out\n".into()));
+        let written = std::fs::read_to_string(&orders).expect("read the orders");
         for order in [
             r#"{"id":"m-2","out":true,"at_us":1796190415946207}"#,
             r#"{"id":"m-3","out":false,"at_us":1796190415948815}"#,
