--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -120,8 +120,7 @@
             assert_eq!(["completed", "rejected", "failed"].map(|r| requests_ended(&text, class, r)), [0; 3]);
         }
         assert_eq!((metric(&text, "proxy_members"), metric(&text, "proxy_members_unavailable")), (3, 0));
-        let read =
-            |number: u32, value: &str| READ.replace("id=a1", &format!("id=f{number}")).replace("'aa'", value);
+        let read = |n: u32, value: &str| READ.replace("id=a1", &format!("id=f{n}")).replace("'aa'", value);
         let mut held = connect_client(address, &[&read(1, "'hold'")]).await;
         let mut client =
             connect_client(address, &[&read(2, "'x'"), &read(1, "'again'"), &read(3, "'full'")]).await;
