--- a/src/bin/linenhill-simulator-adapter/error.rs
+++ b/src/bin/linenhill-simulator-adapter/error.rs
@@ -1,7 +1,7 @@
 //! Errors in the simulator's messages. Their texts use the simulator's names of messages and fields, so that the
 //! cause can be found in the input.
 
-use linenhill::settings::FormError;
+use linenhill::settings::JsonError;
 use std::fmt;
 
 /// Why a message was rejected.
@@ -30,9 +30,9 @@
     /// The selected instance was never attached, or has crashed.
     NotAttached { message: String, instance: u64 },
     /// An instance's profile can't be parsed.
-    MalformedProfile(FormError),
+    MalformedProfile(JsonError),
     /// An instance's profile is valid JSON but can't be used.
-    UnusableProfile(FormError),
+    UnusableProfile(JsonError),
 }
 
 impl fmt::Display for MessageError {
--- a/src/clients/session/input.rs
+++ b/src/clients/session/input.rs
@@ -152,7 +152,7 @@
     async fn close_for_room(&mut self, close_deadline: Instant) -> Result<(), CloseReason> {
         let must_close = !self.is_started || Instant::now() >= close_deadline;
         if must_close || !self.has_partial_message().await {
-            return Err(CloseReason::MadeRoom);
+            return Err(CloseReason::Evicted);
         }
         Ok(())
     }
--- a/src/clients/session/mod.rs
+++ b/src/clients/session/mod.rs
@@ -107,7 +107,7 @@
         !session.pipeline.has_requests() || reason.is_by_peer(),
         format_args!("client connection closed with open requests, code={reason}"),
     );
-    if matches!(reason, CloseReason::Protocol | CloseReason::EdgeFull) {
+    if matches!(reason, CloseReason::Protocol | CloseReason::NoConnectionSlot) {
         // The connection counts as idle from here on: it only waits for the client to read the last answer.
         session.connection.mark_started();
         session.linger().await;
@@ -201,7 +201,7 @@
                     class.as_deref(),
                 );
                 self.send([replies::final_answer(rejected, true)]).await?;
-                Err(CloseReason::EdgeFull)
+                Err(CloseReason::NoConnectionSlot)
             }
             ClientMessage::Request(request) => {
                 self.connection.mark_busy();
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -2,7 +2,7 @@
 //! input: it must never cause a panic, and an invalid entry in a watch must not affect the others.
 
 use crate::api::{GroupId, KindId, ListEntry, MemberId, MemberState, Micros, Time, ZoneId};
-use crate::settings::{self, FormError, required};
+use crate::settings::{self, JsonError, required};
 use miniserde::Deserialize;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -73,7 +73,7 @@
     /// The list with its valid entries.
     pub list: EndpointList,
     /// The error of each invalid entry, in the order of the list.
-    pub skipped: Vec<FormError>,
+    pub skipped: Vec<JsonError>,
 }
 
 /// An event of the endpoint list.
@@ -95,8 +95,8 @@
 ///
 /// # Errors
 /// The line is not JSON, or a field of the list itself is missing or invalid.
-pub fn decode(line: &[u8]) -> Result<DecodedList, FormError> {
-    let text = std::str::from_utf8(line).map_err(|_| FormError::NotJson)?;
+pub fn decode(line: &[u8]) -> Result<DecodedList, JsonError> {
+    let text = std::str::from_utf8(line).map_err(|_| JsonError::NotJson)?;
     let doc = settings::parse::<ListDoc>(text)?;
     let version = required("version", doc.version)?;
     let is_full = required("full", doc.full)?;
@@ -113,7 +113,7 @@
 
 impl ListDoc {
     /// Validates a list of the configuration, in which every entry must be valid.
-    pub fn into_list(self) -> Result<EndpointList, FormError> {
+    pub fn into_list(self) -> Result<EndpointList, JsonError> {
         let entries = required("servers", self.servers)?.into_iter().enumerate();
         let endpoints = entries.map(|(index, entry)| entry.into_endpoint(index)).collect::<Result<_, _>>()?;
         let version = required("version", self.version)?;
@@ -124,9 +124,9 @@
 
 impl EndpointDoc {
     /// Validates the entry at `index` of its list. Errors name fields by their JSON path.
-    fn into_endpoint(self, index: usize) -> Result<Endpoint, FormError> {
+    fn into_endpoint(self, index: usize) -> Result<Endpoint, JsonError> {
         let path = |field: &str| format!("servers[{index}].{field}");
-        let invalid = |field: &str| FormError::Wrong(path(field));
+        let invalid = |field: &str| JsonError::Invalid(path(field));
         let id = required(&path("id"), self.id)?;
         let state = parse_state(&required(&path("state"), self.state)?).ok_or_else(|| invalid("state"))?;
         let address = match required(&path("addr"), self.addr)?.parse() {
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -220,7 +220,7 @@
             let IdleConnection { connection, idle_since } = self.take_last_settled(member)?;
             let close_reason = if self.is_over_quota(member) {
                 // The quota shrank or its lease expired, possibly during a hold-up of this process.
-                Some(CloseReason::GivenBack)
+                Some(CloseReason::Released)
             } else if idle_since.elapsed() >= self.0.retire_after {
                 Some(CloseReason::Retired)
             } else {
@@ -249,7 +249,7 @@
     /// removed, or the quota is exceeded; otherwise a connection in constant use could outlive the lease of its
     /// quota.
     pub fn put_back(&self, member: MemberId, connection: MemberConnection) {
-        connection.close_reason().set(CloseReason::GivenBack);
+        connection.close_reason().set(CloseReason::Released);
         if self.is_over_quota(member) {
             return;
         }
@@ -316,5 +316,5 @@
 
 /// Closes idle connections that the proxy no longer needs. Must not be called while the slots are borrowed.
 fn close_all(idle: impl IntoIterator<Item = IdleConnection>) {
-    idle.into_iter().for_each(|idle| idle.close(CloseReason::GivenBack));
+    idle.into_iter().for_each(|idle| idle.close(CloseReason::Released));
 }
