--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -84,26 +84,28 @@
     let nameless = ("LB_CONFIG", nameless.to_str().expect("a UTF-8 path"));
     let operator = operator.to_str().expect("a UTF-8 path");
     let (serve, listen) = (&["serve", "--operator", operator][..], ("LB_LISTEN", "127.0.0.1:0"));
-    let in_use = |purpose: &str| format!("{purpose} {address_in_use}: Address already in use (os error 98)");
+    let in_use = |purpose: &str| {
+        format!("can't listen on {address_in_use} ({purpose}): Address already in use (os error 98)")
+    };
     assert_fails_to_start(
         &["serve"],
         &[("LB_CONFIG", "none.json")],
         "none.json: No such file or directory (os error 2)",
     );
-    assert_fails_to_start(&["serve"], &[config, ("LB_LISTEN", "x")], "LB_LISTEN is not an address");
-    assert_fails_to_start(&["serve"], &[config, ("LB_LISTEN", &address_in_use)], &in_use("listen on"));
     assert_fails_to_start(
         &["serve"],
-        &[config, listen, ("LB_ADMIN", &address_in_use)],
-        &in_use("operators at"),
+        &[config, ("LB_LISTEN", "x")],
+        "LB_LISTEN must be an address such as 127.0.0.1:6543, got \"x\"",
     );
+    assert_fails_to_start(&["serve"], &[config, ("LB_LISTEN", &address_in_use)], &in_use("clients"));
+    assert_fails_to_start(&["serve"], &[config, listen, ("LB_ADMIN", &address_in_use)], &in_use("operators"));
     assert_fails_to_start(
         &["serve"],
         &[config, listen, ("LB_INHERITED_FD", "99")],
         "LB_INHERITED_FD: descriptor 99 is not open",
     );
     assert_fails_to_start(serve, &[config, listen], &in_use("instance.listen"));
-    let name_expected = "a proxy of a fleet needs a name of 1 to 64 bytes: 'name' or LB_NAME";
+    let name_expected = "a proxy of a fleet needs a name of 1 to 64 bytes ('name' or LB_NAME), got 0";
     assert_fails_to_start(serve, &[nameless, listen], name_expected);
     assert_fails_to_start(
         &["serve", "--operator", "none.textproto"],
@@ -146,10 +148,19 @@
     };
     keep(&operator_file("cli-silent.textproto", ""), "the operator's file lacks instance.listen");
     let operator = operator_file("cli-taken.textproto", &format!("listen: \"{address_in_use}\""));
-    keep(&operator, &format!("listen on {address_in_use}: Address already in use (os error 98)"));
+    keep(
+        &operator,
+        &format!("can't listen on {address_in_use} (instance.listen): Address already in use (os error 98)"),
+    );
     let invalid = OPERATOR_FILE.replace("lease_ms: 3000", "lease_ms: 1").replace("burst: 100", "burst: 0");
     let invalid_file =
         write_file("cli-wrong.textproto", &invalid).to_str().expect("a UTF-8 path").to_string();
-    keep(&invalid_file, &format!("{invalid_file}: line 24: terms.lease_ms: 100 to 60000 is expected"));
-    keep(&invalid_file, &format!("{invalid_file}: line 39: budget[1].rate.burst: at least 1 is expected"));
+    keep(
+        &invalid_file,
+        &format!("{invalid_file}: line 24: terms.lease_ms: must be between 100 and 60000, got 1"),
+    );
+    keep(
+        &invalid_file,
+        &format!("{invalid_file}: line 39: budget[1].rate.burst: must be between 1 and 4294967296, got 0"),
+    );
 }
