--- a/src/clients/request_gateway.rs
+++ b/src/clients/request_gateway.rs
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     /// The class is unknown, or a request with this id is open.
-    pub fn open(&self, incoming: IncomingRequest) -> Result<OpenRequest, IntakeError> {
+    pub fn check_and_reserve_id(&self, incoming: IncomingRequest) -> Result<OpenRequest, IntakeError> {
         let class = self.intake.class_of(&incoming)?;
         let id = self.intake.claim_id(&incoming)?;
         let writes = self.intake.read_level(class) == ReadLevel::Write;
--- a/src/clients/session/message_intake.rs
+++ b/src/clients/session/message_intake.rs
@@ -59,7 +59,7 @@
         };
         let key = incoming.session_key.clone();
         let class = incoming.class.clone();
-        let request = match self.gateway.open(incoming) {
+        let request = match self.gateway.check_and_reserve_id(incoming) {
             Ok(request) => request,
             Err(error) => {
                 let is_in_use = error == IntakeError::IdInUse;
--- a/src/clients/session/progress.rs
+++ b/src/clients/session/progress.rs
@@ -6,11 +6,11 @@
 use tokio::time::Instant;
 
 /// Time reserved for sending the error and closing the connection after the time limit of a message has passed.
-const CLOSE_ALLOWANCE: Duration = Duration::from_millis(250);
+const CLOSE_TIME_RESERVE: Duration = Duration::from_millis(250);
 /// Time limit from the first byte of a message to its end; for a long message, time limit for its next bytes. A client
 /// may take 2 s to send a message.
 pub(super) const MESSAGE_TIMEOUT: Duration =
-    Duration::from_micros(STALLED_CLIENT_TIMEOUT.0 - MAX_HOLD_UP.0).saturating_sub(CLOSE_ALLOWANCE);
+    Duration::from_micros(STALLED_CLIENT_TIMEOUT.0 - MAX_HOLD_UP.0).saturating_sub(CLOSE_TIME_RESERVE);
 /// Time limit from the first byte of a long message to its end.
 const LONG_MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
--- a/src/pg/frontend.rs
+++ b/src/pg/frontend.rs
@@ -22,7 +22,7 @@
 /// The code that requests to cancel the statement of another connection.
 const CANCEL_REQUEST: u32 = 80_877_102;
 /// The supported major version of the protocol.
-const PROTOCOL_VERSION: u32 = 3;
+const PROTOCOL_MAJOR_VERSION: u32 = 3;
 /// The parameters that are sent to a client when its session opens.
 const SESSION_PARAMETERS: [(&str, &str); 3] =
     [("server_version", "15.0"), ("client_encoding", "UTF8"), ("DateStyle", "ISO, MDY")];
@@ -148,7 +148,7 @@
         match body.get_u32() {
             SSL_REQUEST | GSS_ENCRYPTION_REQUEST => Ok(Some(FrontendMessage::EncryptionRequest)),
             CANCEL_REQUEST => Ok(Some(FrontendMessage::CancelRequest)),
-            version if version >> 16 == PROTOCOL_VERSION => {
+            version if version >> 16 == PROTOCOL_MAJOR_VERSION => {
                 self.has_started = true;
                 Ok(Some(FrontendMessage::Startup))
             }
