--- a/src/clients/connection_gate.rs
+++ b/src/clients/connection_gate.rs
@@ -15,7 +15,7 @@
 pub enum AdmissionMode {
     /// Serve its requests.
     Serve,
-    /// Reject its first request with this time after which to retry, then close it.
+    /// Reject its first request with this time after which to retry, then close the connection.
     Reject(Micros),
 }
 
@@ -84,7 +84,8 @@
         })
     }
 
-    /// Admits a new connection; `None` if it must be closed at once.
+    /// Admits a new connection, with a mode that serves its requests or, without a free slot, rejects the first one.
+    /// `None` if the slots for rejected connections are in use as well: the connection must be closed at once.
     pub fn admit(self: &Rc<ConnectionGate>) -> Option<AdmittedConnection> {
         let id = ConnectionId(self.next_id.get());
         self.next_id.set(id.0 + 1);
@@ -94,13 +95,13 @@
         Some(AdmittedConnection { gate: self.clone(), id, close_signal, mode })
     }
 
-    /// Whether any connection was asked to close and has not closed yet.
+    /// Whether any connection was asked to close, has no open request, and has not closed yet.
     pub fn has_closing(&self) -> bool {
         self.admission.borrow().has_closing()
     }
 
-    /// Passes an event to the admission and performs the resulting actions. Returns the mode of a connection that was
-    /// admitted.
+    /// Passes an event to [`ConnectionAdmission`] and performs the resulting actions. Returns the mode of a connection
+    /// that was admitted; `None` after any other event.
     fn handle(&self, event: Event) -> Option<AdmissionMode> {
         let mut actions = Vec::new();
         self.admission.borrow_mut().handle(self.clock.now(), event, &mut actions);
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Runs the timer of the admission for the lifetime of the process.
+    /// Runs the timer of [`ConnectionAdmission`] for the lifetime of the process.
     pub async fn run(self: Rc<ConnectionGate>) {
         let mut timer = self.timer.subscribe();
         loop {
--- a/src/clients/lifecycle_driver.rs
+++ b/src/clients/lifecycle_driver.rs
@@ -37,7 +37,7 @@
     /// Handles an event and publishes the new state.
     ///
     /// # Errors
-    /// The process is stopping, so that operators can no longer change its state.
+    /// The event is an operators' order, and the process is stopping.
     pub fn handle(&self, event: Event) -> Result<(), Stopping> {
         self.lifecycle.borrow_mut().handle(self.clock.now(), event)?;
         self.publish();
--- a/src/clients/listener.rs
+++ b/src/clients/listener.rs
@@ -18,7 +18,8 @@
 
 /// Pause after an accept that failed for lack of a resource: descriptors are freed as connections end.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// After this many consecutive failed accepts of any cause, the listener pauses, so that the loop does not spin.
+/// From this many consecutive failed accepts on, the listener pauses after each, whatever its cause, so that the loop
+/// does not spin.
 const MAX_CONSECUTIVE_ERRORS: u32 = 64;
 /// Shortest interval between log lines about failed accepts.
 const ACCEPT_LOG_INTERVAL: Duration = Duration::from_secs(1);
@@ -38,7 +39,10 @@
         self.consecutive += 1;
         self.unlogged += 1;
         if self.logged_at.is_none_or(|at| at.elapsed() >= ACCEPT_LOG_INTERVAL) {
-            warn!("accept failed: {error}, {} errors since the last log line", self.unlogged);
+            warn!(
+                "accept of a client connection failed: {error}; {} failed accepts since the last log line",
+                self.unlogged
+            );
             self.logged_at = Some(Instant::now());
             self.unlogged = 0;
         }
@@ -84,7 +88,7 @@
                 if has_polled_again {
                     break;
                 }
-                // The runtime has not been notified of connections that arrived since it last polled: accept once more.
+                // The runtime may not have been notified yet of connections that arrived: accept once more.
                 has_polled_again = true;
                 tokio::task::yield_now().await;
                 continue;
@@ -100,8 +104,9 @@
         counters.clients.add();
         accept_errors.consecutive = 0;
         let Some(connection) = admit(&connection_gate).await else {
-            // The connection is closed without a reply: unread input would reset it and could cut the reply off, and the
-            // client's request would count as lost. A client whose connection closes without a reply can send it again.
+            // The connection is closed without a reply: unread input would reset it and could cut the reply off, and
+            // the client's request would count as lost. A client whose connection closes without a reply can send it
+            // again.
             record_end(&counters, peer, CloseReason::NoConnectionSlot);
             continue;
         };
--- a/src/clients/pipeline.rs
+++ b/src/clients/pipeline.rs
@@ -1,5 +1,5 @@
-//! The messages that a client has sent while an earlier request is being answered. Their requests run concurrently and
-//! are answered in order. Bounded; does no I/O.
+//! The messages that a client has sent while an earlier request is being answered. Their requests are answered in
+//! order, and run concurrently unless [`RequestOrder`] forbids it. The pipeline is bounded and does no I/O.
 
 use super::request_gateway::{OpenRequest, PendingRequest};
 use crate::api::Micros;
@@ -8,8 +8,8 @@
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// Largest number of messages of one connection that wait behind the request that is being answered. Further input stays
-/// unread until an answer has been written, so that one client can't use up the memory or the members.
+/// Largest number of messages of one connection that wait behind the request that is being answered. Further input
+/// stays unread until an answer has been written, so that one client can't use up the memory or the members.
 pub const MAX_MESSAGES: usize = 16;
 
 /// A message from the client, decoded on arrival.
@@ -18,7 +18,8 @@
     Request(Box<PipelinedRequest>),
     /// A statement that is not a valid request, with its error.
     Malformed(Reply),
-    /// A request on a connection whose requests are rejected, with the time after which to retry and its class.
+    /// A statement on a connection whose requests are rejected: the time after which to retry, and the class if the
+    /// statement can be decoded.
     ConnectionRefused(Micros, Option<String>),
     /// An empty query.
     Empty,
@@ -50,8 +51,8 @@
     Blocked(OpenRequest, Instant),
 }
 
-/// Determines the order of requests on a connection: two requests with the same key, of which one writes, must not run
-/// concurrently.
+/// Determines the order of requests on a connection: two requests with the same key must not run concurrently if at
+/// least one of them writes.
 #[derive(Default)]
 pub struct RequestOrder {
     /// The key, if the request names one.
--- a/src/clients/request_gateway.rs
+++ b/src/clients/request_gateway.rs
@@ -1,5 +1,5 @@
-//! The gateway through which sessions submit requests to the driver and receive their answers. Independent of the client
-//! protocol. Each request that it opens must be counted with exactly one result.
+//! The gateway through which sessions submit requests to the driver and receive their answers. Independent of the
+//! client protocol. Each request that it opens must be counted with exactly one result.
 
 use crate::api::{ClassId, Micros, ReadLevel, RequestId};
 use crate::invariants::InvariantMonitor;
@@ -18,7 +18,8 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Time after which to retry, sent with a rejection for lack of memory or because too many requests are held.
+/// Time after which to retry, sent with a rejection for lack of memory, because too many requests are held, or because
+/// the process is stopping.
 pub const RETRY_AFTER: Micros = Micros(250_000);
 
 /// Opens, rejects and submits the requests of all sessions.
@@ -30,7 +31,8 @@
     guard: SendGuard,
 }
 
-/// A request that was received completely and whose id is open until it is answered.
+/// A request that was received completely and not yet submitted. Dropping it releases its id and counts it as one whose
+/// client disconnected.
 pub struct OpenRequest {
     incoming: IncomingRequest,
     class: ClassId,
@@ -58,7 +60,8 @@
 }
 
 impl PendingRequest {
-    /// Waits for the final answer.
+    /// Waits for the final answer, and records its result unless the answer is streamed. The answer is
+    /// [`FinalResponse::Failed`] if the driver has ended.
     pub async fn answer(&mut self) -> FinalResponse {
         let answer = (&mut self.answer).await.unwrap_or(FinalResponse::Failed);
         if !matches!(answer, FinalResponse::Streaming(_)) {
@@ -98,7 +101,8 @@
         RequestGateway { intake, admission, accounting, inbox, guard }
     }
 
-    /// Rejects a request that was not opened. Without a known class it is missing in the metrics by class.
+    /// Rejects and counts a request that was not opened. A request without a known class is missing in the metrics by
+    /// class.
     pub fn reject_unopened(
         &self, cause: RejectionCause, retry_after: Micros, class: Option<&str>,
     ) -> FinalResponse {
@@ -111,7 +115,8 @@
         answer
     }
 
-    /// Counts a statement that can't be decoded, or that fails before it becomes a request.
+    /// Counts a statement that is not a valid request. If its class is known, also counts a failed request of the
+    /// class.
     pub fn count_malformed(&self, class: Option<&str>) {
         self.accounting.record_malformed();
         if let Some(class) = class.and_then(|class| self.intake.class_named(class)) {
@@ -124,7 +129,7 @@
         self.guard.held_up_since()
     }
 
-    /// Whether the process may report that it is ready.
+    /// Whether the process may report that it is ready; see [`SendGuard::may_report_ready`].
     pub fn may_report_ready(&self) -> bool {
         self.guard.may_report_ready()
     }
@@ -144,13 +149,14 @@
         self.admission.message_memory()
     }
 
-    /// The semaphore for the memory of long messages, and the number of permits for a message of `length` bytes. Permits
-    /// are granted in the order of the requests for them; `None` for a length beyond the total.
+    /// The semaphore for the memory of long messages, and the number of permits for a message of `length` bytes.
+    /// Permits are granted in the order of the requests for them; `None` for a length beyond the total.
     pub fn long_message_memory(&self, length: usize) -> Option<(Arc<Semaphore>, u32)> {
         self.admission.long_message_memory(length)
     }
 
-    /// Opens a request on arrival. No other request may use its id until it is answered.
+    /// Checks the class of a request on arrival, reserves its id and counts it as accepted. No other request may use
+    /// the id until the returned value, or the [`PendingRequest`] made from it, is dropped.
     ///
     /// # Errors
     /// The class is unknown, or a request with this id is open.
@@ -174,7 +180,7 @@
         answer
     }
 
-    /// Submits a request. `waited` is the time since its arrival, by which its timeout is reduced.
+    /// Submits a request to the driver. `waited` is the time since its arrival, by which its timeout is reduced.
     ///
     /// # Errors
     /// The final answer, if the request is rejected without being submitted.
--- a/src/clients/session/input.rs
+++ b/src/clients/session/input.rs
@@ -23,13 +23,13 @@
 /// are accepted 0.45 s after a stop began, and the platform does not guarantee time to answer requests that arrive more
 /// than 0.7 s after it.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(250);
-/// A connection that is asked to close in the middle of a message stays open this long, since closing it would lose the
-/// message.
+/// A connection that is asked to close in the middle of a message stays open for at most this long, so that the message
+/// is not lost.
 const CLOSE_GRACE: Duration = Duration::from_millis(250);
 /// Time limit for reserving memory for a long message. Nothing is read meanwhile, so a client that has stopped sending
 /// would not be noticed.
 const MEMORY_TIMEOUT: Duration = MESSAGE_TIMEOUT;
-/// Number of bytes of a message that are searched for the statement's comment.
+/// Number of bytes of a message, including its header, that are searched for the statement's comment.
 const MAX_COMMENT_BYTES: usize = 1024;
 
 /// The result of reading.
@@ -79,7 +79,8 @@
 
 impl<S: ClientStream> Session<S> {
     /// Reads the next message while no request is open; `None` at the end of the input. A drain, a stop or a request to
-    /// close ends the connection here, but a partial message has time to complete, and a new client to send its first.
+    /// close ends the connection here. A partial message still has time to complete, and after a drain or stop a new
+    /// client has time to send its first message.
     pub(super) async fn read_message(&mut self) -> Result<Option<FrontendMessage>, CloseReason> {
         match self.input_end.take() {
             Some(InputEnd::Violation(error)) => return Err(self.reject_input(error).await),
@@ -116,8 +117,8 @@
         }
     }
 
-    /// Waits for input, or for one of the events that may end the connection. During a drain, new clients have until
-    /// `first_message_deadline`; `close_deadline` is set once the connection was asked to close.
+    /// Waits for input, or for one of the events that may end the connection. During a drain or stop, new clients have
+    /// until `first_message_deadline`; `close_deadline` is set once the connection was asked to close.
     async fn wait_for_input(
         &mut self, first_message_deadline: Instant, close_deadline: Option<Instant>,
     ) -> Wakeup {
@@ -148,7 +149,8 @@
         }
     }
 
-    /// Ends a connection that was asked to close. A message that is being received has until `close_deadline`.
+    /// Ends a connection that was asked to close. A message that is being received has until `close_deadline`, unless
+    /// the startup message has not been received yet.
     async fn close_for_room(&mut self, close_deadline: Instant) -> Result<(), CloseReason> {
         let must_close = !self.is_started || Instant::now() >= close_deadline;
         if must_close || !self.has_partial_message().await {
@@ -208,7 +210,8 @@
         }
     }
 
-    /// Sends the client the error of its input, after which no more is read; returns why the connection ends.
+    /// Sends the client the error of its input, or a rejection for lack of memory; nothing if the connection failed. No
+    /// more input is read. Returns why the connection ends.
     async fn reject_input(&mut self, error: PgError) -> CloseReason {
         let reason = replies::close_reason(&error);
         let reply = match error {
@@ -223,7 +226,8 @@
         reason
     }
 
-    /// Waits until memory for a long message is reserved; nothing is read meanwhile.
+    /// Waits until memory for a long message is reserved, and rejects the message after [`MEMORY_TIMEOUT`] or if it
+    /// exceeds the total. Nothing is read during the wait.
     async fn reserve_memory(&mut self, length: usize) -> Result<(), CloseReason> {
         let Some((memory, permits)) = self.gateway.long_message_memory(length) else {
             return Err(self.reject_long_message().await);
--- a/src/clients/session/message_intake.rs
+++ b/src/clients/session/message_intake.rs
@@ -19,7 +19,7 @@
 const MAX_CONSECUTIVE_MALFORMED: u32 = 8;
 
 impl<S: super::ClientStream> Session<S> {
-    /// Decodes a message. A request is submitted unless it depends on an earlier one of its connection.
+    /// Decodes a message. A valid request is submitted, rejected or blocked; see [`Self::submit`].
     pub(super) fn accept_message(&mut self, message: FrontendMessage) -> ClientMessage {
         self.has_sent_message = true;
         let memory = self.framed.codec_mut().take_message_memory();
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Decodes a statement and opens its request, which holds `memory` until it is answered.
+    /// Decodes a statement and opens its request, which holds `memory` until it is answered. On a connection whose
+    /// requests are rejected, only the class is decoded.
     fn accept_statement(&mut self, statement: &Bytes, memory: MessageMemory) -> ClientMessage {
         if let AdmissionMode::Reject(retry_after) = self.connection.mode() {
             let class = statement::parse(statement).ok().map(|statement| statement.class);
@@ -72,7 +73,8 @@
         ClientMessage::Request(Box::new(PipelinedRequest { order, state, memory }))
     }
 
-    /// Submits a request, unless it depends on an earlier one of its connection.
+    /// Submits a request, unless it depends on an earlier one of the same connection. Rejects it if the process no
+    /// longer accepts requests.
     fn submit(&self, request: OpenRequest, order: &RequestOrder) -> RequestState {
         if self.serving_state.borrow().rejects_requests {
             return RequestState::Submitted(Err(self.gateway.reject(request, RejectionCause::Stopping)));
@@ -117,8 +119,8 @@
         Ok(())
     }
 
-    /// Handles a long message announced while a request is being answered. It is read at once if memory is available,
-    /// because the client's end is only detected behind it, and otherwise after the request is answered.
+    /// Handles a long message announced while a request is being answered. The message is read at once if memory is
+    /// available, since the end of the client's input can only be read after it, and otherwise after the answer.
     fn handle_announced_message(&mut self, length: usize) {
         let granted = self
             .gateway
--- a/src/clients/session/mod.rs
+++ b/src/clients/session/mod.rs
@@ -51,10 +51,11 @@
     connection: AdmittedConnection,
     /// Whether the process serves, drains or stops.
     serving_state: watch::Receiver<ServingState>,
-    /// Messages that arrived while an earlier request was being answered. Their requests run, but are answered in order.
+    /// Messages that arrived while an earlier request was being answered. Their requests run, but are answered in
+    /// order.
     pipeline: Pipeline,
-    /// Start of a pause in reading. Input that is read afterwards may have arrived that early, and its client has been
-    /// waiting since then.
+    /// When reading paused; `None` once all input is read. Input that is read after a pause may have arrived at its
+    /// start, so the client's waiting time counts from there.
     unread_since: Option<Instant>,
     /// The progress of the message that is being received.
     input_progress: InputProgress,
@@ -64,7 +65,7 @@
     input_end: Option<InputEnd>,
     /// Set by an extended-protocol message: messages are ignored up to the next Sync.
     skips_to_sync: bool,
-    /// Malformed statements since the last request.
+    /// Malformed statements since the last valid request.
     consecutive_malformed: u32,
     accepted_at: Instant,
     /// Whether a message was received after the startup message.
@@ -108,7 +109,7 @@
         format_args!("client connection closed with open requests, code={reason}"),
     );
     if matches!(reason, CloseReason::Protocol | CloseReason::NoConnectionSlot) {
-        // The connection counts as idle from here on: it only waits for the client to read the last answer.
+        // Without an open request the connection may be asked to close while it waits for the client to read the error.
         session.connection.mark_started();
         session.linger().await;
     }
@@ -152,13 +153,14 @@
         }
     }
 
-    /// Waits until the process has a list of members or no longer waits for one.
+    /// Waits until the process has left its starting phase: discovery has confirmed the list or is unreachable, the
+    /// time limit has passed, or a drain or stop has begun. Fails if the client closes the connection meanwhile.
     async fn wait_until_started(&mut self) -> Result<(), CloseReason> {
         let mut serving_state = self.serving_state.clone();
         if !serving_state.borrow().is_starting {
             return Ok(());
         }
-        // Input behind the query is not read meanwhile, but its wait counts.
+        // Input after the query is not read during the wait, but its waiting time counts.
         self.unread_since.get_or_insert_with(Instant::now);
         tokio::select! {
             biased;
@@ -169,10 +171,12 @@
         Ok(())
     }
 
-    /// Answers an empty query, which the platform's front end uses as a readiness check before it sends clients.
+    /// Answers an empty query, which the platform's front end uses as a readiness check before it sends clients: with
+    /// an error during a drain or on standby, otherwise with success.
     async fn answer_empty(&mut self) -> Result<(), CloseReason> {
         if self.serving_state.borrow().reports_ready {
-            // A stop does not change the answer: the front end may still send clients here or to a successor.
+            // A stopping process answers with success even after a drain, since it or its successor serves the clients
+            // that the front end still sends. The invariant does not apply then.
             let holds = self.gateway.may_report_ready() || self.serving_state.borrow().is_stopping;
             let context = format_args!("empty query answered as ready");
             self.gateway.invariants().check(Invariant::ReadyWithList, holds, context);
--- a/src/clients/session/progress.rs
+++ b/src/clients/session/progress.rs
@@ -7,11 +7,11 @@
 
 /// Time reserved for sending the error and closing the connection after the time limit of a message has passed.
 const CLOSE_TIME_RESERVE: Duration = Duration::from_millis(250);
-/// Time limit from the first byte of a message to its end; for a long message, time limit for its next bytes. A client
-/// may take 2 s to send a message.
+/// Time limit from the first byte of a message to its end; for a long message, time limit for its next bytes. Longer
+/// than the 2 s that a client may take to send a message.
 pub(super) const MESSAGE_TIMEOUT: Duration =
     Duration::from_micros(STALLED_CLIENT_TIMEOUT.0 - MAX_HOLD_UP.0).saturating_sub(CLOSE_TIME_RESERVE);
-/// Time limit from the first byte of a long message to its end.
+/// Time limit from the first byte of a long message to its end, however steadily its bytes arrive.
 const LONG_MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The progress of the message that is being received.
@@ -50,8 +50,8 @@
         self.grew_at = self.grew_at.map(|_| now);
     }
 
-    /// When the time limit of the message passes; `None` between messages. A long message (`is_long`) is allowed more
-    /// time as long as further bytes arrive.
+    /// When the time limit of the message passes; `None` between messages. A long message (`is_long`) has up to
+    /// [`LONG_MESSAGE_TIMEOUT`] as long as further bytes arrive within [`MESSAGE_TIMEOUT`].
     pub(super) fn overdue_at(&self, is_long: bool) -> Option<Instant> {
         let started_at = self.started_at?;
         if !is_long {
--- a/src/clients/session/replies.rs
+++ b/src/clients/session/replies.rs
@@ -15,7 +15,8 @@
     Reply::Error { fatal: true, code, message: message.to_string(), detail: None }
 }
 
-/// Converts a final answer. Only a rejection uses SQLSTATE 53300; its detail is the time after which to retry, in ms.
+/// Converts a final answer. Only a rejection uses SQLSTATE 53300; its detail is the time after which to retry, in ms
+/// rounded up. `fatal` applies only to a rejection.
 pub(super) fn final_answer(answer: FinalResponse, fatal: bool) -> Reply {
     match answer {
         FinalResponse::Served(raw) => Reply::Raw(raw),
--- a/src/clients/session/respond.rs
+++ b/src/clients/session/respond.rs
@@ -102,7 +102,8 @@
         self.unread_since.get_or_insert_with(Instant::now);
         self.send([Reply::Raw(std::mem::take(&mut response.first))]).await?;
         loop {
-            // A member may take long between two parts. Requests that wait behind must not be sent if the client leaves.
+            // A member may take long between two parts. Requests that wait behind must not be sent if the client
+            // leaves.
             let chunk = tokio::select! {
                 biased;
                 chunk = response.rest.recv() => chunk,
@@ -153,8 +154,8 @@
         }
     }
 
-    /// Shuts down the write side and discards input for a limited time: closing with unread input would reset the
-    /// connection, and the client might not receive the last reply.
+    /// Shuts down the write side and discards input for a limited time, or until the connection is asked to close:
+    /// closing with unread input would reset the connection, and the client might not receive the last reply.
     pub(super) async fn linger(&mut self) {
         let stream = self.framed.get_mut();
         let _ = stream.shutdown().await;
--- a/src/clients/session/stream.rs
+++ b/src/clients/session/stream.rs
@@ -11,8 +11,8 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Interval of checks for a close by the client while its connection is not read. A fraction of
-/// [`CLIENT_GONE_MAX_DELAY`], after which no attempt may begin for the client.
+/// Interval of checks for a close by the client while its connection is not read. Well below [`CLIENT_GONE_MAX_DELAY`],
+/// the longest time after the close in which an attempt may still begin.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_micros(CLIENT_GONE_MAX_DELAY.0 / 4);
 /// Largest number of bytes discarded per read.
 const DISCARD_CHUNK_BYTES: usize = 32 * 1024;
@@ -41,7 +41,7 @@
     }
 }
 
-/// Without a socket, a close is only detected once all input before it is read.
+/// An in-memory stream, as used in tests. A close is only detected once all input before the close is read.
 impl ClientStream for DuplexStream {}
 
 /// Waits until the client closes a connection that is not being read.
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -21,7 +21,7 @@
 
 /// What opens the next watch.
 pub enum WatchTrigger {
-    /// A notification by the driver: a shared service answers the calls of all proxies in turn.
+    /// A notification by the driver. Used with a shared service, which answers the calls of all proxies in turn.
     OnRequest(Rc<Notify>),
     /// A schedule that keeps a watch open at all times, at an agent on this machine that lists are pushed to.
     Always(WatchSchedule),
@@ -71,11 +71,11 @@
     pub inbox: mpsc::UnboundedSender<DriverInput>,
     /// Counts the calls.
     pub counters: Rc<Counters>,
-    /// Counts the calls by how they ended.
+    /// Counts the calls by the reason of their end.
     pub metrics: Rc<Metrics>,
-    /// Time limit for the first message of a watch, from the start of the call.
+    /// Time limit for the response head of a watch, from the start of the call.
     pub first_message_timeout: Duration,
-    /// Jitter for proxies that lose the same agent at the same time.
+    /// Source of the retry jitter, since all proxies of a machine lose their agent at the same time.
     pub rng: fastrand::Rng,
 }
 
@@ -116,7 +116,8 @@
             let opened_at = clock.now();
             self.trigger.record_opening(opened_at);
             let call = self.counters.calls.get();
-            info!("discovery: call {call} to {address} from version {}", self.status.list_version());
+            let version = self.status.list_version();
+            info!("discovery: call {call} started, address {address}, from list version {version}");
             let failure = tokio::select! {
                 reason = open_watch(address, &self.status, &self.inbox, self.first_message_timeout) => Some(reason),
                 () = address_changed(&mut self.address) => None,
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Logs the end of a watch. An unreachable agent is retried many times a second, so only the first of consecutive
-    /// refusals is logged.
+    /// Logs the close of a watch's connection. A schedule retries an unreachable agent many times a second, so only the
+    /// first of consecutive refusals is logged then.
     fn log_end(&self, address: SocketAddr, reason: CloseReason, last_reason: Option<CloseReason>) {
         let is_repeated_refusal = reason == CloseReason::Refused && last_reason == Some(reason);
         let is_on_request = matches!(self.trigger, WatchTrigger::OnRequest(_));
@@ -148,8 +149,8 @@
         }
     }
 
-    /// The time without a message if the watch ended for that reason: since its last message, or since the call if
-    /// there was none.
+    /// If the watch ended because no message arrived in time, the time since its last message, or since the start of
+    /// the call if none arrived. `None` if the watch ended for another reason.
     fn silence_at_end(&self, ended: &EndedWatch, now: Time) -> Option<Micros> {
         let since_opened = now.0.saturating_sub(ended.opened_at.0);
         let silence = Micros(self.status.silence().0.min(since_opened));
--- a/src/discovery/http.rs
+++ b/src/discovery/http.rs
@@ -22,11 +22,17 @@
 /// Why a response can't be decoded.
 #[derive(Debug)]
 pub enum HttpError {
-    /// The response head is malformed or longer than its limit.
+    /// The response head is not valid HTTP/1.1.
     MalformedHead,
-    /// A chunk is malformed, or its header is longer than its limit.
-    MalformedChunk,
-    /// A line is longer than any list. Carries the number of bytes received.
+    /// The response head exceeds its limit. Carries the number of bytes received.
+    HeadTooLong(usize),
+    /// A chunk header is not a valid chunk size.
+    MalformedChunkHeader,
+    /// A chunk header exceeds its limit. Carries the number of bytes received.
+    ChunkHeaderTooLong(usize),
+    /// The data of a chunk is not followed by CR LF. Carries the bytes received there.
+    UnterminatedChunk([u8; 2]),
+    /// A line exceeds its limit. Carries the number of bytes received.
     LineTooLong(usize),
     /// A list is cut off: a line ends within a JSON string, or an object contains an empty line.
     TruncatedList,
@@ -43,14 +49,19 @@
 impl fmt::Display for HttpError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            HttpError::MalformedHead => {
-                write!(f, "malformed HTTP response head, or longer than {MAX_HEAD_BYTES} bytes")
+            HttpError::MalformedHead => write!(f, "malformed HTTP response head"),
+            HttpError::HeadTooLong(received) => {
+                write!(f, "incomplete HTTP response head of {received} bytes, limit {MAX_HEAD_BYTES}")
             }
-            HttpError::MalformedChunk => {
-                write!(f, "malformed HTTP chunk, or chunk header longer than {MAX_CHUNK_HEADER_BYTES} bytes")
+            HttpError::MalformedChunkHeader => write!(f, "malformed HTTP chunk header"),
+            HttpError::ChunkHeaderTooLong(received) => {
+                write!(f, "incomplete HTTP chunk header in {received} bytes, limit {MAX_CHUNK_HEADER_BYTES}")
+            }
+            HttpError::UnterminatedChunk(received) => {
+                write!(f, "HTTP chunk data followed by {received:02x?}, expected CR LF")
             }
             HttpError::LineTooLong(received) => {
-                write!(f, "line too long: {received} bytes received without its end, limit {MAX_LINE_BYTES}")
+                write!(f, "line incomplete after {received} bytes, limit {MAX_LINE_BYTES}")
             }
             HttpError::TruncatedList => {
                 write!(f, "list cut off: line end within a JSON string, or empty line within an object")
@@ -219,7 +230,7 @@
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
         let length = match response.parse(src).map_err(|_| HttpError::MalformedHead)? {
-            Status::Partial if src.len() > MAX_HEAD_BYTES => return Err(HttpError::MalformedHead),
+            Status::Partial if src.len() > MAX_HEAD_BYTES => return Err(HttpError::HeadTooLong(src.len())),
             Status::Partial => return Ok(Step::NeedsInput),
             Status::Complete(length) => length,
         };
@@ -234,8 +245,10 @@
     }
 
     fn read_chunk_size(&mut self, src: &mut BytesMut) -> Result<Step, HttpError> {
-        match httparse::parse_chunk_size(src).map_err(|_| HttpError::MalformedChunk)? {
-            Status::Partial if src.len() > MAX_CHUNK_HEADER_BYTES => Err(HttpError::MalformedChunk),
+        match httparse::parse_chunk_size(src).map_err(|_| HttpError::MalformedChunkHeader)? {
+            Status::Partial if src.len() > MAX_CHUNK_HEADER_BYTES => {
+                Err(HttpError::ChunkHeaderTooLong(src.len()))
+            }
             Status::Partial => Ok(Step::NeedsInput),
             Status::Complete((_, 0)) => {
                 self.state = DecoderState::Finished;
@@ -265,7 +278,7 @@
             return Ok(Step::NeedsInput);
         }
         if !src.starts_with(CHUNK_END) {
-            return Err(HttpError::MalformedChunk);
+            return Err(HttpError::UnterminatedChunk([src[0], src[1]]));
         }
         src.advance(CHUNK_END.len());
         self.state = DecoderState::ChunkSize;
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -61,9 +61,9 @@
     pub state: MemberState,
     /// The registered capacity, relative to that of other members.
     pub weight: f64,
-    /// The last start of the member, in Unix milliseconds; `None` if the entry does not give it.
+    /// The last start of the member, in Unix milliseconds; `None` if the entry has none or 0.
     pub started_ms: Option<u64>,
-    /// Whether the list names the member as its group's primary. This may be outdated or missing in a list.
+    /// Whether the list names the member as its group's primary; `false` if the entry has no role. May be outdated.
     pub is_primary: bool,
 }
 
@@ -86,7 +86,8 @@
     Unchanged,
     /// A call failed, or a watch ended.
     Failed {
-        /// The time without a message, if the watch ended for that reason.
+        /// If no message arrived in time, the time since the last message of the watch, or since the start of the call
+        /// if none arrived. `None` if the call or watch ended for another reason.
         silence: Option<Micros>,
     },
 }
@@ -172,7 +173,8 @@
     (value.is_finite() && value >= 0.0).then_some(value as u64)
 }
 
-/// Maps the names of members, kinds and zones to the ids of the decision logic. An id stays the same across lists.
+/// Maps the names of members, kinds and zones to the ids of the decision logic. A name keeps its id across lists until
+/// it is removed.
 #[derive(Default)]
 pub struct IdentifierTable {
     members: settings::NameInterner,
--- a/src/discovery/status.rs
+++ b/src/discovery/status.rs
@@ -51,7 +51,7 @@
     }
 
     /// Records the end of the call that began at `began`. If a message was received since then, a watch has ended,
-    /// otherwise the call has failed. `was_silent` is set if it ended because no message was received in time.
+    /// otherwise the call has failed. `was_silent` is set if the reason was that no message arrived in time.
     pub fn record_call_end(&self, began: Time, was_silent: bool) {
         let since_began = self.clock.now().0.saturating_sub(began.0);
         if self.silence().0 < since_began {
@@ -67,17 +67,17 @@
         self.monitor.borrow_mut().record_list(self.clock.now());
     }
 
-    /// Time since the last message, or since the start.
+    /// Time since the last message, or since monitoring began if none arrived.
     pub fn silence(&self) -> Micros {
         self.monitor.borrow().silence(self.clock.now())
     }
 
-    /// Time since a list came into use, if one did.
+    /// Time since a list from discovery last came into use; `None` if none did. A saved list does not count.
     pub fn list_age(&self) -> Option<Micros> {
         self.monitor.borrow().list_age(self.clock.now())
     }
 
-    /// Logs when no message has been received for a while. Runs for the lifetime of the process.
+    /// Logs the notices of [`StalenessMonitor`] about missing messages. Runs for the lifetime of the process.
     pub async fn log_silence(&self) {
         loop {
             sleep(SILENCE_CHECK_INTERVAL).await;
@@ -90,7 +90,7 @@
         let version = self.list_version();
         match notice {
             Some(Notice::Silent(silence)) => warn!(
-                "discovery: nothing heard for {:.1} s, list version {version} stays in use",
+                "discovery: no message received for {:.1} s, list version {version} remains in use",
                 seconds(silence)
             ),
             Some(Notice::Resumed(silence)) => {
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -1,6 +1,6 @@
 //! One watch: an HTTP/1.1 call whose response is a list, then one line per change, and an empty line every 2 s
-//! while nothing changes. An older list must never replace a newer one, and a watch must end at a list that can't be
-//! decoded, since later changes build on it.
+//! while nothing changes. An older list must never replace a newer one, except a full list at the start of a watch, and
+//! a watch must end at a list that can't be decoded, since later changes build on that list.
 
 use crate::api::Discovery;
 use crate::close_reason::CloseReason;
@@ -25,18 +25,18 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// A watch without a message for this long has failed: a working one sends at least an empty line every 2 s.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time limit for the first message from a service that answers the calls of all proxies in turn. Bounded above by the
-/// 6 s after which a change counts as notified, since a watch may hang from the start and miss one, and by the lease of
-/// a saved list, so that the lease does not expire during a first call that hangs. Well above the 2 s after which
-/// services reject a queued call, since an abandoned call still takes its turn at the service.
+/// Time limit for the response head from a service that answers the calls of all proxies in turn. Bounded above by the
+/// 6 s after which a change counts as notified, since a watch that hangs from the start may miss a change, and by the
+/// lease of a saved list, so that the lease does not expire during a first call that hangs. Well above the 2 s after
+/// which services reject a queued call, since an abandoned call still takes its turn at the service.
 const SERVICE_TIMEOUT: Duration = Duration::from_millis(2_750);
-/// Time limit for the first message from the agent on this machine, which answers at once. Three consecutive watches
+/// Time limit for the response head from the agent on this machine, which answers at once. Three consecutive watches
 /// may time out within the 6 s after which a change counts as notified.
 const AGENT_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The only HTTP status of a response that is a watch.
 const STATUS_OK: u16 = 200;
 
-/// Time limit for the first message of a watch, from the start of the call.
+/// Time limit for the response head of a watch, from the start of the call.
 pub fn first_message_timeout(discovery: Discovery) -> Duration {
     match discovery {
         Discovery::OnRequest => SERVICE_TIMEOUT,
@@ -44,8 +44,8 @@
     }
 }
 
-/// Calls discovery and reads the watch to its end; returns the reason. `first_message_timeout` counts from the start
-/// of the call.
+/// Calls discovery and reads the watch to its end; returns why it ended. `first_message_timeout` limits the time from
+/// the start of the call to the response head.
 pub(super) async fn open_watch(
     address: SocketAddr, status: &DiscoveryStatus, inbox: &mpsc::UnboundedSender<DriverInput>,
     first_message_timeout: Duration,
@@ -70,8 +70,9 @@
     Ok(stream)
 }
 
-/// Reads a watch to its end; returns the reason. Lists are sent to `inbox`, and `status` records each message. The
-/// first message must arrive within `first_message_timeout`.
+/// Reads a watch to its end; returns why it ended. Lists are sent to `inbox`, and `status` records each message. The
+/// response head must arrive within `first_message_timeout`, and each line within [`SILENCE_TIMEOUT`] of what precedes
+/// it.
 pub async fn read_watch(
     stream: impl AsyncRead + Unpin, status: &DiscoveryStatus, inbox: &mpsc::UnboundedSender<DriverInput>,
     first_message_timeout: Duration,
@@ -94,7 +95,7 @@
             Some(Ok(ResponsePart::Line(line))) => line,
             Some(Ok(ResponsePart::End)) | None => return CloseReason::WatchEnded,
             Some(Err(error)) => {
-                warn!("discovery: {error}");
+                warn!("discovery: response can't be decoded, closing the watch: {error}");
                 return CloseReason::Protocol;
             }
         };
--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -25,18 +25,22 @@
     ListLeased,
     /// No statement is sent for a request that has its final answer or whose client has disconnected.
     RequestOpen,
-    /// No statement is sent after the deadline of its request.
+    /// No statement is sent under a permit that was issued at or after the deadline of its attempt.
     BeforeDeadline,
-    /// No statement is written later than [`MAX_HOLD_UP`](crate::platform_bounds::MAX_HOLD_UP) after its permit was issued.
+    /// No statement is written later than [`MAX_HOLD_UP`](crate::platform_bounds::MAX_HOLD_UP) after its permit was
+    /// issued.
     PermitCurrent,
     /// No attempt of a request starts while another one is in flight and not cancelled, unless the settings allow
     /// hedged requests.
     OneAttempt,
-    /// The proxy closes no connection before the requests accepted on it are answered.
+    /// The proxy closes no connection before the requests accepted on it are answered, except for a reason of
+    /// [`CloseReason::is_by_peer`](crate::close_reason::CloseReason::is_by_peer).
     AnsweredBeforeClose,
-    /// Every request is answered by its deadline.
+    /// Every request is answered within a short grace after its deadline, unless the process is catching up after a
+    /// hold-up.
     AnsweredInTime,
-    /// A starting process does not report readiness before its list is confirmed or the time limit for that has passed.
+    /// A process that is not stopping does not report readiness before
+    /// [`SendGuard::may_report_ready`](crate::upstream::send_guard::SendGuard::may_report_ready) allows it.
     ReadyWithList,
 }
 
@@ -98,7 +102,7 @@
 }
 
 impl InvariantMonitor {
-    /// Registers the counter of violations. It has a series for each invariant from the start, with value 0.
+    /// Registers the counter of violations, which has a series with value 0 for each invariant from the start.
     pub fn register(&self, registry: &mut Registry) {
         let help = "Violated invariants: faults of this program";
         registry.register("invariant_violations", help, self.violations.clone());
--- a/src/pg/backend.rs
+++ b/src/pg/backend.rs
@@ -40,7 +40,7 @@
     ErrorResponse(Bytes),
     /// The member is ready for the next statement, and no transaction is open.
     ReadyForQuery,
-    /// A message that is not used, such as a notice, a notification or key data.
+    /// A message that is not used, such as a notice, a notification or key data, or a malformed parameter.
     Ignored,
 }
 
@@ -62,7 +62,7 @@
 
 /// Size of a row message before its value: type, length, column count, and the length of the value.
 const ROW_HEAD_BYTES: usize = 11;
-/// The length field of a row message without its value.
+/// The length field of a row message with an empty value.
 const ROW_OVERHEAD_BYTES: usize = ROW_HEAD_BYTES - 1;
 /// The only column count that rows and their descriptions may have.
 const ONE_COLUMN: u16 = 1;
@@ -139,11 +139,11 @@
     }
 }
 
-/// Checks that no transaction is open in a member that is ready.
+/// Checks that the transaction status of `ReadyForQuery` is idle: the session must have no open transaction.
 fn check_readiness(body: &[u8]) -> Result<(), PgError> {
     match body {
         b"I" => Ok(()),
-        _ => Err(PgError::Body("ReadyForQuery with an open transaction")),
+        _ => Err(PgError::TransactionStatus(body.first().copied().unwrap_or_default())),
     }
 }
 
@@ -164,7 +164,7 @@
         .ok_or(PgError::Body("ErrorResponse without a valid SQLSTATE"))
 }
 
-/// Decodes a parameter. A malformed one is ignored, and only its value is missing.
+/// Decodes a parameter. A malformed one is ignored, so that the connection continues without its value.
 fn decode_parameter(mut body: Bytes) -> BackendMessage {
     match (take_text(&mut body), take_text(&mut body)) {
         (Ok(name), Ok(value)) if body.is_empty() => BackendMessage::ParameterStatus { name, value },
@@ -189,7 +189,7 @@
 }
 
 impl BackendCodec {
-    /// Removes the available bytes of a long value; `None` if there are none.
+    /// Removes the available bytes of a long value, at most [`MAX_CHUNK_BYTES`]; `None` if there are none.
     fn take_value_chunk(&mut self, src: &mut BytesMut) -> Option<BackendMessage> {
         if src.is_empty() {
             return None;
--- a/src/pg/error.rs
+++ b/src/pg/error.rs
@@ -13,6 +13,8 @@
     MessageType(u8),
     /// The body does not have the format of the message type.
     Body(&'static str),
+    /// A member is ready with this transaction status instead of `I`, idle.
+    TransactionStatus(u8),
     /// No memory is available for a message of this length, in bytes.
     Memory(usize),
     /// The connection failed.
@@ -31,6 +33,13 @@
             PgError::Length(length) => write!(f, "invalid message length {length}"),
             PgError::MessageType(code) => write!(f, "invalid message type {code}"),
             PgError::Body(problem) => write!(f, "malformed message: {problem}"),
+            PgError::TransactionStatus(status) => {
+                let status = status.escape_ascii();
+                write!(
+                    f,
+                    "malformed message: ReadyForQuery has transaction status {status}, expected I (idle)"
+                )
+            }
             PgError::Memory(length) => write!(f, "no memory is left for a message of {length} bytes"),
             PgError::Io(e) => write!(f, "{e}"),
         }
--- a/src/pg/frontend.rs
+++ b/src/pg/frontend.rs
@@ -45,7 +45,7 @@
     Extended(u8),
     /// Ends a batch of messages of the extended query protocol.
     Sync,
-    /// A message of the copy protocol, which is not answered when no copy is in progress.
+    /// A message of the copy protocol, which is ignored because no copy is ever in progress.
     Copy,
     /// Ends the session.
     Terminate,
@@ -56,7 +56,8 @@
 pub enum Reply {
     /// Encryption is not available; the client may continue without it.
     NoEncryption,
-    /// The session is open: authentication, parameters, key data.
+    /// The session is open: `AuthenticationOk`, a `ParameterStatus` for each session parameter, and `BackendKeyData`
+    /// with zeros, since cancel requests are not supported.
     SessionOpened,
     /// The session is ready for the next query.
     ReadyForQuery,
--- a/src/pg/mod.rs
+++ b/src/pg/mod.rs
@@ -16,8 +16,8 @@
 pub const MAX_VALUE_BYTES: usize = 4 << 20;
 /// A value of up to this many bytes is decoded with its row; a longer one is passed on in chunks as it arrives.
 pub const MAX_BUFFERED_VALUE_BYTES: usize = 64 * 1024;
-/// The largest client message, in bytes, that is read without being announced: a statement with a value of 64 KiB in
-/// hexadecimal.
+/// The largest client message, in bytes, that is read without being announced: a value of 64 KiB in hexadecimal, and
+/// 64 KiB for the rest of the statement.
 pub const MAX_ORDINARY_MESSAGE_BYTES: usize = 192 * 1024;
-/// The largest client message, in bytes: a statement with the largest value in hexadecimal.
+/// The largest client message, in bytes: the largest value in hexadecimal, and 64 KiB for the rest of the statement.
 pub const MAX_MESSAGE_BYTES: usize = 2 * MAX_VALUE_BYTES + 64 * 1024;
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -1,5 +1,5 @@
-//! Decodes a client's statement as a request, by the fields of its leading comment. Missing fields are never inferred,
-//! and the timeout is the only part of a statement that is changed for members.
+//! Decodes a client's statement as a request, by the fields of its leading comment. Missing required fields are never
+//! inferred, and the timeout is the only part of a statement that is changed for members.
 
 use crate::request::{IncomingRequest, Payload};
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 /// Why a statement is not a valid request. Carries the name of the field in the comment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementError {
-    /// The statement does not begin with a comment.
+    /// The statement does not begin with a complete comment in UTF-8.
     NoComment,
     /// A required field is missing.
     Missing(&'static str),
@@ -39,8 +39,11 @@
 }
 
 /// Decodes a statement as a request. The fields of its comment are `id`, `c` (class), `d` (timeout in milliseconds),
-/// `cluster` (group; 0 if absent) and `after` (position that a read must see, in Unix milliseconds). Other fields are
-/// left to the members.
+/// `cluster` (group; 0 if absent) and `after` (position that a read must see, in Unix milliseconds; none if 0 or
+/// absent). Other fields are left to the members.
+///
+/// # Errors
+/// The comment or one of the fields `id`, `c` and `d` is missing, or a number can't be parsed.
 pub fn parse(statement: &Bytes) -> Result<IncomingRequest, StatementError> {
     let comment = find_comment(statement)?;
     let sql = &statement[comment.end + COMMENT_END.len()..];
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -48,7 +48,7 @@
 
 impl std::error::Error for DriverEnded {}
 
-/// The sockets on which the proxy listens.
+/// The listening sockets of the process, and its membership in a fleet.
 pub struct Listeners {
     /// The socket for clients.
     pub clients: TcpListener,
--- a/src/proxy/capacity.rs
+++ b/src/proxy/capacity.rs
@@ -13,15 +13,15 @@
 const SERVED_FRACTION: f64 = 0.60;
 /// Fraction of the shared descriptors for connections beyond the served ones, whose first request is rejected.
 const REJECTED_FRACTION: f64 = 0.05;
-/// Fraction of the shared descriptors for members. Clients may use up to a third of the descriptors for requests, so up
-/// to as many attempts may be in flight at once.
+/// Fraction of the shared descriptors for members. Clients may hold up to a third of the descriptors for requests, and
+/// about as many attempts may be in flight at once.
 const MEMBERS_FRACTION: f64 = 0.34;
 /// The platform lets its clients hold this fraction (1/n) of all descriptors for requests.
 const REQUEST_CONNECTIONS_DIVISOR: usize = 3;
-/// Connections that may exist beyond the served ones while connections asked to close for them are still open. Taken
-/// from [`RESERVED_DESCRIPTORS`].
+/// Served connections allowed beyond the limit while others that were asked to close for them are still open. Their
+/// descriptors are taken from [`RESERVED_DESCRIPTORS`].
 const MAX_CLOSING_CONNECTIONS: usize = 6;
-/// Fraction (1/n) of the memory for messages of clients that are not answered yet.
+/// Fraction (1/n) of the memory that ordinary client messages share until they are answered.
 const MESSAGES_DIVISOR: usize = 4;
 /// Fraction of the memory for long messages. At the smallest memory limit, 32 MB, it holds one message of maximum
 /// length.
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The admission of requests, of which at most `max_open` are held at a time.
+    /// Creates the admission control for requests, which holds at most `max_open` requests at a time.
     pub(super) fn request_admission(&self, max_open: usize) -> RequestAdmission {
         let long_messages = (self.memory as f64 * LONG_MESSAGES_FRACTION) as usize;
         RequestAdmission::new(max_open, self.memory / MESSAGES_DIVISOR, long_messages)
--- a/src/proxy/parts.rs
+++ b/src/proxy/parts.rs
@@ -51,13 +51,13 @@
     pub(super) inbox: mpsc::UnboundedSender<DriverInput>,
     accounting: RequestAccounting,
     maintenance: Rc<RefCell<Maintenance>>,
-    /// Notified when the router requests a watch of the list.
+    /// Notified when the router requests a watch of the list. Not read where lists are pushed.
     subscribe: Rc<Notify>,
 }
 
 impl Parts {
-    /// Builds the shared components. The cached list of the configuration, if any, is moved out of it and sent to
-    /// `inbox` as the first input of the driver.
+    /// Builds the shared components. The cached list, if any, is moved out of `config` and sent to `inbox` as the first
+    /// input of the driver.
     pub(super) fn new(
         config: &mut Config, capacity: &Capacity, quota: FleetQuota, counters: Rc<Counters>,
         inbox: mpsc::UnboundedSender<DriverInput>,
@@ -111,7 +111,8 @@
         Rc::new(RequestGateway::new(intake, admission, accounting, self.inbox.clone(), self.guard.clone()))
     }
 
-    /// The log of maintenance orders, in the file that the old and the new process share during an upgrade.
+    /// The log of maintenance orders. If a shared directory is configured, the log uses a file there, which the old and
+    /// the new process share during an upgrade.
     pub(super) fn maintenance_log(&self, config: &Config) -> Rc<MaintenanceLog> {
         let file = config.shared_directory.as_ref().map(|dir| dir.join(maintenance_log::FILE_NAME));
         MaintenanceLog::new(self.maintenance.clone(), file, self.clock, self.inbox.clone())
--- a/src/request.rs
+++ b/src/request.rs
@@ -12,7 +12,7 @@
 pub struct Payload {
     /// The text before the timeout.
     head: Bytes,
-    /// The text after it.
+    /// The text after the timeout.
     tail: Bytes,
 }
 
@@ -55,7 +55,8 @@
     pub timeout_ms: u64,
     /// The number of the group that the request is for.
     pub group: u32,
-    /// The session key of a session read or a write, if given.
+    /// The first quoted text of the SQL, if any: the session key of session reads and writes, and the key by which
+    /// requests of a connection are ordered.
     pub session_key: Option<String>,
     /// The replication position that a read must observe, in Unix milliseconds.
     pub required_position_ms: Option<u64>,
--- a/src/stages/accounting.rs
+++ b/src/stages/accounting.rs
@@ -52,7 +52,7 @@
         self.metrics.invariants()
     }
 
-    /// Counts an accepted request.
+    /// Counts an accepted request. The returned ticket counts its end.
     pub fn begin_request(&self, class: ClassId) -> AccountingTicket {
         self.counters.taken.add();
         self.metrics.record_accepted();
--- a/src/stages/admission.rs
+++ b/src/stages/admission.rs
@@ -1,5 +1,5 @@
-//! Admits a request, or rejects it before it reaches the router, according to the resource limits of this process.
-//! Never waits, and does not depend on the state of members.
+//! Admission control ahead of the router: limits the requests that are held and the memory of their messages. Does not
+//! wait and does not depend on the state of members; sessions wait for the memory of long messages themselves.
 
 use crate::resource_limit::{ResourceLimit, ResourcePermit};
 use std::sync::Arc;
@@ -26,13 +26,13 @@
     held_requests: ResourceLimit,
     message_memory: ResourceLimit,
     long_message_memory: Arc<Semaphore>,
-    /// In bytes.
+    /// The memory that long messages share, and so the largest one, in bytes.
     max_long_message: usize,
 }
 
 impl RequestAdmission {
     /// Limits held requests to `max_requests`. Their messages, including those still being read, share
-    /// `message_bytes`; long messages share an additional `long_message_bytes`.
+    /// `message_bytes`; long messages share an additional `long_message_bytes`, at most [`MAX_SEMAPHORE_PERMITS`].
     pub fn new(max_requests: usize, message_bytes: usize, long_message_bytes: usize) -> RequestAdmission {
         let max_long_message = long_message_bytes.min(MAX_SEMAPHORE_PERMITS);
         RequestAdmission {
--- a/src/stages/dispatch.rs
+++ b/src/stages/dispatch.rs
@@ -24,7 +24,8 @@
     deadline: Instant,
     /// The number of the next attempt.
     next_attempt: u32,
-    /// The sender that cancels each attempt in flight, by attempt number.
+    /// The sender that cancels each attempt in flight, by attempt number. A cancelled attempt is removed before it
+    /// ends.
     in_flight: BTreeMap<u32, oneshot::Sender<()>>,
     /// Shared with the attempts. Once it is set, no further statement is written.
     is_over: Rc<Cell<bool>>,
@@ -32,7 +33,7 @@
 
 impl DispatchedRequest {
     /// The deadline of an attempt started at `started`: that of the request, or an earlier one if the router set a
-    /// timeout.
+    /// timeout. A timeout of 0 is ignored.
     fn attempt_deadline(&self, started: Instant, timeout: Option<Micros>) -> Instant {
         match timeout.filter(|timeout| timeout.0 > 0) {
             Some(timeout) => self.deadline.min(started + Duration::from_micros(timeout.0)),
@@ -173,8 +174,8 @@
         }
     }
 
-    /// Closes a request that has its final response or whose client has disconnected. A statement not yet written is
-    /// then never written.
+    /// Closes a request that has its final response or whose client has disconnected: no further statement of the
+    /// request is written. The request is removed once its attempts in flight have ended.
     pub fn close_request(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_over.set(true);
--- a/src/stages/driver.rs
+++ b/src/stages/driver.rs
@@ -2,8 +2,9 @@
 //! order.
 //!
 //! The driver must never wait for an action; the result of an action arrives as a later input. The router chooses
-//! members and schedules retries. The driver itself rejects a request only if the list lease, an operators' order or
-//! the fleet's budgets forbid serving it, and fails a request that the router has left unanswered past its deadline.
+//! members and schedules retries. The driver itself rejects a request only if the list lease has expired, orders of
+//! operators or the fleet have taken all members of its group out of service, or the fleet does not permit this proxy
+//! to serve it. It fails a request that the router has left unanswered for [`ANSWER_OVERDUE_GRACE`] past its deadline.
 
 use super::dispatch::Dispatcher;
 use super::member_directory::MemberDirectory;
@@ -33,10 +34,11 @@
 /// Time after the deadline at which the driver fails a request that the router has not answered.
 const ANSWER_OVERDUE_GRACE: Duration = Duration::from_millis(40);
 
-/// Retry-After while the list lease has expired. Kept short since a call to discovery is in progress.
+/// Retry-After while the list lease has expired. Short, because the next message from discovery renews the lease.
 const RETRY_AFTER_UNCONFIRMED_LIST: Micros = Micros(500_000);
 
-/// Retry-After while a group has no member in service because of orders, or the fleet does not admit requests here.
+/// Retry-After while all members of the request's group are out of service by orders, this proxy's membership in the
+/// fleet has expired, or the class's admission budget is exhausted.
 const RETRY_AFTER_NOT_ADMITTED: Micros = Micros(1_000_000);
 
 /// A timer of the router: its due time and its token.
@@ -76,7 +78,7 @@
     pub identifiers: IdentifierTable,
     /// Notified when the router requests a watch of the list.
     pub subscribe: Rc<Notify>,
-    /// The members that operators or the fleet have taken out of service.
+    /// The orders of operators and the fleet that take members out of service.
     pub maintenance: Rc<RefCell<Maintenance>>,
     /// This proxy's quota of the fleet's budgets.
     pub quota: FleetQuota,
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Runs until all senders of inputs are dropped.
+    /// Runs for the lifetime of the process: the dispatcher holds a sender of inputs, so the channel stays open.
     pub async fn run(mut self) {
         loop {
             let wake_at = self.next_wake();
@@ -138,13 +140,14 @@
         self.fail_overdue_requests();
     }
 
-    /// Fails the requests that the router has left unanswered past their deadlines.
+    /// Fails the requests that the router has left unanswered for [`ANSWER_OVERDUE_GRACE`] past their deadlines.
     fn fail_overdue_requests(&mut self) {
         let now = Instant::now();
         while let Some((_, id)) = self.responses.next_due().filter(|(due, _)| *due <= now) {
             // After a hold-up late answers are unavoidable, and do not violate the invariant.
             let guard = self.pool.guard();
-            let context = format_args!("request {id} was not answered by its deadline");
+            let grace_ms = ANSWER_OVERDUE_GRACE.as_millis();
+            let context = format_args!("request {id} had no answer {grace_ms} ms after its deadline");
             guard.monitor().check(Invariant::AnsweredInTime, guard.is_catching_up(), context);
             self.respond(id, FinalResponse::Failed);
             self.handle_event(Event::ClientGone { id });
@@ -244,8 +247,8 @@
         self.update_list(update);
     }
 
-    /// Updates the entries that the router has of a member, according to its current orders, and closes its idle
-    /// connections.
+    /// Passes the entries of a member under its current orders to the router, and closes the member's idle
+    /// connections. Has no effect on a member that is not listed.
     fn maintenance_changed(&mut self, name: &str) {
         let Some(entries) = self.members.current_entries(name) else { return };
         let member = entries.first().map(|entry: &ListEntry| entry.member);
@@ -264,13 +267,15 @@
         let _ = done.send(());
     }
 
-    /// Passes a list to the router, and drops the members that the router no longer tracks.
+    /// Passes a list to the router, then removes the members that the router no longer tracks and updates which ones
+    /// accept new statements.
     fn update_list(&mut self, update: ListUpdate) {
         self.handle_event(Event::ListUpdated(update));
         self.members.sync_with_router(&self.router);
     }
 
-    /// Passes an event to the router, and executes the resulting actions.
+    /// Passes an event to the router, with this proxy's current share of the fleet's load, and executes the resulting
+    /// actions.
     fn handle_event(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         if let Some(part) = self.quota.load_part() {
--- a/src/stages/member_directory.rs
+++ b/src/stages/member_directory.rs
@@ -18,10 +18,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Maximum number of member changes logged individually per list; beyond that, the total is logged.
+/// Maximum number of member changes logged individually per list; if there are more, their total is logged as well.
 const LOGGED_CHANGES: usize = 16;
 
-/// The last listed state of a member.
+/// A member's latest list entry, and its id for the router.
 #[derive(Clone)]
 struct DirectoryEntry {
     endpoint: Endpoint,
@@ -45,12 +45,14 @@
         MemberDirectory { identifiers, maintenance, pool, clock, listed: BTreeMap::new() }
     }
 
-    /// Whether all listed members of a group are out of service by orders of operators or the fleet.
+    /// Whether all listed members of a group are out of service by orders of operators or the fleet. Always `false`
+    /// while no order of operators takes a member out of service.
     pub(super) fn is_group_out(&self, group: GroupId) -> bool {
         self.maintenance.borrow().is_group_out(group)
     }
 
-    /// Records a list, and returns the entries for the router.
+    /// Records a list, configures the pool with its members, and returns the entries for the router. A full list
+    /// replaces the listed members.
     pub(super) fn record_list(&mut self, list: EndpointList) -> Arc<Vec<ListEntry>> {
         if list.is_full {
             self.listed.clear();
@@ -64,7 +66,8 @@
         Arc::new(entries)
     }
 
-    /// The entries for the router of a listed member under its current orders; `None` if the member is not listed.
+    /// Records a listed member again, and returns its entries for the router under its current orders; `None` if the
+    /// member is not listed.
     pub(super) fn current_entries(&mut self, name: &str) -> Option<Vec<ListEntry>> {
         let endpoint = self.listed.get(name)?.endpoint.clone();
         let mut entries = Vec::new();
@@ -72,8 +75,8 @@
         Some(entries)
     }
 
-    /// Replaces the set of members that the fleet has taken out of service. Returns the names of those whose state
-    /// changes.
+    /// Replaces the set of members that the fleet has taken out of service. Returns the names of the members added to
+    /// or removed from it.
     pub(super) fn set_quarantine(&self, names: Vec<String>) -> Vec<String> {
         let now = self.clock.now();
         self.maintenance.borrow_mut().set_out_by_fleet(now, names.into_iter().collect())
@@ -112,8 +115,8 @@
         maintenance.known().map(observation).collect()
     }
 
-    /// Records one member, and appends its entries for the router under its current orders. A member that is out of
-    /// service appears as draining and then as gone.
+    /// Records one member, configures the pool with it, and appends its entries for the router under its current
+    /// orders: one entry, or two for a member that is out of service, which drains and is then gone.
     fn record_endpoint(&mut self, endpoint: Endpoint, entries: &mut Vec<ListEntry>) {
         let name = endpoint.id.clone();
         let (entry, address) = self.identifiers.entry(endpoint.clone());
--- a/src/stages/mod.rs
+++ b/src/stages/mod.rs
@@ -28,7 +28,7 @@
     Served(Bytes),
     /// Rejected without any effect, so a retry is safe.
     Rejected {
-        /// The time after which the client may retry.
+        /// The time after which the client may retry; `None` to send no such time.
         retry_after: Option<Micros>,
     },
     /// Failed: the request may or may not have had an effect.
@@ -41,7 +41,7 @@
     pub request: Request,
     /// The statement to send to members.
     pub payload: Payload,
-    /// The time at which the client stops waiting.
+    /// The time by which the client must have the final answer.
     pub deadline: Instant,
     /// Receives the final answer.
     pub reply: oneshot::Sender<FinalResponse>,
@@ -66,7 +66,7 @@
     AttemptEnded(AttemptEnd, Option<MemberResponse>),
     /// A health check ended.
     HealthCheckEnded(MemberId, Outcome, LoadReport),
-    /// A list was received or read from the configuration, or a call for it ended without one.
+    /// A list was received or read from the configuration, a call reported no change, or a call or watch ended.
     List(ListEvent),
     /// Requests the counts of members, for the metrics.
     MemberCountsRequested(oneshot::Sender<MemberCounts>),
@@ -74,7 +74,7 @@
     MaintenanceChanged(String),
     /// Requests this proxy's health observation of each member, by member name, for the fleet.
     HealthObservationsRequested(oneshot::Sender<BTreeMap<String, HealthObservation>>),
-    /// Sets the names of the members that the fleet takes out of service, and confirms once nothing new is sent to
-    /// them.
+    /// The fleet takes exactly the members with these names out of service. The sender confirms that nothing new is
+    /// sent to them.
     QuarantineChanged(Vec<String>, oneshot::Sender<()>),
 }
--- a/src/stages/request_intake.rs
+++ b/src/stages/request_intake.rs
@@ -104,7 +104,7 @@
         self.classes.get(class).copied()
     }
 
-    /// The required freshness of reads of a class, or [`ReadLevel::Write`].
+    /// The required freshness of reads of a class, or [`ReadLevel::Write`]; [`ReadLevel::Any`] for an unknown class.
     pub fn read_level(&self, class: ClassId) -> ReadLevel {
         self.read_levels.get(class.0).copied().unwrap_or(ReadLevel::Any)
     }
@@ -121,7 +121,8 @@
         Ok(OpenId { open_ids: self.open_ids.clone(), id })
     }
 
-    /// A unique internal id, since clients may reuse theirs: the sequence number of the request, padded with zeros.
+    /// Generates an internal id, unique in this process, since clients may reuse theirs: the sequence number of the
+    /// request, padded with zeros.
     fn next_id(&self) -> RequestId {
         let number = self.last_request_number.get() + 1;
         self.last_request_number.set(number);
@@ -130,7 +131,8 @@
         RequestId(id)
     }
 
-    /// Builds the request for the router, under a new internal id.
+    /// Builds the request for the router, under a new internal id. The session key and the required position are
+    /// included only if the class's read level uses them.
     pub fn build_request(&self, incoming: &IncomingRequest, class: ClassId) -> Request {
         let level = self.read_level(class);
         let has_session = matches!(level, ReadLevel::Write | ReadLevel::Session);
--- a/src/upstream/attempt.rs
+++ b/src/upstream/attempt.rs
@@ -1,9 +1,9 @@
 //! One attempt of a request at a member: an exchange that can be cancelled and has a deadline.
 //!
-//! An attempt ends when it is answered, cancelled or past its deadline, and yields exactly one [`AttemptOutcome`]. It
-//! must never write a statement if the request is over, the member accepts no new statements, or this proxy has no
-//! quota for it. It must not return a connection to the pool while an answer is outstanding on it; the rest of a long
-//! answer is handed to a forwarding task.
+//! An attempt ends when it is answered, fails, is cancelled or reaches its deadline, and yields exactly one
+//! [`AttemptOutcome`]. It must never write a statement if the request is over, the member accepts no new statements,
+//! the list lease has expired, or this proxy has no quota for the attempt. It must not return a connection to the pool
+//! while an answer is outstanding on that connection; the rest of a long answer is handed to a forwarding task.
 
 use crate::api::{LoadReport, LogPosition, MemberId, Outcome, Role};
 use crate::close_reason::CloseReason;
@@ -34,12 +34,12 @@
     pub payload: Payload,
     /// The time at which the attempt times out.
     pub deadline: Instant,
-    /// Whether this is not the first attempt of the request; a retry is subject to the retry budget.
+    /// Whether the request had an earlier attempt. Retries and hedged attempts are subject to the retry budget.
     pub is_retry: bool,
     /// Identifies the request and the attempt in the log.
     pub purpose: Purpose,
-    /// Set once the request has its final answer or its client has disconnected. A statement not yet written is then
-    /// never written.
+    /// Set once the request has its final answer or its client has disconnected. From then on the statement is not
+    /// written.
     pub is_request_over: Rc<Cell<bool>>,
 }
 
@@ -64,8 +64,8 @@
     }
 }
 
-/// Runs an attempt until it is answered, cancelled or past its deadline. `on_written` is called once the last byte
-/// of the statement is written.
+/// Runs an attempt until it is answered, fails, is cancelled or reaches its deadline. `on_written` is called once the
+/// last byte of the statement is written.
 ///
 /// When this returns, the connection of the attempt is closed or back in the pool, so nothing of the request is in
 /// flight on it. A long answer is the exception: a separate task keeps its connection to forward the rest.
@@ -125,8 +125,9 @@
     AttemptOutcome { outcome, response, position, role, report }
 }
 
-/// Forwards the rest of a long answer at the pace of the member and the client, then returns the connection to the
-/// pool. The outcome of the attempt is already reported, so only the client observes a failure here.
+/// Forwards the rest of a long answer at the pace of the member and the client. Returns the connection to the pool
+/// after a complete answer, and closes it otherwise. The outcome of the attempt is already reported, so only the client
+/// observes a failure here.
 async fn forward_rest(
     pool: Pool, member: MemberId, mut connection: MemberConnection, chunks: mpsc::Sender<ResponseChunk>,
 ) {
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -25,7 +25,7 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use tokio_util::codec::Framed;
 
-/// Once a reply has begun, a period of this length without further bytes means that its rest is not coming.
+/// Once bytes of a reply have arrived, a period of this length without further bytes breaks the connection.
 const REPLY_GAP_TIMEOUT: Duration = Duration::from_millis(250);
 /// Timeout for the next chunk of a long answer. Longer than [`REPLY_GAP_TIMEOUT`], since members may pause for seconds
 /// within a long answer.
@@ -89,7 +89,8 @@
     /// Opens a connection and waits until the member is ready for a statement, for at most `connect_timeout` in total.
     ///
     /// # Errors
-    /// The outcome of the attempt that needed the connection.
+    /// [`Outcome::QueueFull`] if the member rejects the session because it is overloaded, otherwise
+    /// [`Outcome::ConnectError`].
     pub async fn open(
         address: SocketAddr, descriptor: ResourcePermit, connect_timeout: Duration,
     ) -> Result<MemberConnection, Outcome> {
@@ -147,7 +148,8 @@
         self.close_reason.clone()
     }
 
-    /// The reason why the connection can't carry a statement; `None` if it can. It must be open, without unread input.
+    /// The reason why the connection can't carry a statement; `None` if it is open without unread input. May consume a
+    /// byte of unexpected input, so a connection with a reason must be closed.
     pub fn unusable_reason(&self) -> Option<CloseReason> {
         let mut byte = [0u8; 1];
         match self.framed.get_ref().try_read(&mut byte) {
@@ -198,9 +200,10 @@
         Ok(stream.write_all(&[0]).await?)
     }
 
-    /// Reads the reply to the written statement: a row description, a row and a completion, or an error; then
-    /// `ReadyForQuery`. After any other message the outcome is [`Outcome::MalformedReply`]: the statement may have run,
-    /// and the connection must be closed.
+    /// Reads the reply to the written statement, up to `ReadyForQuery` or to the head of a row with a long value, whose
+    /// rest [`Self::next_chunk`] reads. After an unexpected message the outcome is [`Outcome::MalformedReply`], and
+    /// [`Outcome::Reset`] after a failure of the connection: the statement may have run, and the connection must be
+    /// closed.
     pub async fn read_reply(&mut self) -> StatementReply {
         let mut assembler = ReplyAssembler::new();
         let mut is_reusable = false;
@@ -233,8 +236,8 @@
         unusable_reason.is_none()
     }
 
-    /// The next message of a reply. There is no timeout for the first byte of a reply. Once bytes have arrived, a
-    /// period of [`REPLY_GAP_TIMEOUT`] without further bytes is an error.
+    /// The next message of a reply. There is no timeout for the first byte of a reply. Afterwards the buffer is
+    /// compared every [`REPLY_GAP_TIMEOUT`], and a period without further bytes is an error.
     async fn next_message(&mut self, has_begun: bool) -> Option<Result<BackendMessage, PgError>> {
         let mut buffered = self.framed.read_buffer().len();
         loop {
@@ -244,12 +247,12 @@
             let buffered_before = buffered;
             buffered = self.framed.read_buffer().len();
             if (has_begun || buffered_before > 0) && buffered == buffered_before {
-                return Some(Err(PgError::Body("reply broke off before its end")));
+                return Some(Err(PgError::Body("reply incomplete, no further bytes within the time limit")));
             }
         }
     }
 
-    /// The next event of a long answer. Called after [`Self::read_reply`] returned its beginning.
+    /// Reads the next event of a long answer, after [`Self::read_reply`] has returned the beginning of that answer.
     pub async fn next_chunk(&mut self) -> StreamEvent {
         loop {
             let Ok(next) = timeout(CHUNK_TIMEOUT, self.framed.next()).await else {
@@ -257,9 +260,12 @@
             };
             let message = match next {
                 Some(Ok(message)) => message,
-                Some(Err(PgError::Length(_) | PgError::MessageType(_) | PgError::Body(_))) => {
-                    return self.break_stream(CloseReason::Protocol);
-                }
+                Some(Err(
+                    PgError::Length(_)
+                    | PgError::MessageType(_)
+                    | PgError::Body(_)
+                    | PgError::TransactionStatus(_),
+                )) => return self.break_stream(CloseReason::Protocol),
                 Some(Err(_)) | None => return self.break_stream(CloseReason::Reset),
             };
             match message {
--- a/src/upstream/exchange.rs
+++ b/src/upstream/exchange.rs
@@ -1,7 +1,7 @@
 //! One exchange of a statement and its reply with a member: obtain a connection, acquire a send permit, write, read.
 //!
-//! It must never write a statement without a permit and the quota at that moment, and it returns a connection to the
-//! pool only when no further input is expected on it.
+//! An exchange must never write a statement without a permit and the quota at that moment, and returns a connection to
+//! the pool only when no further input is expected on that connection.
 
 use crate::api::{MemberId, Outcome};
 use crate::close_reason::CloseReason;
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub(super) struct ExchangeProgress {
     is_written: Cell<bool>,
-    /// The close reason of the connection in use, once there is one.
+    /// The close reason of the connection in use; `None` until the send permit is issued.
     close_reason: RefCell<Option<Rc<Cell<CloseReason>>>>,
 }
 
@@ -29,7 +29,8 @@
         self.is_written.get()
     }
 
-    /// Sets the close reason that is logged for the connection in use when the exchange is dropped.
+    /// Sets the close reason that is logged for the connection in use when the exchange is dropped. Has no effect
+    /// before the send permit is issued.
     pub(super) fn set_close_reason(&self, reason: CloseReason) {
         if let Some(close_reason) = self.close_reason.borrow().as_ref() {
             close_reason.set(reason);
@@ -91,7 +92,8 @@
         Ok(self.read_reply(connection).await)
     }
 
-    /// Reads the reply, and returns the connection to the pool if it can carry another statement.
+    /// Reads the reply. The connection is returned to the pool if it can carry another statement, handed over with the
+    /// beginning of a long answer, and closed otherwise.
     async fn read_reply(&self, mut connection: MemberConnection) -> ExchangeReply {
         let reply = connection.read_reply().await;
         if reply.is_streaming {
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -22,8 +22,8 @@
 
 /// Fraction of the idle timeout of members after which idle connections are retired.
 const RETIRE_FRACTION: f64 = 0.6;
-/// Minimum time between a reply and the reuse of its connection: excess bytes from the member that arrive later would
-/// be read as part of the next reply.
+/// Minimum time between a reply and the reuse of its connection. Excess bytes that arrive within this time are detected
+/// before the reuse; after it they would be read as part of the next reply.
 const SETTLE_TIME: Duration = Duration::from_millis(2);
 /// Interval at which idle connections are checked for their age and usability.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
@@ -107,7 +107,7 @@
         close_all(outdated);
     }
 
-    /// Sets the start time of a member; `None` if it started long ago.
+    /// Sets the start time of a member; `None` if the list gives none, which counts as long ago.
     pub fn set_incarnation(&self, member: MemberId, started: Option<Time>) {
         self.0.slots.borrow_mut().entry(member).or_default();
         self.0.eligibility.set_incarnation(member, started);
@@ -124,7 +124,8 @@
         self.0.guard.issue_permit(&self.0.eligibility, intent).await
     }
 
-    /// Sets the name of a member in the fleet's budgets. Has no effect if the member already has a name.
+    /// Sets the name of a member in the fleet's budgets, and starts enforcing this proxy's quota for it. Has no effect
+    /// if the member already has a name.
     pub fn set_name(&self, member: MemberId, name: &str) {
         self.0.eligibility.add(member);
         let mut slots = self.0.slots.borrow_mut();
@@ -176,7 +177,7 @@
         close_all(excess);
     }
 
-    /// Removes the members for which `keep` is false, and closes their idle connections.
+    /// Removes the members for which `keep` is false, closes their idle connections, and stops enforcing their quotas.
     pub fn retain(&self, keep: impl Fn(MemberId) -> bool) {
         let mut removed_idle = Vec::new();
         let mut removed_names = Vec::new();
@@ -203,7 +204,7 @@
         self.0.eligibility.is_accepting(member)
     }
 
-    /// The address of a member; `None` if the member is unknown.
+    /// The address of a member; `None` if the member is unknown or has no address yet.
     pub fn address(&self, member: MemberId) -> Option<SocketAddr> {
         self.0.slots.borrow().get(&member)?.address
     }
@@ -213,8 +214,8 @@
         self.0.connect_timeout
     }
 
-    /// Takes the most recently used idle connection, except those put back too recently to be reused. Closes unusable
-    /// connections that it finds in the process.
+    /// Takes the most recently used idle connection that was put back at least [`SETTLE_TIME`] ago. Connections that
+    /// are over the quota, too old or unusable are closed and skipped.
     pub fn checkout(&self, member: MemberId) -> Option<MemberConnection> {
         loop {
             let IdleConnection { connection, idle_since } = self.take_last_settled(member)?;
@@ -260,8 +261,8 @@
         }
     }
 
-    /// Reserves the descriptor of one more connection. If none is left, closes the connection that has been idle
-    /// longest to free one; `None` if there is no idle connection.
+    /// Reserves the descriptor of one more connection, and counts the connection. If no descriptor is left, closes the
+    /// connection that has been idle longest to free one; `None` if there is no idle connection.
     pub fn reserve_descriptor(&self) -> Option<ResourcePermit> {
         let descriptor = self.0.descriptors.acquire().or_else(|| {
             self.close_longest_idle();
--- a/src/upstream/reply.rs
+++ b/src/upstream/reply.rs
@@ -1,7 +1,8 @@
 //! Assembles the reply to a statement from the messages of a member: a row description, a row and a completion, or an
 //! error; then `ReadyForQuery`.
 //!
-//! Does no I/O. A reply with messages in any other order must never count as served.
+//! Parameters and notices are accepted at any point of a reply. A reply with its messages in any other order must never
+//! count as served. Does no I/O.
 
 use crate::api::{LoadReport, LogPosition, Outcome, Role};
 use crate::close_reason::CloseReason;
--- a/src/upstream/report.rs
+++ b/src/upstream/report.rs
@@ -1,4 +1,4 @@
-//! The text format of the load reports of members. A report with an invalid pair is discarded as a whole.
+//! The text format of the load reports of members.
 
 use crate::api::{LoadReport, LogPosition, Role};
 
@@ -7,8 +7,8 @@
 /// The role is reported as a number; this value and all above it mean the primary.
 const PRIMARY_MIN: f64 = 0.5;
 
-/// Parses a report of comma-separated `name=value` pairs; positions are Unix times in seconds. A report with any
-/// malformed pair yields an empty report. Unknown names are ignored.
+/// Parses a report of comma-separated `name=value` pairs with finite numbers; positions are Unix times in seconds. A
+/// report with any malformed pair yields an empty report. Unknown names are ignored.
 pub fn parse(text: &str) -> LoadReport {
     parse_pairs(text).unwrap_or_default()
 }
--- a/src/upstream/response.rs
+++ b/src/upstream/response.rs
@@ -1,5 +1,5 @@
-//! The answer of a member in wire format, as passed from an attempt to the client's session. Depends on neither of
-//! them.
+//! The answer of a member in wire format, as passed from an attempt to the client's session. Depends neither on
+//! attempts nor on sessions.
 
 use bytes::Bytes;
 use tokio::sync::mpsc;
--- a/src/upstream/send_eligibility.rs
+++ b/src/upstream/send_eligibility.rs
@@ -1,7 +1,7 @@
 //! The table of members: whether each one accepts new statements, and its start time.
 //!
-//! The connection pool updates the table, and [`super::send_guard::SendGuard`] reads it right before each write. It
-//! must be read in place, never from a copy: a drain also applies to statements that were decided on before it.
+//! The connection pool updates the table, and [`super::send_guard::SendGuard`] reads it right before each write. The
+//! table must be read in place, never from a copy: a drain also applies to statements that were decided on before it.
 
 use crate::api::{MemberId, Time};
 use std::cell::RefCell;
@@ -13,7 +13,7 @@
 struct Entry {
     /// Whether no new statements may be sent to the member, because it is draining or gone.
     rejects_new: bool,
-    /// Start time of the member; `None` if it started long ago.
+    /// Start time of the member; `None` if the list gives none, which counts as long ago.
     incarnation: Option<Time>,
 }
 
@@ -27,7 +27,8 @@
         self.0.borrow().get(&member).is_some_and(|entry| !entry.rejects_new)
     }
 
-    /// The start time of a member according to the endpoint list; `None` if it started long ago or is unknown.
+    /// The start time of a member according to the endpoint list; `None` if the list gives none or the member is
+    /// unknown.
     pub fn incarnation(&self, member: MemberId) -> Option<Time> {
         self.0.borrow().get(&member)?.incarnation
     }
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Removes a member, which accepts no statements from then on.
+    /// Removes a member, which accepts no statements until it is added again.
     pub(super) fn remove(&self, member: MemberId) {
         self.0.borrow_mut().remove(&member);
     }
--- a/src/upstream/send_guard.rs
+++ b/src/upstream/send_guard.rs
@@ -55,7 +55,7 @@
 /// Proof that a statement may be written now; consumed by the write.
 pub struct SendPermit {
     intent: SendIntent,
-    /// Start time of the member according to the endpoint list; `None` if it started long ago.
+    /// Start time of the member according to the endpoint list; `None` if the list gives none.
     incarnation: Option<Time>,
     list_version: u64,
     issued_at: Instant,
@@ -106,7 +106,8 @@
     list_version: Cell<u64>,
     /// Whether the lease had expired at the driver's last turn; only changes are logged.
     was_expired: Cell<bool>,
-    /// Set once [`ListLease::is_ready`] holds, and never reset.
+    /// Set by the first event of the lease at which [`ListLease::is_ready`] holds, and never reset. Set from the start
+    /// if there is no lease.
     readiness: watch::Sender<bool>,
     monitor: Rc<InvariantMonitor>,
 }
@@ -157,8 +158,8 @@
         self.update_lease(|lease, now| lease.call_failed(now, started_at));
     }
 
-    /// Records the end of a watch on which a message had been received. `was_silent` if it timed out without a further
-    /// message.
+    /// Records the end of a watch on which a message had been received. `was_silent` is set if the watch timed out
+    /// waiting for the next message.
     pub fn record_watch_ended(&self, was_silent: bool) {
         self.update_lease(|lease, now| lease.watch_ended(now, was_silent));
     }
@@ -176,16 +177,17 @@
         apply(&mut lease.borrow_mut(), self.0.clock.now());
         let after = lease.borrow().basis();
         if before != after {
-            self.0.monitor.record_change(format_args!("list lease {before} to {after}"));
-            info!("list lease: {before} to {after}, list version {}", self.0.list_version.get());
+            self.0.monitor.record_change(format_args!("list lease basis {before} to {after}"));
+            let version = self.0.list_version.get();
+            info!("list lease basis changed from {before} to {after}, list version {version}");
         }
         if lease.borrow().is_ready(self.0.clock.now()) {
             self.0.readiness.send_if_modified(|ready| !std::mem::replace(ready, true));
         }
     }
 
-    /// Whether the process may report readiness: the list is confirmed, discovery is unreachable, or the time limit of
-    /// [`ListLease::may_report_ready`] has passed.
+    /// Whether the process may report readiness: the list is confirmed, discovery is unreachable and the saved list may
+    /// be used, the time limit of [`ListLease::may_report_ready`] has passed, or no list lease applies.
     pub fn may_report_ready(&self) -> bool {
         let now = self.0.clock.now();
         self.0.lease.as_ref().is_none_or(|lease| lease.borrow().may_report_ready(now))
@@ -209,16 +211,17 @@
         self.check_lease() == Err(ListUnusable::CatchingUp)
     }
 
-    /// Records the start of a turn of the driver. A long gap since the previous turn is a hold-up.
+    /// Records the start of a turn of the driver. Logs a hold-up, that is, a long gap since the previous turn, and the
+    /// expiry or renewal of the lease.
     pub fn begin_turn(&self) {
         let Some(lease) = &self.0.lease else { return };
         let now = self.0.clock.now();
         let held_up = lease.borrow_mut().record_turn(now);
         if let Some(held_up) = held_up {
             let seconds = held_up.0 as f64 / 1e6;
-            self.0.monitor.record_change(format_args!("held up for {seconds:.3} s"));
+            self.0.monitor.record_change(format_args!("process held up for {seconds:.3} s"));
             warn!(
-                "held up for {seconds:.3} s: sends wait until input that arrived in the meantime has been read"
+                "process held up for {seconds:.3} s: sends wait until input that arrived meanwhile has been read"
             );
         }
         let is_expired = lease.borrow().check(now) == Err(ListUnusable::Expired);
@@ -226,7 +229,7 @@
             let (basis, version) = (lease.borrow().basis(), self.0.list_version.get());
             let change = if is_expired { "expired" } else { "renewed" };
             self.0.monitor.record_change(format_args!("list lease {change}"));
-            warn!("list lease {change}: {basis}, list version {version}");
+            warn!("list lease {change}: basis {basis}, list version {version}");
         }
     }
 
--- a/tests/pg_codecs.rs
+++ b/tests/pg_codecs.rs
@@ -157,7 +157,7 @@
         (message(b'C', b"\0"), "malformed message: tag of CommandComplete is not one printable text"),
         (message(b'E', b"SERROR\0\0"), "malformed message: ErrorResponse without a valid SQLSTATE"),
         (message(b'E', b"C53300\0\0x"), "malformed message: ErrorResponse without a valid SQLSTATE"),
-        (message(b'Z', b"T"), "malformed message: ReadyForQuery with an open transaction"),
+        (message(b'Z', b"T"), "malformed message: ReadyForQuery has transaction status T, expected I (idle)"),
     ] {
         assert_eq!(member_error(&message), error);
     }
