--- a/src/clients/listener.rs
+++ b/src/clients/listener.rs
@@ -34,7 +34,7 @@
 }
 
 impl AcceptErrors {
-    /// Logs an error, and pauses if the next accept would probably fail as well.
+    /// Logs an error, at most once per [`ACCEPT_LOG_INTERVAL`], and pauses if the next accept would probably fail too.
     async fn handle(&mut self, error: &io::Error) {
         self.consecutive += 1;
         self.unlogged += 1;
--- a/src/clients/pipeline.rs
+++ b/src/clients/pipeline.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// The messages behind the request that is being answered.
+/// The messages that wait for the request that is being answered.
 #[derive(Default)]
 pub struct Pipeline {
     messages: VecDeque<ClientMessage>,
--- a/src/clients/request_gateway.rs
+++ b/src/clients/request_gateway.rs
@@ -49,7 +49,7 @@
 }
 
 /// A submitted request. Dropping it releases its id and its slot among the requests held; if it has not been answered,
-/// the driver is notified that the client has left.
+/// the driver is notified that the client has disconnected.
 pub struct PendingRequest {
     id: RequestId,
     answer: oneshot::Receiver<FinalResponse>,
--- a/src/clients/session/input.rs
+++ b/src/clients/session/input.rs
@@ -19,15 +19,15 @@
 use tokio::time::{Instant, sleep_until, timeout};
 use tokio_util::codec::Framed;
 
-/// During a drain or a stop, a new client has this long from its accept to send its first message. The last connections
-/// are accepted 0.45 s after a stop began, and the platform does not guarantee time to answer requests that arrive more
-/// than 0.7 s after it.
+/// Time from its accept within which a new client must send its first message during a drain or a stop. The last
+/// connections are accepted 0.45 s after a stop began, and the platform does not guarantee time to answer requests that
+/// arrive more than 0.7 s after it.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(250);
 /// A connection that is asked to close in the middle of a message stays open for at most this long, so that the message
 /// is not lost.
 const CLOSE_GRACE: Duration = Duration::from_millis(250);
-/// Time limit for reserving memory for a long message. Nothing is read meanwhile, so a client that has stopped sending
-/// would not be noticed.
+/// Time limit for reserving memory for a long message. Nothing is read during the wait, so a client that has stopped
+/// sending is not detected.
 const MEMORY_TIMEOUT: Duration = MESSAGE_TIMEOUT;
 /// Number of bytes of a message, including its header, that are searched for the statement's comment.
 const MAX_COMMENT_BYTES: usize = 1024;
@@ -203,7 +203,7 @@
         has_unread_bytes
     }
 
-    /// Clears `unread_since` if all input is read: later input has not been waiting.
+    /// Clears `unread_since` if all input is read, since input that arrives from now on has not been waiting.
     pub(super) fn clear_unread_since_if_read(&mut self) {
         if !self.framed.get_ref().has_unread_bytes() && self.framed.read_buffer().is_empty() {
             self.unread_since = None;
@@ -239,7 +239,8 @@
         Ok(())
     }
 
-    /// Rejects the long message that is being received. Its class is known if its comment has arrived.
+    /// Rejects the long message that is being received. The rejection counts for the class of the message if its
+    /// complete comment has arrived within the first [`MAX_COMMENT_BYTES`].
     async fn reject_long_message(&mut self) -> CloseReason {
         let buffered = self.framed.read_buffer();
         let prefix = buffered.get(5..buffered.len().min(MAX_COMMENT_BYTES)).unwrap_or_default();
--- a/src/clients/session/mod.rs
+++ b/src/clients/session/mod.rs
@@ -5,7 +5,8 @@
 //! - `message_intake`: decodes messages as they arrive, and submits their requests;
 //! - `respond`: waits for answers and writes them; `replies`: converts answers and errors to the protocol.
 //!
-//! A session must answer every request that it has accepted, unless the client has left.
+//! A session must answer every request that it has accepted, unless the connection fails or the client has
+//! disconnected.
 
 mod input;
 mod message_intake;
@@ -51,8 +52,7 @@
     connection: AdmittedConnection,
     /// Whether the process serves, drains or stops.
     serving_state: watch::Receiver<ServingState>,
-    /// Messages that arrived while an earlier request was being answered. Their requests run, but are answered in
-    /// order.
+    /// Messages that arrived while an earlier request was being answered.
     pipeline: Pipeline,
     /// When reading paused; `None` once all input is read. Input that is read after a pause may have arrived at its
     /// start, so the client's waiting time counts from there.
@@ -72,7 +72,7 @@
     has_sent_message: bool,
     /// Whether the startup message was received.
     is_started: bool,
-    /// Whether the connection was asked to close, to make room.
+    /// Whether the connection was asked to close, to free its slot for another one.
     close_requested: bool,
 }
 
@@ -178,7 +178,7 @@
             // A stopping process answers with success even after a drain, since it or its successor serves the clients
             // that the front end still sends. The invariant does not apply then.
             let holds = self.gateway.may_report_ready() || self.serving_state.borrow().is_stopping;
-            let context = format_args!("empty query answered as ready");
+            let context = format_args!("empty query answered with success while the process is starting");
             self.gateway.invariants().check(Invariant::ReadyWithList, holds, context);
             self.send([Reply::EmptyQueryResponse, Reply::ReadyForQuery]).await
         } else {
--- a/src/clients/session/respond.rs
+++ b/src/clients/session/respond.rs
@@ -1,5 +1,5 @@
 //! Waits for the answers of requests and writes them. Meanwhile, messages are read ahead, or the connection is checked
-//! for a close by the client: requests of a client that has left must not be held or sent to members.
+//! for a close by the client: requests of a disconnected client must not be held or sent to members.
 
 use super::input::{InputEvent, next_input};
 use super::replies;
--- a/src/discovery/list.rs
+++ b/src/discovery/list.rs
@@ -49,17 +49,18 @@
 pub struct Endpoint {
     /// The member's name.
     pub id: String,
-    /// The address at which it listens.
+    /// The address at which the member listens; a placeholder if the address is invalid and the member is not in
+    /// service.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The member's zone; empty if the entry has none.
     pub zone: String,
-    /// Its kind.
+    /// The member's kind; empty if the entry has none.
     pub kind: String,
-    /// Its group.
+    /// The member's group; 0 if the entry has none.
     pub group: u32,
-    /// Its state.
+    /// The member's state.
     pub state: MemberState,
-    /// The registered capacity, relative to that of other members.
+    /// The registered capacity, relative to that of other members; 1 if the entry has none.
     pub weight: f64,
     /// The last start of the member, in Unix milliseconds; `None` if the entry has none or 0.
     pub started_ms: Option<u64>,
@@ -184,7 +185,7 @@
 }
 
 impl IdentifierTable {
-    /// Removes the members for which `keep` is false. Their ids are not reused.
+    /// Removes the members for which `keep` is false. The ids of removed members are not reused.
     pub fn retain(&mut self, keep: impl Fn(MemberId) -> bool) {
         self.members.retain(|number| keep(MemberId(number as u32)));
     }
--- a/src/discovery/status.rs
+++ b/src/discovery/status.rs
@@ -90,7 +90,7 @@
         let version = self.list_version();
         match notice {
             Some(Notice::Silent(silence)) => warn!(
-                "discovery: no message received for {:.1} s, list version {version} remains in use",
+                "discovery: nothing heard for {:.1} s, list version {version} stays in use",
                 seconds(silence)
             ),
             Some(Notice::Resumed(silence)) => {
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -23,7 +23,7 @@
 
 /// Time limit for connecting and writing the request.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A watch without a message for this long has failed: a working one sends at least an empty line every 2 s.
+/// A watch that sends nothing for this long has failed: a working one sends at least an empty line every 2 s.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time limit for the response head from a service that answers the calls of all proxies in turn. Bounded above by the
 /// 6 s after which a change counts as notified, since a watch that hangs from the start may miss a change, and by the
@@ -114,7 +114,7 @@
 }
 
 impl WatchReader<'_> {
-    /// Handles one line. An error ends the watch for that reason.
+    /// Handles one line. An error is the reason for which the watch must end.
     fn handle_line(&mut self, line: &[u8]) -> Result<(), CloseReason> {
         self.status.record_message();
         let is_first_line = !std::mem::replace(&mut self.has_received_line, true);
@@ -149,7 +149,7 @@
         self.send(ListEvent::Received(list))
     }
 
-    /// Whether a list is older than the one in use and would undo later changes, such as a drain. A full list at the
+    /// Whether a list is older than the one in use and would undo newer changes, such as a drain. A full list at the
     /// start of a watch is accepted at any version, since the service may have restarted its version numbers.
     fn is_outdated(&self, list: &EndpointList) -> bool {
         let may_restart = list.is_full && !self.has_accepted_list;
--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -2,7 +2,7 @@
 //!
 //! A check evaluates the state at the moment of the operation, not the state at which the operation was decided. A
 //! violation is a bug in this program: it is counted in the metrics and logged with its context and the most recent
-//! state changes. It never ends the process.
+//! state changes. A violation never ends the process.
 
 use log::error;
 use prometheus_client::metrics::counter::Counter;
--- a/src/pg/backend.rs
+++ b/src/pg/backend.rs
@@ -16,9 +16,9 @@
     AuthenticationOk,
     /// A parameter of the session has a new value.
     ParameterStatus {
-        /// Its name.
+        /// The name of the parameter.
         name: Bytes,
-        /// Its value.
+        /// The new value.
         value: Bytes,
     },
     /// The description of rows with one column: the complete message.
--- a/src/pg/error.rs
+++ b/src/pg/error.rs
@@ -13,7 +13,7 @@
     MessageType(u8),
     /// The body does not have the format of the message type.
     Body(&'static str),
-    /// A member is ready with this transaction status instead of `I`, idle.
+    /// A member's `ReadyForQuery` has this transaction status; only `I` (idle) is valid.
     TransactionStatus(u8),
     /// No memory is available for a message of this length, in bytes.
     Memory(usize),
--- a/src/pg/framing.rs
+++ b/src/pg/framing.rs
@@ -7,7 +7,7 @@
 
 /// Size of a message's header: the type byte and the length field.
 pub(super) const HEADER_BYTES: usize = 5;
-/// Size of the length field. It is included in the length, so this is also the smallest valid length.
+/// Size of the length field. The length includes the field itself, so this is also the smallest valid length.
 pub(super) const LENGTH_BYTES: usize = 4;
 
 /// The header of a typed message.
--- a/src/pg/frontend.rs
+++ b/src/pg/frontend.rs
@@ -36,7 +36,7 @@
     CancelRequest,
     /// Opens the session.
     Startup,
-    /// The header of a long query with this length in bytes has arrived. It is read once
+    /// The header of a long query with this length in bytes has arrived. The query is read once
     /// [`FrontendCodec::grant_long_message`] grants memory for it.
     LongQueryAnnounced(usize),
     /// The statement of a simple query.
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -7,14 +7,14 @@
 use std::ops::Range;
 use std::str::FromStr;
 
-/// Why a statement is not a valid request. Carries the name of the field in the comment.
+/// Why a statement is not a valid request. The text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementError {
     /// The statement does not begin with a complete comment in UTF-8.
     NoComment,
-    /// A required field is missing.
+    /// The required field of this name is missing.
     Missing(&'static str),
-    /// The value of a field can't be parsed.
+    /// The value of the field of this name can't be parsed.
     Wrong(&'static str),
 }
 
@@ -133,7 +133,8 @@
     text.parse().map_err(|_| StatementError::Wrong(field))
 }
 
-/// The first quoted text of the SQL after the comment, which is the session key.
+/// The first text in single quotes in the SQL after the comment, used as the session key; `None` if there is none or it
+/// is not UTF-8. Escaped quotes are not recognised.
 fn first_quoted(sql: &[u8]) -> Option<String> {
     let start = sql.iter().position(|byte| *byte == b'\'')? + 1;
     let length = sql[start..].iter().position(|byte| *byte == b'\'')?;
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -36,7 +36,7 @@
 /// counts an answer that an early exit interrupts as lost, but not one that its own SIGKILL interrupts.
 const STOP_GRACE: Duration = Duration::from_secs(3);
 
-/// The driver task ended. It runs for the lifetime of the process, and without it no request is answered.
+/// The driver task ended, although it runs for the lifetime of the process and no request is answered without it.
 #[derive(Debug)]
 pub struct DriverEnded;
 
--- a/src/stages/accounting.rs
+++ b/src/stages/accounting.rs
@@ -91,13 +91,13 @@
         self.metrics.record_ended(class.0, Some(end));
     }
 
-    /// Counts a rejected request of unknown class, which appears in no metric of a class.
+    /// Counts a rejected request of unknown class, in the counters of the log only.
     pub fn record_rejection_without_class(&self) {
         self.counters.taken.add();
         self.counters.refused.add();
     }
 
-    /// Counts the cause of a rejection that happened before the request reached the router.
+    /// Counts the cause of a rejection before the request reached the driver.
     pub fn record_rejection_cause(&self, cause: RejectionCause) {
         match cause {
             RejectionCause::ConnectionSlots => self.counters.refused_door.add(),
--- a/src/stages/admission.rs
+++ b/src/stages/admission.rs
@@ -26,7 +26,7 @@
     held_requests: ResourceLimit,
     message_memory: ResourceLimit,
     long_message_memory: Arc<Semaphore>,
-    /// The memory that long messages share, and so the largest one, in bytes.
+    /// The memory that long messages share, in bytes; a longer message is rejected.
     max_long_message: usize,
 }
 
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -68,8 +68,8 @@
 pub struct Pool(Rc<Inner>);
 
 impl Pool {
-    /// A pool of at most `max_connections`, for members that close idle connections after `idle_close`. It has
-    /// neither a quota nor a list lease.
+    /// Creates a pool of at most `max_connections`, without a quota and a list lease, for members that close idle
+    /// connections after `idle_close`.
     pub fn new(
         max_connections: usize, idle_close: Duration, connect_timeout: Duration, counters: Rc<Counters>,
     ) -> Pool {
--- a/src/upstream/send_guard.rs
+++ b/src/upstream/send_guard.rs
@@ -177,9 +177,8 @@
         apply(&mut lease.borrow_mut(), self.0.clock.now());
         let after = lease.borrow().basis();
         if before != after {
-            self.0.monitor.record_change(format_args!("list lease basis {before} to {after}"));
-            let version = self.0.list_version.get();
-            info!("list lease basis changed from {before} to {after}, list version {version}");
+            self.0.monitor.record_change(format_args!("list lease {before} to {after}"));
+            info!("list lease: {before} to {after}, list version {}", self.0.list_version.get());
         }
         if lease.borrow().is_ready(self.0.clock.now()) {
             self.0.readiness.send_if_modified(|ready| !std::mem::replace(ready, true));
@@ -219,9 +218,9 @@
         let held_up = lease.borrow_mut().record_turn(now);
         if let Some(held_up) = held_up {
             let seconds = held_up.0 as f64 / 1e6;
-            self.0.monitor.record_change(format_args!("process held up for {seconds:.3} s"));
+            self.0.monitor.record_change(format_args!("held up for {seconds:.3} s"));
             warn!(
-                "process held up for {seconds:.3} s: sends wait until input that arrived meanwhile has been read"
+                "held up for {seconds:.3} s: sends wait until input that arrived in the meantime has been read"
             );
         }
         let is_expired = lease.borrow().check(now) == Err(ListUnusable::Expired);
@@ -229,7 +228,7 @@
             let (basis, version) = (lease.borrow().basis(), self.0.list_version.get());
             let change = if is_expired { "expired" } else { "renewed" };
             self.0.monitor.record_change(format_args!("list lease {change}"));
-            warn!("list lease {change}: basis {basis}, list version {version}");
+            warn!("list lease {change}: {basis}, list version {version}");
         }
     }
 
