--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -71,7 +71,7 @@
 }
 
 /// Reads a watch to its end; returns why it ended. Lists are sent to `inbox`, and `status` records each message. The
-/// response head must arrive within `first_message_timeout`, and each line within [`SILENCE_TIMEOUT`] of what precedes
+/// response head must arrive within `first_message_timeout`, and each line within `SILENCE_TIMEOUT` of what precedes
 /// it.
 pub async fn read_watch(
     stream: impl AsyncRead + Unpin, status: &DiscoveryStatus, inbox: &mpsc::UnboundedSender<DriverInput>,
--- a/src/stages/admission.rs
+++ b/src/stages/admission.rs
@@ -32,7 +32,7 @@
 
 impl RequestAdmission {
     /// Limits held requests to `max_requests`. Their messages, including those still being read, share
-    /// `message_bytes`; long messages share an additional `long_message_bytes`, at most [`MAX_SEMAPHORE_PERMITS`].
+    /// `message_bytes`; long messages share an additional `long_message_bytes`, at most `MAX_SEMAPHORE_PERMITS`.
     pub fn new(max_requests: usize, message_bytes: usize, long_message_bytes: usize) -> RequestAdmission {
         let max_long_message = long_message_bytes.min(MAX_SEMAPHORE_PERMITS);
         RequestAdmission {
--- a/src/stages/driver.rs
+++ b/src/stages/driver.rs
@@ -4,7 +4,7 @@
 //! The driver must never wait for an action; the result of an action arrives as another input. The router chooses
 //! members and schedules retries. The driver itself rejects a request only if the list lease has expired, orders of
 //! operators or the fleet have taken all members of its group out of service, or the fleet does not permit this proxy
-//! to serve it. It fails a request that the router has left unanswered for [`ANSWER_OVERDUE_GRACE`] past its deadline.
+//! to serve it. It fails a request that the router has left unanswered for `ANSWER_OVERDUE_GRACE` past its deadline.
 
 use super::dispatch::Dispatcher;
 use super::member_directory::MemberDirectory;
--- a/src/upstream/pool.rs
+++ b/src/upstream/pool.rs
@@ -214,7 +214,7 @@
         self.0.connect_timeout
     }
 
-    /// Takes the most recently used idle connection that was put back at least [`SETTLE_TIME`] ago. Connections that
+    /// Takes the most recently used idle connection that was put back at least `SETTLE_TIME` ago. Connections that
     /// are over the quota, too old or unusable are closed and skipped.
     pub fn checkout(&self, member: MemberId) -> Option<MemberConnection> {
         loop {
