--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -1,5 +1,5 @@
-//! Decodes a client's statement as a request, by the fields of its leading comment. Missing fields are never inferred,
-//! and the timeout is the only part of a statement that is changed for members.
+//! Decodes a client's statement as a request, by the fields of its leading comment. Missing required fields are never
+//! inferred, and the timeout is the only part of a statement that is changed for members.
 
 use crate::request::{IncomingRequest, Payload};
 use bytes::Bytes;
@@ -7,14 +7,14 @@
 use std::ops::Range;
 use std::str::FromStr;
 
-/// Why a statement is not a valid request. Carries the name of the field in the comment.
+/// Why a statement is not a valid request. The text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementError {
-    /// The statement does not begin with a comment.
+    /// The statement does not begin with a complete comment in UTF-8.
     NoComment,
-    /// A required field is missing.
+    /// The required field of this name is missing.
     Missing(&'static str),
-    /// The value of a field can't be parsed.
+    /// The value of the field of this name can't be parsed.
     Wrong(&'static str),
 }
 
@@ -39,8 +39,11 @@
 }
 
 /// Decodes a statement as a request. The fields of its comment are `id`, `c` (class), `d` (timeout in milliseconds),
-/// `cluster` (group; 0 if absent) and `after` (position that a read must see, in Unix milliseconds). Other fields are
-/// left to the members.
+/// `cluster` (group; 0 if absent) and `after` (position that a read must see, in Unix milliseconds; none if 0 or
+/// absent). Other fields are left to the members.
+///
+/// # Errors
+/// The comment or one of the fields `id`, `c` and `d` is missing, or a number can't be parsed.
 pub fn parse(statement: &Bytes) -> Result<IncomingRequest, StatementError> {
     let comment = find_comment(statement)?;
     let sql = &statement[comment.end + COMMENT_END.len()..];
@@ -130,7 +133,8 @@
     text.parse().map_err(|_| StatementError::Wrong(field))
 }
 
-/// The first quoted text of the SQL after the comment, which is the session key.
+/// The first text in single quotes in the SQL after the comment, used as the session key; `None` if there is none or it
+/// is not UTF-8. Escaped quotes are not recognised.
 fn first_quoted(sql: &[u8]) -> Option<String> {
     let start = sql.iter().position(|byte| *byte == b'\'')? + 1;
     let length = sql[start..].iter().position(|byte| *byte == b'\'')?;
