--- a/crates/decisions/src/connection_admission/mod.rs
+++ b/crates/decisions/src/connection_admission/mod.rs
@@ -1,12 +1,12 @@
-//! Admission of client connections: which are served, which are closed to free a slot, and which are rejected with a
-//! Retry-After time.
+//! Admission control for client connections: which are served, which are closed to free a slot, and which are rejected
+//! with a Retry-After time.
 //!
 //! A state machine without sockets and without a clock: [`ConnectionAdmission::handle`] receives timed events and pushes
 //! actions. It must never request the close of a connection that has an open request.
 //!
 //! Two resources are limited. The first is slots: file descriptors that this process has for clients. The second is
 //! request connections: the platform lets its clients hold a third of the descriptors for requests, so clients that send
-//! one request and then keep their connection exhaust that third long before the slots, and further clients cannot even
+//! one request and then keep their connection exhaust that third long before the slots, and further clients cannot
 //! connect. Some request connections are therefore kept free by closing those that have been idle longest
 //! (`docs/design/door.md`).
 
@@ -45,7 +45,7 @@
     Started(ConnectionId),
     /// The connection has an open request.
     RequestOpened(ConnectionId),
-    /// The last open request of the connection was answered.
+    /// The last open request of the connection has completed.
     RequestsFinished(ConnectionId),
     /// The connection was closed.
     Closed(ConnectionId),
@@ -68,21 +68,25 @@
     SetTimer(Time),
 }
 
-/// Share of the request connections that is kept free. At 300 requests per second of under 100 ms each, about 30 are
-/// open at once; a quarter of 85 to 341 connections allows nearly as many to arrive at the same moment.
+/// Share of the request connections that is kept free. At 300 requests per second of under 100 ms each, up to 30 are open
+/// at once; a quarter of 85 to 341 connections (21 to 85) allows nearly as many or more to arrive at the same moment.
 const FREE_SHARE: f64 = 0.25;
-/// Shortest time that a connection is kept after its answer, because the client's next request may be in transit. At
-/// the peak load, 900 requests per second on a new connection each, a third of 256 descriptors lasts for 70 ms.
+/// Shortest time that a connection is kept after its last request, because the client's next one may be in transit. A
+/// third of 256 descriptors, less [`FREE_SHARE`], is 64 connections. At the peak load, 900 requests per second on a new
+/// connection each, a connection can be open for 64/900 s, about 70 ms; 20 ms of idle time leave 50 ms for the request.
 const IDLE_MIN: Micros = Micros(20_000);
-/// When all slots are taken, a connection that has sent no request for this long is closed first: a client that connects
-/// to send a request sends it with the startup message or one round trip later.
+/// When all slots are taken, the first connection to close is one that has sent no request and has been in its state for
+/// this long: a client that connects to send a request sends it with the startup message or one round trip later. A
+/// rejected connection without an open request may be closed after this long as well.
 const NO_REQUEST_MIN: Micros = Micros(200_000);
-/// Second, a connection that has been idle for this long: by the platform's rules, clients do not rely on a connection
-/// after 2 s.
+/// When all slots are taken and no connection without a request can be closed, a connection that has been idle for this
+/// long is closed: by the platform's rules, clients do not rely on a connection after 2 s.
 const IDLE_LONG: Micros = Micros(2_000_000);
-/// Last, a connection that has been idle for this long is closed, in preference to rejecting the new one.
+/// When all slots are taken and no other connection can be closed, a connection that has been idle for this long is
+/// closed in preference to rejecting the new one.
 const IDLE_SHORT: Micros = Micros(200_000);
-/// Largest share of the slots for connections that have not sent their startup message.
+/// Share of the slots for connections that have not sent their startup message. Once it is in use, a new connection
+/// closes the oldest of these whatever its age.
 const AWAITING_STARTUP_SHARE: f64 = 0.25;
 
 /// The connections of one proxy.
@@ -98,7 +102,7 @@
 }
 
 impl ConnectionAdmission {
-    /// An admission without connections.
+    /// Admission control without connections.
     pub fn new(limits: AdmissionLimits) -> ConnectionAdmission {
         let kept_free = share_of(limits.max_request_connections, FREE_SHARE);
         ConnectionAdmission {
@@ -164,7 +168,8 @@
         }
     }
 
-    /// Whether a new connection can be served. If no slot is free, the close of another connection is requested.
+    /// Whether a new connection can be served. If all slots are taken, it can be only if the close of another connection
+    /// is requested and `max_closing` is not reached.
     fn make_served_slot(&mut self, now: Time, out: &mut Vec<Action>) -> bool {
         if self.served.len() >= self.limits.max_served + self.limits.max_closing {
             return false;
@@ -194,8 +199,8 @@
         }
     }
 
-    /// Whether there is room for a new connection whose first request will be rejected. If not, the close of another
-    /// one is requested, which frees its slot for a later connection.
+    /// Whether there is room for a new connection whose first request will be rejected. If not, and if none is closing
+    /// already, the close of another one is requested, which makes room for a later connection.
     fn make_rejected_slot(&mut self, now: Time, out: &mut Vec<Action>) -> bool {
         if self.rejected.len() < self.limits.max_rejected {
             return true;
@@ -210,7 +215,8 @@
         false
     }
 
-    /// Requests the close of the served connection that has been in this state longest, if for at least `min_age`.
+    /// Requests the close of the served connection that has been in this state longest, if for at least `min_age`. Returns
+    /// whether a close was requested.
     fn close_served(
         &mut self, state: ConnectionState, min_age: Micros, now: Time, out: &mut Vec<Action>,
     ) -> bool {
@@ -219,8 +225,8 @@
         closed.is_some()
     }
 
-    /// Requests the close of idle connections while clients hold more request connections than the target, and sets a
-    /// timer if the oldest idle one has not been idle for [`IDLE_MIN`].
+    /// Requests the close of connections that have been idle for [`IDLE_MIN`] while clients hold more request connections
+    /// than the target. If too many remain, sets a timer for when the oldest idle one may be closed.
     fn keep_request_connections_free(&mut self, now: Time, out: &mut Vec<Action>) {
         for _ in self.request_connections_target..self.request_connections() {
             if !self.close_served(ConnectionState::Idle, IDLE_MIN, now, out) {
@@ -238,7 +244,7 @@
         }
     }
 
-    /// Served connections that have sent a request and whose close was not requested.
+    /// Number of served connections that have sent a request, without those that are closing and have no open request.
     fn request_connections(&self) -> usize {
         self.served.count(ConnectionState::Idle) + self.served.count(ConnectionState::Busy)
     }
--- a/crates/decisions/src/connection_admission/retry_after.rs
+++ b/crates/decisions/src/connection_admission/retry_after.rs
@@ -1,16 +1,16 @@
 //! Estimates the Retry-After time of a rejected client: slots are expected to become free at the observed rate, and
-//! clients rejected earlier are expected to take them first.
+//! clients rejected earlier since the last slot became free are expected to take them first.
 
 use crate::api::{Micros, Time};
 
-/// Retry-After time before the rate is known.
+/// Retry-After time before a rate was observed, that is, before two slots have become free.
 const INITIAL: Micros = Micros(250_000);
-/// Shortest Retry-After time; an earlier retry would meet the same state.
+/// Shortest Retry-After time; an earlier retry would be rejected as well.
 const SHORTEST: Micros = Micros(50_000);
 /// Weight of the newest gap in the mean gap between freed slots.
 const SMOOTHING: f64 = 0.125;
 
-/// The rate at which slots become free, and the clients rejected since the last one.
+/// The rate at which slots become free, and the number of clients rejected since a slot last became free.
 pub(super) struct RetryAfterEstimator {
     longest: Micros,
     /// The smoothed gap between freed slots, in microseconds.
@@ -40,7 +40,7 @@
         self.rejected_since = 0;
     }
 
-    /// The Retry-After time of one more rejected client.
+    /// Counts one more rejected client and returns its Retry-After time.
     pub(super) fn next(&mut self) -> Micros {
         self.rejected_since = self.rejected_since.saturating_add(1);
         let Some(mean_gap) = self.mean_gap else { return INITIAL.min(self.longest) };
--- a/crates/decisions/src/connection_admission/table.rs
+++ b/crates/decisions/src/connection_admission/table.rs
@@ -1,4 +1,4 @@
-//! A table of connections, ordered by the time that each has been in its state. It takes no decisions.
+//! A table of connections, ordered by the time that each has been in its state. The table makes no decisions.
 
 use super::ConnectionId;
 use crate::api::{Micros, Time};
@@ -9,9 +9,9 @@
 pub(super) enum ConnectionState {
     /// The startup message has not arrived.
     AwaitingStartup,
-    /// The startup message has arrived, and no request yet.
+    /// The startup message has arrived, but no request.
     Started,
-    /// All requests are answered.
+    /// Requests have arrived, and all of them have completed.
     Idle,
     /// A request is open.
     Busy,
@@ -62,7 +62,8 @@
         self.by_age[slot.state as usize].remove(&(slot.since, id))
     }
 
-    /// Marks the connection that has been in this state longest as closing, if for at least `min_age`, and returns it.
+    /// Marks the connection that has been in this state longest as closing, if for at least `min_age`, and returns it;
+    /// `None` if there is no such connection.
     pub(super) fn close_oldest(
         &mut self, state: ConnectionState, min_age: Micros, now: Time,
     ) -> Option<ConnectionId> {
--- a/crates/decisions/src/lifecycle.rs
+++ b/crates/decisions/src/lifecycle.rs
@@ -8,8 +8,8 @@
 use crate::list_lease::READY_WITHIN;
 use std::fmt;
 
-/// New connections and requests still arrive for this long after a drain or stop begins: the platform's load balancer
-/// sends clients to the process for up to 0.4 s after that.
+/// Time from the start of a drain or stop until the platform's load balancer sends no more clients to the process: up to
+/// 0.4 s, plus a margin.
 const LOAD_BALANCER_SEND_TIME: Micros = Micros(450_000);
 
 /// Requests are accepted for this long after a stop begins: when the platform terminates the process, it does not wait
@@ -19,7 +19,7 @@
 /// An event in the lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The list of members is confirmed, or it was found that discovery is unreachable.
+    /// The list of members is confirmed, or discovery is unreachable and the saved list may be used.
     ListKnown,
     /// Operators drain the process.
     Standby,
@@ -49,8 +49,8 @@
 pub struct ServingState {
     /// The empty query, which the load balancer sends as its readiness check, is answered with success.
     pub reports_ready: bool,
-    /// The process has started and its list of members is not confirmed yet: the answer to the empty query is delayed
-    /// until it is, or until [`READY_WITHIN`] has elapsed.
+    /// The process has started and is waiting for [`Event::ListKnown`]. The answer to the empty query is delayed until
+    /// that event, or until [`READY_WITHIN`] after the start.
     pub is_starting: bool,
     /// The process is stopping.
     pub is_stopping: bool,
@@ -66,7 +66,7 @@
 #[derive(Debug, Default)]
 pub struct Lifecycle {
     phase: Phase,
-    /// When the process stops counting as starting; `None` once the list is known.
+    /// When the starting phase ends; `None` after [`Event::ListKnown`].
     starting_until: Option<Time>,
 }
 
@@ -161,7 +161,8 @@
         }
     }
 
-    /// When [`Lifecycle::serving_state`] changes next without another event; `None` if it does not.
+    /// The earliest time after `now` at which [`Lifecycle::serving_state`] may change without another event; `None` if it
+    /// cannot.
     pub fn next_change(&self, now: Time) -> Option<Time> {
         let is_in_future = |at: &Time| *at > now;
         match self.phase {
--- a/crates/decisions/src/list_lease.rs
+++ b/crates/decisions/src/list_lease.rs
@@ -1,14 +1,17 @@
 //! The lease under which the list of members may be used.
 //!
-//! A change that discovery could not deliver counts as notified [`NOTIFIED_AFTER`] later, and once the drain grace has
-//! elapsed as well, nothing new may be sent to the drained member. Each message from discovery therefore renews the lease
-//! for that long. An outage of discovery must not end it: a failed call extends the lease by the call's duration, and
-//! from the second failed call in a row on, discovery counts as unreachable and every failed call renews the lease. It
-//! expires when no call is made, or when the process did not run: a resumed process finds its lease expired before it
-//! sends anything.
+//! A change that discovery could not deliver counts as notified [`NOTIFIED_AFTER`] later, and nothing new may be sent to
+//! a drained member once the drain grace has elapsed after that. Each message from discovery therefore renews the lease
+//! for [`NOTIFIED_AFTER`] plus the drain grace, less [`MAX_HOLD_UP`] for a delay between the check and the write.
 //!
-//! The lease is checked at the write, not when the send is decided. Nothing but a message or a failed call may renew
-//! it.
+//! An outage of discovery must not end the lease. With [`Discovery::OnRequest`], a first failed call extends a lease that
+//! a message or an outage has renewed by the call's duration; from the second failed call in a row on, discovery counts
+//! as unreachable and every failed call renews the lease for the same span as a message. With [`Discovery::Pushed`],
+//! discovery counts as unreachable from the first failed call on. The lease expires if no message arrives and no call
+//! fails, for example while the process is suspended.
+//!
+//! The lease is checked at the write, not when the send is decided. Nothing but a message or a failed call may renew or
+//! extend the lease.
 
 use crate::api::{Discovery, Micros, Time};
 use crate::platform_bounds::{MAX_HOLD_UP, MAX_RESTART_TIME, NOTIFIED_AFTER};
@@ -20,25 +23,27 @@
 /// After a hold-up nothing is sent for this long, so that input that arrived during it, such as a drain or a client's
 /// disconnect, is read first.
 const CATCH_UP_TIME: Micros = Micros(50_000);
-/// Minimum lease of a saved list, however short the drain grace.
+/// Minimum lease of a saved list, and of a pushed list after its watch was broken, however short the drain grace.
 const MIN_SAVED_LIST_LEASE: Micros = Micros(50_000);
 
-/// A process that has received no message from discovery may use its saved list past that list's lease only from this
-/// long after its start on, and only while discovery is unreachable: the list may lack changes that counted as notified
-/// before the start.
+/// With [`Discovery::OnRequest`], a process that has received no message from discovery may use its saved list beyond
+/// that list's own lease only if discovery is unreachable, and not before this long after the start: the list may lack
+/// changes that counted as notified before the start.
 const SAVED_LIST_RESUMES_AFTER: Micros = Micros(READY_WITHIN.0 + 3_500_000);
-/// A process without a confirmed list reports ready this long after its start. The platform requires nine in ten
-/// processes to be ready within 10 s, and no ready process to reject every request for 4 s.
+/// A process without a confirmed list reports ready at the latest this long after its start. The platform requires
+/// nine in ten processes to be ready within 10 s, and no ready process to reject every request for 4 s.
 pub const READY_WITHIN: Micros = Micros(8_500_000);
-/// Calls that must fail in a row before discovery counts as unreachable; a single failure may have another cause.
+/// With [`Discovery::OnRequest`], number of calls that must fail in a row before discovery counts as unreachable, since a
+/// single failure may have another cause. With [`Discovery::Pushed`], one failed call is enough.
 const FAILURES_FOR_OUTAGE: u32 = 2;
 
 /// Why no request may be sent under the list in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUnusable {
-    /// The lease of the list has expired.
+    /// The lease of the list has expired, or the saved list's own lease has expired and the list may not be used again
+    /// yet.
     Expired,
-    /// The process was held up, and may not have read yet the input that arrived during the hold-up.
+    /// The process was held up, and may not yet have read the input that arrived during the hold-up.
     CatchingUp,
 }
 
@@ -60,7 +65,7 @@
     Saved,
     /// Discovery sent a message.
     Confirmed,
-    /// Calls to discovery fail in a row before they return anything.
+    /// Discovery counts as unreachable: calls failed before they returned anything.
     Unreachable,
 }
 
@@ -84,11 +89,12 @@
     usable_until: Time,
     /// End of the saved list's own lease. From then until `resumes_at` nothing is sent.
     saved_until: Time,
-    /// `None` until a message arrives or discovery counts as unreachable.
+    /// When the list may be used after the end of the saved list's own lease; `None` until a message arrives or discovery
+    /// counts as unreachable.
     resumes_at: Option<Time>,
-    /// Earliest `resumes_at` without a message, where lists come on request.
+    /// Lower bound on `resumes_at` without a message, with [`Discovery::OnRequest`].
     saved_list_resumes_at: Time,
-    /// Calls that failed in a row.
+    /// Number of calls that failed in a row; a broken watch counts as one.
     failures: u32,
     last_turn: Time,
     caught_up_at: Time,
@@ -101,11 +107,12 @@
     /// ran. Nothing new may reach a member later than `drain_grace` after its drain was notified.
     pub fn new(now: Time, discovery: Discovery, drain_grace: Micros) -> ListLease {
         let drain_effective_after = match discovery {
-            // The oldest change missing from the list was made when the previous process exited.
+            // Worst case: a change missing from the list was made when the previous process exited, and the restart took
+            // the longest possible time.
             Discovery::OnRequest => {
                 NOTIFIED_AFTER.0.saturating_add(drain_grace.0).saturating_sub(MAX_RESTART_TIME.0)
             }
-            // Changes that the local agent holds count as notified at once.
+            // Changes count as notified once the local agent has them, in the worst case at the start.
             Discovery::Pushed => drain_grace.0,
         };
         let usable_for = drain_effective_after.saturating_sub(MAX_HOLD_UP.0).max(MIN_SAVED_LIST_LEASE.0);
@@ -133,10 +140,11 @@
         self.failures = 0;
     }
 
-    /// Extends or renews the lease: a call that began at `began` failed before it returned anything.
+    /// Records that a call that began at `began` failed before it returned anything. Renews the lease if discovery counts
+    /// as unreachable; otherwise extends it by the call's duration, but not if its basis is [`Basis::Saved`].
     pub fn call_failed(&mut self, now: Time, began: Time) {
         self.failures = self.failures.saturating_add(1);
-        // An unreachable local agent receives no new lists either, so one failed call of it is enough.
+        // A local agent that is unreachable receives no new lists either, so one failed call to it is enough.
         if self.failures >= FAILURES_FOR_OUTAGE || self.discovery == Discovery::Pushed {
             let saved_list_resumes_at = match self.discovery {
                 Discovery::OnRequest => self.saved_list_resumes_at,
@@ -150,10 +158,10 @@
         }
     }
 
-    /// A watch that had delivered messages ended. The lease keeps its end; but where lists are pushed, further changes
-    /// at the local agent count as notified at once and the lease is cut to the drain grace, unless the watch ended
-    /// because no message arrived. A broken watch counts as the first failed call, because an outage of discovery
-    /// breaks its watches.
+    /// Records that a watch that had delivered messages ended; `was_silent` if it was ended because no message arrived. A
+    /// watch that ended otherwise counts as a first failed call, because an outage of discovery breaks its watches. With
+    /// [`Discovery::Pushed`] such an end also cuts the lease to the drain grace less [`MAX_HOLD_UP`], since further
+    /// changes count as notified once the local agent has them.
     pub fn watch_ended(&mut self, now: Time, was_silent: bool) {
         self.failures = u32::from(!was_silent);
         if self.discovery == Discovery::Pushed && !was_silent {
@@ -175,8 +183,8 @@
         Some(Micros(gap))
     }
 
-    /// The start of the hold-up while the process catches up after one. Input that it reads now may have arrived as
-    /// early as that.
+    /// The start of the hold-up if the process is held up or catching up at `now`; `None` otherwise. Input that is read at
+    /// `now` may have arrived at any time since the start of the hold-up.
     pub fn held_up_since(&self, now: Time) -> Option<Time> {
         if now.0.saturating_sub(self.last_turn.0) > HOLD_UP_THRESHOLD.0 {
             return Some(self.last_turn);
@@ -193,8 +201,8 @@
         if is_unconfirmed || now >= self.usable_until { Err(ListUnusable::Expired) } else { Ok(()) }
     }
 
-    /// Whether the list is usable for a ready process: it was confirmed, or discovery is unreachable and the saved list
-    /// may be used again.
+    /// Whether a message from discovery has arrived, or discovery was found unreachable and the saved list may be used
+    /// again. Does not check the lease.
     pub fn is_ready(&self, now: Time) -> bool {
         self.resumes_at.is_some_and(|at| now >= at)
     }
@@ -209,7 +217,7 @@
         self.basis
     }
 
-    /// When the lease expires, unless it is renewed.
+    /// When the lease expires, unless it is renewed. [`Self::check`] may reject a saved list earlier.
     pub fn usable_until(&self) -> Time {
         self.usable_until
     }
--- a/crates/decisions/src/maintenance.rs
+++ b/crates/decisions/src/maintenance.rs
@@ -1,5 +1,5 @@
-//! Members that operators take out of service: the maintenance orders, and the state in which a listed member is passed
-//! to the policy as a result.
+//! Members taken out of service by operators' maintenance orders or by the fleet, and the state in which a listed member
+//! is passed to the policy as a result.
 //!
 //! No I/O. The newest order for a member applies, so that two processes that exchange their orders reach the same state.
 //! An endpoint list must never override an order.
@@ -8,19 +8,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Bound on the known members; well above the size of any list.
+/// Bound on the members that are tracked; well above the size of any list.
 const KNOWN_MAX: usize = 4_096;
-/// Bound on the orders. With the longest ids that a call may contain, they fit into the file that processes of different
-/// versions share.
+/// Bound on the orders. This many orders, with the longest ids that an operator's call may contain, fit into the file
+/// that processes of different versions share.
 const ORDERS_MAX: usize = 1_024;
-/// A member stays known for this long after a list last named it, because lists omit a member while it restarts.
-/// Microseconds.
+/// Orders for a member are accepted for this long after a list last named it, because lists omit a member while it
+/// restarts. Microseconds.
 const KNOWN_FOR_US: u64 = 600_000_000;
 
-/// The last order of operators for a member. Orders compare by their time first.
+/// The last order for a member: given by operators, or recorded when the fleet put the member back in service. Orders
+/// compare by their time first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MaintenanceOrder {
-    /// When the order was given, in microseconds since the Unix epoch.
+    /// When the order was given, in microseconds since the Unix epoch; moved forward if necessary to be later than the
+    /// order it replaced.
     pub at: Time,
     /// The member is out of service; if false, it was put back in service.
     pub out_of_service: bool,
@@ -29,18 +31,26 @@
 /// Why an order was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderRejected {
-    /// No recent list has named this member.
+    /// No recent list has named the member, and it is not out of service by an order.
     UnknownMember,
-    /// The table of orders is full of members that are out of service.
+    /// The table is full, and all its orders are for members that are out of service.
     TooManyOrders,
 }
 
 impl fmt::Display for OrderRejected {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(match self {
-            OrderRejected::UnknownMember => "no recent endpoint list has named the member",
-            OrderRejected::TooManyOrders => "too many members are out of service",
-        })
+        match self {
+            OrderRejected::UnknownMember => {
+                let seconds = KNOWN_FOR_US / 1_000_000;
+                write!(
+                    f,
+                    "no endpoint list of the last {seconds} s has named the member of the maintenance order"
+                )
+            }
+            OrderRejected::TooManyOrders => {
+                write!(f, "the maximum of {ORDERS_MAX} members are out of service by maintenance orders")
+            }
+        }
     }
 }
 
@@ -51,10 +61,10 @@
 pub enum EffectiveState {
     /// The state in the list, with an adjusted start time.
     AsListed {
-        /// When the member started, or was put back in service if that was later.
+        /// When the member started, or was put back in service if that was later; `None` if neither time is known.
         started: Option<Time>,
     },
-    /// Drained and removed.
+    /// The policy must drain and remove the member.
     OutOfService,
 }
 
@@ -73,9 +83,9 @@
 
 #[derive(Clone, Copy, Debug)]
 struct KnownMember {
-    /// When a list last named the member.
+    /// When a list last named the member, or when the list that named it was replaced.
     named_at: Time,
-    /// The list in use names the member.
+    /// The list in use names the member, in a state other than gone.
     is_listed: bool,
     group: GroupId,
 }
@@ -119,7 +129,8 @@
         oldest.and_then(|id| self.known.remove(&id));
     }
 
-    /// Begins a full list: all members count as unlisted until [`Self::record_listed`] is called for them.
+    /// Begins a full list: all members count as unlisted until [`Self::record_listed`] is called for them. Members that no
+    /// recent list has named are dropped unless they are out of service by an order.
     pub fn begin_full_list(&mut self, now: Time) {
         for known in self.known.values_mut().filter(|known| known.is_listed) {
             known.named_at = now;
@@ -140,8 +151,8 @@
         EffectiveState::AsListed { started: started.max(returned) }
     }
 
-    /// Records an order of operators to take a member out of service or put it back. Returns false for an order that
-    /// repeats the current state.
+    /// Records an order of operators to take a member out of service or put it back in service. Returns false, without a
+    /// change, if the member's last order has the same effect; a member without an order counts as in service.
     ///
     /// # Errors
     ///
@@ -176,7 +187,8 @@
         self.orders.len() < ORDERS_MAX
     }
 
-    /// Merges an order that another process of this proxy received. Returns whether the order was recorded.
+    /// Merges an order that another process of this proxy received. Returns whether the order was recorded: it must be
+    /// newer than the member's last order, and the table must have room.
     pub fn merge(&mut self, id: &str, order: MaintenanceOrder) -> bool {
         let before = self.orders.get(id).copied();
         if before.is_some_and(|before| before >= order) {
@@ -200,7 +212,8 @@
     }
 
     /// Replaces the set of members that the fleet has taken out of service. Returns the members that were added or
-    /// removed. A removed member counts as started at `now`, as after an order of operators.
+    /// removed. A removed member counts as started at `now`, unless it is out of service by an order or no order can be
+    /// recorded.
     pub fn set_out_by_fleet(&mut self, now: Time, members: BTreeSet<String>) -> Vec<String> {
         let returned: Vec<String> = self.out_by_fleet.difference(&members).cloned().collect();
         for id in &returned {
@@ -220,7 +233,8 @@
     }
 
     /// Whether all listed members of a group are out of service, so that the group can serve no request until one is put
-    /// back in service.
+    /// back in service. False if no member of the group is listed, or no member of any group is out of service by an
+    /// order.
     pub fn is_group_out(&self, group: GroupId) -> bool {
         if !self.orders.values().any(|order| order.out_of_service) {
             return false;
--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -1,9 +1,9 @@
 //! The sessions of the fleet's instances: a table that is replicated at every keeper and changed only by entries of the
-//! agreed log.
+//! replicated log.
 //!
 //! The table must be deterministic: it reads no clock and draws no random numbers. Log time advances with each entry, by
-//! the time that the leader measured since its previous entry or since it became leader. It therefore never runs ahead
-//! of any clock by more than the bound on drift, and does not advance while there is no leader.
+//! the time that the leader measured since its previous entry or since it became leader. Log time therefore never runs
+//! ahead of any clock by more than the bound on drift, and does not advance while there is no leader.
 //!
 //! A session belongs to an incarnation (one start of a process), not to a name. A restarted process is a new
 //! incarnation, and the grants of the previous one stay committed until they must have expired.
@@ -28,7 +28,8 @@
     /// A quota may be used for this long after its holder sent the request. Microseconds on the holder's clock.
     #[prost(uint64, tag = "1")]
     pub lease_us: u64,
-    /// A floor may be used, and a session is kept, for this long after the holder's last request. Microseconds.
+    /// A floor may be used for this long after its holder sent the request. Microseconds on the holder's clock. A session
+    /// is kept for at least this long after its last request.
     #[prost(uint64, tag = "2")]
     pub membership_us: u64,
     /// Largest deviation of any clock's rate from true time, in millionths.
@@ -38,7 +39,7 @@
 
 impl LeaseTerms {
     /// The longest time in microseconds that another clock can measure while one clock measures `span`, if both keep the
-    /// bound on drift. Rounded up.
+    /// bound on drift. Rounded up; a bound above 50 % counts as 50 %.
     pub fn with_drift_margin(&self, span: u64) -> u64 {
         if is_injected(Fault::NoDriftMargin) {
             return span;
@@ -94,7 +95,7 @@
     InvalidName,
     /// A later incarnation replaced this one, or operators removed it.
     Superseded,
-    /// Another incarnation of the same name is live, and the request yields the name.
+    /// Another incarnation holds the name and has sent a request recently, and this request yields the name to it.
     NameInUse,
     /// The incarnation already holds a session under another name.
     DuplicateIncarnation,
@@ -121,14 +122,22 @@
 
 impl fmt::Display for SessionRejected {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            SessionRejected::InvalidName => "the name is empty or too long",
-            SessionRejected::Superseded => "a later incarnation replaced this one, or operators removed it",
-            SessionRejected::NameInUse => "another incarnation of this name is live",
-            SessionRejected::DuplicateIncarnation => "the incarnation holds a session under another name",
-            SessionRejected::StaleRequest => "a request of the same or a higher number was accepted before",
-            SessionRejected::TableFull => "there are as many sessions as the keepers can hold",
-        })
+        match self {
+            SessionRejected::InvalidName => {
+                write!(f, "the instance name is empty or longer than {MAX_NAME_BYTES} bytes")
+            }
+            SessionRejected::Superseded => {
+                f.write_str("a later incarnation replaced this one, or operators removed it")
+            }
+            SessionRejected::NameInUse => f.write_str("another incarnation of this instance name is live"),
+            SessionRejected::DuplicateIncarnation => {
+                f.write_str("the incarnation already holds a session under another instance name")
+            }
+            SessionRejected::StaleRequest => {
+                f.write_str("a request with the same or a higher sequence number was already accepted")
+            }
+            SessionRejected::TableFull => write!(f, "all {MAX_SESSIONS} sessions are in use"),
+        }
     }
 }
 
@@ -143,9 +152,9 @@
     /// Sessions by the name of the instance.
     #[prost(btree_map = "string, message", tag = "2")]
     pub sessions: BTreeMap<String, ProxySession>,
-    /// Incarnations that were replaced or removed, with the number of the retirement. Their requests are rejected
-    /// permanently, since a process that was suspended for hours resumes as one of them. Only the newest
-    /// [`MAX_SESSIONS`] are kept.
+    /// Incarnations that were replaced or removed, with the number of the retirement. Their requests are rejected, since a
+    /// process may resume as one of them after hours of suspension. Only the newest [`MAX_SESSIONS`] are kept; an evicted
+    /// incarnation counts as new.
     #[prost(btree_map = "uint64, uint64", tag = "3")]
     pub retired: BTreeMap<u64, u64>,
     /// Number of the next retirement.
@@ -159,7 +168,7 @@
         self.now = self.now.saturating_add(elapsed);
     }
 
-    /// Retires an incarnation, so that its requests are rejected from now on.
+    /// Retires an incarnation: its requests are rejected while it is among the newest [`MAX_SESSIONS`] retired ones.
     pub fn retire(&mut self, incarnation: u64) {
         self.retired.insert(incarnation, self.next_retirement);
         self.next_retirement += 1;
@@ -172,9 +181,8 @@
 
     /// Opens or renews the session of `name` for a request with the sequence number `seq`.
     ///
-    /// With `takeover_after` the request yields to another live incarnation of the name: it replaces that incarnation
-    /// only if its last request is older than this many microseconds of log time. Without it, a new incarnation replaces
-    /// the previous one at once.
+    /// With `takeover_after`, a new incarnation replaces the one that holds the name only if the holder's last request is
+    /// older than this many microseconds of log time. With `None`, a new incarnation replaces the holder at once.
     ///
     /// # Errors
     ///
