--- a/crates/decisions/src/client_retry.rs
+++ b/crates/decisions/src/client_retry.rs
@@ -15,8 +15,8 @@
 const TOLERANCE_DIVISOR: u64 = 100;
 /// Bound on the distinct timeouts tracked per class.
 const TRACKED_MAX: usize = 16;
-/// The counts of a class are halved when its requests reach this value, and the two counts of uncommon timeouts over all
-/// classes when either of them does, so that old requests lose weight.
+/// The counts of a class are halved when its requests reach this value, and the two counts of uncommon timeouts over
+/// all classes when either of them does, so that old requests lose weight.
 const COUNT_MAX: u32 = 512;
 /// A timeout is common if at least one request of the class in this many carries it.
 const COMMON_MIN_DIVISOR: u32 = 20;
@@ -41,15 +41,15 @@
 }
 
 impl ClientRetryEstimator {
-    /// An estimator without observations. `give_up` yields the total timeout of clients for each class, in microseconds;
-    /// 0 if unknown.
+    /// An estimator without observations. `give_up` yields the total timeout of clients for each class, in
+    /// microseconds; 0 if unknown.
     pub fn new(give_up: impl Iterator<Item = u64>) -> ClientRetryEstimator {
         ClientRetryEstimator { classes: give_up.map(ClassTimeouts::new).collect(), longer: 0, shorter: 0 }
     }
 
     /// Records a request with this timeout. Returns the remainder of the latency objective, which is counted from the
-    /// client's first attempt; `None` if the request is a retry and even a fast answer would miss the objective. `work` is
-    /// the expected latency in microseconds.
+    /// client's first attempt; `None` if the request is a retry and even a fast answer would miss the objective. `work`
+    /// is the expected latency in microseconds.
     pub fn objective_left(&mut self, class: usize, timeout: u64, objective: u64, work: f64) -> Option<u64> {
         let elapsed = self.elapsed(class, timeout);
         let fastest_latency = (work * FASTEST_LATENCY_SHARE) as u64;
--- a/crates/decisions/src/connection_admission/mod.rs
+++ b/crates/decisions/src/connection_admission/mod.rs
@@ -1,12 +1,12 @@
 //! Admission control for client connections: which are served, which are closed to free a slot, and which are rejected
 //! with a Retry-After time.
 //!
-//! A state machine without sockets and without a clock: [`ConnectionAdmission::handle`] receives timed events and pushes
-//! actions. It must never request the close of a connection that has an open request.
+//! A state machine without sockets and without a clock: [`ConnectionAdmission::handle`] receives timed events and
+//! pushes actions. It must never request the close of a connection that has an open request.
 //!
 //! Two resources are limited. The first is slots: file descriptors that this process has for clients. The second is
-//! request connections: the platform lets its clients hold a third of the descriptors for requests, so clients that send
-//! one request and then keep their connection exhaust that third long before the slots, and further clients cannot
+//! request connections: the platform lets its clients hold a third of the descriptors for requests, so clients that
+//! send one request and then keep their connection exhaust that third long before the slots, and further clients cannot
 //! connect. Some request connections are therefore kept free by closing those that have been idle longest
 //! (`docs/design/door.md`).
 
@@ -68,15 +68,15 @@
     SetTimer(Time),
 }
 
-/// Share of the request connections that is kept free. At 300 requests per second of under 100 ms each, up to 30 are open
-/// at once; a quarter of 85 to 341 connections (21 to 85) allows nearly as many or more to arrive at the same moment.
+/// Share of the request connections that is kept free. At 300 requests per second of under 100 ms each, up to 30 are
+/// open at once; a quarter of 85 to 341 connections, that is 21 to 85, has room for a burst of about that size.
 const FREE_SHARE: f64 = 0.25;
 /// Shortest time that a connection is kept after its last request, because the client's next one may be in transit. A
 /// third of 256 descriptors, less [`FREE_SHARE`], is 64 connections. At the peak load, 900 requests per second on a new
 /// connection each, a connection can be open for 64/900 s, about 70 ms; 20 ms of idle time leave 50 ms for the request.
 const IDLE_MIN: Micros = Micros(20_000);
-/// When all slots are taken, the first connection to close is one that has sent no request and has been in its state for
-/// this long: a client that connects to send a request sends it with the startup message or one round trip later. A
+/// When all slots are taken, the first connection to close is one that has sent no request and has been in its state
+/// for this long: a client that connects to send a request sends it with the startup message or one round trip later. A
 /// rejected connection without an open request may be closed after this long as well.
 const NO_REQUEST_MIN: Micros = Micros(200_000);
 /// When all slots are taken and no connection without a request can be closed, a connection that has been idle for this
@@ -85,8 +85,8 @@
 /// When all slots are taken and no other connection can be closed, a connection that has been idle for this long is
 /// closed in preference to rejecting the new one.
 const IDLE_SHORT: Micros = Micros(200_000);
-/// Share of the slots for connections that have not sent their startup message. Once it is in use, a new connection
-/// closes the oldest of these whatever its age.
+/// Share of the slots for connections that have not sent their startup message. Once they are taken, each new
+/// connection causes the oldest of these to be closed, whatever its age.
 const AWAITING_STARTUP_SHARE: f64 = 0.25;
 
 /// The connections of one proxy.
@@ -168,8 +168,8 @@
         }
     }
 
-    /// Whether a new connection can be served. If all slots are taken, it can be only if the close of another connection
-    /// is requested and `max_closing` is not reached.
+    /// Whether a new connection can be served. If all slots are taken, it can be only if the close of another
+    /// connection is requested and `max_closing` is not reached.
     fn make_served_slot(&mut self, now: Time, out: &mut Vec<Action>) -> bool {
         if self.served.len() >= self.limits.max_served + self.limits.max_closing {
             return false;
@@ -215,8 +215,8 @@
         false
     }
 
-    /// Requests the close of the served connection that has been in this state longest, if for at least `min_age`. Returns
-    /// whether a close was requested.
+    /// Requests the close of the served connection that has been in this state longest, if for at least `min_age`.
+    /// Returns whether a close was requested.
     fn close_served(
         &mut self, state: ConnectionState, min_age: Micros, now: Time, out: &mut Vec<Action>,
     ) -> bool {
@@ -225,8 +225,8 @@
         closed.is_some()
     }
 
-    /// Requests the close of connections that have been idle for [`IDLE_MIN`] while clients hold more request connections
-    /// than the target. If too many remain, sets a timer for when the oldest idle one may be closed.
+    /// Requests the close of connections that have been idle for [`IDLE_MIN`] while clients hold more request
+    /// connections than the target. If too many remain, sets a timer for when the oldest idle one may be closed.
     fn keep_request_connections_free(&mut self, now: Time, out: &mut Vec<Action>) {
         for _ in self.request_connections_target..self.request_connections() {
             if !self.close_served(ConnectionState::Idle, IDLE_MIN, now, out) {
--- a/crates/decisions/src/connection_admission/retry_after.rs
+++ b/crates/decisions/src/connection_admission/retry_after.rs
@@ -5,7 +5,7 @@
 
 /// Retry-After time before a rate was observed, that is, before two slots have become free.
 const INITIAL: Micros = Micros(250_000);
-/// Shortest Retry-After time; an earlier retry would be rejected as well.
+/// Shortest Retry-After time; an earlier retry would most likely be rejected as well.
 const SHORTEST: Micros = Micros(50_000);
 /// Weight of the newest gap in the mean gap between freed slots.
 const SMOOTHING: f64 = 0.125;
--- a/crates/decisions/src/disruption/liveness.rs
+++ b/crates/decisions/src/disruption/liveness.rs
@@ -5,9 +5,9 @@
 /// A view of the membership at one log entry.
 pub struct LivenessView<'a> {
     membership: &'a Membership,
-    /// A proxy is live for this long after its last request.
+    /// Time for which a proxy is live after its last request: a lease with the drift margin.
     lease: u64,
-    /// A grant may be used for at most this long.
+    /// Longest time for which a grant may be used, with the drift margin.
     membership_span: u64,
     live_count: usize,
 }
--- a/crates/decisions/src/disruption/mod.rs
+++ b/crates/decisions/src/disruption/mod.rs
@@ -1,10 +1,12 @@
 //! Voluntary disruption: which subjects are unavailable, for which cause and under which permit. Over all instances, no
 //! permit may exceed the limits that operators set, unless it is forced.
 //!
-//! Every unavailable subject counts towards the limits, whatever the cause. Permits are granted only through the agreed
-//! log. A permit remains in force if its holder fails: it ends when the subject is reported in service again or when
-//! operators end it. A member with a permit is quarantined at all proxies: the permit is confirmed once each proxy has
-//! reported that it sends nothing new to the member, or has lost its session and therefore serves no clients.
+//! Every unavailable subject counts towards the limits, whatever the cause, and so does every subject with a permit.
+//! Permits are granted only through the replicated log. A permit remains in force if its requester fails: it ends once
+//! the subject has returned to service (a member's only after its return was requested), or when operators remove the
+//! subject. A member with a permit is quarantined at all proxies: the permit is confirmed once each proxy has reported
+//! that it sends nothing new to the member, has lost its session and therefore serves no clients, or can hold no grant
+//! from before the permit.
 
 mod liveness;
 mod record;
@@ -64,27 +66,27 @@
     pub group_min_in_service: u64,
 }
 
-/// Whether a subject is in service, or the cause of its unavailability. Stored and sent as its number.
+/// Whether a subject is in service, or the cause of its unavailability. Stored and sent as the number of the variant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum Availability {
     /// The subject is in service.
     InService = 0,
-    /// The proxy is draining or standing by.
+    /// The proxy is draining or standing by, or it is in service and has a permit.
     Standby = 1,
     /// The proxy is stopping.
     Stopping = 2,
-    /// The proxy sends no requests to the keepers.
+    /// The keepers have accepted no request of the proxy for a lease.
     NoHeartbeat = 3,
     /// Discovery lists the member as draining, or no longer lists it.
     Delisted = 4,
-    /// Operators took the member out of service.
+    /// Operators took the member out of service, or it is in service and has a permit.
     OperatorBan = 5,
     /// The member does not answer.
     Unresponsive = 6,
     /// The member was started recently.
     WarmingUp = 7,
-    /// No endpoint list has named the member for so long that it counts as removed.
+    /// No recent endpoint list has named the member.
     Removed = 8,
 }
 
@@ -104,8 +106,9 @@
         }
     }
 
-    /// Whether the report of a single proxy is sufficient. It is not for [`Availability::Unresponsive`]: a member that
-    /// only a few proxies cannot reach is in service, since the fault lies between them and the member.
+    /// Whether the report of one proxy makes a member unavailable. [`Availability::Unresponsive`] requires the reports
+    /// of at least half of the live proxies: if fewer cannot reach the member, the fault lies between them and the
+    /// member.
     fn one_report_suffices(self) -> bool {
         matches!(
             self,
@@ -160,7 +163,7 @@
     /// The member's group.
     #[prost(uint64, tag = "1")]
     pub group: u64,
-    /// Number of an [`Availability`].
+    /// The member's [`Availability`], as the number of the variant.
     #[prost(enumeration = "Availability", tag = "2")]
     pub availability: i32,
     /// The proxy considers the member the primary of its group.
@@ -171,21 +174,23 @@
 /// The report that a proxy sends with each request to the keepers.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct HealthReport {
-    /// Number of the proxy's own [`Availability`].
+    /// The proxy's own [`Availability`], as the number of the variant.
     #[prost(enumeration = "Availability", tag = "1")]
     pub own_availability: i32,
-    /// Observations that differ from the last acknowledged ones, by the member's id.
+    /// Observations that differ from the last acknowledged ones, by the member's id; the first of them if there are
+    /// many.
     #[prost(btree_map = "string, message", tag = "2")]
     pub observations: BTreeMap<String, HealthObservation>,
-    /// Edition of the quarantine that the proxy has applied.
+    /// Highest edition of the quarantine that the proxy has applied.
     #[prost(uint64, tag = "3")]
     pub quarantine_edition: u64,
 }
 
-/// The members to which no proxy may send new requests.
+/// The members to which no proxy may send new requests. The edition numbers the states of this set; it is independent
+/// of the revision of the operators' declaration and of software versions.
 #[derive(Clone, PartialEq, Eq, ::prost::Message)]
 pub struct Quarantine {
-    /// Edition, incremented by every change.
+    /// Number that increases with every change of the set, starting from 0.
     #[prost(uint64, tag = "1")]
     pub edition: u64,
     /// Ids of the members.
--- a/crates/decisions/src/disruption/record.rs
+++ b/crates/decisions/src/disruption/record.rs
@@ -1,4 +1,5 @@
-//! The table's record of one subject: its permit and the reports of proxies. No I/O; times are microseconds of log time.
+//! The table's record of one subject: its permit and the reports of proxies. No I/O; times are microseconds of log
+//! time.
 
 use super::liveness::LivenessView;
 use super::{Availability, HealthObservation, proxy_name};
@@ -26,7 +27,7 @@
     /// The subject has been unavailable at some time since the grant.
     #[prost(bool, tag = "6")]
     pub was_unavailable: bool,
-    /// The return of the subject was requested: the permit ends once the subject is reported in service.
+    /// The return to service was requested: the permit ends once the subject is reported in service.
     #[prost(bool, tag = "7")]
     pub returning: bool,
     /// Members only: first edition of the quarantine that contains the member.
@@ -40,20 +41,20 @@
 /// Why a permit was denied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PermitDenied {
-    /// No proxy has reported this subject.
+    /// The table contains no such subject: no proxy has reported it, or it was removed.
     UnknownSubject,
     /// Another requester holds a permit for the subject.
     HeldByOther {
-        /// Name of that requester.
+        /// Name of the requester that holds the permit.
         by: String,
     },
-    /// The member is the primary of its group, which must be handed over first.
+    /// The member is in service as the primary of its group; another member must become the primary first.
     IsPrimary,
-    /// The primary of the group is not known, so it may be this member.
+    /// No member of the group is reported as the primary, so this member may be the primary.
     PrimaryUnknown,
     /// One more unavailable subject would violate a limit.
     LimitReached {
-        /// The subjects that the limit counts, as shown to operators.
+        /// What the limit counts, such as `unavailable proxies in the zone`. Shown to operators.
         limit: &'static str,
         /// Keys of the unavailable subjects, with the cause.
         unavailable: Vec<(String, Availability)>,
@@ -69,15 +70,15 @@
     /// Members only: the group.
     #[prost(uint64, tag = "2")]
     pub group: u64,
-    /// Proxies only: number of the [`Availability`] that the proxy reports of itself.
+    /// Proxies only: the proxy's own [`Availability`] according to its last report, as the number of the variant.
     #[prost(enumeration = "Availability", tag = "3")]
     pub own_availability: i32,
     /// Members only: incarnations of proxies that report the member as its group's primary. If proxies disagree, every
     /// member reported as primary by any of them counts as one.
     #[prost(uint64, repeated, tag = "4")]
     pub primary_reporters: Vec<u64>,
-    /// Members only: numbers of the reported [`Availability`], by the incarnation of the proxy. Reports of a member in
-    /// service are not stored.
+    /// Members only: the reported [`Availability`], as the number of the variant, by the incarnation of the proxy.
+    /// Reports of a member in service are not stored.
     #[prost(btree_map = "uint64, enumeration(Availability)", tag = "5")]
     pub reports: BTreeMap<u64, i32>,
     /// The permit of the subject, if it has one.
@@ -113,14 +114,15 @@
         }
     }
 
-    /// Drops the reports of incarnations without a session; their confirmation is no longer required.
+    /// Drops the reports of incarnations without a session; their confirmation is no longer required. No confirmation
+    /// is required once all grants from before the permit have expired.
     pub(super) fn drop_departed(&mut self, incarnations: &[u64], view: &LivenessView) {
         self.reports.retain(|reporter, _| incarnations.contains(reporter));
         self.primary_reporters.retain(|reporter| incarnations.contains(reporter));
         let Some(permit) = &mut self.permit else { return };
         if view.have_grants_before_expired(permit.granted_at) {
-            // Proxies can use only grants made since then, which contain the quarantine and are not used before it is
-            // applied.
+            // Proxies can use only grants made since the permit was granted. These contain the quarantine, and a proxy
+            // applies it before it uses them.
             permit.unconfirmed.clear();
         }
         permit.unconfirmed.retain(|waiting| incarnations.contains(waiting));
@@ -134,7 +136,7 @@
     }
 
     /// Ends the permit if the subject has returned to service: for a proxy after it was unavailable or its return was
-    /// requested, for a member only after its return was requested.
+    /// requested, for a member only after its return was requested. Records if the subject is unavailable.
     pub(super) fn end_permit_if_returned(&mut self, availability: Availability, is_member: bool) {
         let Some(permit) = &mut self.permit else { return };
         if availability != Availability::InService {
--- a/crates/decisions/src/disruption/reporter.rs
+++ b/crates/decisions/src/disruption/reporter.rs
@@ -1,7 +1,7 @@
-//! A proxy's reports on itself and on members, and the quarantine that it received. No I/O.
+//! A proxy's reports on itself and on members, and the quarantine that the proxy received. No I/O.
 //!
-//! Only changes are reported. Since requests may be lost, a change is reported again until a request that carried it is
-//! answered.
+//! Of the members, only changes are reported. Since requests may be lost, a change is included in every report until
+//! the last request that was sent with it is granted.
 
 use super::{Availability, HealthObservation, HealthReport, Quarantine};
 use std::collections::BTreeMap;
@@ -57,7 +57,8 @@
         self.observations != self.acknowledged
     }
 
-    /// The report to send with the request of sequence number `seq`.
+    /// Builds the report to send with the request of sequence number `seq`, and records it as pending in place of the
+    /// previous one.
     pub fn next_report(&mut self, seq: u64) -> HealthReport {
         let observations: BTreeMap<String, HealthObservation> = self
             .observations
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Handles the grant for the request of sequence number `seq`. Returns its quarantine if that is newer than the last
-    /// one; the caller must apply it and then call [`HealthReporter::quarantine_applied`].
+    /// Handles the grant for the request of sequence number `seq`. Returns the quarantine if its edition is newer than
+    /// that of the last one received; the caller must apply it and then call [`HealthReporter::quarantine_applied`].
     pub fn handle_grant(&mut self, seq: u64, quarantine: Option<Quarantine>) -> Option<Quarantine> {
         if let Some(answered) = self.pending.take_if(|pending| pending.seq == seq) {
             self.acknowledged.extend(answered.observations);
@@ -86,7 +87,7 @@
         Some(newer)
     }
 
-    /// Records that no new requests are sent to the members in this edition of the quarantine.
+    /// Records that no new requests are sent to the members of the quarantine with this edition.
     pub fn quarantine_applied(&mut self, edition: u64) {
         self.applied_edition = self.applied_edition.max(edition);
     }
--- a/crates/decisions/src/disruption/table.rs
+++ b/crates/decisions/src/disruption/table.rs
@@ -1,6 +1,6 @@
-//! The table of subjects and permits, replicated at every keeper and changed only by entries of the agreed log. Time and
-//! liveness come from the [`crate::membership::Membership`]. The table must be deterministic: it reads no clock, draws
-//! no random numbers, and depends on no order but that of keys.
+//! The table of subjects and permits, replicated at every keeper and changed only by entries of the replicated log.
+//! Time and liveness come from the [`crate::membership::Membership`]. The table must be deterministic: it reads no
+//! clock, draws no random numbers, and depends on no order but that of keys.
 
 pub use super::liveness::LivenessView;
 pub use super::record::{Permit, PermitDenied, SubjectRecord};
@@ -18,7 +18,7 @@
 /// The subjects and their permits.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct DisruptionTable {
-    /// The limits that operators set. Without them no reports are recorded and nothing is limited.
+    /// The limits that operators set. Without them, no reports are recorded and no limits apply.
     #[prost(message, optional, tag = "1")]
     pub policy: Option<DisruptionPolicy>,
     /// Subjects by [`Subject::key`].
@@ -44,7 +44,7 @@
     fn check(
         self, key: &str, limit: &'static str, max_unavailable: u64, min_in_service: u64,
     ) -> Result<(), PermitDenied> {
-        // The subject itself may already be among the unavailable ones.
+        // The subject itself may already count as unavailable.
         let others = self.unavailable.iter().filter(|(other, _)| other != key).count() as u64;
         let left = self.total.saturating_sub(others + 1);
         if others < max_unavailable && left >= min_in_service {
@@ -60,7 +60,7 @@
         self.policy = policy;
     }
 
-    /// Records the report of a proxy that holds a session.
+    /// Records the report of a proxy that holds a session. Does nothing while no limits are set.
     pub fn record_report(
         &mut self, view: &LivenessView, name: &str, incarnation: u64, zone: &str, report: &HealthReport,
     ) {
@@ -99,7 +99,8 @@
     }
 
     /// Updates the table to the membership: drops the reports and pending confirmations of incarnations without a
-    /// session, removes members that no longer exist, and ends the permits of subjects that have returned.
+    /// session, removes members that more than half of the live proxies report as removed, and ends the permits of
+    /// subjects that have returned to service. Does nothing while no limits are set.
     pub fn expire(&mut self, view: &LivenessView) {
         if self.policy.is_none() {
             return;
@@ -117,8 +118,9 @@
         });
     }
 
-    /// Requests a permit for a subject to be unavailable. A repeated request by the same requester returns the same
-    /// permit. With `force` the limits do not apply, and a permit held by another requester is returned as it is.
+    /// Grants a permit for a subject to be unavailable, if the limits allow it and the subject is not a primary in
+    /// service. A repeated request by the same requester returns the same permit. With `force` neither condition
+    /// applies, and a permit held by another requester is returned as it is.
     ///
     /// # Errors
     ///
@@ -179,10 +181,10 @@
     ) -> Result<(), PermitDenied> {
         let fleet = self.count_subjects(view, |other, _| proxy_name(other).is_some());
         let max_unavailable = policy.fleet.max_unavailable(fleet.total);
-        fleet.check(key, "proxies out of the fleet", max_unavailable, policy.min_in_service)?;
+        fleet.check(key, "unavailable proxies in the fleet", max_unavailable, policy.min_in_service)?;
         let zone = self.count_subjects(view, |other, r| proxy_name(other).is_some() && r.zone == record.zone);
         let max_unavailable = policy.zone.max_unavailable(zone.total);
-        zone.check(key, "proxies out of the zone", max_unavailable, 0)
+        zone.check(key, "unavailable proxies in the zone", max_unavailable, 0)
     }
 
     fn check_member_limits(
@@ -201,7 +203,7 @@
         }
         let group = self.count_subjects(view, is_in_group);
         let max_unavailable = policy.group.max_unavailable(group.total);
-        group.check(key, "members out of the group", max_unavailable, policy.group_min_in_service)
+        group.check(key, "unavailable members in the group", max_unavailable, policy.group_min_in_service)
     }
 
     /// Counts the subjects for which `is_counted` holds.
@@ -218,8 +220,8 @@
         count
     }
 
-    /// Requests the return of a subject. Its permit ends once it is reported in service; a member leaves the quarantine
-    /// at once. Returns whether the subject had a permit.
+    /// Records that a subject is to return to service. The permit ends once the subject is reported in service; a
+    /// member leaves the quarantine at once. Returns whether the subject had a permit.
     pub fn request_return(&mut self, subject: &Subject) -> bool {
         let record = self.subjects.get_mut(&subject.key());
         let Some(permit) = record.and_then(|record| record.permit.as_mut()) else { return false };
@@ -240,7 +242,7 @@
         was_known
     }
 
-    /// The members to which no new requests may be sent.
+    /// The current quarantine: members with a permit whose return to service has not been requested.
     pub fn quarantine(&self) -> Quarantine {
         let is_quarantined = |record: &SubjectRecord| record.permit.as_ref().is_some_and(|p| !p.returning);
         let quarantined = self.subjects.iter().filter(|(_, record)| is_quarantined(record));
--- a/crates/decisions/src/fault_injection.rs
+++ b/crates/decisions/src/fault_injection.rs
@@ -1,6 +1,7 @@
 //! Faults that tests inject into the replicated state machines, to verify that the tests' checkers detect them.
 //!
-//! The code is compiled only with the cargo feature `fault-injection`, which must never be enabled in production builds.
+//! The code is compiled only with the cargo feature `fault-injection`, which must never be enabled in production
+//! builds.
 
 /// A deliberate fault in the replicated state machines or in their clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -9,11 +10,11 @@
     NoDriftMargin,
     /// The holder starts its lease at the arrival of the grant instead of at the send time of its request.
     LeaseFromReceipt,
-    /// Every proxy with a demand is granted at least one unit.
+    /// Every proxy with a demand is granted at least one unit, even if none is left.
     RoundingUp,
     /// The units committed to an incarnation are released when a new one opens the session.
     PredecessorReleased,
-    /// Reported units in use are not committed beyond the grants.
+    /// Reported units in use that exceed the unexpired grants are not committed.
     InUseFreedEarly,
     /// A floor is committed for the lease only, not for the membership.
     FloorExpiresWithLease,
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -7,9 +7,9 @@
 //! - [`connection_admission`]: which client connections are served, closed or rejected;
 //! - [`poll_schedule`], [`watch_schedule`], [`staleness`]: when discovery is polled or watched, and the time since its
 //!   last message;
-//! - [`list_lease`]: how long the list of members may be used; [`platform_bounds`]: bounds from which waits are derived;
-//! - [`lifecycle`], [`maintenance`]: whether this process serves, and which members operators took out of service;
-//! - [`membership`], [`quota`], [`disruption`]: state that is replicated through the agreed log: the sessions of the
+//! - [`list_lease`]: how long the list of members may be used; [`platform_bounds`]: bounds for waits;
+//! - [`lifecycle`], [`maintenance`]: whether this process serves, and which members are out of service;
+//! - [`membership`], [`quota`], [`disruption`]: state replicated through the log of the keepers: the sessions of the
 //!   fleet, the shares of its budgets, and the permits for proxies and members to be out of service;
 //! - [`fault_injection`]: deliberate faults in these three, for builds made for tests.
 #![forbid(unsafe_code)]
--- a/crates/decisions/src/lifecycle.rs
+++ b/crates/decisions/src/lifecycle.rs
@@ -8,8 +8,8 @@
 use crate::list_lease::READY_WITHIN;
 use std::fmt;
 
-/// Time from the start of a drain or stop until the platform's load balancer sends no more clients to the process: up to
-/// 0.4 s, plus a margin.
+/// Time from the start of a drain or stop until the platform's load balancer sends no more clients to the process: up
+/// to 0.4 s, plus a margin.
 const LOAD_BALANCER_SEND_TIME: Micros = Micros(450_000);
 
 /// Requests are accepted for this long after a stop begins: when the platform terminates the process, it does not wait
@@ -161,8 +161,8 @@
         }
     }
 
-    /// The earliest time after `now` at which [`Lifecycle::serving_state`] may change without another event; `None` if it
-    /// cannot.
+    /// The earliest time after `now` at which [`Lifecycle::serving_state`] may change without another event; `None` if
+    /// it cannot.
     pub fn next_change(&self, now: Time) -> Option<Time> {
         let is_in_future = |at: &Time| *at > now;
         match self.phase {
--- a/crates/decisions/src/list_lease.rs
+++ b/crates/decisions/src/list_lease.rs
@@ -1,14 +1,14 @@
 //! The lease under which the list of members may be used.
 //!
-//! A change that discovery could not deliver counts as notified [`NOTIFIED_AFTER`] later, and nothing new may be sent to
-//! a drained member once the drain grace has elapsed after that. Each message from discovery therefore renews the lease
-//! for [`NOTIFIED_AFTER`] plus the drain grace, less [`MAX_HOLD_UP`] for a delay between the check and the write.
+//! A change that discovery could not deliver counts as notified [`NOTIFIED_AFTER`] later, and nothing new may be sent
+//! to a drained member once the drain grace has elapsed after that. Each message from discovery therefore renews the
+//! lease for [`NOTIFIED_AFTER`] plus the drain grace, less [`MAX_HOLD_UP`] for a delay between the check and the write.
 //!
-//! An outage of discovery must not end the lease. With [`Discovery::OnRequest`], a first failed call extends a lease that
-//! a message or an outage has renewed by the call's duration; from the second failed call in a row on, discovery counts
-//! as unreachable and every failed call renews the lease for the same span as a message. With [`Discovery::Pushed`],
-//! discovery counts as unreachable from the first failed call on. The lease expires if no message arrives and no call
-//! fails, for example while the process is suspended.
+//! An outage of discovery must not end the lease. With [`Discovery::OnRequest`], a first failed call extends a lease
+//! that a message or an outage has renewed by the call's duration; from the second failed call in a row on, discovery
+//! counts as unreachable and every failed call renews the lease for the same span as a message. With
+//! [`Discovery::Pushed`], discovery counts as unreachable from the first failed call on. The lease expires if no
+//! message arrives and no call fails, for example while the process is suspended.
 //!
 //! The lease is checked at the write, not when the send is decided. Nothing but a message or a failed call may renew or
 //! extend the lease.
@@ -33,8 +33,8 @@
 /// A process without a confirmed list reports ready at the latest this long after its start. The platform requires
 /// nine in ten processes to be ready within 10 s, and no ready process to reject every request for 4 s.
 pub const READY_WITHIN: Micros = Micros(8_500_000);
-/// With [`Discovery::OnRequest`], number of calls that must fail in a row before discovery counts as unreachable, since a
-/// single failure may have another cause. With [`Discovery::Pushed`], one failed call is enough.
+/// With [`Discovery::OnRequest`], number of calls that must fail in a row before discovery counts as unreachable, since
+/// a single failure may have another cause. With [`Discovery::Pushed`], one failed call is enough.
 const FAILURES_FOR_OUTAGE: u32 = 2;
 
 /// Why no request may be sent under the list in use.
@@ -89,8 +89,8 @@
     usable_until: Time,
     /// End of the saved list's own lease. From then until `resumes_at` nothing is sent.
     saved_until: Time,
-    /// When the list may be used after the end of the saved list's own lease; `None` until a message arrives or discovery
-    /// counts as unreachable.
+    /// When the list may be used after the end of the saved list's own lease; `None` until a message arrives or
+    /// discovery counts as unreachable.
     resumes_at: Option<Time>,
     /// Lower bound on `resumes_at` without a message, with [`Discovery::OnRequest`].
     saved_list_resumes_at: Time,
@@ -107,8 +107,8 @@
     /// ran. Nothing new may reach a member later than `drain_grace` after its drain was notified.
     pub fn new(now: Time, discovery: Discovery, drain_grace: Micros) -> ListLease {
         let drain_effective_after = match discovery {
-            // Worst case: a change missing from the list was made when the previous process exited, and the restart took
-            // the longest possible time.
+            // Worst case: a change missing from the list was made when the previous process exited, and the restart
+            // took the longest possible time.
             Discovery::OnRequest => {
                 NOTIFIED_AFTER.0.saturating_add(drain_grace.0).saturating_sub(MAX_RESTART_TIME.0)
             }
@@ -140,8 +140,8 @@
         self.failures = 0;
     }
 
-    /// Records that a call that began at `began` failed before it returned anything. Renews the lease if discovery counts
-    /// as unreachable; otherwise extends it by the call's duration, but not if its basis is [`Basis::Saved`].
+    /// Records that a call that began at `began` failed before it returned anything. Renews the lease if discovery
+    /// counts as unreachable; otherwise extends it by the call's duration, but not if its basis is [`Basis::Saved`].
     pub fn call_failed(&mut self, now: Time, began: Time) {
         self.failures = self.failures.saturating_add(1);
         // A local agent that is unreachable receives no new lists either, so one failed call to it is enough.
@@ -158,10 +158,10 @@
         }
     }
 
-    /// Records that a watch that had delivered messages ended; `was_silent` if it was ended because no message arrived. A
-    /// watch that ended otherwise counts as a first failed call, because an outage of discovery breaks its watches. With
-    /// [`Discovery::Pushed`] such an end also cuts the lease to the drain grace less [`MAX_HOLD_UP`], since further
-    /// changes count as notified once the local agent has them.
+    /// Records that a watch that had delivered messages ended; `was_silent` if it was ended because no message arrived.
+    /// A watch that ended otherwise counts as a first failed call, because an outage of discovery breaks its watches.
+    /// With [`Discovery::Pushed`] such an end also cuts the lease to the drain grace less [`MAX_HOLD_UP`], since
+    /// further changes count as notified once the local agent has them.
     pub fn watch_ended(&mut self, now: Time, was_silent: bool) {
         self.failures = u32::from(!was_silent);
         if self.discovery == Discovery::Pushed && !was_silent {
@@ -183,8 +183,8 @@
         Some(Micros(gap))
     }
 
-    /// The start of the hold-up if the process is held up or catching up at `now`; `None` otherwise. Input that is read at
-    /// `now` may have arrived at any time since the start of the hold-up.
+    /// The start of the hold-up if the process is held up or catching up at `now`; `None` otherwise. Input that is read
+    /// at `now` may have arrived at any time since the start of the hold-up.
     pub fn held_up_since(&self, now: Time) -> Option<Time> {
         if now.0.saturating_sub(self.last_turn.0) > HOLD_UP_THRESHOLD.0 {
             return Some(self.last_turn);
--- a/crates/decisions/src/maintenance.rs
+++ b/crates/decisions/src/maintenance.rs
@@ -1,8 +1,8 @@
-//! Members taken out of service by operators' maintenance orders or by the fleet, and the state in which a listed member
-//! is passed to the policy as a result.
+//! Members taken out of service by operators' maintenance orders or by the fleet, and the state in which a listed
+//! member is passed to the policy as a result.
 //!
-//! No I/O. The newest order for a member applies, so that two processes that exchange their orders reach the same state.
-//! An endpoint list must never override an order.
+//! No I/O. The newest order for a member applies, so that two processes that exchange their orders reach the same
+//! state. An endpoint list must never override an order.
 
 use crate::api::{GroupId, MemberState, Time};
 use std::collections::{BTreeMap, BTreeSet};
@@ -119,7 +119,7 @@
         self.effective_state(member.id, member.started)
     }
 
-    /// If the known members are at their bound, drops the one that was named longest ago, unlisted members first.
+    /// If [`KNOWN_MAX`] members are tracked, drops the one that was named longest ago, unlisted members first.
     fn make_room_for_known(&mut self) {
         if self.known.len() < KNOWN_MAX {
             return;
@@ -129,8 +129,8 @@
         oldest.and_then(|id| self.known.remove(&id));
     }
 
-    /// Begins a full list: all members count as unlisted until [`Self::record_listed`] is called for them. Members that no
-    /// recent list has named are dropped unless they are out of service by an order.
+    /// Begins a full list: all members count as unlisted until [`Self::record_listed`] is called for them. Members that
+    /// no recent list has named are dropped unless they are out of service by an order.
     pub fn begin_full_list(&mut self, now: Time) {
         for known in self.known.values_mut().filter(|known| known.is_listed) {
             known.named_at = now;
@@ -151,8 +151,8 @@
         EffectiveState::AsListed { started: started.max(returned) }
     }
 
-    /// Records an order of operators to take a member out of service or put it back in service. Returns false, without a
-    /// change, if the member's last order has the same effect; a member without an order counts as in service.
+    /// Records an order of operators to take a member out of service or put it back in service. Returns false, without
+    /// a change, if the member's last order has the same effect; a member without an order counts as in service.
     ///
     /// # Errors
     ///
@@ -176,8 +176,8 @@
         Ok(true)
     }
 
-    /// Makes room for one more order, if necessary by dropping the oldest one that put a member back in service. Returns
-    /// whether there is room.
+    /// Makes room for one more order, if necessary by dropping the oldest one that put a member back in service.
+    /// Returns whether there is room.
     fn make_room_for_order(&mut self) -> bool {
         if self.orders.len() >= ORDERS_MAX {
             let returned = self.orders.iter().filter(|(_, order)| !order.out_of_service);
@@ -232,9 +232,9 @@
         self.known.iter().map(|(id, known)| (id.as_str(), known.group, known.is_listed))
     }
 
-    /// Whether all listed members of a group are out of service, so that the group can serve no request until one is put
-    /// back in service. False if no member of the group is listed, or no member of any group is out of service by an
-    /// order.
+    /// Whether all listed members of a group are out of service, so that the group can serve no request until one is
+    /// put back in service. False if no member of the group is listed, or no member of any group is out of service by
+    /// an order.
     pub fn is_group_out(&self, group: GroupId) -> bool {
         if !self.orders.values().any(|order| order.out_of_service) {
             return false;
--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -1,9 +1,9 @@
 //! The sessions of the fleet's instances: a table that is replicated at every keeper and changed only by entries of the
 //! replicated log.
 //!
-//! The table must be deterministic: it reads no clock and draws no random numbers. Log time advances with each entry, by
-//! the time that the leader measured since its previous entry or since it became leader. Log time therefore never runs
-//! ahead of any clock by more than the bound on drift, and does not advance while there is no leader.
+//! The table must be deterministic: it reads no clock and draws no random numbers. Log time advances with each entry,
+//! by the time that the leader measured since its previous entry or since it became leader. Log time therefore never
+//! runs ahead of any clock by more than the bound on drift, and does not advance while there is no leader.
 //!
 //! A session belongs to an incarnation (one start of a process), not to a name. A restarted process is a new
 //! incarnation, and the grants of the previous one stay committed until they must have expired.
@@ -28,8 +28,8 @@
     /// A quota may be used for this long after its holder sent the request. Microseconds on the holder's clock.
     #[prost(uint64, tag = "1")]
     pub lease_us: u64,
-    /// A floor may be used for this long after its holder sent the request. Microseconds on the holder's clock. A session
-    /// is kept for at least this long after its last request.
+    /// A floor may be used for this long after its holder sent the request. Microseconds on the holder's clock. A
+    /// session is kept for at least this long after its last request.
     #[prost(uint64, tag = "2")]
     pub membership_us: u64,
     /// Largest deviation of any clock's rate from true time, in millionths.
@@ -38,8 +38,8 @@
 }
 
 impl LeaseTerms {
-    /// The longest time in microseconds that another clock can measure while one clock measures `span`, if both keep the
-    /// bound on drift. Rounded up; a bound above 50 % counts as 50 %.
+    /// The longest time in microseconds that another clock can measure while one clock measures `span`, if both keep
+    /// the bound on drift. Rounded up; a bound above 50 % counts as 50 %.
     pub fn with_drift_margin(&self, span: u64) -> u64 {
         if is_injected(Fault::NoDriftMargin) {
             return span;
@@ -106,8 +106,8 @@
 }
 
 impl SessionRejected {
-    /// The reason as keepers send it to proxies and log it. Proxies of other versions parse these texts, so they must not
-    /// change with the names of the variants.
+    /// The reason as keepers send it to proxies and log it. Proxies of other versions parse these texts, so they must
+    /// not change with the names of the variants.
     pub fn wire_reason(self) -> &'static str {
         match self {
             SessionRejected::InvalidName => "Name",
@@ -152,9 +152,9 @@
     /// Sessions by the name of the instance.
     #[prost(btree_map = "string, message", tag = "2")]
     pub sessions: BTreeMap<String, ProxySession>,
-    /// Incarnations that were replaced or removed, with the number of the retirement. Their requests are rejected, since a
-    /// process may resume as one of them after hours of suspension. Only the newest [`MAX_SESSIONS`] are kept; an evicted
-    /// incarnation counts as new.
+    /// Incarnations that were replaced or removed, with the number of the retirement. Their requests are rejected,
+    /// since a process may resume as one of them after hours of suspension. Only the newest [`MAX_SESSIONS`] are kept;
+    /// an evicted incarnation counts as new.
     #[prost(btree_map = "uint64, uint64", tag = "3")]
     pub retired: BTreeMap<u64, u64>,
     /// Number of the next retirement.
@@ -181,8 +181,8 @@
 
     /// Opens or renews the session of `name` for a request with the sequence number `seq`.
     ///
-    /// With `takeover_after`, a new incarnation replaces the one that holds the name only if the holder's last request is
-    /// older than this many microseconds of log time. With `None`, a new incarnation replaces the holder at once.
+    /// With `takeover_after`, a new incarnation replaces the one that holds the name only if the holder's last request
+    /// is older than this many microseconds of log time. With `None`, a new incarnation replaces the holder at once.
     ///
     /// # Errors
     ///
--- a/crates/decisions/src/outlier_recovery.rs
+++ b/crates/decisions/src/outlier_recovery.rs
@@ -1,8 +1,9 @@
 //! The schedule by which an ejected member is retried: one state machine without I/O per ejected member.
 //!
-//! A trial of an unreachable member costs a probe, and most of these reach no process. A trial of a member that accepts
-//! requests and answers none, or only with errors, costs a request, since a probe would succeed. Every router of the
-//! fleet runs its own trials, so the gaps between trials of such a member grow with the number of routers.
+//! A trial of an unreachable member costs a probe, and most such probes reach no process. A trial of a member that
+//! accepts requests and answers none, or only with errors, costs a request, since a probe would succeed. Every router
+//! of the fleet runs its own trials, so in large fleets the gaps between trials of a member that is not unreachable
+//! grow with the number of routers.
 
 use crate::api::{Micros, Time};
 
@@ -18,11 +19,11 @@
 pub struct EjectedMember {
     /// When the member was ejected.
     pub since: Time,
-    /// The member is unreachable, so a trial is a probe.
+    /// The member is unreachable, so a probe that succeeds is a sufficient trial.
     pub unreachable: bool,
-    /// The member's return counts as a restart: a connection failed at once because no process was listening, or the
-    /// whole zone was unresponsive. A single member behind a network partition returns without a restart, and if it did
-    /// restart, the list shows it.
+    /// The cause of the ejection suggests a restart: a connection failed at once because no process was listening, or
+    /// the whole zone was unresponsive. A single member behind a network partition does not count as restarted; if it
+    /// was restarted, the list shows the restart.
     pub restarted: bool,
     /// One request may be sent to the member as a trial.
     pub trial_ready: bool,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Records the first or a further failure. `unreachable` and `restarted` stay set once either was passed.
+    /// Records the first or a further failure. `unreachable` and `restarted` each stay set once passed as true.
     ///
     /// After a first failure of a reachable member a trial is due at once, since only one answer may have been lost.
     /// Otherwise the next trial follows after the backoff. The backoff of an unreachable member is multiplied by
@@ -64,7 +65,7 @@
         };
     }
 
-    /// Records that a request was sent as a trial.
+    /// Records that a request was sent as a trial. The next trial is due after the backoff, which then doubles.
     pub fn trial_sent(&mut self, now: Time) {
         self.trial_ready = false;
         self.trial_at = now + self.backoff;
@@ -82,7 +83,7 @@
         is_due
     }
 
-    /// The gap for one router that limits the rate of trials from the whole fleet.
+    /// The gap for one router that limits the rate of trials from the whole fleet; unchanged for an unreachable member.
     fn scaled(&self, gap: Micros) -> Micros {
         if self.unreachable {
             return gap;
--- a/crates/decisions/src/platform_bounds.rs
+++ b/crates/decisions/src/platform_bounds.rs
@@ -1,16 +1,16 @@
 //! Bounds that the platform requires every proxy to keep.
 //!
-//! A wait that could exceed one of them is derived from it at its place of use. In the incident of 2026-12-02 two waits
-//! had been sized for other purposes, to limit the load on a service and to tolerate slow clients, and both exceeded
-//! the bound that applied to them (`docs/incidents/`).
+//! Where a wait could exceed a bound, it is derived from that bound at its place of use. In the incident of 2026-12-02
+//! two waits had been sized for other purposes, to limit the load on a service and to tolerate slow clients, and both
+//! exceeded the bound that applied to them (`docs/incidents/`).
 
 use crate::api::Micros;
 
-/// A list change counts as notified at the latest this long after discovery had it and was reachable.
+/// A list change counts as notified at the latest this long after discovery has the change and is reachable.
 pub const NOTIFIED_AFTER: Micros = Micros(6_000_000);
 
 /// Longest time for which a proxy may be held up between reading its clock and writing. A write that is forbidden from
-/// some moment on is started no later than this long before it.
+/// a given time on must start at least this long before that time.
 pub const MAX_HOLD_UP: Micros = Micros(150_000);
 
 /// A client that stalls in the middle of a message and stays connected must get an error or a close within this time.
--- a/crates/decisions/src/poll_schedule.rs
+++ b/crates/decisions/src/poll_schedule.rs
@@ -1,14 +1,15 @@
 //! The schedule by which discovery is polled: a state machine without I/O that is driven by the result of each poll.
 //!
-//! All proxies of a fleet poll one discovery service, which serves one call at a time. A call that it rejects, or that
-//! its caller abandons, still takes up service time, so calls that collide once would collide at each retry. A proxy
-//! with a saved list therefore sends its first poll in a slot of its own, given by its index in the fleet. After a
-//! failure the next poll is drawn from a backoff window that has room for one call of each proxy, and doubles up to two
-//! (`docs/design/fleet.md`).
+//! All proxies of a fleet poll one discovery service, which serves one call at a time. A call that the service rejects,
+//! or that its caller abandons, still takes up service time, so calls that collide once would collide at each retry. A
+//! proxy with a saved list therefore sends its first poll in a slot of its own, given by its index in the fleet. After
+//! a failure the next poll is drawn from a backoff window that has room for one call of each proxy and doubles until it
+//! has room for two, unless the drain grace or `poll_within` requires shorter windows (`docs/design/fleet.md`).
 //!
-//! A watch that became silent sets a deadline: changes that it missed count as notified some seconds later, and the
-//! drain grace runs from then. Until the deadline, polls are drawn from the whole window up to it, which spreads the
-//! calls of a fleet whose watches all became silent at once (`docs/design/crossings.md`).
+//! A watch that became silent sets a deadline: the changes that the watch missed count as notified [`NOTIFIED_AFTER`]
+//! after the start of the silence, and the drain grace starts then. Before a deadline, polls are drawn from the whole
+//! backoff window, limited by the deadline, which spreads the calls of a fleet whose watches all became silent at once
+//! (`docs/design/crossings.md`).
 //!
 //! At most one poll is in progress at any time, and after a failure another one is always due.
 
@@ -17,19 +18,19 @@
 
 /// Time allowed for the service to answer one call; the service does not report its capacity. Microseconds.
 const SERVICE_TIME: u64 = 40_000;
-/// Lower bound on the backoff window after a first failure. Microseconds.
+/// Lower bound on the backoff window after a first failure, unless the longest window is shorter. Microseconds.
 const FIRST_WINDOW_MIN: u64 = 250_000;
 /// The backoff window grows to at least this length, unless a drain or `poll_within` requires less. Microseconds.
 const LONGEST_WINDOW_MIN: u64 = 2_000_000;
-/// Upper bound on the time planned for one call of every proxy. Microseconds. Services answered all proxies within 2.6
-/// to 5 s, both for 100 and for 300 proxies: their capacity grows with the fleet (`docs/incidents/`).
+/// Upper bound on the time planned for one call of every proxy. Microseconds. Services took 2.6 to 5 s to answer all
+/// proxies, both for 100 and for 300 proxies: their capacity grows with the fleet (`docs/incidents/`).
 const FLEET_POLL_TIME_MAX: u64 = 3_400_000;
 /// Longest time that a poll waits for its answer. Microseconds.
 const CALL_TIMEOUT: u64 = 3_000_000;
 /// Time reserved before a deadline for the call itself and for applying its result. Microseconds.
 const CALL_RESERVE: u64 = 1_000_000;
-/// Bound on the deadlines of silent watches that are kept. Silence is detected after 3 s, and its deadline lies within
-/// 6 s plus the drain grace of its start.
+/// Bound on the deadlines of silent watches that are kept; beyond it the latest is dropped. Silence is detected after 3
+/// s, and the deadline lies within 6 s plus the drain grace after the start of the silence.
 const SILENT_WATCHES_MAX: usize = 8;
 /// Shortest gap between polls, so that a service that fails calls at once is not polled in a tight loop. Microseconds.
 const GAP_MIN: u64 = 50_000;
@@ -72,7 +73,8 @@
 impl Windows {
     /// Windows that have room for the calls of the fleet, and end before a drain with this grace takes effect.
     fn new(fleet_poll_time: u64, longest_gap: u64, grace: u64) -> Windows {
-        // Discovery may recover right after a call that then times out, and the next call takes time as well.
+        // Discovery may recover, and a drain be notified, while a call is in progress that still times out. The gap and
+        // the next call must then fit into the time before the drain takes effect.
         let drain_effective_after = NOTIFIED_AFTER.0.saturating_add(grace).saturating_sub(MAX_HOLD_UP.0);
         let longest_before_drain = drain_effective_after.saturating_sub(CALL_TIMEOUT + CALL_RESERVE);
         let longest = LONGEST_WINDOW_MIN.max(2 * fleet_poll_time).min(longest_before_drain).min(longest_gap);
@@ -81,9 +83,10 @@
 }
 
 impl PollSchedule {
-    /// A schedule for the proxy at `index` of a fleet; without an index its first poll is placed at random within the
-    /// time of the whole fleet. The first poll is due at `first_poll`, which is `None` where lists are pushed. A proxy
-    /// that has not polled for `poll_within` microseconds counts as notified, so every gap is shorter than that.
+    /// A schedule for the proxy at `index` of a fleet. The first poll is due at `first_poll`, which is `None` where
+    /// lists are pushed. If a saved list is loaded, the first poll waits for the proxy's slot; without an index the
+    /// slot is the time of the whole fleet. A proxy that has not polled for `poll_within` microseconds counts as
+    /// notified, so every gap is shorter than that.
     pub fn new(
         index: Option<u32>, fleet_size: u32, poll_within: u64, first_poll: Option<u64>,
     ) -> PollSchedule {
--- a/crates/decisions/src/quota/allocation.rs
+++ b/crates/decisions/src/quota/allocation.rs
@@ -94,8 +94,8 @@
         granted.max(in_use)
     }
 
-    /// Records the reported need. Grants with a sequence number below `acked` are dropped; the reported units in use are
-    /// committed until `in_use_expires_at` or the next report.
+    /// Records the reported need. Grants with a sequence number below `acked` are dropped; the reported units in use
+    /// are committed until `in_use_expires_at` or the next report.
     pub(super) fn record_need(&mut self, need: &QuotaNeed, acked: u64, now: u64, in_use_expires_at: u64) {
         self.grants.retain(|grant| grant.seq >= acked);
         self.in_use = need.in_use;
--- a/crates/decisions/src/quota/division.rs
+++ b/crates/decisions/src/quota/division.rs
@@ -81,8 +81,8 @@
         Division { base, is_scarce: total_demand > divisible, targets }
     }
 
-    /// Grants `incarnation` its share of `entry` for request `seq`; `None` if it has no allocation. `committed` is the
-    /// number of committed units of the entry and is updated.
+    /// Grants `incarnation` its share of `entry` for request `seq`; `None` if the entry has no declared budget or the
+    /// incarnation has no allocation. `committed` is the number of committed units of the entry and is updated.
     pub(super) fn grant(
         &self, entry: &mut BudgetEntry, committed: &mut u64, context: &DivisionContext, incarnation: u64,
         seq: u64,
@@ -144,8 +144,8 @@
     Claim { demand, priority: claim.priority }
 }
 
-/// The grant as committed by the table: for the time that the holder may use it and that a held unit can stay in use
-/// after that, with the drift margin.
+/// The grant as the table commits it: for as long as the holder may use it, plus the time that a held unit can stay in
+/// use after the lease, with the drift margin.
 fn active_grant(budget: &Budget, seq: u64, units: u64, floor: u64, context: &DivisionContext) -> ActiveGrant {
     let outlives_us = if budget.is_rate() { 0 } else { budget.outlives_us };
     let expires_after = |span: u64| {
--- a/crates/decisions/src/quota/expiry.rs
+++ b/crates/decisions/src/quota/expiry.rs
@@ -1,4 +1,5 @@
-//! The expiry of a grant, and the units it allows at a given time. No I/O; times are microseconds on the holder's clock.
+//! The expiry of a grant, and the units it allows at a given time. No I/O; times are microseconds on the holder's
+//! clock.
 
 use super::Quota;
 
--- a/crates/decisions/src/quota/leader_search.rs
+++ b/crates/decisions/src/quota/leader_search.rs
@@ -2,7 +2,8 @@
 //! on the holder's clock.
 //!
 //! The search must never block the proxy, and the proxies of a fleet must not reconnect to the keepers all at once: if
-//! a keeper does not answer, the next one is tried after a jittered pause that doubles until a keeper grants a request.
+//! a keeper does not answer, the next one is tried after a jittered pause, which doubles up to a maximum until a
+//! keeper grants a request.
 
 /// First pause before another keeper is tried. Microseconds.
 const MIN_PAUSE_US: u64 = 20_000;
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Position of the keeper to send requests to, in the order of the operators' file.
+    /// Position of the keeper to send requests to, in the order of the configuration.
     pub fn current_keeper(&self) -> usize {
         self.position % self.keeper_count.max(1)
     }
@@ -70,8 +71,8 @@
         self.move_to(self.current_keeper() + 1, chance)
     }
 
-    /// Moves to the leader that the current keeper named, or to the next keeper if it named none. Returns the pause as
-    /// [`LeaderSearch::keeper_lost`] does.
+    /// Moves to the leader that the current keeper named, or to the next keeper if it named none or one that does not
+    /// exist. Returns the pause as [`LeaderSearch::keeper_lost`] does.
     pub fn redirected(&mut self, leader: Option<usize>, chance: f64) -> u64 {
         let known = leader.filter(|position| *position < self.keeper_count);
         self.move_to(known.unwrap_or(self.current_keeper() + 1), chance)
--- a/crates/decisions/src/quota/lease_holder.rs
+++ b/crates/decisions/src/quota/lease_holder.rs
@@ -22,7 +22,7 @@
 /// The result of an attempt to acquire or spend a unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcquireDecision {
-    /// The unit may be used and counts as in use.
+    /// The unit may be used. A held unit counts as in use until it is released.
     Acquired,
     /// This proxy's quota is exhausted.
     Exhausted,
@@ -50,7 +50,8 @@
     /// A quota has shrunk since the last request. The next request is sent early, so that its acknowledgement frees the
     /// units for other holders.
     has_lost_units: bool,
-    /// Another process holds the name: requests take over its session only after it has sent none for a lease.
+    /// The session was taken over or removed: requests take over the session of another process only after that process
+    /// has sent none for a lease.
     yields_name: bool,
 }
 
@@ -92,7 +93,7 @@
         }
     }
 
-    /// When the next request is due.
+    /// When the next request is due; 0 before the first one.
     pub fn next_request_at(&self) -> u64 {
         let Some(last) = self.last_request_at else { return 0 };
         if self.is_waiting_for_name() {
@@ -104,7 +105,8 @@
         last.saturating_add(interval)
     }
 
-    /// Makes the next request due at once, because the previous one reached a keeper that could not grant it.
+    /// Makes the next request due at once, because the previous one reached a keeper that could not grant it. Has no
+    /// effect while the holder waits for its name to become free.
     pub fn request_at_once(&mut self) {
         if self.is_waiting_for_name() {
             return;
@@ -114,12 +116,13 @@
         }
     }
 
-    /// Whether another process holds the name and no grant has arrived since.
+    /// Whether the holder was superseded and no grant has arrived since.
     fn is_waiting_for_name(&self) -> bool {
         self.yields_name && self.acked_seq == 0
     }
 
-    /// The next request, to be sent at `now`. The lease granted for it starts at `now`.
+    /// Builds the request to send at `now`: takes the next sequence number, records the request as sent and starts a
+    /// new interval for the reported demand. The lease of the grant that answers it starts at `now`.
     pub fn next_request(&mut self, now: u64) -> QuotaRequest {
         self.last_seq += 1;
         self.sent_at.insert(self.last_seq, now);
@@ -165,7 +168,7 @@
     fn replace_quotas(&mut self, quotas: BTreeMap<String, Quota>, now: u64) {
         for (name, local) in &mut self.budgets {
             if !quotas.contains_key(name) {
-                // The budget is no longer declared.
+                // The budget is no longer declared, or the table has no allocation of it for this holder.
                 self.has_lost_units |= local.clear_quota();
             }
         }
@@ -225,8 +228,8 @@
         local.acquire(local.limit(now, expiry))
     }
 
-    /// Raises the demand for a held budget to `units` without acquiring any. The next request is sent early if no more
-    /// than the floor is granted.
+    /// Raises the demand for a held budget to at least `units` without acquiring any. The next request is sent early if
+    /// no more than the floor is granted.
     pub fn request_units(&mut self, budget: &str, units: u64) {
         if let Some(local) = self.budgets.get_mut(budget) {
             local.raise_demand(units);
@@ -241,7 +244,7 @@
         self.drop_if_unused(budget);
     }
 
-    /// Spends one unit of a rate at `now`.
+    /// Spends one unit of a rate if its token bucket contains one at `now`.
     pub fn spend_token(&mut self, now: u64, budget: &str) -> AcquireDecision {
         let Some(local) = self.budgets.get_mut(budget) else { return AcquireDecision::Unlimited };
         local.refill(now, self.expiry, self.drift_ppm);
--- a/crates/decisions/src/quota/local_budget.rs
+++ b/crates/decisions/src/quota/local_budget.rs
@@ -8,7 +8,7 @@
 
 /// The highest demand of this many request intervals is reported, so that a quota does not shrink between two peaks.
 const REMEMBERED_PEAKS: usize = 3;
-/// Rejected acquisitions raise the demand by at most the units in use plus this many.
+/// Rejected acquisitions since the last request count as demand up to `in_use` plus this.
 const MAX_REJECTED_DEMAND: u64 = 8;
 
 /// The state of one budget at one proxy.
@@ -18,7 +18,8 @@
     pub(super) quota: Quota,
     /// Held units in use; 0 for a rate.
     pub(super) in_use: u64,
-    /// Peak of the units in use or demanded since the last request; for a rate, thousandths of a unit spent or demanded.
+    /// Peak of the units in use or demanded since the last request; for a rate, thousandths of a unit spent or
+    /// demanded.
     peak: u64,
     /// Peaks of the last request intervals, newest first; for a rate, per second.
     recent_peaks: [u64; REMEMBERED_PEAKS],
@@ -26,9 +27,10 @@
     rejected: u64,
     /// The token bucket of a rate.
     tokens: TokenBucket,
-    /// Since the last request the demand exceeded the quota, or units were requested with no more than the floor granted.
+    /// Since the last request, an acquisition was rejected, or demand was raised while no more than the floor was
+    /// granted.
     pub(super) has_unmet_demand: bool,
-    /// The budget is no longer to be enforced and is dropped once none of its units is in use.
+    /// The holder has stopped enforcing the budget, which is dropped once none of its units is in use.
     pub(super) drop_when_unused: bool,
 }
 
@@ -43,7 +45,7 @@
         self.quota.units_in(expiry.phase(now))
     }
 
-    /// Applies a newly granted quota. Returns whether it is smaller than the previous one.
+    /// Applies a newly granted quota. Returns whether it has fewer units than the previous one.
     pub(super) fn replace_quota(&mut self, quota: Quota, now: u64) -> bool {
         if quota.is_rate != self.quota.is_rate {
             self.tokens = TokenBucket::empty(now);
@@ -53,7 +55,7 @@
         has_shrunk
     }
 
-    /// Drops the quota. Returns whether there was one.
+    /// Drops the quota. Returns whether it had units.
     pub(super) fn clear_quota(&mut self) -> bool {
         let had_units = self.quota.units > 0;
         self.quota = Quota { is_rate: self.quota.is_rate, ..Quota::default() };
@@ -74,15 +76,15 @@
             self.peak = self.peak.max(self.in_use);
             return AcquireDecision::Acquired;
         }
-        // A rejected acquisition counts as demand. Retries of one caller must not raise the demand without bound, so it
-        // is limited to about twice the units in use.
+        // A rejected acquisition counts as demand. Retries of one caller must not raise the demand without bound, so
+        // the demand is limited to twice the units in use plus [`MAX_REJECTED_DEMAND`].
         self.rejected = (self.rejected + 1).min(self.in_use + MAX_REJECTED_DEMAND);
         self.peak = self.peak.max(self.in_use + self.rejected);
         self.has_unmet_demand = true;
         AcquireDecision::Exhausted
     }
 
-    /// Spends one unit of a rate.
+    /// Spends one unit of a rate if the bucket contains one. Counts as demand in either case.
     pub(super) fn spend(&mut self) -> AcquireDecision {
         self.peak = self.peak.saturating_add(TOKENS_PER_UNIT);
         if self.tokens.take_unit() {
@@ -92,14 +94,14 @@
         AcquireDecision::Exhausted
     }
 
-    /// Raises the reported demand to `units`.
+    /// Raises the reported demand to at least `units`.
     pub(super) fn raise_demand(&mut self, units: u64) {
         self.peak = self.peak.max(units);
         self.has_unmet_demand |= self.quota.units <= self.quota.floor;
     }
 
-    /// The need to report with a request sent `since_last_us` microseconds after the previous one. Starts a new interval
-    /// for the peak.
+    /// Returns the need to report with a request sent `since_last_us` microseconds after the previous one, and starts a
+    /// new interval for the peak, the rejected acquisitions and the unmet demand.
     pub(super) fn next_need(&mut self, since_last_us: u64) -> QuotaNeed {
         self.recent_peaks.rotate_right(1);
         self.recent_peaks[0] =
--- a/crates/decisions/src/quota/max_min_fair.rs
+++ b/crates/decisions/src/quota/max_min_fair.rs
@@ -12,7 +12,7 @@
 /// Divides `total` units among the claims and returns the units of each, in the order of `claims`.
 ///
 /// No claim gets more than its demand, and no claim can be raised without lowering one that has no more units than it.
-/// Units left over by rounding go one each to the claims in order of priority.
+/// Units left over by rounding go one each to the claims with unmet demand, in order of priority.
 pub fn max_min_fair(total: u64, claims: &[Claim]) -> Vec<u64> {
     let mut by_demand: Vec<usize> = (0..claims.len()).collect();
     by_demand.sort_unstable_by_key(|index| (claims[*index].demand, *index));
--- a/crates/decisions/src/quota/mod.rs
+++ b/crates/decisions/src/quota/mod.rs
@@ -2,14 +2,14 @@
 //!
 //! [`table`] is the granter's side, replicated at every keeper; [`lease_holder`] is the proxy's side. They communicate
 //! only by messages, which may be delayed, lost, duplicated or reordered. The units in use over all proxies must never
-//! exceed a budget's total. This holds because
+//! exceed a budget's total, unless operators lower the total below the units already committed. This holds because
 //!
-//! - a holder counts its lease from when it *sent* the request; the table counts it from when the grant was agreed, which
-//!   is later, and extends it by the bound on clock drift;
+//! - a holder counts its lease from when it *sent* the request; the table counts it from when the grant was committed,
+//!   which is later, and extends it by the bound on clock drift;
 //! - the table commits to a holder the largest of all grants that the holder may still use: an older, larger grant is
 //!   committed until the holder reports that it applied a newer one, or until the older one must have expired;
-//! - units in use stay committed beyond the lease, for as long as a unit can stay in use after it;
-//! - a floor is committed before the holder receives it, and for the membership, which is longer than the lease.
+//! - units in use stay committed beyond the lease, for as long as a unit can stay in use after the lease;
+//! - a floor is committed before the holder receives it, and until the membership expires rather than the lease.
 
 pub mod allocation;
 mod division;
@@ -43,13 +43,15 @@
     /// Units that may be in use at once; for a rate, thousandths of a unit per second.
     #[prost(uint64, tag = "1")]
     pub total: u64,
-    /// Units of the total that each proxy may still use after its lease has expired, until the membership expires.
+    /// Units of the total that each proxy may still use after its lease has expired, until the membership expires;
+    /// fewer if the total does not suffice for all proxies.
     #[prost(uint64, tag = "2")]
     pub floor: u64,
     /// Rates only: units that the whole fleet may spend at once. 0 for held units.
     #[prost(uint64, tag = "3")]
     pub burst: u64,
-    /// Held units only: longest time that a unit stays in use after the lease under which it was acquired. Microseconds.
+    /// Held units only: longest time that a unit stays in use after the lease under which it was acquired.
+    /// Microseconds.
     #[prost(uint64, tag = "4")]
     pub outlives_us: u64,
     /// The budget applies to each key separately. Holders append the key after a slash, as in `links/m-1`.
@@ -90,8 +92,8 @@
     /// Needs by budget.
     #[prost(btree_map = "string, message", tag = "3")]
     pub needs: BTreeMap<String, QuotaNeed>,
-    /// Another process held the name: the request takes over its session only if that process has sent no request for a
-    /// lease.
+    /// The holder's session was taken over or removed: the request takes over the session of another process only if
+    /// that process has sent no request for a lease.
     #[prost(bool, tag = "4")]
     pub yields_name: bool,
 }
--- a/crates/decisions/src/quota/table.rs
+++ b/crates/decisions/src/quota/table.rs
@@ -1,8 +1,8 @@
 //! The granter's side of the fleet's quotas: the units committed to each proxy, and until when. The table is replicated
-//! at every keeper and changed only by entries of the agreed log; [`crate::membership`] describes log time.
+//! at every keeper and changed only by entries of the replicated log; [`crate::membership`] describes log time.
 //!
-//! The table must be deterministic: it reads no clock, draws no random numbers, and depends on no order but that of keys
-//! and commands.
+//! The table must be deterministic: it reads no clock, draws no random numbers, and depends on no order but that of
+//! keys and commands.
 
 pub use super::allocation::{ActiveGrant, Allocation, BudgetEntry};
 
@@ -15,7 +15,7 @@
 use crate::membership::{LeaseTerms, Membership, SessionRejected, SessionUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A quota command in the agreed log.
+/// A quota command in the replicated log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QuotaCommand {
     /// Declares the budgets, replacing the previous declaration.
@@ -24,7 +24,8 @@
         terms: LeaseTerms,
         /// All declared budgets, by name.
         budgets: Budgets,
-        /// Revision of the declaration. A declaration whose revision is not higher than the agreed one is ignored.
+        /// Revision of the declaration. The declaration is ignored unless it is the first one or its revision is higher
+        /// than that of the declaration in force.
         revision: u64,
     },
     /// An instance requests its quotas.
@@ -40,7 +41,7 @@
         /// The request as received.
         request: QuotaRequest,
     },
-    /// Operators remove an instance for good. Its allocations expire as granted, and it gets no further grant.
+    /// Operators remove an instance. Its allocations expire as granted, and its incarnation gets no further grant.
     Remove {
         /// Name of the instance.
         name: String,
@@ -63,9 +64,9 @@
 pub struct Overcommitment<'a> {
     /// Name of the entry.
     pub entry: &'a str,
-    /// Units that can be in use.
+    /// Committed units: the most that can be in use.
     pub committed: u64,
-    /// Units that may be in use.
+    /// Total of the budget; 0 if it is no longer declared.
     pub total: u64,
 }
 
@@ -97,8 +98,8 @@
 }
 
 impl QuotaTable {
-    /// Applies a log entry: advances log time by `elapsed`, then applies the commands in order. `elapsed` is measured in
-    /// microseconds on the leader's clock since its previous entry, or since it became leader.
+    /// Applies a log entry: advances log time by `elapsed`, then applies the commands in order. `elapsed` is measured
+    /// in microseconds on the leader's clock since its previous entry, or since it became leader.
     ///
     /// Returns an answer to each request: first the rejections, then the grants, each in the order of the commands.
     pub fn apply(&mut self, elapsed: u64, commands: Vec<QuotaCommand>) -> Vec<QuotaReply> {
@@ -124,7 +125,8 @@
         replies
     }
 
-    /// Whether a declaration of this revision is applied. A new leader with an older file must not undo a newer one.
+    /// Whether a declaration of this revision is applied: it is the first one, or its revision is higher than that of
+    /// the declaration in force. A new leader with an older configuration must not undo a newer declaration.
     pub fn accepts_revision(&self, revision: u64) -> bool {
         revision > self.revision || self.terms == LeaseTerms::default()
     }
@@ -139,7 +141,7 @@
         entries.filter(|entry| entry.committed > entry.total).collect()
     }
 
-    /// Drops expired grants and sessions, and entries left without an allocation.
+    /// Drops expired grants and sessions, and entries left without an allocation unless they are permanent.
     fn expire(&mut self) {
         let now = self.membership.now;
         let kept_for = self.session_span();
@@ -157,6 +159,7 @@
 
     /// Replaces the declaration by one of a newer revision. All allocations are kept, also those of budgets that are no
     /// longer declared: if such a budget is declared again with a smaller total, its unexpired units must still count.
+    /// Budgets beyond [`MAX_BUDGETS`] are ignored.
     fn declare(&mut self, terms: LeaseTerms, budgets: Budgets, revision: u64) {
         if !self.accepts_revision(revision) {
             return;
@@ -206,7 +209,7 @@
         entries.for_each(|entry| entry.allocations.retain(|i, _| incarnations.contains(i)));
     }
 
-    /// Adds the entries of per-key budgets that a request names for the first time.
+    /// Adds the entries of per-key budgets that a request names for the first time, up to [`MAX_BUDGET_ENTRIES`].
     fn open_keyed_entries(&mut self, request: &QuotaRequest) {
         for name in request.needs.keys().filter(|name| name.len() <= MAX_ENTRY_NAME_BYTES) {
             if self.entries.contains_key(name) || self.entries.len() >= MAX_BUDGET_ENTRIES {
@@ -275,8 +278,8 @@
     let division = Division::of(entry, budget, context);
     let mut committed = entry.committed(context.now);
     for (AcceptedRequest { incarnation, request, .. }, quotas) in accepted.iter().zip(quotas) {
-        // The allocation of a key that a holder no longer names must expire. A new grant would make the holder name the
-        // key again, and the allocation would never expire.
+        // The allocation of a key that a holder no longer names must expire. A new grant with each request would renew
+        // the allocation, so that it would never expire.
         if is_per_key && !request.needs.contains_key(name) {
             continue;
         }
--- a/crates/decisions/src/quota/token_bucket.rs
+++ b/crates/decisions/src/quota/token_bucket.rs
@@ -34,8 +34,8 @@
         true
     }
 
-    /// Adds the tokens that accrued up to `now`, at the rate of the quota until the lease expires and of the floor after
-    /// that. Tokens beyond the bucket size at `now` are lost.
+    /// Adds the tokens that accrued up to `now`, at the rate of the quota until the lease expires and of the floor
+    /// after that. Tokens beyond the bucket size at `now` are lost.
     pub(super) fn refill(&mut self, now: u64, quota: &Quota, expiry: LeaseExpiry, drift_ppm: u64) {
         let from = self.refilled_at;
         self.refilled_at = from.max(now);
--- a/crates/decisions/src/service_objective.rs
+++ b/crates/decisions/src/service_objective.rs
@@ -1,17 +1,19 @@
 //! The weight of a request in the site's service objective, which has an extra weight for the worst-served class. No
 //! I/O; it is driven by the requests that arrive and those that are served.
 //!
-//! Under overload, all requests of the class with the least weight for its work would be rejected. If the objective
-//! weighs the worst-served class, the priority of its requests rises until other classes are served as badly.
+//! Under overload, all requests of the class with the least weight relative to its work would be rejected. If the
+//! objective has an extra weight for the worst-served class, the priority of this class's requests rises until other
+//! classes are served as badly.
 
 use crate::api::{ClassId, ObjectiveWeights, Time};
 
 /// Time constant with which requested and served weights decay. Microseconds. The objective covers whole days, but the
 /// state of members changes within seconds.
 const DECAY_TIME: f64 = 30_000_000.0;
-/// Scale of the served share within which classes share the extra weight of the worst-served class.
+/// A class whose served share exceeds that of the worst-served class by this gets 1/e of that class's part of the extra
+/// weight.
 const NEARNESS_SCALE: f64 = 0.05;
-/// Fewest recent requests of a class for which its served share is used.
+/// Minimum number of recent requests of a class, after decay, for which its served share is used.
 const REQUESTS_MIN: f64 = 20.0;
 
 /// The recently requested and served weight of one class.
@@ -44,7 +46,7 @@
 }
 
 impl ServiceObjective {
-    /// A record without requests. `class_weights` yields the weight of one request of each class.
+    /// An objective without requests. `class_weights` yields the weight of one request of each class.
     pub fn new(weights: ObjectiveWeights, class_weights: impl Iterator<Item = f64>) -> ServiceObjective {
         let classes = class_weights.map(|weight| ClassTotals { weight, ..ClassTotals::default() }).collect();
         ServiceObjective { weights, classes, decayed_at: Time::default() }
@@ -74,7 +76,8 @@
         }
     }
 
-    /// The factor by which the weight of a request of this class is multiplied.
+    /// The factor by which the weight of a request of this class is multiplied; 1 without weights or with too few
+    /// requests.
     fn priority_factor(&self, class: ClassId) -> f64 {
         let has_weights = self.weights.total > 0.0;
         let totals = self.classes.get(class.0).filter(|totals| has_weights && totals.has_enough_requests());
--- a/crates/decisions/src/staleness.rs
+++ b/crates/decisions/src/staleness.rs
@@ -5,8 +5,8 @@
 
 use crate::api::{Micros, Time};
 
-/// A silence of this length is logged, and again each time its length has doubled. Discovery sends a message at least
-/// every 2 s, possibly without changes; this is three times that.
+/// Length of silence that is logged first; after each notice the next one is due when the length has doubled. Discovery
+/// sends a message at least every 2 s, possibly without changes; 6 s is three such intervals.
 const FIRST_NOTICE_AFTER: Micros = Micros(6_000_000);
 
 /// A change of discovery's silence that is to be logged.
@@ -34,7 +34,8 @@
         StalenessMonitor { last_message: now, last_list: None, next_notice: FIRST_NOTICE_AFTER }
     }
 
-    /// Records a message of discovery, with or without changes. Returns a notice if the silence before it was logged.
+    /// Records a message of discovery, with or without changes. Returns a notice if the silence before the message was
+    /// logged.
     pub fn record_message(&mut self, now: Time) -> Option<Notice> {
         let silence = self.silence(now);
         let was_logged = self.next_notice > FIRST_NOTICE_AFTER;
@@ -58,7 +59,7 @@
         self.last_list.map(|at| elapsed(at, now))
     }
 
-    /// Returns a notice if the silence is to be logged now.
+    /// Returns a notice if one is due, and sets when the next one is due.
     pub fn check_silence(&mut self, now: Time) -> Option<Notice> {
         let silence = self.silence(now);
         if silence < self.next_notice {
--- a/crates/decisions/src/tenant_rate_limit.rs
+++ b/crates/decisions/src/tenant_rate_limit.rs
@@ -22,8 +22,8 @@
     }
 
     /// Records a request that arrived at `now`, and returns whether it exceeds `rate`, in requests per second. A burst
-    /// may have as many requests as one second at that rate, and at least one. A request over the rate is not added to
-    /// the bucket, so it does not count against later ones.
+    /// may have one request more than arrive in a second at that rate, and at least two. A request over the rate is not
+    /// added to the bucket, so it does not count against later ones.
     pub fn exceeds(&mut self, now: Time, rate: f64) -> bool {
         let leaked = now.saturating_since(self.updated_at).as_f64() / SECOND_US * rate;
         let level = (self.level - leaked).max(0.0);
--- a/crates/decisions/src/watch_schedule.rs
+++ b/crates/decisions/src/watch_schedule.rs
@@ -1,16 +1,16 @@
 //! The schedule by which the watch at the local agent is opened: a state machine without I/O that is driven by the
 //! opening and the end of each watch.
 //!
-//! Where lists are pushed, an agent on the proxy's machine holds the lists that discovery sent. It answers at once and
-//! without load on other proxies, and the lists that it holds count as notified. No calls need to be spread, as they do
-//! where one service answers a whole fleet ([`crate::poll_schedule`]): the first watch is opened at the start, and the
-//! next one as soon as a watch ends. Only an agent that is unreachable, or that ends each watch right after its
-//! opening, is retried with a backoff. The backoff is bounded by a part of the drain grace, since the list at the agent
-//! may contain a drain. At most one watch is open at any time.
+//! Where lists are pushed, an agent on the proxy's machine holds the lists that discovery sent. The agent answers at
+//! once and without load on other proxies, and its lists count as notified. Unlike calls to one service that answers a
+//! whole fleet ([`crate::poll_schedule`]), its watches need not be spread over time: the first one is opened at the
+//! start, and the next one as soon as a watch ends. Only an agent that is unreachable, or that ends a watch within
+//! 1 s, is retried with a backoff. The backoff is bounded by a part of the drain grace, since the list at the agent may
+//! contain a drain. At most one watch is open at any time.
 
 use crate::api::{Micros, Time};
 
-/// First gap before an unreachable agent is retried.
+/// Gap after a first watch that failed or ended early; it doubles with each further one.
 const FIRST_GAP: Micros = Micros(10_000);
 /// The longest gap is the drain grace divided by this, but at most [`GAP_MAX`].
 const GRACE_DIVISOR: u64 = 4;
@@ -48,8 +48,9 @@
         self.opened_at = now;
     }
 
-    /// Records that the watch ended or could not be opened. `chance`, a random number from 0 to 1, places the next one
-    /// in the later half of the gap, since all proxies of a machine lose their agent at the same time.
+    /// Records that the watch ended or could not be opened. The next one is due at once after a watch that was open for
+    /// at least 1 s, and after a gap otherwise. `chance`, a random number from 0 to 1, places it in the later half of
+    /// the gap, since all proxies of a machine lose their agent at the same time.
     pub fn watch_ended(&mut self, now: Time, chance: f64) {
         let stable = now.0.saturating_sub(self.opened_at.0) >= STABLE_AFTER.0;
         self.gap = if stable { 0 } else { (self.gap * 2).clamp(FIRST_GAP.0, self.longest_gap) };
--- a/crates/decisions/src/zone_health.rs
+++ b/crates/decisions/src/zone_health.rs
@@ -2,15 +2,15 @@
 //!
 //! A router of a large fleet sends each member one request every few seconds. After the loss of a zone it would detect
 //! the failure one member at a time, each at the cost of a request. The attempts in flight in the zone, taken together,
-//! show it much sooner: if the zone were healthy, each attempt would be answered at a rate of one in its usual latency,
-//! so the probability of no answer decreases exponentially with the sum of their waits, each in units of its usual
-//! latency.
+//! show the failure much sooner: if the zone were healthy, each attempt would be answered at a rate of one per expected
+//! latency, so the probability of no answer decreases exponentially with the sum of their waits, each in units of the
+//! attempt's expected latency.
 
 use crate::api::{MemberId, Time, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Sum of relative waits from which on a zone counts as unresponsive. In a healthy zone about one gap in 3,000 between
-/// answers reaches it.
+/// Sum of relative waits at which a zone counts as unresponsive. In a healthy zone, about one gap in 3,000 between
+/// answers reaches this sum.
 const UNRESPONSIVE_THRESHOLD: f64 = 8.0;
 /// Fewest members with an overdue attempt: one or two may have a fault of their own.
 const OVERDUE_MEMBERS_MIN: usize = 3;
@@ -27,7 +27,7 @@
     pub member: MemberId,
     /// When it was sent.
     pub sent: Time,
-    /// Usual latency of an answer, in microseconds.
+    /// Expected latency of an answer, in microseconds.
     pub usual: f64,
 }
 
@@ -40,9 +40,10 @@
 /// Evidence from the attempts in flight that a zone is unresponsive.
 #[derive(Default)]
 struct UnresponsiveEvidence {
-    /// Sum of the waits, each in units of the attempt's usual latency.
+    /// Sum of the waits since the zone's last answer, each in units of the attempt's expected latency and at most
+    /// [`RELATIVE_WAIT_MAX`].
     relative_waits: f64,
-    /// Members with an attempt that has waited for its usual latency or longer.
+    /// Members with an attempt that has waited for its expected latency or longer since the zone's last answer.
     overdue_members: BTreeSet<MemberId>,
 }
 
@@ -71,8 +72,8 @@
     }
 
     /// The zones that are unresponsive according to the attempts in flight. Only a zone that has answered before can be
-    /// unresponsive, and only if another zone has answered since: if no zone answers, the fault is probably on this
-    /// side.
+    /// unresponsive, and only if another zone has answered since: if no zone answers, the fault is probably at
+    /// this router.
     pub fn unresponsive_zones(
         &self, now: Time, in_flight: impl Iterator<Item = InFlightAttempt>,
     ) -> Vec<ZoneId> {
