--- a/crates/decisions/src/client_retry.rs
+++ b/crates/decisions/src/client_retry.rs
@@ -140,9 +140,9 @@
     fn longest_common(&self) -> Option<u64> {
         let common = || self.tracked.iter().filter(|tracked| self.is_common(tracked));
         let together: u32 = common().map(|tracked| tracked.count).sum();
-        let is_known = self.requests >= REQUESTS_MIN
+        let is_sufficient = self.requests >= REQUESTS_MIN
             && together.saturating_mul(COMMON_TOTAL_MIN_DIVISOR) >= self.requests;
-        common().map(|tracked| tracked.timeout).max().filter(|_| is_known)
+        common().map(|tracked| tracked.timeout).max().filter(|_| is_sufficient)
     }
 
     fn halve_counts(&mut self) {
--- a/crates/decisions/src/maintenance.rs
+++ b/crates/decisions/src/maintenance.rs
@@ -48,7 +48,7 @@
                 )
             }
             OrderRejected::TooManyOrders => {
-                write!(f, "the maximum of {ORDERS_MAX} members are out of service by maintenance orders")
+                write!(f, "all {ORDERS_MAX} maintenance orders in the table are for members out of service")
             }
         }
     }
