--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -122,22 +122,14 @@
 
 impl fmt::Display for SessionRejected {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            SessionRejected::InvalidName => {
-                write!(f, "the instance name is empty or longer than {MAX_NAME_BYTES} bytes")
-            }
-            SessionRejected::Superseded => {
-                f.write_str("a later incarnation replaced this one, or operators removed it")
-            }
-            SessionRejected::NameInUse => f.write_str("another incarnation of this instance name is live"),
-            SessionRejected::DuplicateIncarnation => {
-                f.write_str("the incarnation already holds a session under another instance name")
-            }
-            SessionRejected::StaleRequest => {
-                f.write_str("a request with the same or a higher sequence number was already accepted")
-            }
-            SessionRejected::TableFull => write!(f, "all {MAX_SESSIONS} sessions are in use"),
-        }
+        f.write_str(match self {
+            SessionRejected::InvalidName => "the name is empty or too long",
+            SessionRejected::Superseded => "a later incarnation replaced this one, or operators removed it",
+            SessionRejected::NameInUse => "another incarnation of this name is live",
+            SessionRejected::DuplicateIncarnation => "the incarnation holds a session under another name",
+            SessionRejected::StaleRequest => "a request of the same or a higher number was accepted before",
+            SessionRejected::TableFull => "there are as many sessions as the keepers can hold",
+        })
     }
 }
 
