--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -120,6 +120,7 @@
     }
 }
 
+// Keepers send these texts to proxies, so they must not change (`docs/OUTER-NAMES.txt`).
 impl fmt::Display for SessionRejected {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
