--- a/tests/outages.rs
+++ b/tests/outages.rs
@@ -98,7 +98,10 @@
         for (proxy, answer) in calls.into_iter().enumerate() {
             match answer.await.expect("done").expect("an answer") {
                 (200, _) => standing_by.push(proxy),
-                (409, text) => assert!(text.contains("out"), "it says who is out: {text}"),
+                (409, text) => {
+                    assert!(text.contains("unavailable proxies in the fleet"), "the reached limit: {text}");
+                    assert!(text.contains("proxy/p"), "it says who is out: {text}");
+                }
                 other => panic!("p{proxy}: {other:?}"),
             }
         }
