--- a/crates/cluster/src/protocol.rs
+++ b/crates/cluster/src/protocol.rs
@@ -35,11 +35,11 @@
     /// Incarnation of the sender; for a keeper, its Raft identifier.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
-    /// Identifier of the sender's replicated log in messages between keepers; 0 in other messages, and from a keeper
-    /// that has not joined yet.
+    /// Identifier of the sender's replicated log in Raft messages, join requests and replies to join requests; 0 in
+    /// other messages, and from a keeper that has not joined yet.
     #[prost(uint64, tag = "5")]
     pub log_id: u64,
-    /// The message; `None` if this version does not support it.
+    /// The message; `None` if this version does not support it, in which case it is ignored.
     #[prost(oneof = "Body", tags = "10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21")]
     pub body: Option<Body>,
 }
@@ -50,7 +50,7 @@
     /// A message of the Raft engine, between keepers.
     #[prost(bytes = "vec", tag = "10")]
     Raft(Vec<u8>),
-    /// A proxy's request to the leader for quotas, which also renews its membership.
+    /// A proxy's request to the leader for quotas, which also renews its session and reports availability.
     #[prost(message, tag = "11")]
     LeaseRequest(LeaseRequest),
     /// Grant of a [`LeaseRequest`].
@@ -59,7 +59,8 @@
     /// Rejection of a [`LeaseRequest`].
     #[prost(message, tag = "13")]
     LeaseRejected(LeaseRejected),
-    /// The keeper does not lead, or has too many pending requests.
+    /// Answer to a [`LeaseRequest`] by a keeper that does not lead or has too many pending requests, and to all pending
+    /// requests of a keeper that ceased to lead.
     #[prost(message, tag = "14")]
     NotLeader(NotLeader),
     /// Requests an instance's [`Status`].
@@ -112,7 +113,8 @@
     /// The proxy's allocations.
     #[prost(message, required, tag = "1")]
     pub grant: Grant,
-    /// Members to which no new requests may be sent; `None` if the proxy already applies the current edition.
+    /// Members to which no new requests may be sent; `None` if the request reported that the proxy applies the current
+    /// edition.
     #[prost(message, optional, tag = "2")]
     pub quarantine: Option<Quarantine>,
 }
@@ -137,7 +139,7 @@
 /// Redirects a request to the leader.
 #[derive(Clone, PartialEq, Message)]
 pub struct NotLeader {
-    /// Name of the leader; empty while it is unknown.
+    /// Name of the leader; empty if it is unknown, or if the sender leads and has too many pending requests.
     #[prost(string, tag = "1")]
     pub leader: String,
 }
@@ -154,14 +156,14 @@
 /// replace.
 #[derive(Clone, PartialEq, Message)]
 pub struct OperatorRequest {
-    /// Name of a proxy to remove, because it will not return.
+    /// Name of a decommissioned proxy, whose session is removed before it expires.
     #[prost(string, tag = "1")]
     pub remove: String,
-    /// Name of a keeper that lost its store. Its old Raft identifier is removed from the voters, so that a new store
-    /// may join.
+    /// Name of a keeper that lost its store. Its old Raft identifier is removed from the voters, so that the keeper can
+    /// join with a new store.
     #[prost(string, tag = "2")]
     pub replace: String,
-    /// Budgets and lease terms that replace the agreed ones.
+    /// Budgets, lease terms and disruption limits that replace the committed ones.
     #[prost(message, optional, tag = "3")]
     pub declare: Option<Declaration>,
     /// A change to the disruption table.
@@ -172,13 +174,13 @@
 /// Outcome of an [`OperatorRequest`] or a [`JoinRequest`].
 #[derive(Clone, PartialEq, Message)]
 pub struct OperatorReply {
-    /// The change was made, or is in progress.
+    /// The request was accepted: the change is committed or proposed, or was not necessary.
     #[prost(bool, tag = "1")]
     pub ok: bool,
     /// Description of the outcome, for operators.
     #[prost(string, tag = "2")]
     pub text: String,
-    /// Names of the proxies that have not confirmed the change yet.
+    /// Names of the proxies that have not confirmed yet that they apply the quarantine of a permit.
     #[prost(string, repeated, tag = "3")]
     pub unconfirmed: Vec<String>,
     /// The request was not decided, because the keeper does not lead.
@@ -195,13 +197,13 @@
     /// Name of the leader; empty while it is unknown.
     #[prost(string, tag = "2")]
     pub leader: String,
-    /// Raft term.
+    /// Raft term; 0 at a proxy.
     #[prost(uint64, tag = "3")]
     pub term: u64,
     /// Index of the last applied log entry; 0 at a proxy.
     #[prost(uint64, tag = "4")]
     pub applied: u64,
-    /// Addresses of the keepers, by name.
+    /// Addresses of the keepers by name: the voters in the applied state, or at a proxy those in its operators' file.
     #[prost(btree_map = "string, string", tag = "5")]
     pub keepers: BTreeMap<String, String>,
     /// Sessions of the proxies; empty at a proxy.
@@ -210,7 +212,8 @@
     /// Budgets of the fleet; at a proxy, those that it enforces.
     #[prost(message, repeated, tag = "7")]
     pub budgets: Vec<BudgetStatus>,
-    /// Time since a keeper last applied an entry, or since a proxy's last grant, in milliseconds.
+    /// Time since a keeper last applied an entry, or since a proxy's last grant; since the start if there was none.
+    /// Milliseconds.
     #[prost(uint64, tag = "8")]
     pub log_age_ms: u64,
     /// Subjects that are unavailable, or have a permit to be unavailable; empty at a proxy.
@@ -218,7 +221,7 @@
     pub unavailable: Vec<UnavailableStatus>,
 }
 
-/// An unavailable subject, for operators.
+/// A subject that is unavailable or has a permit, for operators.
 #[derive(Clone, PartialEq, Message)]
 pub struct UnavailableStatus {
     /// Key of the subject: `proxy/NAME` or `member/ID`.
@@ -230,10 +233,10 @@
     /// Number of the permit; 0 without a permit.
     #[prost(uint64, tag = "3")]
     pub permit: u64,
-    /// Name of the permit's requester.
+    /// Name of the permit's requester; empty without a permit.
     #[prost(string, tag = "4")]
     pub requested_by: String,
-    /// Reason of the permit.
+    /// Reason of the permit; empty without a permit.
     #[prost(string, tag = "5")]
     pub reason: String,
     /// The permit was granted by force, without a check of the limits.
@@ -259,24 +262,24 @@
     /// Time since the proxy's last lease request, in milliseconds of log time.
     #[prost(uint64, tag = "5")]
     pub last_request_age_ms: u64,
-    /// The proxy's lease has not expired.
+    /// The proxy may still use leased quotas: its last request is at most a lease old, plus the margin for clock drift.
     #[prost(bool, tag = "6")]
     pub has_lease: bool,
 }
 
-/// A budget, for operators.
+/// An entry of a budget, for operators. Amounts are in units, or in thousandths of a unit per second for a rate.
 #[derive(Clone, PartialEq, Message)]
 pub struct BudgetStatus {
-    /// Name of the budget.
+    /// Name of the budget; for a budget per key, `BUDGET/KEY`.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Total units of the fleet; 0 at a proxy, which does not have this figure.
+    /// Total of the fleet; 0 if the budget is no longer declared, and at a proxy.
     #[prost(uint64, tag = "2")]
     pub total: u64,
-    /// Units that count as granted to any proxy; at a proxy, its current limit.
+    /// The most that all proxies together can have in use; at a proxy, its current limit.
     #[prost(uint64, tag = "3")]
     pub committed: u64,
-    /// Units in use, as last reported by the proxies; at a proxy, its own.
+    /// Units in use, as last reported by the proxies; at a proxy, its own units in use.
     #[prost(uint64, tag = "4")]
     pub in_use: u64,
 }
@@ -294,7 +297,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ProtocolError::Io(error) => write!(f, "{error}"),
-            ProtocolError::Decode(error) => write!(f, "invalid frame: {error}"),
+            ProtocolError::Decode(error) => write!(f, "{error}"),
         }
     }
 }
--- a/crates/cluster/src/transport/call.rs
+++ b/crates/cluster/src/transport/call.rs
@@ -11,7 +11,7 @@
 use tokio_util::codec::Framed;
 
 /// Timeout for the answer to a call, counted from the end of the write.
-pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Opens a connection; times out after 1 s.
 ///
@@ -38,11 +38,11 @@
     }
 }
 
-/// Sends a request to the keepers in turn until one accepts it. Returns that reply, or the last rejection by a leader
-/// if none accepts it.
+/// Sends a request to the keepers in turn until one accepts it, and returns its reply. If none accepts the request,
+/// returns the last rejection by a leader.
 ///
 /// # Errors
-/// The last failure if no leader replied, or [`OperatorCallError::NoKeepers`] without keepers.
+/// The last failure if no leader replied to the request, or [`OperatorCallError::NoKeepers`] without keepers.
 pub async fn send_to_leader(
     keepers: &[Keeper], identity: &InstanceIdentity, request: OperatorRequest,
 ) -> Result<OperatorReply, OperatorCallError> {
--- a/crates/cluster/src/transport/error.rs
+++ b/crates/cluster/src/transport/error.rs
@@ -1,7 +1,6 @@
 //! Errors of connections and calls.
 
 use super::IO_TIMEOUT;
-use super::call::ANSWER_TIMEOUT;
 use super::peer::PONG_TIMEOUT;
 use crate::protocol::{PROTOCOL_VERSION, ProtocolError};
 use std::error::Error;
@@ -9,14 +8,15 @@
 use std::io;
 use tokio::time::error::Elapsed;
 
-/// The failure of a connection or a call. Prints as one line.
+/// The failure of a connection or a call. Prints as one line. Answers of the operators' HTTP API include the texts of
+/// failed calls, so these must not change.
 #[derive(Debug)]
 pub enum TransportError {
     /// The connection could not be opened.
     Connect(io::Error),
     /// A frame could not be read or written.
     Protocol(ProtocolError),
-    /// Opening a connection or writing a message timed out.
+    /// Opening a connection, or writing the message of a call, timed out.
     Timeout(Elapsed),
     /// The sender belongs to the fleet of this name, which is not the receiver's.
     ClusterMismatch(String),
@@ -28,26 +28,31 @@
     AnswerTimeout,
     /// The peer closed a persistent connection.
     ConnectionClosed,
-    /// The peer of a persistent connection did not answer pings before the timeout.
+    /// No message, including answers to pings, arrived on a persistent connection before the timeout.
     PeerUnresponsive,
-    /// Writing to a persistent connection timed out, because the peer does not read.
+    /// Writing to an open connection timed out, for example because the peer does not read.
     WriteBlocked,
 }
 
 impl fmt::Display for TransportError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            TransportError::Connect(error) => write!(f, "cannot connect: {error}"),
+            TransportError::Connect(error) => write!(f, "{error}"),
             TransportError::Protocol(error) => write!(f, "{error}"),
-            TransportError::Timeout(_) => write!(f, "connect or write timed out after {IO_TIMEOUT:?}"),
+            TransportError::Timeout(error) => write!(f, "{error}"),
             TransportError::ClusterMismatch(cluster) => write!(f, "it is of the fleet '{cluster}'"),
             TransportError::VersionMismatch(version) => {
                 write!(f, "received protocol version {version}, expected {PROTOCOL_VERSION}")
             }
-            TransportError::ClosedWithoutAnswer => f.write_str("connection closed before an answer"),
-            TransportError::AnswerTimeout => write!(f, "no answer within {ANSWER_TIMEOUT:?}"),
-            TransportError::ConnectionClosed => f.write_str("closed by the peer"),
-            TransportError::PeerUnresponsive => write!(f, "no answer to pings within {PONG_TIMEOUT:?}"),
+            TransportError::ClosedWithoutAnswer => f.write_str("it ended the connection"),
+            TransportError::AnswerTimeout => f.write_str("no answer came in time"),
+            TransportError::ConnectionClosed => f.write_str("the peer closed the connection"),
+            TransportError::PeerUnresponsive => {
+                write!(
+                    f,
+                    "no message received from the peer, including answers to pings, within {PONG_TIMEOUT:?}"
+                )
+            }
             TransportError::WriteBlocked => write!(f, "write timed out after {IO_TIMEOUT:?}"),
         }
     }
@@ -82,24 +87,25 @@
     }
 }
 
-/// Why an operator's request was not decided by a leader.
+/// Why no leader decided on a request of operators, or on a proxy's disruption request. Answers of the operators' HTTP
+/// API include these texts, so they must not change.
 #[derive(Debug)]
 pub enum OperatorCallError {
     /// No keeper is configured.
     NoKeepers,
-    /// This keeper does not lead.
+    /// The keeper does not lead.
     NotLeader {
         /// Name of the keeper.
         keeper: String,
-        /// Text of its reply.
+        /// Text of the keeper's reply, which names the leader if it is known.
         text: String,
     },
-    /// This keeper answered with a message that is not an operator reply.
+    /// The keeper answered with a message that is not an operator reply.
     UnexpectedAnswer {
         /// Name of the keeper.
         keeper: String,
     },
-    /// The call to this keeper failed.
+    /// The call to the keeper failed.
     Transport {
         /// Name of the keeper.
         keeper: String,
@@ -114,7 +120,7 @@
             OperatorCallError::NoKeepers => f.write_str("there is no keeper"),
             OperatorCallError::NotLeader { keeper, text } => write!(f, "{keeper}: {text}"),
             OperatorCallError::UnexpectedAnswer { keeper } => {
-                write!(f, "{keeper}: expected an operator reply, received another message")
+                write!(f, "{keeper}: an answer that is none")
             }
             OperatorCallError::Transport { keeper, source } => write!(f, "{keeper}: {source}"),
         }
--- a/crates/cluster/src/transport/mod.rs
+++ b/crates/cluster/src/transport/mod.rs
@@ -1,8 +1,9 @@
 //! Connections between instances: a server that accepts them, one-shot calls, and one persistent connection to each
 //! other keeper.
 //!
-//! Forwards messages without interpreting their content, except that it answers pings and accepts long frames from
-//! keepers only. Messages may be lost, delayed or duplicated; the layers above must tolerate it.
+//! Forwards messages without interpreting their content. The server rejects messages of other fleets and protocol
+//! versions, answers pings, and accepts long frames from keepers only. Messages may be lost, delayed or duplicated,
+//! which the layers above must tolerate.
 
 mod call;
 mod error;
@@ -43,7 +44,7 @@
 }
 
 impl InstanceIdentity {
-    /// Creates a message from this instance. `log_id` is 0 in messages that are not between keepers.
+    /// Creates a message from this instance. For `log_id`, see [`Envelope::log_id`].
     pub fn envelope(&self, log_id: u64, body: Body) -> Envelope {
         Envelope {
             cluster: self.cluster.clone(),
--- a/crates/cluster/src/transport/peer.rs
+++ b/crates/cluster/src/transport/peer.rs
@@ -13,11 +13,12 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, interval, sleep, timeout};
 
-/// Longest delay before a failed connection is reopened; the delay doubles from [`MIN_RETRY_DELAY`].
+/// Longest delay before a failed connection is reopened. The delay doubles from [`MIN_RETRY_DELAY`] with each failure
+/// in a row.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Interval between pings. A connection cut by the network is detected only by missing answers to them.
+/// Interval between pings. Without pings, a connection that the network has cut is not detected while it is idle.
 const PING_INTERVAL: Duration = Duration::from_millis(500);
-/// Time without a received message after which the connection is closed.
+/// Time without a received message after which the connection is closed, checked when a ping is due.
 pub(super) const PONG_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// The sending side of a connection to another keeper. The connection is closed once all clones are dropped.
@@ -53,7 +54,7 @@
                 info!("fleet: connected to {address}");
                 retry_delay = MIN_RETRY_DELAY;
                 match exchange(connection, &identity, &mut outgoing).await {
-                    Err(error) => info!("fleet: connection to {address} closed: {error}"),
+                    Err(error) => info!("fleet: connection to {address} failed: {error}"),
                     Ok(()) => return,
                 }
             }
--- a/crates/cluster/src/transport/server.rs
+++ b/crates/cluster/src/transport/server.rs
@@ -27,7 +27,8 @@
     pub reply: mpsc::Sender<Envelope>,
 }
 
-/// Accepts connections from the allowed prefixes and passes their messages to `inbox`. Never returns.
+/// Accepts connections from the allowed prefixes, at most 4096 at once, and passes their messages to `inbox`. Never
+/// returns.
 pub async fn serve(
     listener: TcpListener, allowed: Vec<IpNet>, identity: Rc<InstanceIdentity>,
     inbox: mpsc::Sender<IncomingMessage>,
@@ -47,13 +48,13 @@
             continue;
         }
         let Ok(permit) = permits.clone().try_acquire_owned() else {
-            warn!("fleet: {peer} rejected: {MAX_CONNECTIONS} connections are open");
+            warn!("fleet: connection from {peer} rejected: limit of {MAX_CONNECTIONS} connections reached");
             continue;
         };
         let (identity, inbox) = (identity.clone(), inbox.clone());
         spawn_local(async move {
             if let Err(error) = serve_connection(stream, &identity, inbox).await {
-                warn!("fleet: {peer}: {error}");
+                warn!("fleet: connection from {peer} closed: {error}");
             }
             drop(permit);
         });
@@ -85,12 +86,12 @@
             }
             Some(answer) = answers.recv() => answer,
         };
-        timeout(IO_TIMEOUT, connection.send(outgoing)).await??;
+        timeout(IO_TIMEOUT, connection.send(outgoing)).await.map_err(|_| TransportError::WriteBlocked)??;
     }
 }
 
-/// Rejects messages of other fleets and protocol versions. Once a keeper has sent a message, its connection accepts
-/// long frames.
+/// Rejects messages of other fleets and protocol versions. Once a message names a keeper as its sender, the connection
+/// accepts long frames.
 fn check_sender(
     envelope: &Envelope, identity: &InstanceIdentity, connection: &mut Connection,
 ) -> Result<(), TransportError> {
