--- a/crates/cluster/src/raft_node/bootstrap.rs
+++ b/crates/cluster/src/raft_node/bootstrap.rs
@@ -16,7 +16,7 @@
 pub fn open_store(operator: &Operator, name: &str, begins_log: bool) -> Result<KeeperStore, KeeperError> {
     let directory = operator.store.as_deref().ok_or(KeeperError::MissingSetting("instance.store"))?;
     let keeper = operator.keepers.iter().find(|keeper| keeper.name == name);
-    let address = keeper.ok_or(KeeperError::MissingSetting("a keeper of this name"))?.address;
+    let address = keeper.ok_or_else(|| KeeperError::UnknownKeeper(name.to_string()))?.address;
     if KeeperStore::exists(directory) && !begins_log {
         let store = KeeperStore::open(directory)?;
         let owner = store.identity();
--- a/crates/cluster/src/raft_node/error.rs
+++ b/crates/cluster/src/raft_node/error.rs
@@ -13,6 +13,8 @@
     Engine(raft::Error),
     /// The operators' file lacks this required setting.
     MissingSetting(&'static str),
+    /// The operators' file has no keeper of this name.
+    UnknownKeeper(String),
     /// The snapshot cannot be decoded: it was written by a newer version, or is damaged.
     Snapshot(prost::DecodeError),
     /// The store belongs to another keeper or another fleet.
@@ -29,7 +31,8 @@
         match self {
             KeeperError::Store(error) => write!(f, "the keeper votes no more: {error}"),
             KeeperError::Engine(error) => write!(f, "Raft engine: {error}"),
-            KeeperError::MissingSetting(field) => write!(f, "the operator's file lacks {field}"),
+            KeeperError::MissingSetting(field) => write!(f, "the operators' file lacks {field}"),
+            KeeperError::UnknownKeeper(name) => write!(f, "the operators' file lacks a keeper '{name}'"),
             KeeperError::Snapshot(error) => write!(f, "cannot decode the snapshot: {error}"),
             KeeperError::ForeignStore { keeper, cluster } => {
                 write!(f, "the store belongs to keeper '{keeper}' of fleet '{cluster}'")
@@ -44,7 +47,9 @@
             KeeperError::Store(error) => Some(error),
             KeeperError::Engine(error) => Some(error),
             KeeperError::Snapshot(error) => Some(error),
-            KeeperError::MissingSetting(_) | KeeperError::ForeignStore { .. } => None,
+            KeeperError::MissingSetting(_)
+            | KeeperError::UnknownKeeper(_)
+            | KeeperError::ForeignStore { .. } => None,
         }
     }
 }
--- a/crates/cluster/src/raft_node/mod.rs
+++ b/crates/cluster/src/raft_node/mod.rs
@@ -5,7 +5,8 @@
 //! store itself, because safety depends on the order of writes and messages; it must do no other I/O.
 //!
 //! Only the leader proposes entries. Each entry carries the time that elapsed on the leader's clock since its previous
-//! entry, or since it became leader. Log time therefore does not advance without a leader, so no grant expires early.
+//! entry, or since it became leader. Log time therefore does not advance without a leader, so no grant expires at the
+//! keepers before it expires at its proxy.
 //!
 //! Each step has a module: `ticks` (elections and the declaration of a new leader), `requests` and `operators`
 //! (received messages), `voters` (membership of the keepers), `proposals` (new entries), `ready` (store, messages and
@@ -48,7 +49,7 @@
 
 /// An input of a keeper. `R` is a handle for the reply to a message's sender.
 pub enum Event<R> {
-    /// [`TICK_US`] elapsed since the previous tick.
+    /// At least [`TICK_US`] elapsed since the previous tick.
     Tick,
     /// A message arrived.
     Received(Envelope, R),
@@ -60,7 +61,8 @@
 pub enum Action<R> {
     /// Send a reply to the sender of a received message.
     Reply(R, Envelope),
-    /// Send to the keeper with this Raft identifier. Delivery is not guaranteed; see [`RaftNode::report_unreachable`].
+    /// Send a message to the keeper with this Raft identifier. Delivery is not guaranteed; see
+    /// [`RaftNode::report_unreachable`].
     Send(u64, Envelope),
     /// Open connections to these keepers, by Raft identifier, and close all others.
     SetPeers(BTreeMap<u64, SocketAddr>),
@@ -82,21 +84,23 @@
     actions: Vec<Action<R>>,
     /// Time of the current call. Microseconds.
     now: u64,
-    /// Seed of election timeouts and request identifiers: keepers have different seeds, and simulations are
-    /// reproducible.
+    /// Seed of election timeouts and request identifiers. Keepers must have different seeds; fixed seeds make
+    /// simulations reproducible.
     seed: u64,
-    /// Log time that this keeper has proposed as leader; `None` before its first proposal as leader.
+    /// Time up to which this keeper has proposed log time as leader; `None`, or of an earlier term, while it does not
+    /// lead.
     log_clock: Option<LogClock>,
     proposals: ProposalQueue,
     pending: VecDeque<PendingRequest<R>>,
-    /// Last term in which this keeper, as leader, compared its operators' file with the agreed declaration.
+    /// Last term in which this keeper led and called [`RaftNode::declare_file`]. Once in its term, a leader proposes
+    /// its operators' file, or compares it with the committed declaration to warn operators of differences.
     declared_in_term: Option<u64>,
-    /// Time of the last applied entry. Microseconds.
+    /// Time at which the last entry was applied, or of the start before the first one. Microseconds.
     last_applied_at: u64,
-    /// Last leader that was logged.
+    /// Leader in the last log line about it; `None` if it was unknown.
     logged_leader: Option<String>,
     ticks: u64,
-    /// Number of disruption requests received so far; seeds their request identifiers.
+    /// Number of disruption requests queued as proposals so far; seeds their request identifiers.
     disruption_requests: u64,
 }
 
@@ -149,10 +153,12 @@
         Ok(node)
     }
 
-    /// Handles all events since the previous call, at `now`. Their commands share a log entry and a sync of the store.
+    /// Handles all events since the previous call at `now`, proposes queued commands if an entry is due, and processes
+    /// the engine's output. Commands of one call share log entries and syncs of the store.
     ///
     /// # Errors
-    /// The store or the engine failed. The node must not be used afterwards, since its state may differ from its store.
+    /// The store or the engine failed, or a snapshot cannot be decoded. The node must not be used afterwards, since its
+    /// state may differ from its store.
     pub fn handle(
         &mut self, now: u64, events: impl IntoIterator<Item = Event<R>>,
     ) -> Result<Vec<Action<R>>, KeeperError> {
@@ -169,8 +175,8 @@
         Ok(std::mem::take(&mut self.actions))
     }
 
-    /// Time at which [`RaftNode::handle`] must be called even without an event, so that pending commands are proposed.
-    /// Microseconds.
+    /// Time at which [`RaftNode::handle`] must be called even without an event, so that queued commands are proposed.
+    /// Microseconds. `None` if no commands are queued, or this keeper does not lead or has just become leader.
     pub fn next_call_at(&self) -> Option<u64> {
         if !self.is_leader() || self.proposals.is_empty() {
             return None;
@@ -189,7 +195,7 @@
         self.is_leader().then_some(self.term())
     }
 
-    /// Reports that a message to the keeper with this Raft identifier was dropped.
+    /// Reports to the engine that a message to the keeper with this Raft identifier was dropped.
     pub fn report_unreachable(&mut self, keeper: u64) {
         self.engine.report_unreachable(keeper);
     }
@@ -211,7 +217,7 @@
         self.engine.raft.state == StateRole::Leader
     }
 
-    /// Name of the leader; empty while it is unknown.
+    /// Name of the leader; empty while the leader or its name is unknown.
     fn leader_name(&self) -> String {
         let leader = self.state.keepers.get(&self.engine.raft.leader_id);
         leader.map_or_else(String::new, |keeper| keeper.name.clone())
--- a/crates/cluster/src/raft_node/operators.rs
+++ b/crates/cluster/src/raft_node/operators.rs
@@ -1,4 +1,4 @@
-//! Requests of operators, and permit requests of proxies.
+//! Requests of operators, and disruption requests of proxies.
 
 use super::RaftNode;
 use super::replies::{MAX_PENDING_REQUESTS, PendingKey, PendingRequest};
@@ -10,19 +10,20 @@
 /// Maximum size of a disruption request, in bytes.
 const MAX_DISRUPTION_REQUEST_BYTES: usize = 4_096;
 
-/// Why an operator's request or a join request is rejected. The text is sent in the reply.
+/// Why an operator's request or a join request is rejected. The text is sent in the reply to operators, so it must not
+/// change.
 pub(super) enum ChangeRejected {
     /// This keeper does not lead; the leader's name is empty while it is unknown.
     NotLeader { leader: String },
-    /// The agreed declaration has this revision, which is the same or higher.
-    RevisionNotNewer { agreed: u64 },
+    /// The committed declaration has this revision, which is the same as the requested one or higher.
+    RevisionNotNewer { committed: u64 },
     /// No voter has this name.
     UnknownKeeper { name: String },
     /// The leader cannot remove itself.
     IsLeader,
     /// The name belongs to a voter with another Raft identifier, which is that of another store.
     StoreMismatch { name: String },
-    /// The leader's file names no keeper of this name.
+    /// The leader's operators' file names no keeper of this name.
     NotConfigured { name: String },
     /// The engine rejected the proposal, for example while another change of voters is in progress.
     Engine(raft::Error),
@@ -32,8 +33,8 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ChangeRejected::NotLeader { leader } => write!(f, "the leader is {leader}"),
-            ChangeRejected::RevisionNotNewer { agreed } => {
-                write!(f, "revision {agreed} is agreed on: a change needs a higher one")
+            ChangeRejected::RevisionNotNewer { committed } => {
+                write!(f, "revision {committed} is agreed on: a change needs a higher one")
             }
             ChangeRejected::UnknownKeeper { name } => write!(f, "there is no keeper '{name}'"),
             ChangeRejected::IsLeader => f.write_str("this keeper leads"),
@@ -52,7 +53,7 @@
     }
 }
 
-/// The reply to a request that does not wait for its entry to be applied.
+/// The reply to a request that is answered before its entry, if it has one, is applied.
 pub(super) fn immediate_reply(outcome: Result<String, ChangeRejected>) -> OperatorReply {
     let ok = outcome.is_ok();
     let not_leader = matches!(outcome, Err(ChangeRejected::NotLeader { .. }));
@@ -91,12 +92,12 @@
 
     fn propose_declaration(&mut self, declaration: Declaration) -> Result<String, ChangeRejected> {
         let revision = declaration.revision;
-        let agreed = self.state.quota.revision;
+        let committed = self.state.quota.revision;
         if !self.state.quota.accepts_revision(revision) {
-            return Err(ChangeRejected::RevisionNotNewer { agreed });
+            return Err(ChangeRejected::RevisionNotNewer { committed });
         }
         self.proposals.push(Command::Declare(declaration).into());
-        Ok(format!("revision {revision} is declared in the place of {agreed}"))
+        Ok(format!("revision {revision} is declared in the place of {committed}"))
     }
 
     fn propose_removal(&mut self, name: String) -> String {
--- a/crates/cluster/src/raft_node/proposals.rs
+++ b/crates/cluster/src/raft_node/proposals.rs
@@ -6,13 +6,13 @@
 use prost::Message as _;
 use std::collections::VecDeque;
 
-/// Interval between entries without commands, which only advance the log time. Microseconds.
+/// Minimum interval before an entry without commands, which only advances log time. Microseconds.
 const IDLE_ENTRY_INTERVAL_US: u64 = 500_000;
-/// Minimum interval between entries, in microseconds. Commands that arrive within it share an entry, a sync of each
-/// store and one division of the quotas; no client request waits for them.
+/// Minimum interval before an entry with commands, in microseconds. Commands that arrive within the interval share an
+/// entry, a sync of each store and one division of the quotas. Client requests do not wait for entries.
 const ENTRY_INTERVAL_US: u64 = 10_000;
-/// Size from which no further command is added to an entry, in bytes. Together with the longest command, an entry must
-/// fit into a frame.
+/// Size from which no further command is added to an entry, in bytes. An entry exceeds this by at most one command, and
+/// must fit into a frame.
 const MAX_ENTRY_BYTES: usize = 1 << 20;
 
 /// The time up to which a leader has proposed log time in its term.
@@ -46,11 +46,11 @@
         self.commands.is_empty()
     }
 
-    pub fn clear(&mut self) {
+    pub fn discard_all(&mut self) {
         self.commands.clear();
     }
 
-    /// Removes commands for one entry from the front of the queue.
+    /// Removes the commands of the next entry from the front of the queue.
     fn take_batch(&mut self) -> Vec<LoggedCommand> {
         let mut batch = Vec::new();
         let mut bytes = 0;
@@ -86,8 +86,8 @@
                     self.log_clock = Some(LogClock { term, proposed_until: now });
                     elapsed_us = 0;
                 }
-                // The engine rejects proposals while too many entries are in flight. The entry's requests time out, and
-                // their senders retry.
+                // The engine may reject a proposal, for example after this keeper was removed from the voters. The
+                // commands of the entry are lost: their requests time out, and the senders retry.
                 Err(error) => info!("fleet: proposal of an entry rejected: {error}"),
             }
             if self.proposals.is_empty() {
--- a/crates/cluster/src/raft_node/ready.rs
+++ b/crates/cluster/src/raft_node/ready.rs
@@ -13,8 +13,8 @@
 const COMPACTION_INTERVAL: u64 = 4_096;
 
 impl<R> RaftNode<R> {
-    /// Persists, applies and sends the engine's output until there is none left; compacts the log when it is long
-    /// enough.
+    /// Persists, applies and sends the engine's output until there is none left. Compacts the log if at least
+    /// [`COMPACTION_INTERVAL`] entries were applied since the last snapshot.
     pub(super) fn process_ready(&mut self) -> Result<(), KeeperError> {
         while self.engine.has_ready() {
             let ready = self.engine.ready();
--- a/crates/cluster/src/raft_node/replies.rs
+++ b/crates/cluster/src/raft_node/replies.rs
@@ -1,4 +1,4 @@
-//! Pending requests, whose entry is not applied yet, and the replies to them.
+//! Requests whose log entry is not applied yet, and the replies to them.
 
 use super::RaftNode;
 use crate::protocol::{Body, LeaseGranted, LeaseRejected, OperatorReply};
@@ -27,7 +27,7 @@
     },
 }
 
-/// A request whose entry is not applied yet.
+/// A request whose log entry is not applied yet.
 pub(super) struct PendingRequest<R> {
     pub key: PendingKey,
     /// Time of receipt. Microseconds.
@@ -36,7 +36,8 @@
 }
 
 impl<R> RaftNode<R> {
-    /// Drops the requests that are pending for longer than [`PENDING_TIMEOUT_US`]. Their senders time out and retry.
+    /// Drops the requests that are pending for longer than [`PENDING_TIMEOUT_US`], without a reply. Their senders have
+    /// timeouts of their own.
     pub(super) fn expire_pending(&mut self) {
         let now = self.now;
         let is_expired = |request: &PendingRequest<R>| now > request.received_at + PENDING_TIMEOUT_US;
--- a/crates/cluster/src/raft_node/requests.rs
+++ b/crates/cluster/src/raft_node/requests.rs
@@ -32,7 +32,7 @@
     }
 
     fn on_raft_message(&mut self, from: &str, id: u64, log_id: u64, bytes: &[u8]) {
-        // A new keeper receives the log's identifier with the reply to its join request, and must not vote before that.
+        // A new keeper receives the log's identifier with the reply to its join request, and must not vote without it.
         if log_id == 0 || log_id != self.log_id() {
             return;
         }
--- a/crates/cluster/src/raft_node/ticks.rs
+++ b/crates/cluster/src/raft_node/ticks.rs
@@ -8,9 +8,9 @@
 
 /// Interval of [`Event::Tick`](super::Event::Tick), in microseconds.
 pub const TICK_US: u64 = 50_000;
-/// Minimum election timeout, in ticks. The timeout is drawn at random from this up to twice as many ticks.
+/// Minimum election timeout, in ticks. The timeout is drawn at random from this to one tick less than twice as many.
 pub(super) const ELECTION_TICKS: usize = 10;
-/// Interval between the leader's heartbeats, in ticks.
+/// Interval between heartbeats of the leader, in ticks.
 pub(super) const HEARTBEAT_TICKS: usize = 2;
 /// Interval at which unconfirmed snapshots are sent again, in ticks.
 const SNAPSHOT_RETRY_TICKS: u64 = 40;
@@ -38,8 +38,8 @@
         self.log_leader_change();
     }
 
-    /// Sets a random election timeout from this node's seed. The engine's own random source would make simulations
-    /// irreproducible.
+    /// Sets a random election timeout from this node's seed, another one every [`ELECTION_TICKS`] ticks. The engine's
+    /// own random source would make simulations irreproducible.
     fn draw_election_timeout(&mut self) {
         let round = self.ticks / ELECTION_TICKS as u64;
         let mut rng = fastrand::Rng::with_seed(self.seed.wrapping_add(round));
@@ -47,34 +47,38 @@
         self.engine.raft.set_randomized_election_timeout(timeout);
     }
 
-    /// Redirects all pending requests to the leader, and drops their commands: only a leader can propose them.
+    /// Redirects all pending requests to the leader. Discards the commands that are not proposed yet, since only a
+    /// leader can propose them, and the log clock of the term in which this keeper led.
     fn redirect_pending(&mut self) {
         self.log_clock = None;
         let redirect = Body::NotLeader(NotLeader { leader: self.leader_name() });
         for request in std::mem::take(&mut self.pending) {
             self.reply(request.reply, redirect.clone());
         }
-        self.proposals.clear();
+        self.proposals.discard_all();
     }
 
-    /// Whether the last applied entry is of the current term. The state then includes all entries of earlier terms.
+    /// Whether the last applied entry is of the current term. The state then includes all committed entries of earlier
+    /// terms.
     fn has_applied_entry_of_term(&self) -> bool {
         self.engine.store().term(self.applied).unwrap_or(0) == self.term()
     }
 
-    /// Proposes this keeper's operators' file as the declaration if its revision is accepted; logs a warning if it
-    /// differs from the agreed declaration otherwise.
+    /// Proposes the declaration of this keeper's operators' file if its revision is higher than the committed one, or
+    /// if no declaration is committed. Otherwise logs a warning if the lease terms or budgets differ from the committed
+    /// ones; disruption limits are not compared.
     fn declare_file(&mut self) {
         let declaration = Declaration::from(&self.operator);
-        let agreed = &self.state.quota;
+        let committed = &self.state.quota;
         let revision = declaration.revision;
-        if agreed.accepts_revision(revision) {
-            info!("fleet: proposing the declaration of this keeper's file, revision {revision}");
+        if committed.accepts_revision(revision) {
+            info!("fleet: proposing the declaration of the operators' file, revision {revision}");
             self.proposals.push(Command::Declare(declaration).into());
-        } else if agreed.terms != declaration.terms || agreed.declared != declaration.budgets {
-            let agreed = agreed.revision;
+        } else if committed.terms != declaration.terms || committed.declared != declaration.budgets {
+            let committed = committed.revision;
             warn!(
-                "fleet: this file's budgets, revision {revision}, are not those agreed on, revision {agreed}"
+                "fleet: the operators' file's lease terms or \
+                 budgets, revision {revision}, are not those agreed on, revision {committed}"
             );
         }
     }
--- a/crates/cluster/src/raft_node/voters.rs
+++ b/crates/cluster/src/raft_node/voters.rs
@@ -9,11 +9,11 @@
 use raft::eraftpb::{ConfChange, ConfChangeType};
 use std::net::SocketAddr;
 
-/// Limit of peers that a keeper without a state adds on receipt of their messages.
+/// Limit of the peers that a keeper without a list of keepers adds when it receives their messages.
 const MAX_PROVISIONAL_PEERS: usize = 16;
 
 impl<R> RaftNode<R> {
-    /// Whether this keeper is a voter, by the state applied here.
+    /// Whether this keeper is a voter in the state that it has applied.
     pub(super) fn is_voter(&self) -> bool {
         self.state.keepers.contains_key(&self.id())
     }
@@ -23,10 +23,10 @@
         self.operator.keepers.iter().find(|keeper| keeper.name == name).map(|keeper| keeper.address)
     }
 
-    /// Updates the peers from the replicated list of keepers. Addresses in this keeper's file override those in the
-    /// log.
+    /// Updates the peers from the replicated list of keepers. Addresses in this keeper's operators' file override those
+    /// in the log.
     pub(super) fn update_peers(&mut self) {
-        // A keeper without a state keeps its provisional peers.
+        // A keeper without a list of keepers keeps its provisional peers.
         if !self.state.keepers.is_empty() {
             self.peers.retain(|id, _| self.state.keepers.contains_key(id));
         }
@@ -41,6 +41,7 @@
     }
 
     /// Adds the sender of a Raft message to the peers while this keeper has no list of keepers, so that it can answer.
+    /// Senders that the operators' file does not name are not added.
     pub(super) fn add_provisional_peer(&mut self, name: &str, id: u64) {
         let may_add = self.state.keepers.is_empty() && self.peers.len() < MAX_PROVISIONAL_PEERS;
         if !may_add || self.peers.contains_key(&id) {
@@ -52,7 +53,8 @@
         }
     }
 
-    /// Sends a join request to every other configured keeper; only the leader admits a new voter.
+    /// Sends a join request to every other configured keeper, since the leader may be any of them. Only the leader adds
+    /// voters.
     pub(super) fn request_join(&mut self) {
         let Some(own_address) = self.configured_address(&self.identity.name) else { return };
         for keeper in self.operator.keepers.iter().filter(|keeper| keeper.name != self.identity.name) {
@@ -75,12 +77,13 @@
 
     pub(super) fn on_join_request(&mut self, name: &str, id: u64, join: &JoinRequest, reply: R) {
         let known_id = self.state.keeper_id(name);
-        // Any keeper confirms an existing voter, since the reply of the leader may have been lost, and without this
-        // vote there may be no leader.
+        // Any keeper confirms an existing voter: the reply of the leader may have been lost, and without the voter's
+        // vote there may be no leader. Only the leader answers other requests.
         if !self.is_leader() && known_id != Some(id) {
             return;
         }
         let outcome = match known_id {
+            // The joining keeper ignores the text of an accepted request.
             Some(known_id) if known_id == id => Ok("known".to_string()),
             Some(_) => Err(ChangeRejected::StoreMismatch { name: name.to_string() }),
             None => self.propose_voter(name, id, join),
@@ -97,7 +100,8 @@
         Ok("being let in".to_string())
     }
 
-    /// Proposes to remove a voter that lost its store, so that a new store may join under its name.
+    /// Proposes to remove a voter that lost its store, so that the keeper can join with a new one. Operators' scripts
+    /// read the returned text, which must not change.
     pub(super) fn replace_keeper(&mut self, name: &str) -> Result<String, ChangeRejected> {
         let id = self
             .state
@@ -132,8 +136,8 @@
             self.state.keepers.insert(change.node_id, record);
         }
         self.update_peers();
-        // Takes a snapshot now: the engine sends a new voter the last snapshot, and the voter accepts only one that
-        // lists it.
+        // Takes a snapshot now: the engine sends a new voter the last snapshot, and a voter accepts only a snapshot
+        // that lists the voter itself.
         self.compact(&conf)
     }
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -142,7 +142,7 @@
     let keep = |operator: &str, message: &str| {
         assert_fails_to_start(&["keep", "--operator", operator, "--name", "k1", "--found"], &[], message);
     };
-    keep(&with_listen("cli-silent.textproto", ""), "the operator's file lacks instance.listen");
+    keep(&with_listen("cli-silent.textproto", ""), "the operators' file lacks instance.listen");
     let operator = with_listen("cli-taken.textproto", &format!("listen: \"{taken}\""));
     keep(
         &operator,
