--- a/crates/cluster/src/store/error.rs
+++ b/crates/cluster/src/store/error.rs
@@ -19,9 +19,9 @@
     Invalid {
         /// Path of the store.
         path: PathBuf,
-        /// Description of the invalid value.
+        /// Name of the invalid value.
         value: &'static str,
-        /// Error of the decoder or the engine, if there is one.
+        /// Error of the decoder or the engine, or the expected and the found value.
         source: Option<Box<dyn Error + Send + Sync>>,
     },
 }
@@ -61,7 +61,7 @@
     move |error| StoreError::Database(path.to_path_buf(), Box::new(error.into()))
 }
 
-/// Returns a conversion of an error in `value`, a description for operators, to [`StoreError::Invalid`].
+/// Returns a conversion of errors to [`StoreError::Invalid`]. `value` names the invalid value.
 pub(super) fn invalid<E: Error + Send + Sync + 'static>(
     path: &Path, value: &'static str,
 ) -> impl FnOnce(E) -> StoreError {
--- a/crates/cluster/src/store/load.rs
+++ b/crates/cluster/src/store/load.rs
@@ -1,7 +1,9 @@
 //! Reads a store. Every value is validated, since a keeper must not vote with a damaged store.
 
 use super::error::{database_error, invalid};
-use super::{HARD_STATE_KEY, IDENTITY_KEY, LOG, META, SNAPSHOT_KEY, StoreError, StoreIdentity};
+use super::{
+    FORMAT_VERSION, HARD_STATE_KEY, IDENTITY_KEY, LOG, META, SNAPSHOT_KEY, StoreError, StoreIdentity,
+};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use redb::{ReadTransaction, ReadableTable};
@@ -26,7 +28,7 @@
             .ok_or_else(|| StoreError::Invalid {
                 path: path.to_path_buf(),
                 value: "identity",
-                source: None,
+                source: Some(format!("expected an identity of format version {FORMAT_VERSION}").into()),
             })?;
         let snapshot = value(SNAPSHOT_KEY)?.map(|bytes| Snapshot::parse_from_bytes(&bytes)).transpose();
         let snapshot = snapshot.map_err(invalid(path, "snapshot"))?;
@@ -36,7 +38,8 @@
     }
 }
 
-/// Reads the entries after `snapshot_index`. Their indices must be consecutive.
+/// Reads the entries after `snapshot_index`, whose indices must be consecutive. Earlier entries are skipped; a log
+/// table that cannot be opened counts as empty.
 pub(super) fn read_entries(
     path: &Path, transaction: &ReadTransaction, snapshot_index: u64,
 ) -> Result<Vec<Entry>, StoreError> {
@@ -50,8 +53,9 @@
             continue;
         }
         if entry.index != next_index || index.value() != next_index {
-            let value = "log: entries are not consecutive";
-            return Err(StoreError::Invalid { path: path.to_path_buf(), value, source: None });
+            let (key, found) = (index.value(), entry.index);
+            let source = format!("expected entry {next_index}, found entry {found} at key {key}").into();
+            return Err(StoreError::Invalid { path: path.to_path_buf(), value: "log", source: Some(source) });
         }
         entries.push(entry);
         next_index += 1;
--- a/crates/cluster/src/store/mod.rs
+++ b/crates/cluster/src/store/mod.rs
@@ -38,7 +38,7 @@
 pub struct StoreIdentity {
     /// Raft identifier of the keeper, drawn at random when the store is created.
     pub id: u64,
-    /// Identifier of the replicated log, shared by its keepers; 0 until this keeper has joined.
+    /// Identifier of the replicated log, shared by its keepers; 0 until a keeper has accepted this one's join request.
     pub log_id: u64,
     /// Name of the keeper.
     pub name: String,
@@ -92,7 +92,7 @@
     }
 
     /// Creates a store for `identity`. With `initial_state`, the store begins a new log with this encoded state, and
-    /// its keeper is the only voter.
+    /// its keeper is the only voter. Without, the log is empty until the keeper has joined.
     pub fn create(
         directory: &Path, identity: StoreIdentity, initial_state: Option<Vec<u8>>,
     ) -> Result<KeeperStore, StoreError> {
@@ -106,7 +106,8 @@
         KeeperStore::initialize(path, database, identity, initial_state)
     }
 
-    /// Like [`KeeperStore::create`], on a storage backend instead of a file.
+    /// Like [`KeeperStore::create`], on a storage backend, which is not checked for an existing store. Errors name the
+    /// keeper instead of a path.
     pub fn create_with_backend(
         backend: impl StorageBackend, identity: StoreIdentity, initial_state: Option<Vec<u8>>,
     ) -> Result<KeeperStore, StoreError> {
@@ -144,7 +145,7 @@
         KeeperStore::load(path, database)
     }
 
-    /// Like [`KeeperStore::open`], on a storage backend instead of a file.
+    /// Like [`KeeperStore::open`], on a storage backend instead of a file. Errors contain `name` instead of a path.
     pub fn open_with_backend(backend: impl StorageBackend, name: &str) -> Result<KeeperStore, StoreError> {
         let path = PathBuf::from(name);
         let database = Builder::new().create_with_backend(backend).map_err(database_error(&path))?;
@@ -167,12 +168,12 @@
             let metadata = snapshot.get_metadata();
             hard_state.commit = hard_state.commit.max(metadata.index);
             hard_state.term = hard_state.term.max(metadata.term);
-            if hard_state.commit > memory.last_index().unwrap_or(0) {
-                return Err(StoreError::Invalid {
-                    path,
-                    value: "hard state: the commit index is beyond the end of the log",
-                    source: None,
-                });
+            let last_index = memory.last_index().unwrap_or(0);
+            if hard_state.commit > last_index {
+                let commit = hard_state.commit;
+                let source =
+                    format!("commit index {commit} is beyond the last log index {last_index}").into();
+                return Err(StoreError::Invalid { path, value: "hard state", source: Some(source) });
             }
             memory.wl().set_hardstate(hard_state);
         }
@@ -185,12 +186,12 @@
         &self.identity
     }
 
-    /// The last snapshot.
+    /// The last snapshot; an empty one with index 0 if there is none.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// Records the identifier of the log that this keeper joined.
+    /// Writes the identifier of the log that this keeper joins.
     pub fn set_log_id(&mut self, log_id: u64) -> Result<(), StoreError> {
         self.identity.log_id = log_id;
         self.write_identity()
@@ -217,7 +218,8 @@
         transaction.commit().map_err(database_error(&self.path))
     }
 
-    /// Writes and syncs a batch. The store must not be used after an error, since memory and disk may differ.
+    /// Writes and syncs a batch, unless it is empty. The store must not be used after an error, since memory and disk
+    /// may differ.
     pub fn save(&mut self, batch: &WriteBatch) -> Result<(), StoreError> {
         let snapshot = batch.snapshot.map(|snapshot| self.encode(snapshot)).transpose()?;
         let hard_state = batch.hard_state.map(|hard_state| self.encode(hard_state)).transpose()?;
@@ -270,7 +272,8 @@
         self.memory.wl().mut_hard_state().commit = index;
     }
 
-    /// Replaces the log up to the applied entry `index` with a snapshot of the encoded state after that entry.
+    /// Replaces the log up to the applied entry `index` with a snapshot of the encoded state after that entry, and
+    /// writes the hard state with its current commit index.
     pub fn compact(&mut self, index: u64, conf: &ConfState, state: Vec<u8>) -> Result<(), StoreError> {
         let term = self.memory.term(index).map_err(invalid(&self.path, "log index"))?;
         let snapshot = new_snapshot(index, term, conf.clone(), state);
