--- a/crates/cluster/src/client/mod.rs
+++ b/crates/cluster/src/client/mod.rs
@@ -2,8 +2,8 @@
 //! now.
 //!
 //! Client requests never wait for a keeper: each check reads the clock and the local [`LeaseHolder`], which
-//! [`FleetClient::run`] renews concurrently. While no keeper answers, the proxy uses its granted quotas until they
-//! expire.
+//! [`FleetClient::run`] renews concurrently. While no keeper answers, the proxy uses its granted quotas until the lease
+//! expires, and after that its floors until the membership expires.
 
 mod renewal;
 mod status;
@@ -38,18 +38,18 @@
     leader: RefCell<String>,
     /// Time of the last grant, or of the start before the first one, on [`clock`]. Microseconds.
     last_grant_at: Cell<u64>,
-    /// Wakes the renewal when the next request became due earlier than planned.
+    /// Wakes the renewal when the next request may be due earlier than planned.
     renewal_due: Notify,
     quota_changed: Notify,
     reporter: RefCell<HealthReporter>,
     quarantine: watch::Sender<Quarantine>,
-    /// End of the proxy's membership, which requires that it applies the current quarantine, on [`clock`].
-    /// Microseconds.
+    /// End of the proxy's membership, in microseconds of [`clock`]. Extended only while the proxy applies the last
+    /// received quarantine.
     member_until: Cell<u64>,
 }
 
 impl FleetClient {
-    /// Creates the client of the proxy `name`, with a new incarnation.
+    /// Creates the client of the proxy `name`, with a new incarnation. Enforces all budgets that are not per key.
     pub fn new(operator: Operator, name: &str, version: &str) -> Rc<FleetClient> {
         let mut lease = LeaseHolder::new(operator.terms.lease_us);
         for (budget, declared) in operator.budgets.iter().filter(|(_, declared)| !declared.per_key) {
@@ -85,28 +85,30 @@
         self.identity().name.clone()
     }
 
-    /// The operators' file.
+    /// The operators' file with which the proxy was started.
     pub fn operator(&self) -> &Operator {
         &self.operator
     }
 
-    /// Interval between renewals of the lease.
+    /// Interval between renewals of the lease, by the operators' file. The lease is renewed earlier if units are
+    /// lacking.
     pub fn renewal_interval(&self) -> Duration {
         Duration::from_micros(self.operator.terms.lease_us / RENEWALS_PER_LEASE)
     }
 
-    /// Starts enforcing an entry of a budget that has one entry per key, such as per member.
+    /// Starts enforcing an entry of a budget that has one entry per key, such as per member. No unit may be used until
+    /// a grant contains the entry.
     pub fn enforce(&self, entry: &str) {
         self.lease.borrow_mut().enforce(entry, false);
     }
 
-    /// Stops enforcing an entry whose key was removed. Units that are still in use must be released as usual.
+    /// Stops enforcing an entry whose key was removed. Units in use must still be released.
     pub fn stop_enforcing(&self, entry: &str) {
         self.lease.borrow_mut().stop_enforcing(entry);
     }
 
-    /// Acquires a unit of a budget that limits units in use. An acquired unit must be returned by
-    /// [`FleetClient::release`].
+    /// Acquires a unit of a budget that limits units in use, to be returned by [`FleetClient::release`]. If the quota
+    /// is exhausted, wakes the renewal.
     pub fn acquire(&self, entry: &str) -> AcquireDecision {
         let decision = self.lease.borrow_mut().acquire(clock::now(), entry);
         self.renew_if_exhausted(decision)
@@ -117,7 +119,7 @@
         self.lease.borrow_mut().release(entry);
     }
 
-    /// Spends a token of a budget that limits a rate.
+    /// Spends a token of a budget that limits a rate. If the quota is exhausted, wakes the renewal.
     pub fn spend_token(&self, entry: &str) -> AcquireDecision {
         let decision = self.lease.borrow_mut().spend_token(clock::now(), entry);
         self.renew_if_exhausted(decision)
@@ -130,13 +132,13 @@
         decision
     }
 
-    /// Units that may be used now, or thousandths of a unit per second for a rate; `None` if the budget is not
+    /// Units that may be in use now, or thousandths of a unit per second for a rate; `None` if the budget is not
     /// enforced.
     pub fn limit(&self, entry: &str) -> Option<u64> {
         self.lease.borrow().limit(clock::now(), entry)
     }
 
-    /// Records a demand for `units`, to be reported in the next lease request.
+    /// Raises the demand that the next lease request reports to at least `units`.
     pub fn request_units(&self, entry: &str, units: u64) {
         self.lease.borrow_mut().request_units(entry, units);
     }
@@ -146,7 +148,7 @@
         self.lease.borrow().excess(clock::now(), entry)
     }
 
-    /// Waits until limits change, by a grant or by expiry.
+    /// Waits until limits may have changed, by a grant, by expiry or by a new incarnation. Wakes one waiter.
     pub async fn quota_changed(&self) {
         self.quota_changed.notified().await;
     }
@@ -179,14 +181,15 @@
         self.quarantine.subscribe()
     }
 
-    /// Records that this proxy applies this edition of the quarantine, and reports it immediately.
+    /// Records that this proxy applies this edition of the quarantine, which may extend its membership, and reports it
+    /// immediately.
     pub fn quarantine_applied(&self, edition: u64) {
         self.reporter.borrow_mut().quarantine_applied(edition);
         self.extend_membership();
         self.request_at_once();
     }
 
-    /// Extends the membership to the expiry of the last grant, unless a received quarantine is not applied yet.
+    /// Extends the membership to the end that the last grant set, unless a received quarantine is not applied yet.
     fn extend_membership(&self) {
         if self.reporter.borrow().is_quarantine_applied() {
             self.member_until.set(self.lease.borrow().expiry().floors);
--- a/crates/cluster/src/client/renewal.rs
+++ b/crates/cluster/src/client/renewal.rs
@@ -24,7 +24,7 @@
 /// The next step of the renewal.
 enum Step {
     SendRequest,
-    /// A request may be due earlier, or the lease expired: the deadlines must be computed again.
+    /// The next request may be due earlier than planned, or the lease expired: the deadlines must be computed again.
     RecomputeDeadlines,
     /// The keeper did not answer before its deadline, or the connection failed.
     KeeperLost,
@@ -95,7 +95,8 @@
         Answer::Granted
     }
 
-    /// Starts a new incarnation without quotas if a newer incarnation holds this proxy's name, or operators removed it.
+    /// Starts a new incarnation without quotas if a newer incarnation holds this proxy's name, or operators removed the
+    /// proxy. Ignores all other rejections: the next request follows as planned.
     fn handle_rejection(&self, rejected: &LeaseRejected) {
         let identity = self.identity();
         // A late rejection of an earlier incarnation must not affect the current one.
@@ -124,8 +125,8 @@
         info!("fleet: {} {text}", self.client.identity().name);
     }
 
-    /// Connects to the current keeper of the search. The error is the delay before the next keeper is tried, in
-    /// microseconds; `None` if no keeper is configured.
+    /// Connects to the current keeper of the search and makes a request due. The error is the delay before the next
+    /// keeper is tried, in microseconds; `None` if no keeper is configured.
     async fn connect(&mut self) -> Option<Result<(), u64>> {
         let keeper = self.client.operator.keepers.get(self.search.current_keeper())?;
         match transport::connect(keeper.address).await {
--- a/crates/cluster/src/client/status.rs
+++ b/crates/cluster/src/client/status.rs
@@ -26,7 +26,7 @@
         tokio::join!(accepting, answering);
     }
 
-    /// The status of this proxy: the keepers in its file, the leader, and the budgets that it enforces.
+    /// The status of this proxy: the keepers in its operators' file, the leader, and the budgets that it enforces.
     pub fn status(&self) -> Status {
         let lease = self.lease.borrow();
         let now = clock::now();
--- a/crates/cluster/src/clock.rs
+++ b/crates/cluster/src/clock.rs
@@ -15,13 +15,13 @@
     rate::from_real(seconds.saturating_mul(MICROS_PER_SECOND).saturating_add(nanos / NANOS_PER_MICRO))
 }
 
-/// Duration until `at`, in microseconds on this clock; zero if `at` has passed.
+/// Real time until `at`, a time of this clock in microseconds; zero if `at` has passed.
 pub fn duration_until(at: u64) -> Duration {
     Duration::from_micros(rate::to_real(at.saturating_sub(now())))
 }
 
 /// Scales the clock for tests of the bound on clock drift. The environment variable `LINENHILL_CLOCK_PPM` sets the
-/// rate, in millionths of the true rate.
+/// rate, in millionths of the true rate. The clock keeps the true rate if the variable is unset, zero or not a number.
 #[cfg(feature = "fault-injection")]
 mod rate {
     use std::sync::OnceLock;
--- a/crates/cluster/src/keeper.rs
+++ b/crates/cluster/src/keeper.rs
@@ -22,8 +22,8 @@
 
 /// Capacity of the queue of received messages.
 const INBOX_LENGTH: usize = 4_096;
-/// Limit of received messages, after the first one, that are passed to the node in one call. Their commands share a log
-/// entry and a sync of the store.
+/// Limit of the messages that are passed to the node together with a first one. Commands of one call share log entries
+/// and syncs of the store.
 const MAX_BATCH: usize = 512;
 /// Capacity of the queue of replies to join requests.
 const JOIN_REPLIES_LENGTH: usize = 8;
@@ -31,10 +31,10 @@
 /// Queue for replies to the sender of a message.
 type ReplySender = mpsc::Sender<Envelope>;
 
-/// Runs a keeper until its store or its Raft engine fails.
+/// Runs a keeper. Returns only with an error.
 ///
 /// # Errors
-/// The failure of the store or the engine.
+/// The store or the Raft engine failed, or a snapshot cannot be decoded.
 pub async fn run(
     operator: Operator, name: &str, store: KeeperStore, listener: TcpListener,
 ) -> Result<(), KeeperError> {
@@ -86,7 +86,7 @@
 impl Connections {
     fn carry_out(&mut self, action: Action<ReplySender>, node: &mut RaftNode<ReplySender>) {
         match action {
-            // A reply is dropped if the queue is full; the sender retries.
+            // The reply is dropped if its queue is full or its connection is closed. Senders have a timeout.
             Action::Reply(reply, envelope) => _ = reply.try_send(envelope),
             Action::Send(id, envelope) => {
                 let is_sent = self.peers.get(&id).is_some_and(|peer| peer.send(envelope));
@@ -112,7 +112,7 @@
 }
 
 async fn request_join(address: SocketAddr, envelope: Envelope, replies: mpsc::Sender<Envelope>) {
-    // Failures are ignored: the node sends join requests periodically.
+    // Failures are ignored: the node repeats its join requests.
     if let Ok(answer) = transport::call(address, envelope).await {
         let _ = replies.send(answer).await;
     }
--- a/crates/cluster/src/log_entry.rs
+++ b/crates/cluster/src/log_entry.rs
@@ -24,7 +24,7 @@
 /// One command of an entry.
 #[derive(Clone, PartialEq, Message)]
 pub struct LoggedCommand {
-    /// The command; `None` if this version does not support it.
+    /// The command; `None` if this version does not support it, in which case it is ignored.
     #[prost(oneof = "Command", tags = "1, 2, 3, 4")]
     pub command: Option<Command>,
     /// Identifies the leader's pending request of a [`Command::Disruption`]; 0 for other commands.
@@ -33,7 +33,7 @@
 }
 
 impl From<Command> for LoggedCommand {
-    /// Converts a command whose pending request, if any, is not identified by a `request_id`.
+    /// Wraps a command other than [`Command::Disruption`], with `request_id` 0.
     fn from(command: Command) -> LoggedCommand {
         LoggedCommand { command: Some(command), request_id: 0 }
     }
@@ -42,13 +42,15 @@
 /// A change to the replicated state.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Command {
-    /// Replaces budgets, lease terms and disruption limits if its revision is newer than the agreed one.
+    /// Replaces budgets, lease terms and disruption limits if its revision is higher than that of the committed
+    /// declaration, or if none is committed.
     #[prost(message, tag = "1")]
     Declare(Declaration),
-    /// Requests quotas for a proxy and renews its membership.
+    /// Requests quotas for a proxy, renews its session and records its health report.
     #[prost(message, tag = "2")]
     LeaseRequest(SessionLeaseRequest),
-    /// Removes the proxy with this name.
+    /// Removes the session and the disruption record of the proxy with this name, and rejects its current incarnation
+    /// from then on.
     #[prost(string, tag = "3")]
     RemoveProxy(String),
     /// Changes the disruption table.
@@ -71,7 +73,7 @@
     /// Reason, shown in the status for operators.
     #[prost(string, tag = "4")]
     pub reason: String,
-    /// Whether to grant the permit even if it exceeds the limits.
+    /// Whether to grant the permit without a check of the limits, and to accept one that another requester holds.
     #[prost(bool, tag = "5")]
     pub force: bool,
 }
@@ -82,22 +84,22 @@
 pub enum DisruptionAction {
     /// Grants a permit for the subject to be unavailable.
     Permit = 0,
-    /// Ends the permit once the subject is observed in service.
+    /// Ends the permit once the subject is reported in service. A member leaves the quarantine immediately.
     Return = 1,
-    /// Removes the subject's record.
+    /// Removes the subject's record, with its permit.
     Forget = 2,
 }
 
 /// Budgets, lease terms and disruption limits from an operators' file.
 #[derive(Clone, PartialEq, Message)]
 pub struct Declaration {
-    /// Durations of leases and membership.
+    /// Durations of leases and memberships, and the bound on clock drift.
     #[prost(message, required, tag = "1")]
     pub terms: LeaseTerms,
     /// Budgets by name.
     #[prost(btree_map = "string, message", tag = "2")]
     pub budgets: Budgets,
-    /// Revision of the file; a declaration only replaces one of a lower revision.
+    /// Revision of the operators' file; a declaration only replaces one of a lower revision.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
     /// Limits of disruptions; `None` if they are not limited.
--- a/crates/cluster/src/replicated_state.rs
+++ b/crates/cluster/src/replicated_state.rs
@@ -21,7 +21,7 @@
     pub request_id: u64,
     /// Whether the request was accepted.
     pub ok: bool,
-    /// Incarnations of the proxies that have not confirmed the change yet.
+    /// Incarnations of the proxies that have not confirmed yet that they apply the quarantine of a permit.
     pub unconfirmed: Vec<u64>,
     /// Description of the outcome, for operators.
     pub text: String,
@@ -42,7 +42,7 @@
     /// Name of the keeper.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Address at which the other keepers connect to it.
+    /// Address at which the other keepers connect to this voter.
     #[prost(string, tag = "2")]
     pub address: String,
 }
@@ -53,7 +53,7 @@
     /// Budgets, sessions and allocations.
     #[prost(message, required, tag = "1")]
     pub quota: QuotaTable,
-    /// Keepers by Raft identifier.
+    /// Voters by Raft identifier.
     #[prost(btree_map = "uint64, message", tag = "2")]
     pub keepers: BTreeMap<u64, KeeperRecord>,
     /// Availability of proxies and members, and permits.
@@ -78,7 +78,8 @@
 }
 
 impl ReplicatedState {
-    /// Applies an encoded [`LogEntry`]. An entry that cannot be decoded is ignored, which is the same at every keeper.
+    /// Applies an encoded [`LogEntry`]: changes to quotas first, then health reports, then disruption requests. Every
+    /// keeper ignores an entry that cannot be decoded.
     pub fn apply(&mut self, data: &[u8]) -> Vec<AppliedResult> {
         let Ok(entry) = LogEntry::decode(data) else { return Vec::new() };
         let commands = self.route(entry.commands);
@@ -99,7 +100,8 @@
         results
     }
 
-    /// Groups commands by table. `Declare` and `RemoveProxy` are applied to the disruption table immediately.
+    /// Groups commands by table. `Declare` and `RemoveProxy` change the disruption table here, before the quota table
+    /// changes.
     fn route(&mut self, commands: Vec<LoggedCommand>) -> RoutedCommands {
         let mut routed = RoutedCommands::default();
         for LoggedCommand { command, request_id } in commands {
@@ -158,7 +160,7 @@
 /// An accepted [`DisruptionRequest`].
 struct DisruptionAccepted {
     text: String,
-    /// Incarnations of the proxies that have not confirmed the change yet.
+    /// As in [`DisruptionResult::unconfirmed`].
     unconfirmed: Vec<u64>,
 }
 
@@ -169,9 +171,9 @@
     }
 }
 
-/// Why a [`DisruptionRequest`] is rejected. The text is sent in the reply.
+/// Why a [`DisruptionRequest`] is rejected. The text is sent in the reply to operators, so it must not change.
 enum DisruptionRejected {
-    /// The agreed declaration has no disruption policy.
+    /// The committed declaration has no disruption limits.
     NoPolicy,
     /// The key is neither `proxy/NAME` nor `member/ID`.
     InvalidSubject(String),
--- a/src/fleet/command_line.rs
+++ b/src/fleet/command_line.rs
@@ -51,7 +51,7 @@
     File(OperatorFileError),
     /// The change was not decided by a leader.
     NoLeader(OperatorCallError),
-    /// The leader rejected the change. Holds the text of its reply.
+    /// The leader rejected the change. Holds the text of the leader's reply.
     Rejected(String),
     /// No instance returned a status.
     NoStatus(Vec<StatusCallError>),
@@ -172,7 +172,8 @@
     FileCheck { report, is_valid }
 }
 
-/// Converts the mistakes of a file. A file that can't be read is reported as one mistake at line 0 without a field.
+/// Converts the mistakes of a file for the report. A file that can't be read has one mistake, at line 0 without a
+/// field.
 fn mistake_documents(error: OperatorFileError) -> Vec<MistakeDocument> {
     match error {
         OperatorFileError::Unreadable(_, error) => {
@@ -267,8 +268,8 @@
     Ok(InstanceStatus { from: answer.from, status })
 }
 
-/// Sends a request to the leader. Returns the text of its reply, with the proxies that have not confirmed the change
-/// yet.
+/// Sends a request to the leader. Returns the text of the leader's reply, followed by the proxies that have not
+/// confirmed the change yet.
 async fn send_to_leader(operator: &Operator, request: OperatorRequest) -> Result<String, FleetCommandError> {
     let identity = operators_identity(operator);
     let reply = transport::send_to_leader(&operator.keepers, &identity, request).await?;
@@ -281,7 +282,7 @@
     Ok(format!("{}; not confirmed yet by {}", reply.text, reply.unconfirmed.join(", ")))
 }
 
-/// A disruption request of operators without a reason.
+/// A disruption request of operators, without a reason and not forced.
 fn disruption(subject: String, action: DisruptionAction) -> DisruptionRequest {
     DisruptionRequest {
         subject,
--- a/src/fleet/disruption.rs
+++ b/src/fleet/disruption.rs
@@ -1,7 +1,7 @@
 //! Disruption limits in a proxy: reports the availability of the proxy and its observations of members to the keepers,
-//! applies the quarantine, and requests permits. The leader decides on permits, by `linenhill_decisions::disruption`.
-//! This module must not decide on them, and must never confirm a quarantine that the driver of the decisions has not
-//! applied.
+//! applies the quarantine, and requests permits. The leader decides on permits, by the rules in
+//! `linenhill_decisions::disruption`. This module must not decide on permits, and must never confirm a quarantine that
+//! the driver of the decisions has not applied.
 
 use crate::clients::lifecycle_driver::LifecycleDriver;
 use crate::stages::DriverInput;
@@ -20,7 +20,7 @@
 const CONFIRMATION_INTERVAL: Duration = Duration::from_millis(100);
 /// Time within which all proxies must confirm a permit.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(4);
-/// Limit of attempts to return a permit while no leader decides.
+/// Limit of attempts to return this proxy's own permit while no leader decides.
 const MAX_RETURN_ATTEMPTS: usize = 100;
 
 /// Reports availability to the fleet and applies its quarantine. Returns only when the sender of the serving state or
@@ -57,8 +57,8 @@
     }
 }
 
-/// Passes a quarantine to the driver, and confirms it once the driver has applied it. The driver sends no new requests
-/// to its members after that.
+/// Passes a quarantine to the driver, and confirms the quarantine once the driver has applied it and sends no new
+/// requests to the quarantined members.
 async fn apply_quarantine(
     fleet: &FleetClient, inbox: &mpsc::UnboundedSender<DriverInput>, quarantine: Quarantine,
 ) {
@@ -72,10 +72,10 @@
 /// Why a disruption request did not succeed.
 #[derive(Debug)]
 pub enum DisruptionError {
-    /// The leader denied the request. Holds the text of its reply.
+    /// The leader denied the request. Holds the text of the leader's reply.
     Denied(String),
-    /// The permit is granted, but these proxies have not confirmed it yet. A repeated request reports the remaining
-    /// ones.
+    /// The permit is granted, but these proxies have not confirmed it before the timeout. A repeated request reports
+    /// the proxies that remain. Empty if no reply arrived before the timeout.
     Unconfirmed(Vec<String>),
     /// No leader decided on the request.
     NoLeader(OperatorCallError),
@@ -106,8 +106,9 @@
     }
 }
 
-/// Requests a permit for `subject` to be unavailable, and waits until all proxies have stopped sending new requests to
-/// it if it is a member. With `is_forced` the limits do not apply. Returns the text of the leader's reply.
+/// Requests a permit for `subject` to be unavailable. For a member, also waits until all proxies have confirmed that
+/// they send no new requests to the member. With `is_forced` the limits do not apply, and a permit that another
+/// requester holds is accepted. Returns the text of the leader's reply.
 ///
 /// # Errors
 /// The permit is denied or not confirmed by all proxies within 4 s, or no leader decides.
@@ -140,10 +141,11 @@
     }
 }
 
-/// Returns the permit of `subject`, so that it can be in service again. Returns the text of the leader's reply.
+/// Requests the return of `subject` to service: its permit ends once it is reported in service. Succeeds also if it has
+/// no permit. Returns the text of the leader's reply.
 ///
 /// # Errors
-/// The return is denied, or no leader decides.
+/// The leader rejects the request, for example without disruption limits, or no leader decides.
 pub async fn return_permit(fleet: &FleetClient, subject: &Subject) -> Result<String, DisruptionError> {
     let request = DisruptionRequest {
         subject: subject.key(),
@@ -153,9 +155,9 @@
     accepted_text(fleet.request_disruption(request).await?)
 }
 
-/// Returns this proxy's own permit, also if the proxy was never observed out of service. Retries a limited number of
-/// times while no leader decides. After that, the permit ends once the keepers have observed the proxy out of service
-/// and back, or when an operator returns it.
+/// Requests this proxy's own return to service, so that its permit ends even if the proxy was never reported
+/// unavailable. Retries up to 100 times while no leader decides. After that, the permit ends once the proxy was
+/// reported unavailable and in service again, or when operators request the return.
 pub async fn return_own_permit(fleet: &FleetClient) {
     let subject = Subject::Proxy(fleet.name());
     for _ in 0..MAX_RETURN_ATTEMPTS {
--- a/src/fleet/quota.rs
+++ b/src/fleet/quota.rs
@@ -1,6 +1,6 @@
 //! Enforcement of the fleet's budgets in this proxy. The lease in `linenhill_cluster` decides whether a unit may be
 //! used; this module maps connections, attempts, retries, health checks, admissions and load to budgets, and returns
-//! acquired units. Without an operators' file it must not limit anything.
+//! acquired units. Without an operators' file this module must not limit anything.
 
 use crate::api::ClassId;
 use linenhill_cluster::client::FleetClient;
@@ -56,7 +56,7 @@
             retries: budgets_of(operator, BudgetKind::Repeats),
             health_checks: budgets_of(operator, BudgetKind::Probes),
             admissions: admission_budgets(operator, classes)?,
-            load: load_budget(operator),
+            load: find_load_budget(operator),
             fleet,
         })
     }
@@ -87,7 +87,8 @@
     Ok(admissions)
 }
 
-fn load_budget(operator: &Operator) -> Option<LoadBudget> {
+/// The first budget of kind `LOAD`; `None` if there is none.
+fn find_load_budget(operator: &Operator) -> Option<LoadBudget> {
     let name = budgets_of(operator, BudgetKind::Load).into_iter().next()?;
     let total = operator.budgets.get(&name)?.total;
     Some(LoadBudget { name, total })
@@ -131,13 +132,13 @@
         Ok(FleetQuota(Some(Rc::new(BoundBudgets::new(fleet, classes)?))))
     }
 
-    /// Starts enforcing the entries of a member.
+    /// Starts enforcing the entries of a member. None of their units may be used until a grant contains them.
     pub fn member_added(&self, member: &str) {
         let Some(bound) = &self.0 else { return };
         bound.member_entries(member).for_each(|entry| bound.fleet.enforce(&entry));
     }
 
-    /// Stops enforcing the entries of a removed member. Units that are still in use must be returned as usual.
+    /// Stops enforcing the entries of a removed member. Units in use must still be returned.
     pub fn member_removed(&self, member: &str) {
         let Some(bound) = &self.0 else { return };
         bound.member_entries(member).for_each(|entry| bound.fleet.stop_enforcing(&entry));
@@ -169,7 +170,8 @@
         Some(unit)
     }
 
-    /// Number of open connections to a member beyond the quota. The caller closes as many idle ones.
+    /// Number of open connections to a member in excess of the quota, the largest of all connection budgets. The caller
+    /// must close this number of idle connections.
     pub fn excess_connections(&self, member: &str) -> u64 {
         let Some(bound) = &self.0 else { return 0 };
         let excess = |budget: &String| bound.fleet.excess(&member_entry(budget, member));
@@ -197,7 +199,8 @@
         budgets(bound).iter().all(|budget| bound.fleet.spend_token(budget) != AcquireDecision::Exhausted)
     }
 
-    /// This proxy's fraction, from 0 to 1, of the fleet's load; `None` if no budget divides the load.
+    /// The fraction of the fleet's load, from 0 to 1, that this proxy's quota allows now; `None` if no budget divides
+    /// the load.
     pub fn load_part(&self) -> Option<f64> {
         let bound = self.0.as_ref()?;
         let load = bound.load.as_ref()?;
@@ -205,7 +208,8 @@
         Some(limit as f64 / load.total.max(1) as f64)
     }
 
-    /// Records that there are client requests, so that this proxy requests units of the fleet's load.
+    /// Records that this proxy receives client requests. It then demands all units of the load budget, which the leader
+    /// divides between the proxies that demand them.
     pub fn record_demand(&self) {
         let Some(bound) = &self.0 else { return };
         if let Some(load) = &bound.load {
@@ -214,12 +218,12 @@
     }
 
     /// Whether clients may be served. Where disruptions are limited, a proxy whose membership expired must not serve,
-    /// since it may miss that a member was quarantined.
+    /// since it may not have received a quarantine.
     pub fn may_serve(&self) -> bool {
         self.0.as_ref().is_none_or(|bound| bound.fleet.may_serve())
     }
 
-    /// Waits until quotas change. Never returns without limits.
+    /// Waits until quotas may have changed. Never returns without limits.
     pub async fn changed(&self) {
         match &self.0 {
             Some(bound) => bound.fleet.quota_changed().await,
