--- a/crates/cluster/src/client/mod.rs
+++ b/crates/cluster/src/client/mod.rs
@@ -176,7 +176,7 @@
         self.reporter.borrow_mut().observe(observations);
     }
 
-    /// Subscribes to the quarantine and its later editions. No new requests may be sent to its members.
+    /// Subscribes to the quarantine and its later editions. No new requests may be sent to quarantined members.
     pub fn subscribe_quarantine(&self) -> watch::Receiver<Quarantine> {
         self.quarantine.subscribe()
     }
--- a/crates/cluster/src/keeper.rs
+++ b/crates/cluster/src/keeper.rs
@@ -22,8 +22,8 @@
 
 /// Capacity of the queue of received messages.
 const INBOX_LENGTH: usize = 4_096;
-/// Limit of the messages that are passed to the node together with a first one. Commands of one call share log entries
-/// and syncs of the store.
+/// A call of the node handles one received message and at most this many more. Their commands share log entries and
+/// syncs of the store.
 const MAX_BATCH: usize = 512;
 /// Capacity of the queue of replies to join requests.
 const JOIN_REPLIES_LENGTH: usize = 8;
--- a/crates/cluster/src/protocol.rs
+++ b/crates/cluster/src/protocol.rs
@@ -39,7 +39,7 @@
     /// other messages, and from a keeper that has not joined yet.
     #[prost(uint64, tag = "5")]
     pub log_id: u64,
-    /// The message; `None` if this version does not support it, in which case it is ignored.
+    /// The message; `None` if this version does not support it.
     #[prost(oneof = "Body", tags = "10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21")]
     pub body: Option<Body>,
 }
@@ -180,7 +180,8 @@
     /// Description of the outcome, for operators.
     #[prost(string, tag = "2")]
     pub text: String,
-    /// Names of the proxies that have not confirmed yet that they apply the quarantine of a permit.
+    /// Names of the proxies that have not confirmed a member's permit yet: they may still send new requests to the
+    /// member.
     #[prost(string, repeated, tag = "3")]
     pub unconfirmed: Vec<String>,
     /// The request was not decided, because the keeper does not lead.
--- a/crates/cluster/src/raft_node/mod.rs
+++ b/crates/cluster/src/raft_node/mod.rs
@@ -2,7 +2,7 @@
 //! message that depends on it is sent, and applies committed entries.
 //!
 //! [`crate::keeper`] carries out the [`Action`]s; tests run the same node under virtual time. The node writes to its
-//! store itself, because safety depends on the order of writes and messages; it must do no other I/O.
+//! store itself, because safety depends on the order of writes and messages. The node must do no other I/O.
 //!
 //! Only the leader proposes entries. Each entry carries the time that elapsed on the leader's clock since its previous
 //! entry, or since it became leader. Log time therefore does not advance without a leader, so no grant expires at the
@@ -97,7 +97,7 @@
     declared_in_term: Option<u64>,
     /// Time at which the last entry was applied, or of the start before the first one. Microseconds.
     last_applied_at: u64,
-    /// Leader in the last log line about it; `None` if it was unknown.
+    /// Leader named by the last log line about a change of leader; `None` if the leader was unknown.
     logged_leader: Option<String>,
     ticks: u64,
     /// Number of disruption requests queued as proposals so far; seeds their request identifiers.
--- a/crates/cluster/src/raft_node/operators.rs
+++ b/crates/cluster/src/raft_node/operators.rs
@@ -10,7 +10,7 @@
 /// Maximum size of a disruption request, in bytes.
 const MAX_DISRUPTION_REQUEST_BYTES: usize = 4_096;
 
-/// Why an operator's request or a join request is rejected. The text is sent in the reply to operators, so it must not
+/// Why an operator's request or a join request is rejected. Operators' scripts read these texts, which must not
 /// change.
 pub(super) enum ChangeRejected {
     /// This keeper does not lead; the leader's name is empty while it is unknown.
--- a/crates/cluster/src/raft_node/voters.rs
+++ b/crates/cluster/src/raft_node/voters.rs
@@ -40,8 +40,8 @@
         self.actions.push(Action::SetPeers(self.peers.clone()));
     }
 
-    /// Adds the sender of a Raft message to the peers while this keeper has no list of keepers, so that it can answer.
-    /// Senders that the operators' file does not name are not added.
+    /// Adds the sender of a Raft message to the peers while this keeper has no list of keepers, so that it can be
+    /// answered. Senders that the operators' file does not name are not added.
     pub(super) fn add_provisional_peer(&mut self, name: &str, id: u64) {
         let may_add = self.state.keepers.is_empty() && self.peers.len() < MAX_PROVISIONAL_PEERS;
         if !may_add || self.peers.contains_key(&id) {
--- a/crates/cluster/src/replicated_state.rs
+++ b/crates/cluster/src/replicated_state.rs
@@ -21,7 +21,8 @@
     pub request_id: u64,
     /// Whether the request was accepted.
     pub ok: bool,
-    /// Incarnations of the proxies that have not confirmed yet that they apply the quarantine of a permit.
+    /// Incarnations of the proxies that have not confirmed a member's permit yet: they may still send new requests to
+    /// the member.
     pub unconfirmed: Vec<u64>,
     /// Description of the outcome, for operators.
     pub text: String,
@@ -171,7 +172,7 @@
     }
 }
 
-/// Why a [`DisruptionRequest`] is rejected. The text is sent in the reply to operators, so it must not change.
+/// Why a [`DisruptionRequest`] is rejected. Operators' scripts read these texts, which must not change.
 enum DisruptionRejected {
     /// The committed declaration has no disruption limits.
     NoPolicy,
--- a/crates/cluster/src/store/mod.rs
+++ b/crates/cluster/src/store/mod.rs
@@ -266,8 +266,8 @@
         message.write_to_bytes().map_err(invalid(&self.path, "message"))
     }
 
-    /// Records the commit index in memory only. It need not be synced, since the engine determines it again after a
-    /// restart.
+    /// Records the commit index in memory only. It need not be synced, since the engine determines the commit index
+    /// again after a restart.
     pub fn set_commit_index(&mut self, index: u64) {
         self.memory.wl().mut_hard_state().commit = index;
     }
--- a/crates/cluster/src/transport/call.rs
+++ b/crates/cluster/src/transport/call.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// Sends a request to the keepers in turn until one accepts it, and returns its reply. If none accepts the request,
-/// returns the last rejection by a leader.
+/// Sends a request to the keepers in turn until one accepts it, and returns the reply of that keeper. If none accepts
+/// the request, returns the last rejection by a leader.
 ///
 /// # Errors
 /// The last failure if no leader replied to the request, or [`OperatorCallError::NoKeepers`] without keepers.
--- a/crates/cluster/src/transport/mod.rs
+++ b/crates/cluster/src/transport/mod.rs
@@ -30,7 +30,7 @@
 /// Initial delay before a failed connection is reopened; also the delay after a failed accept.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The sender fields of an instance's messages, and the keepers from which it accepts long frames.
+/// The sender fields of an instance's messages, and the keepers from which the instance accepts long frames.
 #[derive(Clone, Debug)]
 pub struct InstanceIdentity {
     /// Name of the fleet.
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -1,5 +1,5 @@
 //! Output of `linenhill fleet status`, as text or as JSON. Operators' scripts rely on the names of the JSON fields,
-//! which must not change; they differ from the names in the code, and are mapped to them only here.
+//! which must not change. Only this module maps those names to the names in the code.
 
 use linenhill_cluster::protocol::{BudgetStatus, SessionStatus, Status, UnavailableStatus};
 use miniserde::Serialize;
@@ -10,7 +10,7 @@
 pub struct InstanceStatus {
     /// Name of the instance that answered.
     pub from: String,
-    /// Its answer.
+    /// Answer of the instance.
     pub status: Status,
 }
 
