--- a/src/admin/response.rs
+++ b/src/admin/response.rs
@@ -51,13 +51,13 @@
 }
 
 impl From<DisruptionError> for Response {
-    /// The text says when to retry, since a permit that is in the way ends when its subject is back in service.
+    /// The body says when to retry, since a permit that exhausts a limit ends once its subject is back in service.
     fn from(error: DisruptionError) -> Response {
         let status = match error {
             DisruptionError::Denied(_) => 409,
             DisruptionError::Unconfirmed(_) | DisruptionError::NoLeader(_) => 503,
         };
-        Response::text(status, format!("{error}; retry in 1 s"))
+        Response::text(status, format!("{error}; ask again in 1 s"))
     }
 }
 
--- a/src/pg/frontend.rs
+++ b/src/pg/frontend.rs
@@ -22,7 +22,7 @@
 /// The code that requests to cancel the statement of another connection.
 const CANCEL_REQUEST: u32 = 80_877_102;
 /// The supported major version of the protocol.
-const PROTOCOL_VERSION: u32 = 3;
+const PROTOCOL_MAJOR_VERSION: u32 = 3;
 /// The parameters that are sent to a client when its session opens.
 const SESSION_PARAMETERS: [(&str, &str); 3] =
     [("server_version", "15.0"), ("client_encoding", "UTF8"), ("DateStyle", "ISO, MDY")];
@@ -36,7 +36,7 @@
     CancelRequest,
     /// Opens the session.
     Startup,
-    /// The header of a long query with this length in bytes has arrived. It is read once
+    /// The header of a long query with this length in bytes has arrived. The query is read once
     /// [`FrontendCodec::grant_long_message`] grants memory for it.
     LongQueryAnnounced(usize),
     /// The statement of a simple query.
@@ -45,7 +45,7 @@
     Extended(u8),
     /// Ends a batch of messages of the extended query protocol.
     Sync,
-    /// A message of the copy protocol, which is not answered when no copy is in progress.
+    /// A message of the copy protocol, which is ignored because no copy is ever in progress.
     Copy,
     /// Ends the session.
     Terminate,
@@ -56,7 +56,8 @@
 pub enum Reply {
     /// Encryption is not available; the client may continue without it.
     NoEncryption,
-    /// The session is open: authentication, parameters, key data.
+    /// The session is open: `AuthenticationOk`, a `ParameterStatus` for each session parameter, and `BackendKeyData`
+    /// with zeros, since cancel requests are not supported.
     SessionOpened,
     /// The session is ready for the next query.
     ReadyForQuery,
@@ -148,7 +149,7 @@
         match body.get_u32() {
             SSL_REQUEST | GSS_ENCRYPTION_REQUEST => Ok(Some(FrontendMessage::EncryptionRequest)),
             CANCEL_REQUEST => Ok(Some(FrontendMessage::CancelRequest)),
-            version if version >> 16 == PROTOCOL_VERSION => {
+            version if version >> 16 == PROTOCOL_MAJOR_VERSION => {
                 self.has_started = true;
                 Ok(Some(FrontendMessage::Startup))
             }
