--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -146,7 +146,7 @@
     let keep = |operator: &str, message: &str| {
         assert_fails_to_start(&["keep", "--operator", operator, "--name", "k1", "--found"], &[], message);
     };
-    keep(&operator_file("cli-silent.textproto", ""), "the operator's file lacks instance.listen");
+    keep(&operator_file("cli-silent.textproto", ""), "the operators' file lacks instance.listen");
     let operator = operator_file("cli-taken.textproto", &format!("listen: \"{address_in_use}\""));
     keep(
         &operator,
