--- a/src/bin/linenhill-simulator-adapter/adapter.rs
+++ b/src/bin/linenhill-simulator-adapter/adapter.rs
@@ -15,10 +15,10 @@
 /// Maximum number of list entries for which memory is reserved in advance, whatever length the list announces.
 const MAX_RESERVED_ENTRIES: usize = 4_096;
 
-/// Whether the batch is complete.
+/// Progress of the current batch after a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchState {
-    /// More messages of the batch follow.
+    /// Further messages of the batch are expected.
     Incomplete,
     /// The batch has ended and its reply is complete.
     Complete,
@@ -53,7 +53,7 @@
     interners: NameInterners,
     /// The batch that is being read; `None` between batches.
     batch: Option<Batch>,
-    /// The instance to which the next messages of the batch are addressed.
+    /// The instance that the last INSTANCE of the batch selected.
     current_instance: Option<u64>,
     incomplete_list: Option<IncompleteList>,
     /// Actions of the last event; a field only to reuse its memory.
@@ -97,9 +97,9 @@
         Ok(BatchState::Incomplete)
     }
 
-    /// Whether a batch has begun and not ended.
-    pub fn is_in_batch(&self) -> bool {
-        self.batch.is_some()
+    /// The number of the batch that has begun and not ended.
+    pub fn open_batch(&self) -> Option<u64> {
+        self.batch.map(|batch| batch.number)
     }
 
     /// The reply so far.
@@ -112,10 +112,10 @@
         self.reply.clear();
     }
 
-    /// Handles TURN.
+    /// Handles TURN, which begins a batch.
     fn begin_batch(&mut self, fields: &mut MessageFields) -> Result<(), MessageError> {
-        if self.batch.is_some() {
-            return Err(MessageError::NestedBatch);
+        if let Some(batch) = self.batch {
+            return Err(MessageError::NestedBatch { open: batch.number });
         }
         let now = Time(fields.integer("time")?);
         let number = fields.integer("batch")?;
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    /// Handles GO.
+    /// Handles GO, which ends a batch.
     fn end_batch(&mut self, batch: Batch) {
         encode_batch_end(batch.number, &mut self.reply);
         self.batch = None;
@@ -131,7 +131,7 @@
         self.reply_instance = None;
     }
 
-    /// The instance to which a message is addressed.
+    /// The instance that was selected for the next messages of the batch.
     fn require_instance(&self, message: &str) -> Result<u64, MessageError> {
         self.current_instance.ok_or_else(|| MessageError::NoInstance(message.to_string()))
     }
--- a/src/bin/linenhill-simulator-adapter/decode.rs
+++ b/src/bin/linenhill-simulator-adapter/decode.rs
@@ -1,5 +1,5 @@
 //! Decodes list entries and events. The simulator's names of messages, fields and values are not used beyond this
-//! module and `fields`. A field that is read but not used is still checked.
+//! module and `fields`. The type of a field that is read but not used is still checked.
 
 use crate::MICROS_PER_MILLI;
 use crate::error::MessageError;
@@ -93,7 +93,7 @@
     }
 }
 
-/// Decodes QUERY: a client's request.
+/// Decodes QUERY: a client's request. A tenant that the profile does not name is ignored.
 fn decode_request(fields: &mut MessageFields, context: &InstanceContext) -> Result<Request, MessageError> {
     let id = fields.request_id()?;
     let class_name = fields.text("grade")?;
@@ -110,7 +110,8 @@
     Ok(Request { id, class, time_left, tenant, last_write_age, group, session })
 }
 
-/// Decodes the number of a group, which may be any finite number; 0 if absent.
+/// Decodes the number of a group, which may be any finite number and is truncated to 32 bits, saturating; 0 if
+/// absent.
 fn decode_group(fields: &mut MessageFields, field: &'static str) -> Result<GroupId, MessageError> {
     Ok(GroupId(fields.finite_or(field, 0.0)? as u32))
 }
--- a/src/bin/linenhill-simulator-adapter/encode.rs
+++ b/src/bin/linenhill-simulator-adapter/encode.rs
@@ -9,7 +9,7 @@
 /// Recipient of a message that goes to all other instances.
 const ALL_INSTANCES: &str = "*";
 
-/// Appends the line that names the instance of the actions after it.
+/// Appends the line that names the instance of the following actions.
 pub fn encode_instance(instance: u64, reply: &mut String) {
     push_line(reply, format_args!("BY\t{instance}"));
 }
--- a/src/bin/linenhill-simulator-adapter/error.rs
+++ b/src/bin/linenhill-simulator-adapter/error.rs
@@ -17,17 +17,17 @@
     InvalidValue { message: String, field: &'static str, expected: &'static str, value: String },
     /// The message requires an open batch.
     OutsideBatch(String),
-    /// A batch begins before the previous one has ended.
-    NestedBatch,
-    /// Another message arrived before all entries of a list.
+    /// A batch begins before the batch `open` has ended.
+    NestedBatch { open: u64 },
+    /// Another message arrived before all `length` entries of a list.
     IncompleteList { message: String, received: usize, length: usize },
-    /// An entry arrived without a list that is being read.
+    /// A list entry arrived while no list was being read.
     MemberOutsideList,
     /// No list with this number was defined.
     UnknownList(u64),
     /// No instance was selected for the message in this batch.
     NoInstance(String),
-    /// The selected instance was never attached, or has crashed.
+    /// The selected instance has not been attached, or has crashed since.
     NotAttached { message: String, instance: u64 },
     /// An instance's profile can't be parsed.
     MalformedProfile(JsonError),
@@ -49,7 +49,9 @@
             MessageError::OutsideBatch(message) => {
                 write!(f, "expected TURN to begin a batch, got '{message}'")
             }
-            MessageError::NestedBatch => write!(f, "expected GO to end the batch, got another TURN"),
+            MessageError::NestedBatch { open } => {
+                write!(f, "expected GO to end batch {open}, got another TURN")
+            }
             MessageError::IncompleteList { message, received, length } => {
                 write!(f, "expected MEMBER ({received} of {length} received), got '{message}'")
             }
--- a/src/bin/linenhill-simulator-adapter/fields.rs
+++ b/src/bin/linenhill-simulator-adapter/fields.rs
@@ -7,11 +7,12 @@
 
 /// Placeholder of a field without a value.
 const ABSENT: &str = "-";
-/// A member is the primary if the number of its role is at least this.
+/// Minimum value of a numeric role that means primary.
 pub const IS_PRIMARY: f64 = 0.5;
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Expected values, as errors name them.
+/// Text for an expected integer in errors.
 const INTEGER: &str = "an integer in range";
+/// Text for an expected finite number in errors.
 const FINITE: &str = "a finite number";
 
 /// The fields of a message that have not been read yet.
--- a/src/bin/linenhill-simulator-adapter/main.rs
+++ b/src/bin/linenhill-simulator-adapter/main.rs
@@ -36,17 +36,19 @@
     Write(io::Error),
     /// A message was rejected; lines are counted from 1.
     Message { line: u64, error: MessageError },
-    /// The input ended in the middle of a batch.
-    IncompleteBatch,
+    /// The input ended in the middle of this batch.
+    IncompleteBatch { batch: u64 },
 }
 
 impl fmt::Display for RunError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            RunError::Read(e) => write!(f, "reading standard input: {e}"),
-            RunError::Write(e) => write!(f, "writing standard output: {e}"),
+            RunError::Read(e) => write!(f, "can't read standard input: {e}"),
+            RunError::Write(e) => write!(f, "can't write standard output: {e}"),
             RunError::Message { line, error } => write!(f, "line {line}: {error}"),
-            RunError::IncompleteBatch => write!(f, "input ended before the batch did"),
+            RunError::IncompleteBatch { batch } => {
+                write!(f, "expected GO to end batch {batch}, got the end of the input")
+            }
         }
     }
 }
@@ -56,7 +58,7 @@
         match self {
             RunError::Read(e) | RunError::Write(e) => Some(e),
             RunError::Message { error, .. } => Some(error),
-            RunError::IncompleteBatch => None,
+            RunError::IncompleteBatch { .. } => None,
         }
     }
 }
@@ -81,7 +83,10 @@
     loop {
         bytes.clear();
         if input.read_until(b'\n', &mut bytes).map_err(RunError::Read)? == 0 {
-            return if adapter.is_in_batch() { Err(RunError::IncompleteBatch) } else { Ok(()) };
+            return match adapter.open_batch() {
+                Some(batch) => Err(RunError::IncompleteBatch { batch }),
+                None => Ok(()),
+            };
         }
         line += 1;
         let state = handle_line(&mut adapter, &bytes).map_err(|error| RunError::Message { line, error })?;
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -97,7 +97,7 @@
         (b"TURN\t1\t1\nATTACH\t1\t{}\n", "line 2: ATTACH: no INSTANCE selected in this batch"),
         (b"TURN\t1\t1\nCRASH_NOW\n", "line 2: CRASH_NOW: no INSTANCE selected in this batch"),
         (b"TURN\t1\t1\n\xff\n", "line 2: not valid UTF-8"),
-        (b"TURN\t1\t1\n", "input ended before the batch did"),
+        (b"TURN\t1\t1\n", "expected GO to end batch 1, got the end of the input"),
     ];
     for (input, error) in cases {
         assert_eq!(error_of(input), error, "{:?}", String::from_utf8_lossy(input));
@@ -139,7 +139,7 @@
     ("ATTACH\t1", "ATTACH: field 'profileData' is missing"),
     ("ATTACH\tx\t{}", "ATTACH: field 'prng': expected an integer in range, got 'x'"),
     ("ATTACH\t1\t{", "ATTACH: field 'profileData': the text is not JSON"),
-    ("TURN\t5010000\t2", "expected GO to end the batch, got another TURN"),
+    ("TURN\t5010000\t2", "expected GO to end batch 2, got another TURN"),
     ("NOSUCH\t1", "unknown message 'NOSUCH'"),
 ];
 
