--- a/crates/decisions/src/policy/concurrency_limit.rs
+++ b/crates/decisions/src/policy/concurrency_limit.rs
@@ -16,8 +16,8 @@
 const FLEET_LIMIT_INITIAL: f64 = 16.0;
 /// Minimum limit for all routers together: the cores of a small member. The minimum of one router is at most 1.
 const FLEET_LIMIT_MIN: f64 = 3.0;
-/// Increase of the limit per served attempt, for all routers together. A router divides its share by its limit if
-/// that exceeds 1.
+/// Increase of the limit per served attempt, for all routers together. A router's share is divided by the router's
+/// limit, if that limit exceeds 1.
 const FLEET_LIMIT_STEP: f64 = 2.0;
 /// Maximum initial limit of one router.
 const ROUTER_LIMIT_INITIAL: f64 = 6.0;
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -49,7 +49,7 @@
 const MEMBER_CHECK_INTERVAL: Micros = Micros::from_millis(100);
 /// Time reserved before a request's deadline for its final answer.
 const ANSWER_MARGIN: Micros = Micros::from_millis(15);
-/// Maximum age of a load report on arrival, allowed for when its position is compared with other times.
+/// Maximum age of a load report on arrival, allowed for when the report is compared with other evidence.
 const REPORT_DELAY_MAX: Micros = Micros::from_millis(400);
 /// Positions and commits are reported in whole milliseconds, rounded up: the position 1 ms lower is certain to be
 /// applied.
