--- a/crates/cluster/src/store/load.rs
+++ b/crates/cluster/src/store/load.rs
@@ -9,6 +9,9 @@
 use redb::{ReadTransaction, ReadableTable};
 use std::path::Path;
 
+/// Maximum number of characters of an invalid identity's first line in the error text.
+const MAX_FOUND_CHARS: usize = 40;
+
 /// The decoded values of the [`META`] table.
 pub(super) struct StoredMeta {
     pub identity: StoreIdentity,
@@ -23,13 +26,11 @@
             let found = table.get(key).map_err(database_error(path))?;
             Ok(found.map(|found| found.value().to_vec()))
         };
-        let identity = value(IDENTITY_KEY)?
-            .and_then(|bytes| StoreIdentity::decode(std::str::from_utf8(&bytes).ok()?))
-            .ok_or_else(|| StoreError::Invalid {
-                path: path.to_path_buf(),
-                value: "identity",
-                source: Some(format!("expected an identity of format version {FORMAT_VERSION}").into()),
-            })?;
+        let identity_bytes = value(IDENTITY_KEY)?;
+        let identity = identity_bytes
+            .as_deref()
+            .and_then(|bytes| StoreIdentity::decode(std::str::from_utf8(bytes).ok()?))
+            .ok_or_else(|| invalid_identity(path, identity_bytes.as_deref()))?;
         let snapshot = value(SNAPSHOT_KEY)?.map(|bytes| Snapshot::parse_from_bytes(&bytes)).transpose();
         let snapshot = snapshot.map_err(invalid(path, "snapshot"))?;
         let hard_state = value(HARD_STATE_KEY)?.map(|bytes| HardState::parse_from_bytes(&bytes)).transpose();
@@ -38,6 +39,20 @@
     }
 }
 
+/// The error for an identity that is absent or cannot be decoded.
+fn invalid_identity(path: &Path, bytes: Option<&[u8]>) -> StoreError {
+    let found = match bytes.map(std::str::from_utf8) {
+        None => "none".to_string(),
+        Some(Err(error)) => error.to_string(),
+        Some(Ok(text)) => {
+            let first_line: String = text.chars().take_while(|c| *c != '\n').take(MAX_FOUND_CHARS).collect();
+            format!("{} lines, the first of which is {first_line:?}", text.split('\n').count())
+        }
+    };
+    let source = format!("expected an identity of format version {FORMAT_VERSION}, found {found}").into();
+    StoreError::Invalid { path: path.to_path_buf(), value: "identity", source: Some(source) }
+}
+
 /// Reads the entries after `snapshot_index`, whose indices must be consecutive. Earlier entries are skipped; a log
 /// table that cannot be opened counts as empty.
 pub(super) fn read_entries(
--- a/crates/decisions/src/client_retry.rs
+++ b/crates/decisions/src/client_retry.rs
@@ -90,7 +90,9 @@
 
 #[derive(Clone, Copy, Debug)]
 struct TrackedTimeout {
-    /// The first value seen. If it were updated to the latest value, it would drift through all remainders.
+    /// Timeout of the request that created or replaced this entry. Later timeouts within the tolerance only add to
+    /// `count`: if each also updated this value, it could shift by up to the tolerance at a time, and the entry would
+    /// count many different remainders as one common timeout.
     timeout: u64,
     count: u32,
 }
--- a/crates/decisions/src/connection_admission/table.rs
+++ b/crates/decisions/src/connection_admission/table.rs
@@ -44,8 +44,8 @@
         self.slots.insert(id, ConnectionSlot { state, since: now, close_requested: false });
     }
 
-    /// Moves a connection to another state; an unknown connection is ignored. A connection whose close was requested
-    /// moves to [`ConnectionState::Closing`] instead of any state but busy.
+    /// Moves a connection to another state; an unknown connection is ignored. If a close was requested, the
+    /// new state is [`ConnectionState::Closing`], unless `state` is [`ConnectionState::Busy`].
     pub(super) fn set_state(&mut self, id: ConnectionId, state: ConnectionState, now: Time) {
         let Some(slot) = self.slots.get_mut(&id) else { return };
         let closes = slot.close_requested && state != ConnectionState::Busy;
--- a/crates/decisions/src/policy/replica_selection.rs
+++ b/crates/decisions/src/policy/replica_selection.rs
@@ -16,11 +16,12 @@
 /// How long a read rejected by a replica is evidence that the replica has not applied the read's target position or
 /// any later one.
 const REJECTION_EVIDENCE_MAX_AGE: Micros = Micros::from_millis(120);
-/// Exponent of the inverse cost in a replica's weight, except for reads of any age. With 1 the weight would be
-/// inversely proportional to latency x (in flight + 1); a higher exponent sends fewer reads to replicas with a higher
-/// cost.
+/// Exponent of the inverse cost in a replica's weight, except for reads of [`ReadLevel::Any`]. With 1 the weight would
+/// be inversely proportional to latency x (in flight + 1); a higher exponent sends fewer reads to replicas with a
+/// higher cost.
 const COST_EXPONENT: f64 = 2.5;
-/// Exponent of the relative lag in the weight: concentrates reads of any age on the replica with the largest lag.
+/// Exponent of the relative lag in the weight: concentrates reads of [`ReadLevel::Any`], which accept stale data, on
+/// the replica with the largest lag.
 const LAG_PREFERENCE_EXPONENT: i32 = 24;
 /// Lower bound of a replica's latency ratio in its selection cost.
 const LATENCY_RATIO_MIN: f64 = 0.2;
@@ -35,7 +36,7 @@
 struct ReplicaSelection<'a> {
     request: &'a QueuedRequest,
     target: LogPosition,
-    /// Whether the read accepts data of any age.
+    /// Whether the read is of [`ReadLevel::Any`].
     is_any_read: bool,
     /// Largest possible lag of a healthy replica, in microseconds; at least 1.
     max_lag: f64,
@@ -157,7 +158,7 @@
             && self.is_fresh_enough(replica, selection.target)
     }
 
-    /// Reads of any age are concentrated on the replica with the largest lag, which is the same for all routers: a
+    /// Reads of [`ReadLevel::Any`] are concentrated on the replica with the largest lag, which is the same for all routers: a
     /// long read can stall a replica's log, and spreading such reads would make all replicas lag. Trade-off: that
     /// replica is slow to promote. Other reads without a target position prefer a larger lag by a factor of at most
     /// 2.
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -19,8 +19,8 @@
 const FLEET_RATE_EXPONENT: f64 = 0.4;
 /// Maximum factor by which the multiplier of all members in slow start raises or lowers the rate.
 const FLEET_RATE_MULTIPLIER_MAX: f64 = 5.0;
-/// All routers together may send a member in slow start `overload_multiple` times the present capacity of this many
-/// cores.
+/// Number of cores per member for the load limit in slow start: all routers together may send a member
+/// `overload_multiple` times the present capacity of these cores.
 const CORES_USED: f64 = 3.0;
 /// Lower bound of the load that a gap is computed from, so that the gap is finite.
 const LOAD_MIN: f64 = 1e-9;
--- a/crates/decisions/src/poll_schedule.rs
+++ b/crates/decisions/src/poll_schedule.rs
@@ -29,8 +29,8 @@
 const CALL_TIMEOUT: u64 = 3_000_000;
 /// Time reserved before a deadline for the call itself and for applying its result. Microseconds.
 const CALL_RESERVE: u64 = 1_000_000;
-/// Bound on the deadlines of silent watches that are kept; beyond it the latest is dropped. Silence is detected after 3
-/// s, and the deadline lies within 6 s plus the drain grace after the start of the silence.
+/// Maximum number of deadlines of silent watches; the earliest ones are kept. Silence is detected after 3 s, and a
+/// deadline lies within 6 s plus the drain grace after the start of the silence.
 const SILENT_WATCHES_MAX: usize = 8;
 /// Shortest gap between polls, so that a service that fails calls at once is not polled in a tight loop. Microseconds.
 const GAP_MIN: u64 = 50_000;
@@ -41,7 +41,8 @@
     /// When the next poll is due; `None` while one is in progress, or where lists are pushed.
     next_poll: Option<u64>,
     first_slot: FirstSlot,
-    /// Time for one call of every proxy in the fleet, within its bounds.
+    /// Time planned for one call of every proxy in the fleet: [`SERVICE_TIME`] for each, limited by
+    /// [`FLEET_POLL_TIME_MAX`] and `longest_gap`.
     fleet_poll_time: u64,
     windows: Windows,
     /// The window from which the gap after the next failure is drawn.
@@ -85,8 +86,9 @@
 impl PollSchedule {
     /// A schedule for the proxy at `index` of a fleet. The first poll is due at `first_poll`, which is `None` where
     /// lists are pushed. If a saved list is loaded, the first poll waits for the proxy's slot; without an index the
-    /// slot is the time of the whole fleet. A proxy that has not polled for `poll_within` microseconds counts as
-    /// notified, so every gap is shorter than that.
+    /// slot spans the time planned for the calls of all proxies. The backoff window is limited to four fifths of
+    /// `poll_within` (microseconds), since the platform assumes that a proxy that has not polled for `poll_within` has
+    /// received all list changes.
     pub fn new(
         index: Option<u32>, fleet_size: u32, poll_within: u64, first_poll: Option<u64>,
     ) -> PollSchedule {
@@ -152,9 +154,9 @@
         self.window = (self.window * 2).min(self.windows.longest);
     }
 
-    /// Adds the deadline of a watch that became silent at this time. Each silent watch has its own deadline: a later
-    /// one does not extend the time for changes that an earlier one missed, and remains in force after the earlier
-    /// deadline has passed.
+    /// Adds the deadline for a watch that became silent at `silent_since`. Each silent watch has its own deadline: the
+    /// new deadline does not replace earlier deadlines, and remains in force after they have passed. Beyond
+    /// [`SILENT_WATCHES_MAX`] deadlines, the latest is dropped.
     fn add_deadline(&mut self, silent_since: u64) {
         let drain_effective_at =
             silent_since.saturating_add(NOTIFIED_AFTER.0).saturating_add(self.drain_grace);
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -77,10 +77,12 @@
         return;
     }
     println!("{:<34} {:>7} {:>7} {:>8} {:>12}", "case", "leases", "n-th", "90% in s", "most");
-    for Division { case, leased_part, equal_split_part, reached_after_s, peak_in_use, total } in divisions {
+    for Division { case, leased_fraction, equal_split_fraction, reached_after_s, peak_in_use, total } in
+        divisions
+    {
         let reached_after = reached_after_s.map_or("never".into(), |seconds| format!("{seconds:.2}"));
         println!(
-            "{case:<34} {leased_part:>7.3} {equal_split_part:>7.3} {reached_after:>8} {peak_in_use:>5} of {total}"
+            "{case:<34} {leased_fraction:>7.3} {equal_split_fraction:>7.3} {reached_after:>8} {peak_in_use:>5} of {total}"
         );
     }
 }
@@ -90,9 +92,18 @@
         println!("{}", miniserde::json::to_string(cost));
         return;
     }
-    let Cost { proxies, seconds, lease_s, messages, bytes, grants, keepers_busy, us_per_grant, in_use_part } =
-        cost;
-    println!("{proxies} proxies, {seconds} s, lease {lease_s} s: {in_use_part:.3} of the budget in use");
+    let Cost {
+        proxies,
+        seconds,
+        lease_s,
+        messages,
+        bytes,
+        grants,
+        keepers_busy,
+        us_per_grant,
+        in_use_fraction,
+    } = cost;
+    println!("{proxies} proxies, {seconds} s, lease {lease_s} s: {in_use_fraction:.3} of the budget in use");
     println!("per second: {messages:.0} messages, {bytes:.0} bytes, {grants:.0} grants");
     println!("keepers: {keepers_busy:.4} s of work per second, {us_per_grant:.1} us per grant");
 }
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -16,8 +16,8 @@
 const START_TIMEOUT_US: u64 = 120 * SECOND_US;
 /// Time from the first leases until the division of the budget is stable.
 const STABILISATION_US: u64 = 10 * SECOND_US;
-/// A division counts as reached once this part of the usable units is in use.
-const REACHED_USABLE_PART: f64 = 0.9;
+/// A division counts as reached once this fraction of the usable units is in use.
+const REACHED_USABLE_FRACTION: f64 = 0.9;
 const KEEPERS: usize = 3;
 /// Units of the budget per proxy.
 const UNITS_PER_PROXY: u64 = 10;
@@ -31,12 +31,12 @@
 pub struct Division {
     /// Description of the case.
     pub case: String,
-    /// Average part of the usable units that was in use when leases divide the budget, from 0 to 1.
+    /// Average fraction of the usable units in use when leases divide the budget, from 0 to 1.
     #[serde(rename = "leases")]
-    pub leased_part: f64,
-    /// Part of the usable units that would be in use with an equal split, from 0 to 1.
+    pub leased_fraction: f64,
+    /// Fraction of the usable units that would be in use with an equal split, from 0 to 1.
     #[serde(rename = "parts")]
-    pub equal_split_part: f64,
+    pub equal_split_fraction: f64,
     /// Seconds until 90% of the usable units were in use; `None` if that was not reached.
     #[serde(rename = "within_s")]
     pub reached_after_s: Option<f64>,
@@ -68,9 +68,9 @@
     pub keepers_busy: f64,
     /// Wall-clock microseconds of work by all keepers per grant.
     pub us_per_grant: f64,
-    /// Part of the budget in use at the end, from 0 to 1.
+    /// Fraction of the budget in use at the end, from 0 to 1.
     #[serde(rename = "in_use")]
-    pub in_use_part: f64,
+    pub in_use_fraction: f64,
 }
 
 fn fleet_config(seed: u64, proxies: usize) -> SimulationConfig {
@@ -96,25 +96,25 @@
     demand.iter().enumerate().for_each(|(proxy, units)| simulation.set_demand(proxy, *units));
 }
 
-/// Runs a case and measures which part of the usable units is in use.
+/// Runs a case and measures which fraction of the usable units is in use.
 fn measure_division(case: &str, simulation: &mut Simulation, demand: &[u64]) -> Division {
     let total = UNITS_PER_PROXY * demand.len() as u64;
     // The floor of a proxy without demand stays reserved, also that of a killed proxy whose membership has not
     // expired.
     let idle_floors = demand.iter().filter(|units| **units == 0).count() as u64;
     let usable = demand.iter().sum::<u64>().min(total - idle_floors);
-    let (leased_part, reached_after_s) = sample_use(simulation, usable);
+    let (leased_fraction, reached_after_s) = sample_use(simulation, usable);
     Division {
         case: case.into(),
-        leased_part,
-        equal_split_part: equal_split_part(total, usable, demand),
+        leased_fraction,
+        equal_split_fraction: equal_split_fraction(total, usable, demand),
         reached_after_s,
         peak_in_use: simulation.peak_in_use(),
         total,
     }
 }
 
-/// Runs the case. Returns the average part of `usable` in use, and the seconds until 90% of it was in use.
+/// Runs the case. Returns the average fraction of `usable` in use, and the seconds until 90% of it was in use.
 fn sample_use(simulation: &mut Simulation, usable: u64) -> (f64, Option<f64>) {
     let start_us = simulation.now_us();
     let mut sum = 0.0;
@@ -122,18 +122,18 @@
     let mut reached_after_s = None;
     while simulation.now_us() < start_us + CASE_DURATION_US {
         simulation.run_for(SAMPLE_INTERVAL_US);
-        let part = simulation.in_use() as f64 / usable.max(1) as f64;
-        sum += part;
+        let fraction = simulation.in_use() as f64 / usable.max(1) as f64;
+        sum += fraction;
         samples += 1.0;
-        if reached_after_s.is_none() && part >= REACHED_USABLE_PART {
+        if reached_after_s.is_none() && fraction >= REACHED_USABLE_FRACTION {
             reached_after_s = Some((simulation.now_us() - start_us) as f64 / SECOND_US as f64);
         }
     }
     (sum / samples, reached_after_s)
 }
 
-/// Returns the part of `usable` that would be in use with an equal split of the total.
-fn equal_split_part(total: u64, usable: u64, demand: &[u64]) -> f64 {
+/// Returns the fraction of `usable` that would be in use with an equal split of the total.
+fn equal_split_fraction(total: u64, usable: u64, demand: &[u64]) -> f64 {
     let equal_share = total / demand.len() as u64;
     let in_use: u64 = demand.iter().map(|units| (*units).min(equal_share)).sum();
     in_use as f64 / usable.max(1) as f64
@@ -219,6 +219,6 @@
         grants: rate(grants),
         keepers_busy: busy_s / seconds as f64,
         us_per_grant: busy_s * 1e6 / grants.max(1) as f64,
-        in_use_part: simulation.in_use() as f64 / total as f64,
+        in_use_fraction: simulation.in_use() as f64 / total as f64,
     }
 }
--- a/src/clients/session/input.rs
+++ b/src/clients/session/input.rs
@@ -29,7 +29,8 @@
 /// Time limit for reserving memory for a long message. Nothing is read during the wait, so a client that has stopped
 /// sending is not detected.
 const MEMORY_TIMEOUT: Duration = MESSAGE_TIMEOUT;
-/// Number of bytes of a message, including its header, that are searched for the statement's comment.
+/// Number of bytes of a rejected long message, including its header, that are searched for the statement's comment,
+/// which contains the class.
 const MAX_COMMENT_BYTES: usize = 1024;
 
 /// The result of reading.
--- a/src/fleet/command_line.rs
+++ b/src/fleet/command_line.rs
@@ -152,7 +152,7 @@
 pub struct FileCheck {
     /// The text or JSON to print.
     pub report: String,
-    /// Whether the file has no mistakes.
+    /// Whether the file can be read and has no mistakes.
     pub is_valid: bool,
 }
 
@@ -172,8 +172,8 @@
     FileCheck { report, is_valid }
 }
 
-/// Converts the mistakes of a file for the report. A file that can't be read has one mistake, at line 0 without a
-/// field.
+/// Converts the error for the JSON report. An unreadable file yields a single entry, with line 0 and an empty field
+/// name.
 fn mistake_documents(error: OperatorFileError) -> Vec<MistakeDocument> {
     match error {
         OperatorFileError::Unreadable(_, error) => {
