--- a/crates/decisions/src/policy/replica_selection.rs
+++ b/crates/decisions/src/policy/replica_selection.rs
@@ -158,10 +158,10 @@
             && self.is_fresh_enough(replica, selection.target)
     }
 
-    /// Reads of [`ReadLevel::Any`] are concentrated on the replica with the largest lag, which is the same for all routers: a
-    /// long read can stall a replica's log, and spreading such reads would make all replicas lag. Trade-off: that
-    /// replica is slow to promote. Other reads without a target position prefer a larger lag by a factor of at most
-    /// 2.
+    /// Reads of [`ReadLevel::Any`] are concentrated on the replica with the largest lag, which is the same for all
+    /// routers: a long read can stall a replica's log, and spreading such reads would make all replicas lag.
+    /// Trade-off: that replica is slow to promote. Other reads without a target position prefer a larger lag by a
+    /// factor of at most 2.
     fn selection_weight(&self, selection: &ReplicaSelection, replica: &Member) -> f64 {
         let cost = self.selection_cost(replica);
         let lag = self.current_lag(replica).as_f64() / selection.max_lag;
