--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -95,7 +95,7 @@
             Some(Ok(ResponsePart::Line(line))) => line,
             Some(Ok(ResponsePart::End)) | None => return CloseReason::WatchEnded,
             Some(Err(error)) => {
-                warn!("discovery: response can't be decoded, closing the watch: {error}");
+                warn!("discovery: watch failed, closing it: {error}");
                 return CloseReason::Protocol;
             }
         };
