--- a/crates/cluster/src/raft_node/ticks.rs
+++ b/crates/cluster/src/raft_node/ticks.rs
@@ -77,8 +77,7 @@
         } else if committed.terms != declaration.terms || committed.declared != declaration.budgets {
             let committed = committed.revision;
             warn!(
-                "fleet: the operators' file's lease terms or \
-                 budgets, revision {revision}, are not those agreed on, revision {committed}"
+                "fleet: this file's budgets, revision {revision}, are not those agreed on, revision {committed}"
             );
         }
     }
