--- a/src/admin/call.rs
+++ b/src/admin/call.rs
@@ -56,7 +56,7 @@
     TooLong(&'static str, usize),
     /// `Transfer-Encoding` is present, or `Content-Length` is malformed or given with different values.
     Length,
-    /// The API does not have this path, given without control characters and cut to [`MAX_MEMBER_ID_BYTES`] characters.
+    /// The API does not have this path, given without control characters and cut to `MAX_MEMBER_ID_BYTES` characters.
     Path(String),
     /// The path allows only this method.
     Method(&'static str),
